--- a/include/laurelcroft/Policy/AttemptOutcome.h
+++ b/include/laurelcroft/Policy/AttemptOutcome.h
@@ -45,14 +45,14 @@
 };
 
 /// What a further attempt lacked, the first that applies.
-enum class attempt_lack { nothing, endpoints, time, chance, budget };
+enum class retry_blocker { nothing, endpoints, time, chance, budget };
 
 std::string_view textOf(attempt_end end);
 std::string_view textOf(next_step step);
-std::string_view textOf(attempt_lack lack);
+std::string_view textOf(retry_blocker lack);
 
 /// \returns why no further attempt may be made, whatever the one before came to.
-attempt_lack lackOf(const attempt_facts &facts);
+retry_blocker lackOf(const attempt_facts &facts);
 
 /// \returns what follows from \p end.
 next_step stepAfter(attempt_end end, const attempt_facts &facts);
--- a/lib/Policy/AttemptOutcome.cpp
+++ b/lib/Policy/AttemptOutcome.cpp
@@ -45,32 +45,32 @@
     return "unknown";
 }
 
-std::string_view laurelcroft::textOf(attempt_lack lack)
+std::string_view laurelcroft::textOf(retry_blocker lack)
 {
     switch (lack) {
-    case attempt_lack::nothing:
+    case retry_blocker::nothing:
         return "nothing";
-    case attempt_lack::endpoints:
+    case retry_blocker::endpoints:
         return "endpoints";
-    case attempt_lack::time:
+    case retry_blocker::time:
         return "time";
-    case attempt_lack::chance:
+    case retry_blocker::chance:
         return "chance";
-    case attempt_lack::budget:
+    case retry_blocker::budget:
         return "budget";
     }
     return "unknown";
 }
 
-attempt_lack laurelcroft::lackOf(const attempt_facts &facts)
+retry_blocker laurelcroft::lackOf(const attempt_facts &facts)
 {
     if (!facts.endpointsLeft)
-        return attempt_lack::endpoints;
+        return retry_blocker::endpoints;
     if (!facts.timeLeft)
-        return attempt_lack::time;
+        return retry_blocker::time;
     if (!facts.hasChance)
-        return attempt_lack::chance;
-    return facts.budgetLeft ? attempt_lack::nothing : attempt_lack::budget;
+        return retry_blocker::chance;
+    return facts.budgetLeft ? retry_blocker::nothing : retry_blocker::budget;
 }
 
 next_step laurelcroft::stepAfter(attempt_end end, const attempt_facts &facts)
@@ -78,11 +78,11 @@
     if (end == attempt_end::answered)
         return next_step::deliver;
 
-    const attempt_lack lack = lackOf(facts);
+    const retry_blocker lack = lackOf(facts);
     // An endpoint that saw nothing says nothing of its service, and costs no budget.
     const bool mayDoWithout = end == attempt_end::notSent
-            && (lack == attempt_lack::chance || lack == attempt_lack::budget);
-    const bool mayGoOn = lack == attempt_lack::nothing || mayDoWithout;
+            && (lack == retry_blocker::chance || lack == retry_blocker::budget);
+    const bool mayGoOn = lack == retry_blocker::nothing || mayDoWithout;
     if (facts.passedOn) {
         const bool resumes = facts.resumable && mayGoOn;
         return resumes ? next_step::resumeElsewhere : next_step::cut;
