--- a/include/laurelcroft/Policy/AttemptOutcome.h
+++ b/include/laurelcroft/Policy/AttemptOutcome.h
@@ -52,7 +52,7 @@
 std::string_view textOf(retry_blocker lack);
 
 /// \returns why no further attempt may be made, whatever the one before came to.
-retry_blocker lackOf(const attempt_facts &facts);
+retry_blocker retryBlockerOf(const attempt_facts &facts);
 
 /// \returns what follows from \p end.
 next_step stepAfter(attempt_end end, const attempt_facts &facts);
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -339,7 +339,7 @@
 next_step request_flow<Env>::decideAfter(attempt_end end)
 {
     const attempt_facts facts = this->facts();
-    m_record.lack = lackOf(facts);
+    m_record.lack = retryBlockerOf(facts);
     m_record.budgetLeft = budget().left(now(), allowanceShare());
     const bool ran = end != attempt_end::notSent && end != attempt_end::refused;
     m_mayHaveRun = m_mayHaveRun || ran;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -436,7 +436,7 @@
                       self->watchProgress(number);
                       return;
                   }
-                  if (lackOf(self->facts()) == retry_blocker::nothing)
+                  if (retryBlockerOf(self->facts()) == retry_blocker::nothing)
                       self->endAttempt(attempt_end::silent);
               });
 }
--- a/lib/Policy/AttemptOutcome.cpp
+++ b/lib/Policy/AttemptOutcome.cpp
@@ -62,7 +62,7 @@
     return "unknown";
 }
 
-retry_blocker laurelcroft::lackOf(const attempt_facts &facts)
+retry_blocker laurelcroft::retryBlockerOf(const attempt_facts &facts)
 {
     if (!facts.endpointsLeft)
         return retry_blocker::endpoints;
@@ -78,7 +78,7 @@
     if (end == attempt_end::answered)
         return next_step::deliver;
 
-    const retry_blocker lack = lackOf(facts);
+    const retry_blocker lack = retryBlockerOf(facts);
     // An endpoint that saw nothing says nothing of its service, and costs no budget.
     const bool mayDoWithout = end == attempt_end::notSent
             && (lack == retry_blocker::chance || lack == retry_blocker::budget);
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -106,15 +106,15 @@
 TEST_CASE("what a further attempt lacks is named: endpoints, time, a chance, the budget")
 {
     attempt_facts facts;
-    CHECK(lackOf(facts) == retry_blocker::endpoints);
+    CHECK(retryBlockerOf(facts) == retry_blocker::endpoints);
     facts.endpointsLeft = true;
-    CHECK(lackOf(facts) == retry_blocker::time);
+    CHECK(retryBlockerOf(facts) == retry_blocker::time);
     facts.timeLeft = true;
-    CHECK(lackOf(facts) == retry_blocker::chance);
+    CHECK(retryBlockerOf(facts) == retry_blocker::chance);
     facts.hasChance = true;
-    CHECK(lackOf(facts) == retry_blocker::budget);
+    CHECK(retryBlockerOf(facts) == retry_blocker::budget);
     facts.budgetLeft = true;
-    CHECK(lackOf(facts) == retry_blocker::nothing);
+    CHECK(retryBlockerOf(facts) == retry_blocker::nothing);
 }
 
 static std::vector<direct_candidate> threeCandidates()
