--- a/include/laurelcroft/Policy/AttemptOutcome.h
+++ b/include/laurelcroft/Policy/AttemptOutcome.h
@@ -25,7 +25,7 @@
 struct attempt_facts
 {
     bool mayRepeat = false; ///< the request may run again
-    bool passedOn = false; ///< the caller has got a part of the answer
+    bool partDelivered = false; ///< the caller has got a part of the answer
     bool resumable = false; ///< a stream that may go on elsewhere after an event id
     bool mayHaveRun = false; ///< at this endpoint or an earlier one
     bool endpointsLeft = false; ///< one more endpoint may be tried
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -266,7 +266,7 @@
 {
     attempt_facts facts;
     facts.mayRepeat = m_route->mayRepeat();
-    facts.passedOn = m_begun;
+    facts.partDelivered = m_begun;
     facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEvent);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
--- a/lib/Policy/AttemptOutcome.cpp
+++ b/lib/Policy/AttemptOutcome.cpp
@@ -83,7 +83,7 @@
     const bool mayDoWithout = end == attempt_end::notSent
             && (lack == retry_blocker::chance || lack == retry_blocker::budget);
     const bool mayGoOn = lack == retry_blocker::nothing || mayDoWithout;
-    if (facts.passedOn) {
+    if (facts.partDelivered) {
         const bool resumes = facts.resumable && mayGoOn;
         return resumes ? next_step::resumeElsewhere : next_step::cut;
     }
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -27,7 +27,7 @@
 {
     attempt_facts facts;
     facts.mayRepeat = (bits & 1) != 0;
-    facts.passedOn = (bits & 2) != 0;
+    facts.partDelivered = (bits & 2) != 0;
     facts.resumable = (bits & 4) != 0;
     facts.mayHaveRun = (bits & 8) != 0;
     facts.endpointsLeft = (bits & 16) != 0;
@@ -45,7 +45,7 @@
 {
     for (unsigned bits = 0; bits < allFacts; ++bits) {
         const attempt_facts facts = factsOf(bits);
-        if (facts.mayRepeat || facts.passedOn)
+        if (facts.mayRepeat || facts.partDelivered)
             continue;
         for (const attempt_end end :
              {attempt_end::failed, attempt_end::broken, attempt_end::silent})
@@ -69,7 +69,7 @@
 {
     for (unsigned bits = 0; bits < allFacts; ++bits) {
         const attempt_facts facts = factsOf(bits);
-        if (!facts.passedOn)
+        if (!facts.partDelivered)
             continue;
         for (const attempt_end end : allEnds) {
             const next_step step = stepAfter(end, facts);
