--- a/include/laurelcroft/Policy/AttemptOutcome.h
+++ b/include/laurelcroft/Policy/AttemptOutcome.h
@@ -30,7 +30,7 @@
     bool mayHaveRun = false; ///< at this endpoint or an earlier one
     bool endpointsLeft = false; ///< one more endpoint may be tried
     bool budgetLeft = false; ///< the fleet's budget for repeats has room
-    bool hasChance = false; ///< one more attempt may bring an answer, or is worth it anyway
+    bool worthRetrying = false; ///< one more attempt may bring an answer, or is worth it anyway
     bool timeLeft = false; ///< enough of the deadline for another attempt
 };
 
--- a/lib/Policy/AttemptOutcome.cpp
+++ b/lib/Policy/AttemptOutcome.cpp
@@ -68,7 +68,7 @@
         return retry_blocker::endpoints;
     if (!facts.timeLeft)
         return retry_blocker::time;
-    if (!facts.hasChance)
+    if (!facts.worthRetrying)
         return retry_blocker::chance;
     return facts.budgetLeft ? retry_blocker::nothing : retry_blocker::budget;
 }
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -33,7 +33,7 @@
     facts.endpointsLeft = (bits & 16) != 0;
     facts.budgetLeft = (bits & 32) != 0;
     facts.timeLeft = (bits & 64) != 0;
-    facts.hasChance = (bits & 128) != 0;
+    facts.worthRetrying = (bits & 128) != 0;
     return facts;
 }
 
@@ -92,7 +92,7 @@
             CHECK(facts.timeLeft);
             // What never reached an endpoint costs no budget.
             CHECK((facts.budgetLeft || end == attempt_end::notSent));
-            CHECK((facts.hasChance || end == attempt_end::notSent));
+            CHECK((facts.worthRetrying || end == attempt_end::notSent));
         }
     }
 }
@@ -111,7 +111,7 @@
     CHECK(retryBlockerOf(facts) == retry_blocker::time);
     facts.timeLeft = true;
     CHECK(retryBlockerOf(facts) == retry_blocker::chance);
-    facts.hasChance = true;
+    facts.worthRetrying = true;
     CHECK(retryBlockerOf(facts) == retry_blocker::budget);
     facts.budgetLeft = true;
     CHECK(retryBlockerOf(facts) == retry_blocker::nothing);
