--- a/include/laurelcroft/Policy/CandidateSample.h
+++ b/include/laurelcroft/Policy/CandidateSample.h
@@ -6,7 +6,7 @@
 // So a choice looks at a bounded number: some drawn anew for each request, so that all endpoints
 // get their part, and those that may be the home of its prompt.
 //
-// The load that it answers is many entries before many endpoints; up to mostCandidates nothing is
+// The load that it answers is many entries before many endpoints; up to maxCandidates nothing is
 // left out.
 //
 //===----------------------------------------------------------------------===//
@@ -30,7 +30,7 @@
 
 /// Candidates that one choice looks at. The least loaded of a hundred is nearly as idle as that of
 /// thousands; the users' deployments of today, up to 160 endpoints of a service, are seen whole.
-inline constexpr std::size_t mostCandidates = 192;
+inline constexpr std::size_t maxCandidates = 192;
 /// Of these, endpoints of other data centres: they cost more and are chosen seldom.
 inline constexpr std::size_t mostElsewhere = 48;
 /// Ranks of a home that are looked at, in the whole site and in the own data centre: the first may
@@ -39,7 +39,7 @@
 
 /// \param prompt hash of the prompt's longest shared prefix; empty if it shares nothing.
 /// \param draw random, another one for each request.
-/// \returns indices into \p endpoints, each once, at most mostCandidates of them.
+/// \returns indices into \p endpoints, each once, at most maxCandidates of them.
 std::vector<std::size_t> sampleCandidates(std::span<const sampled_endpoint> endpoints,
                                           std::optional<std::uint64_t> prompt, std::uint64_t draw);
 
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -272,7 +272,7 @@
 {
     std::vector<std::size_t> within;
     const std::size_t from = draw % endpoints.size();
-    for (std::size_t i = 0; i < endpoints.size() && within.size() < mostCandidates; ++i) {
+    for (std::size_t i = 0; i < endpoints.size() && within.size() < maxCandidates; ++i) {
         const std::size_t index = (from + i) % endpoints.size();
         const service_endpoint &endpoint = *endpoints[index];
         const bool hasRoom = !endpoint.rateLimit()
--- a/lib/Policy/CandidateSample.cpp
+++ b/lib/Policy/CandidateSample.cpp
@@ -67,18 +67,18 @@
                                                        std::uint64_t draw)
 {
     std::vector<std::size_t> indices;
-    if (endpoints.size() <= mostCandidates) {
+    if (endpoints.size() <= maxCandidates) {
         indices.resize(endpoints.size());
         std::iota(indices.begin(), indices.end(), std::size_t(0));
         return indices;
     }
-    indices.reserve(mostCandidates);
+    indices.reserve(maxCandidates);
     if (prompt)
         addHomes(endpoints, *prompt, indices);
     std::size_t elsewhere = 0;
     std::size_t at = draw % endpoints.size();
     for (std::size_t seen = 0; seen < endpoints.size(); ++seen) {
-        if (indices.size() >= mostCandidates - 2 * homeRanks)
+        if (indices.size() >= maxCandidates - 2 * homeRanks)
             break;
         const bool isNear = endpoints[at].sameDataCentre;
         if (isNear || elsewhere < mostElsewhere)
--- a/unittests/Policy/CandidateSampleTests.cpp
+++ b/unittests/Policy/CandidateSampleTests.cpp
@@ -25,7 +25,7 @@
 
 TEST_CASE("up to the bound nothing is left out")
 {
-    for (const std::size_t count : {std::size_t(0), std::size_t(1), mostCandidates})
+    for (const std::size_t count : {std::size_t(0), std::size_t(1), maxCandidates})
         CHECK(sampleCandidates(endpointsOf(count), 7, 5).size() == count);
 }
 
@@ -34,8 +34,8 @@
     const auto endpoints = endpointsOf(3000);
     for (std::uint64_t draw = 0; draw < 200; ++draw) {
         const auto sample = sampleCandidates(endpoints, draw, draw * 7919);
-        CHECK(sample.size() <= mostCandidates);
-        CHECK(sample.size() > mostCandidates / 2);
+        CHECK(sample.size() <= maxCandidates);
+        CHECK(sample.size() > maxCandidates / 2);
         CHECK(std::set<std::size_t>(sample.begin(), sample.end()).size() == sample.size());
         const auto far = std::count_if(sample.begin(), sample.end(), [&](std::size_t index) {
             return !endpoints[index].sameDataCentre;
