--- a/include/laurelcroft/Policy/CandidateSample.h
+++ b/include/laurelcroft/Policy/CandidateSample.h
@@ -32,7 +32,7 @@
 /// thousands; the users' deployments of today, up to 160 endpoints of a service, are seen whole.
 inline constexpr std::size_t maxCandidates = 192;
 /// Of these, endpoints of other data centres: they cost more and are chosen seldom.
-inline constexpr std::size_t mostElsewhere = 48;
+inline constexpr std::size_t maxRemoteCandidates = 48;
 /// Ranks of a home that are looked at, in the whole site and in the own data centre: the first may
 /// be avoided for a while.
 inline constexpr std::size_t homeRanks = 2;
--- a/lib/Policy/CandidateSample.cpp
+++ b/lib/Policy/CandidateSample.cpp
@@ -81,7 +81,7 @@
         if (indices.size() >= maxCandidates - 2 * homeRanks)
             break;
         const bool isNear = endpoints[at].sameDataCentre;
-        if (isNear || elsewhere < mostElsewhere)
+        if (isNear || elsewhere < maxRemoteCandidates)
             indices.push_back(at);
         elsewhere += isNear ? 0 : 1;
         at = at + 1 == endpoints.size() ? 0 : at + 1;
