--- a/include/laurelcroft/Policy/CandidateSample.h
+++ b/include/laurelcroft/Policy/CandidateSample.h
@@ -35,7 +35,7 @@
 inline constexpr std::size_t maxRemoteCandidates = 48;
 /// Ranks of a home that are looked at, in the whole site and in the own data centre: the first may
 /// be avoided for a while.
-inline constexpr std::size_t homeRanks = 2;
+inline constexpr std::size_t homesPerScope = 2;
 
 /// \param prompt hash of the prompt's longest shared prefix; empty if it shares nothing.
 /// \param draw random, another one for each request.
--- a/lib/Policy/CandidateSample.cpp
+++ b/lib/Policy/CandidateSample.cpp
@@ -21,7 +21,7 @@
 public:
     void offer(std::uint64_t rank, std::size_t index)
     {
-        const bool isFull = m_kept.size() == homeRanks;
+        const bool isFull = m_kept.size() == homesPerScope;
         if (isFull && rank <= m_kept.back().first)
             return;
         if (isFull)
@@ -78,7 +78,7 @@
     std::size_t elsewhere = 0;
     std::size_t at = draw % endpoints.size();
     for (std::size_t seen = 0; seen < endpoints.size(); ++seen) {
-        if (indices.size() >= maxCandidates - 2 * homeRanks)
+        if (indices.size() >= maxCandidates - 2 * homesPerScope)
             break;
         const bool isNear = endpoints[at].sameDataCentre;
         if (isNear || elsewhere < maxRemoteCandidates)
--- a/unittests/Policy/CandidateSampleTests.cpp
+++ b/unittests/Policy/CandidateSampleTests.cpp
@@ -40,7 +40,7 @@
         const auto far = std::count_if(sample.begin(), sample.end(), [&](std::size_t index) {
             return !endpoints[index].sameDataCentre;
         });
-        CHECK(static_cast<std::size_t>(far) <= maxRemoteCandidates + homeRanks);
+        CHECK(static_cast<std::size_t>(far) <= maxRemoteCandidates + homesPerScope);
     }
 }
 
