--- a/include/laurelcroft/Policy/CascadeLearner.h
+++ b/include/laurelcroft/Policy/CascadeLearner.h
@@ -30,7 +30,7 @@
     start_reason reason = start_reason::cheapFirst;
 };
 
-struct judgement
+struct acceptance_decision
 {
     bool suffices = false;
     double threshold = 0;
@@ -49,7 +49,8 @@
                                double timeLeftMs, double expectedMs, random_source &random) const;
 
     /// Judges an answer of \p tier with \p score, and counts the score as seen.
-    judgement judge(const cascade &item, std::string_view group, std::size_t tier, double score);
+    acceptance_decision judge(const cascade &item, std::string_view group, std::size_t tier,
+                              double score);
 
     /// Learns that an answer of \p tier with \p score was good or not.
     /// \param released the caller got this answer, not one of a later tier.
@@ -61,7 +62,8 @@
     double releasedQuality(const cascade &item, std::string_view group) const;
 
     /// \returns the score that suffices now.
-    judgement threshold(const cascade &item, std::string_view group, std::size_t tier) const;
+    acceptance_decision threshold(const cascade &item, std::string_view group,
+                                  std::size_t tier) const;
 
     /// \returns the share of answers of \p tier that suffice; 1 before anything was seen.
     double acceptShare(const cascade &item, std::string_view group, std::size_t tier) const;
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -156,8 +156,8 @@
     return good / rated;
 }
 
-judgement cascade_learner::threshold(const cascade &item, std::string_view group,
-                                     std::size_t tier) const
+acceptance_decision cascade_learner::threshold(const cascade &item, std::string_view group,
+                                               std::size_t tier) const
 {
     const tier_record *known = find(item, group, tier);
     if (known == nullptr || known->ratedTotal < ratingsToLearn)
@@ -191,10 +191,10 @@
     return {false, lowest / bins, true};
 }
 
-judgement cascade_learner::judge(const cascade &item, std::string_view group, std::size_t tier,
-                                 double score)
+acceptance_decision cascade_learner::judge(const cascade &item, std::string_view group,
+                                           std::size_t tier, double score)
 {
-    judgement result = threshold(item, group, tier);
+    acceptance_decision result = threshold(item, group, tier);
     tier_record &known = record(item, group, tier);
     for (double &count : known.seen)
         count *= fade;
@@ -209,7 +209,7 @@
     const tier_record *known = find(item, group, tier);
     if (known == nullptr)
         return 1.0;
-    const judgement now = threshold(item, group, tier);
+    const acceptance_decision now = threshold(item, group, tier);
     double seen = 0;
     double accepted = 0;
     for (std::size_t i = 0; i < bins; ++i) {
