--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -334,7 +334,7 @@
 auto entry_core<Runtime, Table, Env>::suffices(const request_flow &flow, const tier_result &result,
                                                bool isError) -> bool
 {
-    const acceptance_decision judged = m_learner.judge(
+    const acceptance_decision judged = m_learner.evaluate(
             *flow.target.tiers, flow.who().group, flow.tier, isError ? 0.0 : result.finish.score());
     const bool enough = judged.suffices && !isError;
     std::string reason = "score " + shortNumber(result.finish.score()) + " against "
--- a/include/laurelcroft/Policy/CascadeLearner.h
+++ b/include/laurelcroft/Policy/CascadeLearner.h
@@ -49,8 +49,8 @@
                                double timeLeftMs, double expectedMs, random_source &random) const;
 
     /// Judges an answer of \p tier with \p score, and counts the score as seen.
-    acceptance_decision judge(const cascade &item, std::string_view group, std::size_t tier,
-                              double score);
+    acceptance_decision evaluate(const cascade &item, std::string_view group, std::size_t tier,
+                                 double score);
 
     /// Learns that an answer of \p tier with \p score was good or not.
     /// \param released the caller got this answer, not one of a later tier.
--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -164,7 +164,7 @@
         bool takesCheap = false;
         if (start.tier == 0) {
             paid += cheapCost;
-            takesCheap = learner.judge(item, "g", 0, request.score).suffices;
+            takesCheap = learner.evaluate(item, "g", 0, request.score).suffices;
             sample(0, request.cheapGood, takesCheap);
         }
         if (!takesCheap) {
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -191,8 +191,8 @@
     return {false, lowest / bins, true};
 }
 
-acceptance_decision cascade_learner::judge(const cascade &item, std::string_view group,
-                                           std::size_t tier, double score)
+acceptance_decision cascade_learner::evaluate(const cascade &item, std::string_view group,
+                                              std::size_t tier, double score)
 {
     acceptance_decision result = threshold(item, group, tier);
     tier_record &known = record(item, group, tier);
--- a/unittests/Policy/PolicyTests.cpp
+++ b/unittests/Policy/PolicyTests.cpp
@@ -242,8 +242,8 @@
 {
     cascade_learner learner;
     const cascade item = twoTiers();
-    CHECK_FALSE(learner.judge(item, "g", 0, 0.7).suffices);
-    CHECK(learner.judge(item, "g", 0, 0.85).suffices);
+    CHECK_FALSE(learner.evaluate(item, "g", 0, 0.7).suffices);
+    CHECK(learner.evaluate(item, "g", 0, 0.85).suffices);
     CHECK_FALSE(learner.threshold(item, "g", 0).learned);
 }
 
@@ -255,7 +255,7 @@
         random_source random(4);
         for (int i = 0; i < 3000; ++i) {
             const double score = random.uniform();
-            learner.judge(item, "g", 0, score);
+            learner.evaluate(item, "g", 0, score);
             learner.learn(item, "g", 0, score, random.chance(goodShare), false);
         }
         return learner.threshold(item, "g", 0);
@@ -278,10 +278,10 @@
     CHECK(learner.chooseStart(rules, item, "g", 1000, 10, random).tier == 1);
     // One miss proves little; many prove that the cheap tier is not worth its cost.
     item.repeatable = true;
-    learner.judge(item, "g", 0, 0.1);
+    learner.evaluate(item, "g", 0, 0.1);
     CHECK(learner.chooseStart(rules, item, "g", 1000, 10, random).tier == 0);
     for (int i = 0; i < 1000; ++i)
-        learner.judge(item, "g", 0, 0.1);
+        learner.evaluate(item, "g", 0, 0.1);
     int cheap = 0;
     for (int i = 0; i < 1000; ++i)
         cheap += learner.chooseStart(rules, item, "g", 1000, 10, random).tier == 0 ? 1 : 0;
