--- a/include/laurelcroft/Policy/CascadeLearner.h
+++ b/include/laurelcroft/Policy/CascadeLearner.h
@@ -66,7 +66,7 @@
                                   std::size_t tier) const;
 
     /// \returns the share of answers of \p tier that suffice; 1 before anything was seen.
-    double acceptShare(const cascade &item, std::string_view group, std::size_t tier) const;
+    double acceptanceRate(const cascade &item, std::string_view group, std::size_t tier) const;
 
 private:
     struct tier_record
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -203,8 +203,8 @@
     return result;
 }
 
-double cascade_learner::acceptShare(const cascade &item, std::string_view group,
-                                    std::size_t tier) const
+double cascade_learner::acceptanceRate(const cascade &item, std::string_view group,
+                                       std::size_t tier) const
 {
     const tier_record *known = find(item, group, tier);
     if (known == nullptr)
@@ -236,7 +236,7 @@
         if (cheap == nullptr || costly == nullptr)
             continue;
         const double needed = costly->outputCost > 0 ? cheap->outputCost / costly->outputCost : 1;
-        if (acceptShare(item, group, tier) > needed)
+        if (acceptanceRate(item, group, tier) > needed)
             return {tier, start_reason::cheapFirst};
     }
     if (random.chance(exploreShare))
