--- a/include/laurelcroft/Policy/CascadeLearner.h
+++ b/include/laurelcroft/Policy/CascadeLearner.h
@@ -88,7 +88,7 @@
     double costlyQuality(const cascade &item, std::string_view group) const;
     static std::array<double, bins> smoothed(const tier_record &record);
 
-    double wantedQuality(const cascade &item, std::string_view group) const;
+    double adjustedTarget(const cascade &item, std::string_view group) const;
 
     std::map<std::string, tier_record, std::less<>> m_records;
     std::map<std::string, released_record, std::less<>> m_released;
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -105,7 +105,7 @@
 
 /// The estimate by bins errs when the mix shifts; what callers really got corrects it:
 /// quality above the target is given back, quality below it is made up.
-double cascade_learner::wantedQuality(const cascade &item, std::string_view group) const
+double cascade_learner::adjustedTarget(const cascade &item, std::string_view group) const
 {
     const double surplus = releasedQuality(item, group) - item.qualityTarget;
     return item.qualityTarget
@@ -172,7 +172,7 @@
     // From the highest bin down: accept one more bin as long as the whole mix keeps
     // the target with its margin, and of the last one the part that still fits.
     double quality = costly;
-    const double wanted = wantedQuality(item, group);
+    const double wanted = adjustedTarget(item, group);
     double variance = 0;
     double lowest = bins;
     for (std::size_t i = bins; i-- > 0;) {
