--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Ratings below which the bundle's start score rules.
-constexpr double ratingsToLearn = 40;
+constexpr double minRatings = 40;
 /// Each new rating fades the older ones of its tier by this factor.
 constexpr double fade = 0.999;
 /// Prior of a bin: as many ratings, split by the bin's own score.
@@ -98,7 +98,7 @@
 double cascade_learner::releasedQuality(const cascade &item, std::string_view group) const
 {
     const auto it = m_released.find(item.name + "/" + std::string(group));
-    if (it == m_released.end() || it->second.rated < ratingsToLearn)
+    if (it == m_released.end() || it->second.rated < minRatings)
         return item.qualityTarget;
     return it->second.good / it->second.rated;
 }
@@ -147,8 +147,8 @@
     const tier_record *last = find(item, group, item.tiers.size() - 1);
     if (last == nullptr)
         return assumedCostlyQuality;
-    double good = assumedCostlyQuality * ratingsToLearn;
-    double rated = ratingsToLearn;
+    double good = assumedCostlyQuality * minRatings;
+    double rated = minRatings;
     for (std::size_t i = 0; i < bins; ++i) {
         good += last->good[i];
         rated += last->rated[i];
@@ -160,7 +160,7 @@
                                                std::size_t tier) const
 {
     const tier_record *known = find(item, group, tier);
-    if (known == nullptr || known->ratedTotal < ratingsToLearn)
+    if (known == nullptr || known->ratedTotal < minRatings)
         return {false, item.startScore, false};
     const std::array<double, bins> share = smoothed(*known);
     double seen = 0;
