--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -18,7 +18,7 @@
 /// Ratings below which the bundle's start score rules.
 constexpr double minRatings = 40;
 /// Each new rating fades the older ones of its tier by this factor.
-constexpr double fade = 0.999;
+constexpr double ratingDecay = 0.999;
 /// Prior of a bin: as many ratings, split by the bin's own score.
 constexpr double priorWeight = 1.0;
 /// Standard deviations kept between the estimate and the target.
@@ -82,10 +82,10 @@
 {
     tier_record &known = record(item, group, tier);
     for (std::size_t i = 0; i < bins; ++i) {
-        known.good[i] *= fade;
-        known.rated[i] *= fade;
+        known.good[i] *= ratingDecay;
+        known.rated[i] *= ratingDecay;
     }
-    known.ratedTotal = known.ratedTotal * fade + 1.0;
+    known.ratedTotal = known.ratedTotal * ratingDecay + 1.0;
     known.rated[binOf(score)] += 1.0;
     known.good[binOf(score)] += good ? 1.0 : 0.0;
     if (!released)
@@ -197,7 +197,7 @@
     acceptance_decision result = threshold(item, group, tier);
     tier_record &known = record(item, group, tier);
     for (double &count : known.seen)
-        count *= fade;
+        count *= ratingDecay;
     known.seen[binOf(score)] += 1.0;
     result.suffices = result.threshold < 1.0 && score >= result.threshold;
     return result;
