--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -24,7 +24,7 @@
 /// Standard deviations kept between the estimate and the target.
 constexpr double cautiousDeviations = 0.5;
 /// Released answers fade faster than what is known of a bin: they steer.
-constexpr double releasedFade = 0.997;
+constexpr double releasedDecay = 0.997;
 constexpr double correction = 1.5;
 constexpr double largestCorrection = 0.08;
 /// Answers that are taken to have sufficed before any was seen: one miss proves little.
@@ -91,8 +91,8 @@
     if (!released)
         return;
     released_record &given = m_released[item.name + "/" + std::string(group)];
-    given.good = given.good * releasedFade + (good ? 1.0 : 0.0);
-    given.rated = given.rated * releasedFade + 1.0;
+    given.good = given.good * releasedDecay + (good ? 1.0 : 0.0);
+    given.rated = given.rated * releasedDecay + 1.0;
 }
 
 double cascade_learner::releasedQuality(const cascade &item, std::string_view group) const
