--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -22,7 +22,7 @@
 /// Prior of a bin: as many ratings, split by the bin's own score.
 constexpr double priorWeight = 1.0;
 /// Standard deviations kept between the estimate and the target.
-constexpr double cautiousDeviations = 0.5;
+constexpr double marginDeviations = 0.5;
 /// Released answers fade faster than what is known of a bin: they steer.
 constexpr double releasedDecay = 0.997;
 constexpr double correction = 1.5;
@@ -179,7 +179,7 @@
         const double weight = known->seen[i] / seen;
         const double next = quality + weight * (share[i] - costly);
         variance += weight * weight * share[i] * (1 - share[i]) / (known->rated[i] + priorWeight);
-        const double needed = wanted + cautiousDeviations * std::sqrt(variance);
+        const double needed = wanted + marginDeviations * std::sqrt(variance);
         if (next < needed) {
             const double part = quality > needed ? (quality - needed) / (quality - next) : 0.0;
             lowest = static_cast<double>(i + 1) - part;
