--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -25,7 +25,7 @@
 constexpr double marginDeviations = 0.5;
 /// Released answers fade faster than what is known of a bin: they steer.
 constexpr double releasedDecay = 0.997;
-constexpr double correction = 1.5;
+constexpr double correctionGain = 1.5;
 constexpr double largestCorrection = 0.08;
 /// Answers that are taken to have sufficed before any was seen: one miss proves little.
 constexpr double hopefulAnswers = 20;
@@ -109,7 +109,7 @@
 {
     const double surplus = releasedQuality(item, group) - item.qualityTarget;
     return item.qualityTarget
-            - std::clamp(correction * surplus, -largestCorrection, largestCorrection);
+            - std::clamp(correctionGain * surplus, -largestCorrection, largestCorrection);
 }
 
 std::array<double, cascade_learner::bins> cascade_learner::smoothed(const tier_record &record)
