--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -26,7 +26,7 @@
 /// Released answers fade faster than what is known of a bin: they steer.
 constexpr double releasedDecay = 0.997;
 constexpr double correctionGain = 1.5;
-constexpr double largestCorrection = 0.08;
+constexpr double maxCorrection = 0.08;
 /// Answers that are taken to have sufficed before any was seen: one miss proves little.
 constexpr double hopefulAnswers = 20;
 /// Share of requests that try the cheap tier although it rarely suffices.
@@ -108,8 +108,7 @@
 double cascade_learner::adjustedTarget(const cascade &item, std::string_view group) const
 {
     const double surplus = releasedQuality(item, group) - item.qualityTarget;
-    return item.qualityTarget
-            - std::clamp(correctionGain * surplus, -largestCorrection, largestCorrection);
+    return item.qualityTarget - std::clamp(correctionGain * surplus, -maxCorrection, maxCorrection);
 }
 
 std::array<double, cascade_learner::bins> cascade_learner::smoothed(const tier_record &record)
