--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -28,7 +28,7 @@
 constexpr double correctionGain = 1.5;
 constexpr double maxCorrection = 0.08;
 /// Answers that are taken to have sufficed before any was seen: one miss proves little.
-constexpr double hopefulAnswers = 20;
+constexpr double priorAcceptedAnswers = 20;
 /// Share of requests that try the cheap tier although it rarely suffices.
 constexpr double exploreShare = 0.02;
 /// The costly tier's good share before it was rated.
@@ -216,7 +216,7 @@
         if (static_cast<double>(i) / bins >= now.threshold)
             accepted += known->seen[i];
     }
-    return (accepted + hopefulAnswers) / (seen + hopefulAnswers);
+    return (accepted + priorAcceptedAnswers) / (seen + priorAcceptedAnswers);
 }
 
 start_decision cascade_learner::chooseStart(const bundle &rules, const cascade &item,
