--- a/include/laurelcroft/Policy/ConfidenceCascade.h
+++ b/include/laurelcroft/Policy/ConfidenceCascade.h
@@ -56,7 +56,7 @@
 };
 
 /// \returns the confidence from which an answer is kept, percent, at this mean wait.
-int keptFrom(const cascade_settings &settings, double wait);
+int keepThreshold(const cascade_settings &settings, double wait);
 
 /// \returns the index of the first model to ask, of \p models.
 std::size_t firstModel(const cascade_settings &settings, std::size_t models);
--- a/lib/Policy/ConfidenceCascade.cpp
+++ b/lib/Policy/ConfidenceCascade.cpp
@@ -30,7 +30,7 @@
     return models == 0 ? 0 : std::min(settings.firstModel, models - 1);
 }
 
-int laurelcroft::keptFrom(const cascade_settings &settings, double wait)
+int laurelcroft::keepThreshold(const cascade_settings &settings, double wait)
 {
     const double span = settings.busyWait - settings.calmWait;
     const double busy = span <= 0 ? 0 : std::clamp((wait - settings.calmWait) / span, 0.0, 1.0);
@@ -53,7 +53,7 @@
     const bool largest = view.model + 1 >= view.models;
     if (largest || !view.mayRunAgain || !view.confidence)
         return std::nullopt;
-    if (*view.confidence >= keptFrom(settings, view.wait))
+    if (*view.confidence >= keepThreshold(settings, view.wait))
         return std::nullopt;
     if (view.expectedAt > latestInTime)
         return std::nullopt;
