--- a/include/laurelcroft/Policy/ConfidenceCascade.h
+++ b/include/laurelcroft/Policy/ConfidenceCascade.h
@@ -62,7 +62,8 @@
 std::size_t firstModel(const cascade_settings &settings, std::size_t models);
 
 /// \returns the model to ask instead; nothing when the answer is kept.
-std::optional<std::size_t> escalatesTo(const cascade_settings &settings, const cascade_view &view);
+std::optional<std::size_t> escalationTarget(const cascade_settings &settings,
+                                            const cascade_view &view);
 
 } // namespace laurelcroft
 
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -93,7 +93,7 @@
         return;
     cascade_view view = cascadeView();
     const cascade_settings &settings = m_env.routing().cascade();
-    const std::optional<std::size_t> larger = escalatesTo(settings, view);
+    const std::optional<std::size_t> larger = escalationTarget(settings, view);
     if (!larger)
         return;
     // The answer is dropped only when another endpoint stands ready for the larger model.
@@ -106,7 +106,7 @@
         view.expectedAt = ofObjective(now() - m_arrivedAt + wait);
     }
     m_record.largerExpectedAt = view.expectedAt;
-    if (!pick || !escalatesTo(settings, view) || !takeFurtherSend(further_send::largerModel)) {
+    if (!pick || !escalationTarget(settings, view) || !takeFurtherSend(further_send::largerModel)) {
         m_tried = tried;
         m_model = smaller;
         m_prefixes = prefixesOf(modelName());
--- a/lib/Policy/ConfidenceCascade.cpp
+++ b/lib/Policy/ConfidenceCascade.cpp
@@ -47,8 +47,8 @@
     return std::clamp((settings.fullWait - wait) / span, 0.0, 1.0);
 }
 
-std::optional<std::size_t> laurelcroft::escalatesTo(const cascade_settings &settings,
-                                                    const cascade_view &view)
+std::optional<std::size_t> laurelcroft::escalationTarget(const cascade_settings &settings,
+                                                         const cascade_view &view)
 {
     const bool largest = view.model + 1 >= view.models;
     if (largest || !view.mayRunAgain || !view.confidence)
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -224,13 +224,13 @@
 TEST_CASE("the cascade escalates only doubtful answers, and only where it may run again")
 {
     const cascade_settings settings{0, 50};
-    CHECK(escalatesTo(settings, {0, 3, 20, true}) == 2);
-    CHECK(!escalatesTo(settings, {0, 3, 50, true}));
-    CHECK(!escalatesTo(settings, {0, 3, 20, false}));
-    CHECK(!escalatesTo(settings, {0, 3, std::nullopt, true}));
-    CHECK(!escalatesTo(settings, {2, 3, 0, true}));
-    CHECK(escalatesTo(settings, {0, 3, 20, true, 0, 0, 0.9}) == 2);
-    CHECK(!escalatesTo(settings, {0, 3, 20, true, 0, 0, 1.1}));
+    CHECK(escalationTarget(settings, {0, 3, 20, true}) == 2);
+    CHECK(!escalationTarget(settings, {0, 3, 50, true}));
+    CHECK(!escalationTarget(settings, {0, 3, 20, false}));
+    CHECK(!escalationTarget(settings, {0, 3, std::nullopt, true}));
+    CHECK(!escalationTarget(settings, {2, 3, 0, true}));
+    CHECK(escalationTarget(settings, {0, 3, 20, true, 0, 0, 0.9}) == 2);
+    CHECK(!escalationTarget(settings, {0, 3, 20, true, 0, 0, 1.1}));
     CHECK(firstModel({9, 50}, 3) == 2);
     CHECK(firstModel({0, 50}, 0) == 0);
 }
@@ -242,7 +242,7 @@
         unsigned count = 0;
         for (int i = 0; i < 100; ++i) {
             const cascade_view view{0, 3, 0, true, wait, i / 100.0};
-            count += escalatesTo(settings, view) ? 1 : 0;
+            count += escalationTarget(settings, view) ? 1 : 0;
         }
         return count;
     };
