--- a/lib/Policy/ConfidenceCascade.cpp
+++ b/lib/Policy/ConfidenceCascade.cpp
@@ -21,7 +21,7 @@
 
 /// Share of the objective up to which a larger model's first part is in time. Keeping some in
 /// reserve (0.67 to 0.83 of the objective) leaves the longest prompts without the larger model.
-constexpr double latestInTime = 1;
+constexpr double maxExpectedAt = 1;
 
 } // namespace
 
@@ -55,7 +55,7 @@
         return std::nullopt;
     if (*view.confidence >= keepThreshold(settings, view.wait))
         return std::nullopt;
-    if (view.expectedAt > latestInTime)
+    if (view.expectedAt > maxExpectedAt)
         return std::nullopt;
     if (view.draw >= escalatedShare(settings, view.wait))
         return std::nullopt;
