--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -42,7 +42,7 @@
 };
 
 /// A request that an ended endpoint had just begun, or was about to.
-struct young_request
+struct recent_request
 {
     std::uint64_t key = 0; ///< of its caller, path and body
     time_point sentAt{};
@@ -98,7 +98,7 @@
 
     /// An endpoint has ended. \param young what it had, as far as known here; sets their \c ends.
     /// \returns the keys of those that are withheld from now on.
-    std::vector<std::uint64_t> ended(const endpoint_end &end, std::span<young_request> young);
+    std::vector<std::uint64_t> ended(const endpoint_end &end, std::span<recent_request> young);
 
     /// Another entry's row tells that \p endpoints have ended under \p key.
     void suspectFor(std::uint64_t key, std::span<const std::uint64_t> endpoints, time_point now);
@@ -165,13 +165,13 @@
         time_point until{};
     };
 
-    unsigned endsBefore(const young_request &request) const;
-    bool blame(const endpoint_end &end, young_request &request);
-    std::vector<std::uint64_t> blameStrongest(const endpoint_end &end,
-                                              std::span<young_request> young, unsigned leastBefore);
+    unsigned endsBefore(const recent_request &request) const;
+    bool blame(const endpoint_end &end, recent_request &request);
+    std::vector<std::uint64_t>
+    blameStrongest(const endpoint_end &end, std::span<recent_request> young, unsigned leastBefore);
     void explainBy(std::span<const std::uint64_t> keys);
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
-    bool count(const endpoint_end &end, const young_request &request);
+    bool count(const endpoint_end &end, const recent_request &request);
     bool isEnough(std::uint64_t key, time_point now);
     void explain(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys);
     void noteUnexplained(const endpoint_end &end);
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -70,7 +70,7 @@
     }
 }
 
-bool crash_suspects::count(const endpoint_end &end, const young_request &request)
+bool crash_suspects::count(const endpoint_end &end, const recent_request &request)
 {
     if (isCleared(request.key, end.version, end.at))
         return false;
@@ -101,7 +101,7 @@
     return endsOf(key) >= (endByThemselves ? enoughAmongEnds : enoughEnds);
 }
 
-unsigned crash_suspects::endsBefore(const young_request &request) const
+unsigned crash_suspects::endsBefore(const recent_request &request) const
 {
     if (m_withheld.count(request.key) != 0)
         return enoughEnds;
@@ -131,7 +131,7 @@
     item.lastAt = now;
 }
 
-bool crash_suspects::blame(const endpoint_end &end, young_request &request)
+bool crash_suspects::blame(const endpoint_end &end, recent_request &request)
 {
     std::erase(request.earlier, end.endpoint);
     suspectFor(request.key, request.earlier, end.at);
@@ -141,12 +141,12 @@
 }
 
 std::vector<std::uint64_t> crash_suspects::blameStrongest(const endpoint_end &end,
-                                                          std::span<young_request> young,
+                                                          std::span<recent_request> young,
                                                           unsigned leastBefore)
 {
     std::vector<std::uint64_t> blamed;
     std::vector<std::uint64_t> found;
-    for (young_request &request : young) {
+    for (recent_request &request : young) {
         if (endsBefore(request) < leastBefore)
             continue;
         blamed.push_back(request.key);
@@ -184,12 +184,12 @@
 }
 
 std::vector<std::uint64_t> crash_suspects::ended(const endpoint_end &end,
-                                                 std::span<young_request> young)
+                                                 std::span<recent_request> young)
 {
     expire(end.at);
     // Who has ended others before is to blame for this one, too; nobody else is.
     unsigned most = 0;
-    for (const young_request &request : young)
+    for (const recent_request &request : young)
         most = std::max(most, endsBefore(request));
     const bool isExplainedHere = most >= endsThatExplain;
     if (!isExplainedHere && isExplained(end.endpoint))
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -20,7 +20,7 @@
 /// Young requests of an ended endpoint, each once, and a run of each at the same index.
 struct young_runs
 {
-    std::vector<young_request> requests;
+    std::vector<recent_request> requests;
     std::vector<std::shared_ptr<endpoint_run>> runs;
 };
 
@@ -32,7 +32,7 @@
     return stableHash(record.id, record.startedAt);
 }
 
-static std::string textOfKeys(std::span<const young_request> requests)
+static std::string textOfKeys(std::span<const recent_request> requests)
 {
     std::string text;
     for (std::size_t i = 0; i < std::min(requests.size(), mostKeysLogged); ++i)
@@ -45,11 +45,11 @@
 {
     young_runs young;
     for (const std::shared_ptr<endpoint_run> &run : runs) {
-        const young_request request{
+        const recent_request request{
                 keyOf(*run->request), run->sentAt, run->leftAt.value_or(at), 0, {}};
         const auto known
                 = std::find_if(young.requests.begin(), young.requests.end(),
-                               [&](const young_request &item) { return item.key == request.key; });
+                               [&](const recent_request &item) { return item.key == request.key; });
         if (known == young.requests.end()) {
             young.requests.push_back(request);
             young.runs.push_back(run);
@@ -78,7 +78,7 @@
     const endpoint_end end{hashOf(record), record.service, record.softwareVersion, at};
     const std::vector<request_key> found = m_suspects.ended(end, young);
     end_notice notice{end.endpoint, end.service, end.version, {}};
-    for (const young_request &request : young) {
+    for (const recent_request &request : young) {
         const auto age = std::chrono::duration_cast<milliseconds>(at - request.sentAt);
         const auto lasted
                 = std::chrono::duration_cast<milliseconds>(request.leftAt - request.sentAt);
@@ -145,7 +145,7 @@
 
 void crash_watch::take(const end_notice &notice, time_point now)
 {
-    std::vector<young_request> young;
+    std::vector<recent_request> young;
     young.reserve(notice.requests.size());
     for (const noticed_request &request : notice.requests) {
         // Whoever doesn't know it yet, since it has just started or was cut off, is told.
@@ -158,7 +158,7 @@
     const endpoint_end end{notice.endpoint, notice.service, notice.version, now};
     std::vector<unsigned> before;
     before.reserve(young.size());
-    for (const young_request &request : young)
+    for (const recent_request &request : young)
         before.push_back(m_suspects.endsOf(request.key));
     const std::vector<request_key> found = m_suspects.ended(end, young);
     passOn(notice, before);
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -28,7 +28,7 @@
     {
         const time_point sentAt = now;
         now += milliseconds(100);
-        std::vector<young_request> young;
+        std::vector<recent_request> young;
         for (const std::uint64_t key : keys)
             young.push_back({key, sentAt, now, 0, {}});
         return suspects.ended({++endpoint, "pool", version, now}, young);
@@ -64,7 +64,7 @@
     const time_point sentAt = world.now;
     world.now += milliseconds(300);
     for (std::uint64_t endpoint = 1; endpoint <= 8; ++endpoint) {
-        std::vector<young_request> young{{innocent, sentAt, world.now, 0, {}}};
+        std::vector<recent_request> young{{innocent, sentAt, world.now, 0, {}}};
         CHECK(world.suspects.ended({endpoint, "pool", "v1", world.now}, young).empty());
         world.now += milliseconds(25);
     }
@@ -76,7 +76,7 @@
     end_world world;
     for (int entry = 0; entry < 3; ++entry) {
         world.now += milliseconds(2);
-        std::vector<young_request> young{{guilty, world.now - milliseconds(1), world.now, 0, {}}};
+        std::vector<recent_request> young{{guilty, world.now - milliseconds(1), world.now, 0, {}}};
         world.suspects.ended({7, "pool", "v1", world.now}, young);
     }
     CHECK(world.suspects.endsOf(guilty) == 1);
@@ -112,8 +112,9 @@
     for (const bool isTold : {true, false}) {
         CAPTURE(isTold);
         end_world world;
-        std::vector<young_request> own{{innocent, world.now, world.now + milliseconds(100), 0, {}}};
-        std::vector<young_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {}}};
+        std::vector<recent_request> own{
+                {innocent, world.now, world.now + milliseconds(100), 0, {}}};
+        std::vector<recent_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {}}};
         const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
         if (isTold)
             world.suspects.ended(end, told);
@@ -213,7 +214,7 @@
 TEST_CASE("an entry that has missed the earlier ends learns of them with the next one")
 {
     end_world world;
-    std::vector<young_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {7, 8}}};
+    std::vector<recent_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {7, 8}}};
     const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
     CHECK(world.suspects.ended(end, told) == std::vector{guilty});
     CHECK(world.suspects.withheld().at(guilty).ended.size() == 3);
