--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -67,7 +67,7 @@
 public:
     /// Endpoints that end under a request, one after the other, before it is withheld. An innocent
     /// request that was young at two ended endpoints in turn is sent alone to a third.
-    static constexpr unsigned enoughEnds = 3;
+    static constexpr unsigned endsToWithhold = 3;
     /// The same while endpoints also end for no known reason, \c ordinaryEnds of them or more in
     /// \c endsWindow: where each ends every three seconds, 3 of 1,000 requests would meet three.
     static constexpr unsigned enoughAmongEnds = 5;
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -98,13 +98,13 @@
     if (m_withheld.count(key) != 0)
         return true;
     const bool endByThemselves = m_unexplained.size() >= ordinaryEnds;
-    return endsOf(key) >= (endByThemselves ? enoughAmongEnds : enoughEnds);
+    return endsOf(key) >= (endByThemselves ? enoughAmongEnds : endsToWithhold);
 }
 
 unsigned crash_suspects::endsBefore(const recent_request &request) const
 {
     if (m_withheld.count(request.key) != 0)
-        return enoughEnds;
+        return endsToWithhold;
     const unsigned told = request.ends > 0 ? request.ends - 1 : 0;
     return std::max(endsOf(request.key), told);
 }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -488,7 +488,7 @@
     crash_world world(3);
     world.play(seconds(5), milliseconds(400));
     const std::size_t before = world.endedAt.size();
-    CHECK(before >= crash_suspects::enoughEnds);
+    CHECK(before >= crash_suspects::endsToWithhold);
     world.version = "v2";
     for (const std::string &id : std::set<std::string>(world.alive))
         world.endEndpoint(id);
