--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -70,7 +70,7 @@
     static constexpr unsigned endsToWithhold = 3;
     /// The same while endpoints also end for no known reason, \c ordinaryEnds of them or more in
     /// \c endsWindow: where each ends every three seconds, 3 of 1,000 requests would meet three.
-    static constexpr unsigned enoughAmongEnds = 5;
+    static constexpr unsigned endsToWithholdUnstable = 5;
     static constexpr std::size_t ordinaryEnds = 5;
     static constexpr seconds endsWindow{10};
     /// An end of an endpoint where a request with so many earlier ends was young is that request's.
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -98,7 +98,7 @@
     if (m_withheld.count(key) != 0)
         return true;
     const bool endByThemselves = m_unexplained.size() >= ordinaryEnds;
-    return endsOf(key) >= (endByThemselves ? enoughAmongEnds : endsToWithhold);
+    return endsOf(key) >= (endByThemselves ? endsToWithholdUnstable : endsToWithhold);
 }
 
 unsigned crash_suspects::endsBefore(const recent_request &request) const
@@ -157,7 +157,7 @@
     if (leastBefore > 0)
         explain(end.endpoint, blamed);
     // Of two that ended the same ones one is innocent: they are sent apart the next time.
-    if (found.size() > 1 && endsOf(found.front()) < enoughAmongEnds)
+    if (found.size() > 1 && endsOf(found.front()) < endsToWithholdUnstable)
         found.clear();
     return found;
 }
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -97,7 +97,7 @@
         if (!isRequest(&item[i]))
             return std::nullopt;
         const auto ends = std::min<std::uint64_t>(item[i + 3].get<std::uint64_t>(),
-                                                  crash_suspects::enoughAmongEnds);
+                                                  crash_suspects::endsToWithholdUnstable);
         notice.requests.push_back({item[i].get<request_key>(), timeIn(item[i + 1]),
                                    timeIn(item[i + 2]), static_cast<unsigned>(ends),
                                    item[i + 4].get<std::vector<std::uint64_t>>()});
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -131,7 +131,7 @@
     end_world world;
     for (std::size_t i = 0; i < crash_suspects::ordinaryEnds; ++i)
         world.end({1000 + i});
-    for (unsigned i = 1; i < crash_suspects::enoughAmongEnds; ++i)
+    for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
         CHECK(world.end({guilty}).empty());
     CHECK(world.end({guilty}) == std::vector{guilty});
 }
@@ -224,7 +224,7 @@
           "lost")
 {
     end_world world;
-    for (unsigned i = 1; i < crash_suspects::enoughAmongEnds; ++i)
+    for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
         CHECK(world.end({guilty, innocent}).empty());
     CHECK(world.end({guilty, innocent}).size() == 2);
     CHECK(world.isWithheld(guilty));
