--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -68,10 +68,10 @@
     /// Endpoints that end under a request, one after the other, before it is withheld. An innocent
     /// request that was young at two ended endpoints in turn is sent alone to a third.
     static constexpr unsigned endsToWithhold = 3;
-    /// The same while endpoints also end for no known reason, \c ordinaryEnds of them or more in
-    /// \c endsWindow: where each ends every three seconds, 3 of 1,000 requests would meet three.
+    /// The same while endpoints also end for no known reason, \c minUnexplainedEnds of them or more
+    /// in \c endsWindow: where each ends every three seconds, 3 of 1,000 requests would meet three.
     static constexpr unsigned endsToWithholdUnstable = 5;
-    static constexpr std::size_t ordinaryEnds = 5;
+    static constexpr std::size_t minUnexplainedEnds = 5;
     static constexpr seconds endsWindow{10};
     /// An end of an endpoint where a request with so many earlier ends was young is that request's.
     static constexpr unsigned endsThatExplain = 2;
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -97,7 +97,7 @@
     // It has done so at another version: one end tells that it does here as well.
     if (m_withheld.count(key) != 0)
         return true;
-    const bool endByThemselves = m_unexplained.size() >= ordinaryEnds;
+    const bool endByThemselves = m_unexplained.size() >= minUnexplainedEnds;
     return endsOf(key) >= (endByThemselves ? endsToWithholdUnstable : endsToWithhold);
 }
 
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -129,7 +129,7 @@
 TEST_CASE("where endpoints end by themselves it takes five ends")
 {
     end_world world;
-    for (std::size_t i = 0; i < crash_suspects::ordinaryEnds; ++i)
+    for (std::size_t i = 0; i < crash_suspects::minUnexplainedEnds; ++i)
         world.end({1000 + i});
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
         CHECK(world.end({guilty}).empty());
