--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -69,10 +69,11 @@
     /// request that was young at two ended endpoints in turn is sent alone to a third.
     static constexpr unsigned endsToWithhold = 3;
     /// The same while endpoints also end for no known reason, \c minUnexplainedEnds of them or more
-    /// in \c endsWindow: where each ends every three seconds, 3 of 1,000 requests would meet three.
+    /// in \c unexplainedEndsWindow: where each ends every three seconds, 3 of 1,000 requests would
+    /// meet three.
     static constexpr unsigned endsToWithholdUnstable = 5;
     static constexpr std::size_t minUnexplainedEnds = 5;
-    static constexpr seconds endsWindow{10};
+    static constexpr seconds unexplainedEndsWindow{10};
     /// An end of an endpoint where a request with so many earlier ends was young is that request's.
     static constexpr unsigned endsThatExplain = 2;
     /// A suspicion is kept this long after the last end: a caller that comes every few minutes is
@@ -181,7 +182,7 @@
     std::map<std::uint64_t, cleared_request> m_cleared;
     std::map<std::uint64_t, withheld_request> m_withheld;
     std::map<std::uint64_t, unsigned> m_trials; ///< sends under way, by key
-    std::deque<endpoint_end> m_unexplained; ///< of \c endsWindow
+    std::deque<endpoint_end> m_unexplained; ///< of \c unexplainedEndsWindow
     std::deque<std::uint64_t> m_explained; ///< endpoints whose ends are some request's
 };
 
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -93,7 +93,7 @@
 bool crash_suspects::isEnough(std::uint64_t key, time_point now)
 {
     std::erase_if(m_unexplained,
-                  [now](const endpoint_end &end) { return now - end.at > endsWindow; });
+                  [now](const endpoint_end &end) { return now - end.at > unexplainedEndsWindow; });
     // It has done so at another version: one end tells that it does here as well.
     if (m_withheld.count(key) != 0)
         return true;
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -78,7 +78,7 @@
 /// \returns a time of a request that is young: longer ones are cut.
 static milliseconds timeIn(const json &item)
 {
-    const milliseconds longest = crash_suspects::endsWindow;
+    const milliseconds longest = crash_suspects::unexplainedEndsWindow;
     return milliseconds(
             std::min<std::uint64_t>(item.get<std::uint64_t>(), std::uint64_t(longest.count())));
 }
