--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -75,7 +75,7 @@
     static constexpr std::size_t minUnexplainedEnds = 5;
     static constexpr seconds unexplainedEndsWindow{10};
     /// An end of an endpoint where a request with so many earlier ends was young is that request's.
-    static constexpr unsigned endsThatExplain = 2;
+    static constexpr unsigned minEndsToExplain = 2;
     /// A suspicion is kept this long after the last end: a caller that comes every few minutes is
     /// still known.
     static constexpr std::chrono::minutes memory{5};
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -167,7 +167,7 @@
     unsigned most = 0;
     for (const std::uint64_t key : keys)
         most = std::max(most, endsOf(key));
-    if (most < endsThatExplain)
+    if (most < minEndsToExplain)
         return;
     // The earlier ends were theirs, too: what else was young there is in the clear.
     std::vector<std::uint64_t> strongest;
@@ -191,7 +191,7 @@
     unsigned most = 0;
     for (const recent_request &request : young)
         most = std::max(most, endsBefore(request));
-    const bool isExplainedHere = most >= endsThatExplain;
+    const bool isExplainedHere = most >= minEndsToExplain;
     if (!isExplainedHere && isExplained(end.endpoint))
         return {};
     std::vector<std::uint64_t> found = blameStrongest(end, young, isExplainedHere ? most : 0);
@@ -220,7 +220,7 @@
 
 bool crash_suspects::clear(std::uint64_t key, std::string_view version, time_point now)
 {
-    const bool isStrong = endsOf(key) >= endsThatExplain || isWithheld(key, version, now);
+    const bool isStrong = endsOf(key) >= minEndsToExplain || isWithheld(key, version, now);
     const bool isKnown = m_suspects.erase(key) != 0 || m_withheld.count(key) != 0;
     if (!isKnown)
         return false;
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -37,7 +37,7 @@
 bool end_notice::isUrgent() const
 {
     return std::any_of(requests.begin(), requests.end(), [](const noticed_request &request) {
-        return request.ends >= crash_suspects::endsThatExplain;
+        return request.ends >= crash_suspects::minEndsToExplain;
     });
 }
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -90,7 +90,7 @@
         m_links.tellEnd(notice);
     for (std::size_t i = 0; i < young.size(); ++i) {
         const request_key key = young[i].key;
-        if (young[i].ends < crash_suspects::endsThatExplain)
+        if (young[i].ends < crash_suspects::minEndsToExplain)
             continue;
         enqueue(key, *runs[i], end.service);
         if (std::find(found.begin(), found.end(), key) != found.end())
@@ -267,7 +267,7 @@
 bool crash_watch::isFinding(request_key key) const
 {
     return m_suspects.withheld().count(key) != 0
-            || m_suspects.endsOf(key) >= crash_suspects::endsThatExplain;
+            || m_suspects.endsOf(key) >= crash_suspects::minEndsToExplain;
 }
 
 void crash_watch::fillIn(withheld_row &row, request_key key) const
