--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -78,7 +78,7 @@
     static constexpr unsigned minEndsToExplain = 2;
     /// A suspicion is kept this long after the last end: a caller that comes every few minutes is
     /// still known.
-    static constexpr std::chrono::minutes memory{5};
+    static constexpr std::chrono::minutes suspicionLifetime{5};
     /// A request that an endpoint has answered is above suspicion at this version for so long.
     static constexpr std::chrono::minutes clearedFor{10};
     /// A request is withheld this long, unless an operator or a new version ends it before: each
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -250,7 +250,7 @@
     if (withheldUntil(key, now))
         return suspicion::strong;
     const auto it = m_suspects.find(key);
-    if (it == m_suspects.end() || now - it->second.lastAt > memory)
+    if (it == m_suspects.end() || now - it->second.lastAt > suspicionLifetime)
         return suspicion::none;
     return it->second.ends.size() > 1 ? suspicion::strong : suspicion::weak;
 }
@@ -322,7 +322,7 @@
 void crash_suspects::expire(time_point now)
 {
     std::erase_if(m_suspects,
-                  [now](const auto &item) { return now - item.second.lastAt > memory; });
+                  [now](const auto &item) { return now - item.second.lastAt > suspicionLifetime; });
     std::erase_if(m_cleared, [now](const auto &item) { return now >= item.second.until; });
     std::erase_if(m_withheld, [now](const auto &item) { return now >= item.second.until; });
     // The oldest of those that least speaks against go first.
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -287,7 +287,7 @@
     fillIn(finding.row, finding.key);
     const auto known = m_suspects.withheld().find(finding.key);
     finding.left = known == m_suspects.withheld().end()
-            ? milliseconds(crash_suspects::memory)
+            ? milliseconds(crash_suspects::suspicionLifetime)
             : std::chrono::duration_cast<milliseconds>(known->second.until - now);
     return finding;
 }
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -177,7 +177,7 @@
 {
     end_world world;
     world.end({guilty});
-    world.now += crash_suspects::memory - seconds(1);
+    world.now += crash_suspects::suspicionLifetime - seconds(1);
     CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::weak);
     world.now += seconds(2);
     CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::none);
