--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -88,7 +88,7 @@
     /// have been answered or run for long by then, and its sends have only waited. Where eight of
     /// 24 endpoints end each second under a body that all have just begun to send, it was withheld
     /// on 2 of 12 plays without it, and 960 requests were refused on each.
-    static constexpr milliseconds firmAfter{1100};
+    static constexpr milliseconds confirmationDelay{1100};
     /// Bounds of memory, about 200 bytes each: a flood of requests that come only once.
     static constexpr std::size_t mostSuspects = 4096;
     static constexpr std::size_t mostCleared = 4096;
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -294,7 +294,7 @@
         if (known.versions.size() >= mostVersionsKept)
             known.versions.erase(known.versions.begin());
         known.versions.push_back(version);
-        known.firmAt = now + firmAfter;
+        known.firmAt = now + confirmationDelay;
         isNews = true;
     }
     for (const std::uint64_t endpoint : request.ended) {
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -33,7 +33,7 @@
     startFlow(world, request);
     CHECK(world.calls.empty());
     CHECK(world.status == 0);
-    world.runtime.advance(crash_suspects::firmAfter + milliseconds(50));
+    world.runtime.advance(crash_suspects::confirmationDelay + milliseconds(50));
     CHECK(world.calls.empty());
     CHECK(world.status == 503);
     CHECK(world.record->reason == flow_reason::withheld);
