--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -58,7 +58,7 @@
     std::vector<std::string> versions; ///< of the service's software
     std::vector<std::uint64_t> ended; ///< hashes of the endpoints
     time_point until{};
-    time_point firmAt{}; ///< until then it waits: what is under way elsewhere may clear it
+    time_point confirmedAt{}; ///< until then it waits: what is under way elsewhere may clear it
 };
 
 /// What one entry thinks of requests. One thread.
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -242,7 +242,7 @@
 bool crash_suspects::isInDoubt(std::uint64_t key, time_point now) const
 {
     const auto it = m_withheld.find(key);
-    return it != m_withheld.end() && now < it->second.until && now < it->second.firmAt;
+    return it != m_withheld.end() && now < it->second.until && now < it->second.confirmedAt;
 }
 
 suspicion crash_suspects::suspicionOf(std::uint64_t key, time_point now) const
@@ -294,7 +294,7 @@
         if (known.versions.size() >= mostVersionsKept)
             known.versions.erase(known.versions.begin());
         known.versions.push_back(version);
-        known.firmAt = now + confirmationDelay;
+        known.confirmedAt = now + confirmationDelay;
         isNews = true;
     }
     for (const std::uint64_t endpoint : request.ended) {
