--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -115,7 +115,7 @@
     bool isWithheld(std::uint64_t key, std::string_view version, time_point now) const;
 
     /// \returns true while it is not yet firm that \p key is withheld.
-    bool isInDoubt(std::uint64_t key, time_point now) const;
+    bool isUnconfirmed(std::uint64_t key, time_point now) const;
 
     /// \returns when \p key is withheld no more, if it is.
     std::optional<time_point> withheldUntil(std::uint64_t key, time_point now) const;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -232,7 +232,7 @@
     // Another try of the same request shows within the time of an answer whether it does harm:
     // then all go on, or all are refused. Each that went on beside it could end one more endpoint.
     const crash_suspects &suspects = m_env.routing().suspects();
-    if (suspects.isInDoubt(*m_record.key, now())) {
+    if (suspects.isUnconfirmed(*m_record.key, now())) {
         sendAfter(flow_bounds::roomCheck);
         return true;
     }
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -239,7 +239,7 @@
     return isStrong;
 }
 
-bool crash_suspects::isInDoubt(std::uint64_t key, time_point now) const
+bool crash_suspects::isUnconfirmed(std::uint64_t key, time_point now) const
 {
     const auto it = m_withheld.find(key);
     return it != m_withheld.end() && now < it->second.until && now < it->second.confirmedAt;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -281,7 +281,7 @@
 std::optional<unwritten_finding> crash_watch::unwritten(time_point now)
 {
     std::erase_if(m_unwritten, [&](const unwritten_finding &item) { return !isFinding(item.key); });
-    if (m_unwritten.empty() || m_suspects.isInDoubt(m_unwritten.front().key, now))
+    if (m_unwritten.empty() || m_suspects.isUnconfirmed(m_unwritten.front().key, now))
         return std::nullopt;
     unwritten_finding finding = m_unwritten.front();
     fillIn(finding.row, finding.key);
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -215,7 +215,7 @@
     world.find();
     const time_point now = world.entries.runtime.now();
     fleet_entry &first = world.entries.entries.front();
-    CHECK(first.routing.suspects().isInDoubt(world.key, now));
+    CHECK(first.routing.suspects().isUnconfirmed(world.key, now));
     first.routing.crashes().clear(world.key, "v1", now);
     world.entries.runtime.advance(seconds(3));
     CHECK(world.knowing() == 0);
