--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -90,7 +90,7 @@
     /// on 2 of 12 plays without it, and 960 requests were refused on each.
     static constexpr milliseconds confirmationDelay{1100};
     /// Bounds of memory, about 200 bytes each: a flood of requests that come only once.
-    static constexpr std::size_t mostSuspects = 4096;
+    static constexpr std::size_t maxSuspects = 4096;
     static constexpr std::size_t mostCleared = 4096;
     static constexpr std::size_t mostWithheld = 1024;
 
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -326,7 +326,7 @@
     std::erase_if(m_cleared, [now](const auto &item) { return now >= item.second.until; });
     std::erase_if(m_withheld, [now](const auto &item) { return now >= item.second.until; });
     // The oldest of those that least speaks against go first.
-    while (m_suspects.size() > mostSuspects) {
+    while (m_suspects.size() > maxSuspects) {
         const auto least = std::min_element(
                 m_suspects.begin(), m_suspects.end(), [](const auto &a, const auto &b) {
                     return std::pair(a.second.ends.size(), a.second.lastAt)
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -188,12 +188,12 @@
     end_world world;
     world.end({guilty});
     world.end({guilty});
-    for (std::uint64_t key = 1000; key < 1000 + 2 * crash_suspects::mostSuspects; key += 8) {
+    for (std::uint64_t key = 1000; key < 1000 + 2 * crash_suspects::maxSuspects; key += 8) {
         world.end({key, key + 1, key + 2, key + 3, key + 4, key + 5, key + 6, key + 7});
         world.now -= milliseconds(90);
     }
     world.suspects.expire(world.now);
-    CHECK(world.suspects.suspects() <= crash_suspects::mostSuspects);
+    CHECK(world.suspects.suspects() <= crash_suspects::maxSuspects);
     CHECK(world.suspects.endsOf(guilty) == 2);
     CHECK(world.suspects.withheld().empty());
 }
