--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -91,7 +91,7 @@
     static constexpr milliseconds confirmationDelay{1100};
     /// Bounds of memory, about 200 bytes each: a flood of requests that come only once.
     static constexpr std::size_t maxSuspects = 4096;
-    static constexpr std::size_t mostCleared = 4096;
+    static constexpr std::size_t maxCleared = 4096;
     static constexpr std::size_t mostWithheld = 1024;
 
     /// \returns true when nothing speaks against any request.
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -229,7 +229,7 @@
         if (it->second.versions.empty())
             m_withheld.erase(it);
     }
-    if (m_cleared.size() >= mostCleared) {
+    if (m_cleared.size() >= maxCleared) {
         const auto oldest = std::min_element(
                 m_cleared.begin(), m_cleared.end(),
                 [](const auto &a, const auto &b) { return a.second.until < b.second.until; });
