--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -92,7 +92,7 @@
     /// Bounds of memory, about 200 bytes each: a flood of requests that come only once.
     static constexpr std::size_t maxSuspects = 4096;
     static constexpr std::size_t maxCleared = 4096;
-    static constexpr std::size_t mostWithheld = 1024;
+    static constexpr std::size_t maxWithheld = 1024;
 
     /// \returns true when nothing speaks against any request.
     bool isEmpty() const { return m_suspects.empty() && m_withheld.empty(); }
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -276,7 +276,7 @@
 {
     if (now >= request.until)
         return false;
-    if (m_withheld.size() >= mostWithheld && m_withheld.count(key) == 0)
+    if (m_withheld.size() >= maxWithheld && m_withheld.count(key) == 0)
         return false;
     const bool isClearedAtAll
             = std::all_of(request.versions.begin(), request.versions.end(),
