--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -134,7 +134,7 @@
     void release(std::uint64_t key);
 
     /// A suspected request is under way here, or no more.
-    void trialBegan(std::uint64_t key) { ++m_trials[key]; }
+    void probeStarted(std::uint64_t key) { ++m_trials[key]; }
     void trialEnded(std::uint64_t key);
     bool isOnTrial(std::uint64_t key) const { return m_trials.count(key) != 0; }
     bool hasTrials() const { return !m_trials.empty(); }
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -195,7 +195,7 @@
     m_run->suspected = m_suspicion;
     m_isTrial = m_suspicion != suspicion::none;
     if (m_isTrial)
-        crashes.suspects().trialBegan(*m_record.key);
+        crashes.suspects().probeStarted(*m_record.key);
 }
 
 template <flow_environment Env>
