--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -202,7 +202,7 @@
 void request_flow<Env>::endTrial()
 {
     if (std::exchange(m_isTrial, false))
-        m_env.routing().suspects().trialEnded(*m_record.key);
+        m_env.routing().suspects().probeFinished(*m_record.key);
 }
 
 template <flow_environment Env>
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -312,7 +312,7 @@
     m_suspects.erase(key);
 }
 
-void crash_suspects::trialEnded(std::uint64_t key)
+void crash_suspects::probeFinished(std::uint64_t key)
 {
     const auto it = m_trials.find(key);
     if (it != m_trials.end() && --it->second == 0)
