--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -136,7 +136,7 @@
     /// A suspected request is under way here, or no more.
     void probeStarted(std::uint64_t key) { ++m_trials[key]; }
     void probeFinished(std::uint64_t key);
-    bool isOnTrial(std::uint64_t key) const { return m_trials.count(key) != 0; }
+    bool isProbing(std::uint64_t key) const { return m_trials.count(key) != 0; }
     bool hasTrials() const { return !m_trials.empty(); }
 
     /// Drops what is too old.
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -237,7 +237,7 @@
         return true;
     }
     const bool isKnown = suspects.withheldUntil(*m_record.key, now()).has_value();
-    if (isKnown || !suspects.isOnTrial(*m_record.key))
+    if (isKnown || !suspects.isProbing(*m_record.key))
         return false;
     return waitAndSend(m_route->objective);
 }
