--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -137,7 +137,7 @@
     void probeStarted(std::uint64_t key) { ++m_trials[key]; }
     void probeFinished(std::uint64_t key);
     bool isProbing(std::uint64_t key) const { return m_trials.count(key) != 0; }
-    bool hasTrials() const { return !m_trials.empty(); }
+    bool hasProbes() const { return !m_trials.empty(); }
 
     /// Drops what is too old.
     void expire(time_point now);
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -228,7 +228,7 @@
     // everybody keeps away from where one is on trial.
     crash_watch &crashes = m_env.routing().crashes();
     const bool isSuspected = m_suspicion != suspicion::none;
-    if (!isSuspected && !crashes.suspects().hasTrials())
+    if (!isSuspected && !crashes.suspects().hasProbes())
         return false;
     return crashes.runs().hasSuspected(endpoint.record().id,
                                        isSuspected ? suspicion::weak : suspicion::strong);
