--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -134,10 +134,10 @@
     void release(std::uint64_t key);
 
     /// A suspected request is under way here, or no more.
-    void probeStarted(std::uint64_t key) { ++m_trials[key]; }
+    void probeStarted(std::uint64_t key) { ++m_probes[key]; }
     void probeFinished(std::uint64_t key);
-    bool isProbing(std::uint64_t key) const { return m_trials.count(key) != 0; }
-    bool hasProbes() const { return !m_trials.empty(); }
+    bool isProbing(std::uint64_t key) const { return m_probes.count(key) != 0; }
+    bool hasProbes() const { return !m_probes.empty(); }
 
     /// Drops what is too old.
     void expire(time_point now);
@@ -181,7 +181,7 @@
     std::map<std::uint64_t, suspect> m_suspects; ///< by key
     std::map<std::uint64_t, cleared_request> m_cleared;
     std::map<std::uint64_t, withheld_request> m_withheld;
-    std::map<std::uint64_t, unsigned> m_trials; ///< sends under way, by key
+    std::map<std::uint64_t, unsigned> m_probes; ///< sends under way, by key
     std::deque<endpoint_end> m_unexplained; ///< of \c unexplainedEndsWindow
     std::deque<std::uint64_t> m_explained; ///< endpoints whose ends are some request's
 };
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -314,9 +314,9 @@
 
 void crash_suspects::probeFinished(std::uint64_t key)
 {
-    const auto it = m_trials.find(key);
-    if (it != m_trials.end() && --it->second == 0)
-        m_trials.erase(it);
+    const auto it = m_probes.find(key);
+    if (it != m_probes.end() && --it->second == 0)
+        m_probes.erase(it);
 }
 
 void crash_suspects::expire(time_point now)
