--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -173,7 +173,7 @@
     void explainBy(std::span<const std::uint64_t> keys);
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
     bool count(const endpoint_end &end, const recent_request &request);
-    bool isEnough(std::uint64_t key, time_point now);
+    bool hasEnoughEnds(std::uint64_t key, time_point now);
     void explain(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys);
     void noteUnexplained(const endpoint_end &end);
     bool isExplained(std::uint64_t endpoint) const;
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -90,7 +90,7 @@
     return true;
 }
 
-bool crash_suspects::isEnough(std::uint64_t key, time_point now)
+bool crash_suspects::hasEnoughEnds(std::uint64_t key, time_point now)
 {
     std::erase_if(m_unexplained,
                   [now](const endpoint_end &end) { return now - end.at > unexplainedEndsWindow; });
@@ -137,7 +137,8 @@
     suspectFor(request.key, request.earlier, end.at);
     const bool isNew = count(end, request);
     request.ends = std::max(request.ends, endsOf(request.key));
-    return isNew && !isWithheld(request.key, end.version, end.at) && isEnough(request.key, end.at);
+    return isNew && !isWithheld(request.key, end.version, end.at)
+            && hasEnoughEnds(request.key, end.at);
 }
 
 std::vector<std::uint64_t> crash_suspects::blameStrongest(const endpoint_end &end,
