--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -168,8 +168,9 @@
 
     unsigned endsBefore(const recent_request &request) const;
     bool blame(const endpoint_end &end, recent_request &request);
-    std::vector<std::uint64_t>
-    blameStrongest(const endpoint_end &end, std::span<recent_request> young, unsigned leastBefore);
+    std::vector<std::uint64_t> attributeToStrongest(const endpoint_end &end,
+                                                    std::span<recent_request> young,
+                                                    unsigned leastBefore);
     void explainBy(std::span<const std::uint64_t> keys);
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
     bool count(const endpoint_end &end, const recent_request &request);
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -141,9 +141,9 @@
             && hasEnoughEnds(request.key, end.at);
 }
 
-std::vector<std::uint64_t> crash_suspects::blameStrongest(const endpoint_end &end,
-                                                          std::span<recent_request> young,
-                                                          unsigned leastBefore)
+std::vector<std::uint64_t> crash_suspects::attributeToStrongest(const endpoint_end &end,
+                                                                std::span<recent_request> young,
+                                                                unsigned leastBefore)
 {
     std::vector<std::uint64_t> blamed;
     std::vector<std::uint64_t> found;
@@ -195,7 +195,7 @@
     const bool isExplainedHere = most >= minEndsToExplain;
     if (!isExplainedHere && isExplained(end.endpoint))
         return {};
-    std::vector<std::uint64_t> found = blameStrongest(end, young, isExplainedHere ? most : 0);
+    std::vector<std::uint64_t> found = attributeToStrongest(end, young, isExplainedHere ? most : 0);
     noteUnexplained(end);
     // Read before the first one is withheld, which takes its ends from all others.
     std::vector<withheld_request> findings;
