--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -167,7 +167,7 @@
     };
 
     unsigned endsBefore(const recent_request &request) const;
-    bool blame(const endpoint_end &end, recent_request &request);
+    bool attributeEnd(const endpoint_end &end, recent_request &request);
     std::vector<std::uint64_t> attributeToStrongest(const endpoint_end &end,
                                                     std::span<recent_request> young,
                                                     unsigned leastBefore);
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -131,7 +131,7 @@
     item.lastAt = now;
 }
 
-bool crash_suspects::blame(const endpoint_end &end, recent_request &request)
+bool crash_suspects::attributeEnd(const endpoint_end &end, recent_request &request)
 {
     std::erase(request.earlier, end.endpoint);
     suspectFor(request.key, request.earlier, end.at);
@@ -151,7 +151,7 @@
         if (endsBefore(request) < leastBefore)
             continue;
         blamed.push_back(request.key);
-        if (blame(end, request))
+        if (attributeEnd(end, request))
             found.push_back(request.key);
     }
     explainBy(blamed);
