--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -171,7 +171,7 @@
     std::vector<std::uint64_t> attributeToStrongest(const endpoint_end &end,
                                                     std::span<recent_request> young,
                                                     unsigned leastBefore);
-    void explainBy(std::span<const std::uint64_t> keys);
+    void explainEarlierEnds(std::span<const std::uint64_t> keys);
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
     bool count(const endpoint_end &end, const recent_request &request);
     bool hasEnoughEnds(std::uint64_t key, time_point now);
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -154,7 +154,7 @@
         if (attributeEnd(end, request))
             found.push_back(request.key);
     }
-    explainBy(blamed);
+    explainEarlierEnds(blamed);
     if (leastBefore > 0)
         explain(end.endpoint, blamed);
     // Of two that ended the same ones one is innocent: they are sent apart the next time.
@@ -163,7 +163,7 @@
     return found;
 }
 
-void crash_suspects::explainBy(std::span<const std::uint64_t> keys)
+void crash_suspects::explainEarlierEnds(std::span<const std::uint64_t> keys)
 {
     unsigned most = 0;
     for (const std::uint64_t key : keys)
