--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -176,7 +176,7 @@
     bool count(const endpoint_end &end, const recent_request &request);
     bool hasEnoughEnds(std::uint64_t key, time_point now);
     void explain(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys);
-    void noteUnexplained(const endpoint_end &end);
+    void addUnexplained(const endpoint_end &end);
     bool isExplained(std::uint64_t endpoint) const;
 
     std::map<std::uint64_t, suspect> m_suspects; ///< by key
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -196,7 +196,7 @@
     if (!isExplainedHere && isExplained(end.endpoint))
         return {};
     std::vector<std::uint64_t> found = attributeToStrongest(end, young, isExplainedHere ? most : 0);
-    noteUnexplained(end);
+    addUnexplained(end);
     // Read before the first one is withheld, which takes its ends from all others.
     std::vector<withheld_request> findings;
     findings.reserve(found.size());
@@ -208,7 +208,7 @@
     return found;
 }
 
-void crash_suspects::noteUnexplained(const endpoint_end &end)
+void crash_suspects::addUnexplained(const endpoint_end &end)
 {
     // Each entry that had young requests there tells of the same end.
     const bool isKnown = std::any_of(
