--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -102,7 +102,8 @@
     std::vector<std::uint64_t> ended(const endpoint_end &end, std::span<recent_request> young);
 
     /// Another entry's row tells that \p endpoints have ended under \p key.
-    void suspectFor(std::uint64_t key, std::span<const std::uint64_t> endpoints, time_point now);
+    void addReportedEnds(std::uint64_t key, std::span<const std::uint64_t> endpoints,
+                         time_point now);
 
     /// An endpoint of \p version has answered the request, or runs it for long: it is withheld
     /// there no more. \returns true when others may think otherwise and have to be told.
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -115,8 +115,8 @@
     return it == m_suspects.end() ? std::vector<std::uint64_t>() : it->second.endpoints();
 }
 
-void crash_suspects::suspectFor(std::uint64_t key, std::span<const std::uint64_t> endpoints,
-                                time_point now)
+void crash_suspects::addReportedEnds(std::uint64_t key, std::span<const std::uint64_t> endpoints,
+                                     time_point now)
 {
     if (endpoints.empty() || m_cleared.count(key) != 0)
         return;
@@ -134,7 +134,7 @@
 bool crash_suspects::attributeEnd(const endpoint_end &end, recent_request &request)
 {
     std::erase(request.earlier, end.endpoint);
-    suspectFor(request.key, request.earlier, end.at);
+    addReportedEnds(request.key, request.earlier, end.at);
     const bool isNew = count(end, request);
     request.ends = std::max(request.ends, endsOf(request.key));
     return isNew && !isWithheld(request.key, end.version, end.at)
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -231,7 +231,7 @@
         return;
     m_fromRows.insert(key);
     if (row.versions.empty()) {
-        m_suspects.suspectFor(key, row.ended, now);
+        m_suspects.addReportedEnds(key, row.ended, now);
         return;
     }
     if (!m_suspects.withhold(key, {row.service, row.versions, row.ended, until, {}}, now))
