--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -17,7 +17,7 @@
 
 /// A request is sent on at the moment of an end, which entries tell this far apart: the way of a
 /// datagram, and what a look at an address takes.
-constexpr milliseconds sameMoment{20};
+constexpr milliseconds overlapTolerance{20};
 /// Explained ends that are remembered: other entries tell of them within milliseconds.
 constexpr std::size_t mostExplained = 256;
 /// Ends that are remembered of one request.
@@ -79,8 +79,8 @@
     const bool isNews
             = std::none_of(item.ends.begin(), item.ends.end(), [&](const counted_end &known) {
                   return known.endpoint == added.endpoint
-                          || (known.sentAt + sameMoment < added.leftAt
-                              && added.sentAt + sameMoment < known.leftAt);
+                          || (known.sentAt + overlapTolerance < added.leftAt
+                              && added.sentAt + overlapTolerance < known.leftAt);
               });
     if (!isNews)
         return false;
