--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -19,7 +19,7 @@
 /// datagram, and what a look at an address takes.
 constexpr milliseconds overlapTolerance{20};
 /// Explained ends that are remembered: other entries tell of them within milliseconds.
-constexpr std::size_t mostExplained = 256;
+constexpr std::size_t maxExplained = 256;
 /// Ends that are remembered of one request.
 constexpr std::size_t mostEndsKept = 8;
 /// Versions of a service that are remembered of one request, the last ones: one or two run.
@@ -57,7 +57,7 @@
 {
     if (!isExplained(endpoint))
         m_explained.push_back(endpoint);
-    if (m_explained.size() > mostExplained)
+    if (m_explained.size() > maxExplained)
         m_explained.pop_front();
     std::erase_if(m_unexplained,
                   [endpoint](const endpoint_end &end) { return end.endpoint == endpoint; });
@@ -214,7 +214,7 @@
     const bool isKnown = std::any_of(
             m_unexplained.begin(), m_unexplained.end(),
             [&](const endpoint_end &known) { return known.endpoint == end.endpoint; });
-    if (isKnown || isExplained(end.endpoint) || m_unexplained.size() >= mostExplained)
+    if (isKnown || isExplained(end.endpoint) || m_unexplained.size() >= maxExplained)
         return;
     m_unexplained.push_back(end);
 }
