--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -21,7 +21,7 @@
 /// Explained ends that are remembered: other entries tell of them within milliseconds.
 constexpr std::size_t maxExplained = 256;
 /// Ends that are remembered of one request.
-constexpr std::size_t mostEndsKept = 8;
+constexpr std::size_t maxEndsKept = 8;
 /// Versions of a service that are remembered of one request, the last ones: one or two run.
 constexpr std::size_t mostVersionsKept = 8;
 
@@ -84,7 +84,7 @@
               });
     if (!isNews)
         return false;
-    if (item.ends.size() < mostEndsKept)
+    if (item.ends.size() < maxEndsKept)
         item.ends.push_back(added);
     item.lastAt = end.at;
     return true;
@@ -125,7 +125,7 @@
     for (const std::uint64_t endpoint : endpoints) {
         const bool isNew = std::find(known.begin(), known.end(), endpoint) == known.end();
         // Whoever tells has counted them one after the other, all before what comes now.
-        if (isNew && item.ends.size() < mostEndsKept)
+        if (isNew && item.ends.size() < maxEndsKept)
             item.ends.push_back({endpoint, {}, {}});
     }
     item.lastAt = now;
@@ -300,7 +300,7 @@
     }
     for (const std::uint64_t endpoint : request.ended) {
         if (std::find(known.ended.begin(), known.ended.end(), endpoint) == known.ended.end()
-            && known.ended.size() < mostEndsKept)
+            && known.ended.size() < maxEndsKept)
             known.ended.push_back(endpoint);
         explain(endpoint, std::span(&key, 1));
     }
