--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -23,7 +23,7 @@
 /// Ends that are remembered of one request.
 constexpr std::size_t maxEndsKept = 8;
 /// Versions of a service that are remembered of one request, the last ones: one or two run.
-constexpr std::size_t mostVersionsKept = 8;
+constexpr std::size_t maxVersionsKept = 8;
 
 } // namespace
 
@@ -292,7 +292,7 @@
         if (std::find(known.versions.begin(), known.versions.end(), version)
             != known.versions.end())
             continue;
-        if (known.versions.size() >= mostVersionsKept)
+        if (known.versions.size() >= maxVersionsKept)
             known.versions.erase(known.versions.begin());
         known.versions.push_back(version);
         known.confirmedAt = now + confirmationDelay;
