--- a/include/laurelcroft/Policy/CustomerLimits.h
+++ b/include/laurelcroft/Policy/CustomerLimits.h
@@ -83,7 +83,7 @@
 };
 
 /// Splits one customer's allowance by the demand of each entry, at its home entry.
-class demand_ledger
+class allowance_allocator
 {
 public:
     /// Notes \p entry's demand and \returns its share of the customer's allowance.
--- a/lib/Entry/DemandSharing.h
+++ b/lib/Entry/DemandSharing.h
@@ -40,7 +40,7 @@
     node &m_node;
     customer_limits &m_limits;
     rules_source m_rules;
-    demand_ledger m_ledger;
+    allowance_allocator m_ledger;
     time_point m_lastTick{};
 };
 
--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -47,7 +47,7 @@
     const customer large = makeCustomer("large", rate);
     const customer small = makeCustomer("small", 20);
     std::vector<customer_limits> limits(entries);
-    demand_ledger ledger;
+    allowance_allocator ledger;
     for (customer_limits &item : limits)
         item.setEntries(how == sharing::none ? 1 : entries);
     limit_result result;
--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -81,8 +81,8 @@
     return demands;
 }
 
-double demand_ledger::report(const std::string &customer, const std::string &entry,
-                             const allowance_request &asked, time_point now)
+double allowance_allocator::report(const std::string &customer, const std::string &entry,
+                                   const allowance_request &asked, time_point now)
 {
     auto &items = m_demands[customer];
     item &own = items[entry];
--- a/unittests/Policy/PolicyTests.cpp
+++ b/unittests/Policy/PolicyTests.cpp
@@ -109,7 +109,7 @@
 TEST_CASE("demand ledger: scarce, the rate follows demand; silent entries keep their floors")
 {
     manual_runtime runtime;
-    demand_ledger ledger;
+    allowance_allocator ledger;
     const auto ask = [&](const char *entry, double perSecond) {
         return ledger.report("school", entry, {perSecond, 20, 4, seconds(5)}, runtime.now());
     };
@@ -121,7 +121,7 @@
 TEST_CASE("demand ledger: plenty, what is left over is split evenly")
 {
     manual_runtime runtime;
-    demand_ledger ledger;
+    allowance_allocator ledger;
     const auto ask = [&](const char *entry, double perSecond) {
         return ledger.report("school", entry, {perSecond, 20, 2, seconds(5)}, runtime.now());
     };
