--- a/include/laurelcroft/Policy/CustomerLimits.h
+++ b/include/laurelcroft/Policy/CustomerLimits.h
@@ -38,7 +38,7 @@
 public:
     /// Share that an entry always keeps of a fleet's even split, so that a customer
     /// that turns to it anew is not refused before shares have moved.
-    static constexpr double floorOfEvenShare = 0.25;
+    static constexpr double minEvenShareFraction = 0.25;
 
     /// Takes \p who's request or refuses it, and counts it as demand either way.
     limit_decision admit(const customer &who, time_point now);
--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -26,7 +26,7 @@
     const auto it = m_accounts.find(who);
     if (it == m_accounts.end() || now >= it->second.shareUntil)
         return even;
-    return std::max(it->second.share, floorOfEvenShare * even);
+    return std::max(it->second.share, minEvenShareFraction * even);
 }
 
 void customer_limits::setShare(std::string_view who, double share, time_point until)
@@ -103,7 +103,7 @@
     const auto entries = static_cast<double>(std::max<std::size_t>(1, asked.entries));
     const double silent = std::max(0.0, entries - static_cast<double>(items.size()));
     // Entries that have not reported keep their floor: the reported ones share the rest.
-    const double shared = 1.0 - customer_limits::floorOfEvenShare * silent / entries;
+    const double shared = 1.0 - customer_limits::minEvenShareFraction * silent / entries;
     const double rate = std::max(asked.rate, 1e-6) * shared;
     if (total >= rate)
         return shared * own.perSecond / total;
