--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -13,7 +13,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr milliseconds inFlightRetry{200};
+constexpr milliseconds inFlightRetryAfter{200};
 constexpr milliseconds shortestRetry{10};
 /// Requests that every entry lets pass at once, however small its share.
 constexpr double leastBurst = 3;
@@ -50,7 +50,7 @@
     item.filledAt = now;
     const auto most = static_cast<std::uint32_t>(std::ceil(who.maxConcurrent * part));
     if (item.inFlight >= std::max(1U, most))
-        return {limit_verdict::tooManyInFlight, inFlightRetry};
+        return {limit_verdict::tooManyInFlight, inFlightRetryAfter};
     if (item.tokens < 1.0) {
         const double waitMs = 1000.0 * (1.0 - item.tokens) / std::max(rate, 1e-6);
         const milliseconds wait(static_cast<std::int64_t>(std::ceil(std::min(waitMs, 6e4))));
