--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 constexpr milliseconds inFlightRetryAfter{200};
-constexpr milliseconds shortestRetry{10};
+constexpr milliseconds minRetryAfter{10};
 /// Requests that every entry lets pass at once, however small its share.
 constexpr double leastBurst = 3;
 constexpr double smoothing = 0.6;
@@ -54,7 +54,7 @@
     if (item.tokens < 1.0) {
         const double waitMs = 1000.0 * (1.0 - item.tokens) / std::max(rate, 1e-6);
         const milliseconds wait(static_cast<std::int64_t>(std::ceil(std::min(waitMs, 6e4))));
-        return {limit_verdict::rateExceeded, std::max(wait, shortestRetry)};
+        return {limit_verdict::rateExceeded, std::max(wait, minRetryAfter)};
     }
     item.tokens -= 1.0;
     item.inFlight += 1;
