--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds inFlightRetryAfter{200};
 constexpr milliseconds minRetryAfter{10};
 /// Requests that every entry lets pass at once, however small its share.
-constexpr double leastBurst = 3;
+constexpr double minBurst = 3;
 constexpr double smoothing = 0.6;
 } // namespace
 
@@ -42,7 +42,7 @@
     account &item = m_accounts[who.name];
     item.asked += 1;
     const double rate = who.requestsPerSecond * part;
-    const double capacity = std::max(leastBurst, who.burst * part);
+    const double capacity = std::max(minBurst, who.burst * part);
     if (item.tokens < 0)
         item.tokens = capacity;
     const double elapsed = std::chrono::duration<double>(now - item.filledAt).count();
