--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds minRetryAfter{10};
 /// Requests that every entry lets pass at once, however small its share.
 constexpr double minBurst = 3;
-constexpr double smoothing = 0.6;
+constexpr double smoothingFactor = 0.6;
 } // namespace
 
 double customer_limits::share(std::string_view who, time_point now) const
@@ -88,7 +88,7 @@
     item &own = items[entry];
     const bool isFresh = now - own.at <= asked.keep;
     // One second's count is noise for a small customer: it is smoothed.
-    own.perSecond = isFresh ? own.perSecond + smoothing * (asked.perSecond - own.perSecond)
+    own.perSecond = isFresh ? own.perSecond + smoothingFactor * (asked.perSecond - own.perSecond)
                             : asked.perSecond;
     own.at = now;
     double total = 0;
