--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -23,7 +23,7 @@
     double load = 0; ///< requests it is thought to have, of all callers
     double slots = 1; ///< requests that run at once
     double waitMs = 0; ///< for prompts that are read before this one, and for this one
-    double unseenMs = 0; ///< part of waitMs for shared prefixes that it isn't known to keep
+    double uncachedMs = 0; ///< part of waitMs for shared prefixes that it isn't known to keep
     double failureShare = 0; ///< recent share of failures, 0 to 1
     bool sameDataCentre = true;
     bool avoided = false; ///< unreachable or full a moment ago
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -137,7 +137,7 @@
     candidate.waitMs = endpoint->readingMs()
             + flow_bounds::weightElsewhere * endpoint->readingElsewhereMs(at)
             + prompt.msPerToken * tokensToRead(kept);
-    candidate.unseenMs = prompt.msPerToken * (prompt.sharedTokens - kept);
+    candidate.uncachedMs = prompt.msPerToken * (prompt.sharedTokens - kept);
     candidate.failureShare = endpoint->failureShare(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
     // An endpoint that refuses at once has no load and so the lowest cost. Further attempts avoid
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -127,7 +127,7 @@
     if (!home)
         return best;
     const direct_candidate &there = candidates[*home];
-    const double cost = costOf(there) - std::max(alikeMs, trustInHome * there.unseenMs);
+    const double cost = costOf(there) - std::max(alikeMs, trustInHome * there.uncachedMs);
     if (cost > best->cost)
         return best;
     return direct_choice{*home, cost, there.waitMs, direct_reason::prefix};
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -183,7 +183,7 @@
             for (std::size_t i = 0; i < candidates.size(); ++i) {
                 candidates[i].sameDataCentre = i == own;
                 candidates[i].waitMs = waitMs;
-                candidates[i].unseenMs = waitMs;
+                candidates[i].uncachedMs = waitMs;
             }
             const auto shortPrompt = chooseDirect(candidates, shared_prompt{hash, 100}, 1);
             CHECK(shortPrompt->index == own);
@@ -204,10 +204,10 @@
         auto candidates = threeCandidates();
         for (direct_candidate &candidate : candidates) {
             candidate.waitMs = 1500;
-            candidate.unseenMs = 1300;
+            candidate.uncachedMs = 1300;
         }
         candidates[1].waitMs = 200;
-        candidates[1].unseenMs = 0;
+        candidates[1].uncachedMs = 0;
         CHECK(chooseDirect(candidates, shared_prompt{hash, 1300}, 1)->index == 1);
     }
 }
