--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -28,7 +28,8 @@
     bool sameDataCentre = true;
     bool avoided = false; ///< unreachable or full a moment ago
     bool tried = false; ///< this request was there already
-    bool sharesFailure = false; ///< this request was broken off or not taken in its data centre
+    bool failedInDataCentre
+            = false; ///< this request was broken off or not taken in its data centre
     bool besideSuspect = false; ///< a request that may end it is under way there
     bool withheld = false; ///< it must not get this request
     bool hasConnection = true; ///< a connection is free or may be opened
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -67,7 +67,7 @@
     if (!candidate.sameDataCentre)
         cost += otherDataCentreMs;
     cost += candidate.failureShare * failureMs;
-    if (candidate.sharesFailure)
+    if (candidate.failedInDataCentre)
         cost += sharedFailureMs;
     if (candidate.besideSuspect)
         cost += besideSuspectMs;
@@ -92,7 +92,7 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const direct_candidate &candidate = candidates[i];
         const bool near = anywhere || candidate.sameDataCentre;
-        if (!near || candidate.avoided || candidate.sharesFailure || candidate.besideSuspect
+        if (!near || candidate.avoided || candidate.failedInDataCentre || candidate.besideSuspect
             || candidate.hasRateLimit || !mayBeSentTo(candidate))
             continue;
         const std::uint64_t rank = homeRank(candidate.idHash, shared.hash);
