--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -30,7 +30,7 @@
     bool tried = false; ///< this request was there already
     bool failedInDataCentre
             = false; ///< this request was broken off or not taken in its data centre
-    bool besideSuspect = false; ///< a request that may end it is under way there
+    bool runsSuspect = false; ///< a request that may end it is under way there
     bool withheld = false; ///< it must not get this request
     bool hasConnection = true; ///< a connection is free or may be opened
     bool bearsMore = true; ///< this entry's share of its rate, if bounded, is not used up
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -147,7 +147,7 @@
             = endpoint->isAvoided(at) || (m_arrivals > 0 && endpoint->isRecoveryUnconfirmed());
     candidate.tried
             = std::find(m_tried.begin(), m_tried.end(), endpoint->record().id) != m_tried.end();
-    candidate.besideSuspect = isBesideSuspect(*endpoint);
+    candidate.runsSuspect = isBesideSuspect(*endpoint);
     if (m_suspicion == suspicion::strong
         && m_env.routing().suspects().isWithheld(*m_record.key, endpoint->record().softwareVersion,
                                                  at)) {
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -69,7 +69,7 @@
     cost += candidate.failureShare * failureMs;
     if (candidate.failedInDataCentre)
         cost += sharedFailureMs;
-    if (candidate.besideSuspect)
+    if (candidate.runsSuspect)
         cost += besideSuspectMs;
     if (candidate.avoided)
         cost += avoidedMs;
@@ -92,7 +92,7 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const direct_candidate &candidate = candidates[i];
         const bool near = anywhere || candidate.sameDataCentre;
-        if (!near || candidate.avoided || candidate.failedInDataCentre || candidate.besideSuspect
+        if (!near || candidate.avoided || candidate.failedInDataCentre || candidate.runsSuspect
             || candidate.hasRateLimit || !mayBeSentTo(candidate))
             continue;
         const std::uint64_t rank = homeRank(candidate.idHash, shared.hash);
