--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -33,7 +33,7 @@
     bool runsSuspect = false; ///< a request that may end it is under way there
     bool withheld = false; ///< it must not get this request
     bool hasConnection = true; ///< a connection is free or may be opened
-    bool bearsMore = true; ///< this entry's share of its rate, if bounded, is not used up
+    bool withinRateShare = true; ///< this entry's share of its rate, if bounded, is not used up
     bool isInBackoff = false; ///< the Retry-After that it sent to this entry has not elapsed
     bool hasRateLimit = false; ///< it states a rate limit, so it is no home of a prompt
 };
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -157,8 +157,8 @@
     candidate.failedInDataCentre = m_failedPlaces.count(endpoint->record().dataCentre) != 0;
     candidate.hasConnection = m_env.hasRoomAt(endpoint);
     if (const std::optional<double> share = m_env.routing().coldShare(*endpoint, at)) {
-        candidate.bearsMore = endpoint->hasRoomFor(*share, at);
-        m_coldLeftOut = m_coldLeftOut || !candidate.bearsMore;
+        candidate.withinRateShare = endpoint->hasRoomFor(*share, at);
+        m_coldLeftOut = m_coldLeftOut || !candidate.withinRateShare;
         m_roomComes = m_roomComes || (*share > 0 && !candidate.tried);
     }
     if (endpoint->isInBackoff(at))
@@ -192,7 +192,7 @@
     candidate.hasRateLimit = true;
     if (endpoint.hasRoomFor(share, now()) || (share <= 0 && state.isLimitCheckDue(endpoint, now())))
         return;
-    candidate.bearsMore = false;
+    candidate.withinRateShare = false;
     m_limitedLeftOut = true;
     if (share > 0)
         noteAvailableAt(candidate, endpoint.nextSendAllowedAt(share));
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -78,8 +78,8 @@
 
 static bool mayBeSentTo(const direct_candidate &candidate)
 {
-    return !candidate.tried && !candidate.withheld && candidate.hasConnection && candidate.bearsMore
-            && !candidate.isInBackoff;
+    return !candidate.tried && !candidate.withheld && candidate.hasConnection
+            && candidate.withinRateShare && !candidate.isInBackoff;
 }
 
 /// \returns the candidate that ranks first for \p shared among those that may be its home.
