--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -23,7 +23,7 @@
 /// second served better where many entries share endpoints, and as well elsewhere.
 constexpr double otherDataCentreMs = 250;
 /// An endpoint that fails always costs as much as this wait.
-constexpr double failureMs = 1500;
+constexpr double failurePenaltyMs = 1500;
 /// Where an attempt was broken off or found nobody, the next one goes to another data centre,
 /// unless that costs more than this: a data centre's endpoints are lost together, and each of a
 /// stream's few attempts there ends like the first. Before 3,000 endpoints, of which a choice looks
@@ -66,7 +66,7 @@
     double cost = candidate.waitMs + candidate.load / candidate.slots * fullSlotsMs;
     if (!candidate.sameDataCentre)
         cost += otherDataCentreMs;
-    cost += candidate.failureShare * failureMs;
+    cost += candidate.failureShare * failurePenaltyMs;
     if (candidate.failedInDataCentre)
         cost += sharedFailureMs;
     if (candidate.runsSuspect)
