--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -29,7 +29,7 @@
 /// stream's few attempts there ends like the first. Before 3,000 endpoints, of which a choice looks
 /// at a part, 0.018 of the callers were refused without it, 0.004 with it (101 entries, one play of
 /// a day with a lost data centre each); before 40 and 58 endpoints it changes nothing measurable.
-constexpr double sharedFailureMs = 1000;
+constexpr double failedDataCentrePenaltyMs = 1000;
 /// Beside a request that may end its endpoint nobody is sent who may go elsewhere: what was young
 /// there is sent again. It is worth as much as a reading of the longest prompts.
 constexpr double besideSuspectMs = 1000;
@@ -68,7 +68,7 @@
         cost += otherDataCentreMs;
     cost += candidate.failureShare * failurePenaltyMs;
     if (candidate.failedInDataCentre)
-        cost += sharedFailureMs;
+        cost += failedDataCentrePenaltyMs;
     if (candidate.runsSuspect)
         cost += besideSuspectMs;
     if (candidate.avoided)
