--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -32,7 +32,7 @@
 constexpr double failedDataCentrePenaltyMs = 1000;
 /// Beside a request that may end its endpoint nobody is sent who may go elsewhere: what was young
 /// there is sent again. It is worth as much as a reading of the longest prompts.
-constexpr double besideSuspectMs = 1000;
+constexpr double suspectPenaltyMs = 1000;
 /// The home of a prefix is chosen while it costs no more than the best and this.
 constexpr double alikeMs = 40;
 /// A shared part that takes longer to read has one home in the whole site, a shorter one has one
@@ -70,7 +70,7 @@
     if (candidate.failedInDataCentre)
         cost += failedDataCentrePenaltyMs;
     if (candidate.runsSuspect)
-        cost += besideSuspectMs;
+        cost += suspectPenaltyMs;
     if (candidate.avoided)
         cost += avoidedMs;
     return cost;
