--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -44,7 +44,7 @@
 /// 0.9 the last three served about as well, and 1.0 made others late.
 constexpr double trustInHome = 0.75;
 /// An endpoint that was avoided is taken only when there is no other.
-constexpr double avoidedMs = 1e6;
+constexpr double avoidedPenaltyMs = 1e6;
 
 } // namespace
 
@@ -72,7 +72,7 @@
     if (candidate.runsSuspect)
         cost += suspectPenaltyMs;
     if (candidate.avoided)
-        cost += avoidedMs;
+        cost += avoidedPenaltyMs;
     return cost;
 }
 
