--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -34,7 +34,7 @@
 /// there is sent again. It is worth as much as a reading of the longest prompts.
 constexpr double suspectPenaltyMs = 1000;
 /// The home of a prefix is chosen while it costs no more than the best and this.
-constexpr double alikeMs = 40;
+constexpr double homeToleranceMs = 40;
 /// A shared part that takes longer to read has one home in the whole site, a shorter one has one
 /// in each data centre: twice what the way to another data centre costs.
 constexpr double wholeSiteMs = 2 * otherDataCentreMs;
@@ -127,7 +127,7 @@
     if (!home)
         return best;
     const direct_candidate &there = candidates[*home];
-    const double cost = costOf(there) - std::max(alikeMs, trustInHome * there.uncachedMs);
+    const double cost = costOf(there) - std::max(homeToleranceMs, trustInHome * there.uncachedMs);
     if (cost > best->cost)
         return best;
     return direct_choice{*home, cost, there.waitMs, direct_reason::prefix};
