--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -42,7 +42,7 @@
 /// there, too, and not all of them tell. On 32 entries with 57 endpoints it gains 0.013 of
 /// worth (0.638 to 0.651, 10 days of 33 s with faults), on 3 with 12 nothing; of 0.3, 0.6, 0.75 and
 /// 0.9 the last three served about as well, and 1.0 made others late.
-constexpr double trustInHome = 0.75;
+constexpr double homeCachedFraction = 0.75;
 /// An endpoint that was avoided is taken only when there is no other.
 constexpr double avoidedPenaltyMs = 1e6;
 
@@ -127,7 +127,8 @@
     if (!home)
         return best;
     const direct_candidate &there = candidates[*home];
-    const double cost = costOf(there) - std::max(homeToleranceMs, trustInHome * there.uncachedMs);
+    const double cost
+            = costOf(there) - std::max(homeToleranceMs, homeCachedFraction * there.uncachedMs);
     if (cost > best->cost)
         return best;
     return direct_choice{*home, cost, there.waitMs, direct_reason::prefix};
