--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -76,7 +76,7 @@
     return cost;
 }
 
-static bool mayBeSentTo(const direct_candidate &candidate)
+static bool isEligible(const direct_candidate &candidate)
 {
     return !candidate.tried && !candidate.withheld && candidate.hasConnection
             && candidate.withinRateShare && !candidate.isInBackoff;
@@ -93,7 +93,7 @@
         const direct_candidate &candidate = candidates[i];
         const bool near = anywhere || candidate.sameDataCentre;
         if (!near || candidate.avoided || candidate.failedInDataCentre || candidate.runsSuspect
-            || candidate.hasRateLimit || !mayBeSentTo(candidate))
+            || candidate.hasRateLimit || !isEligible(candidate))
             continue;
         const std::uint64_t rank = homeRank(candidate.idHash, shared.hash);
         if (!home || rank > highest) {
@@ -111,7 +111,7 @@
     std::optional<direct_choice> best;
     std::uint64_t bestTie = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (!mayBeSentTo(candidates[i]))
+        if (!isEligible(candidates[i]))
             continue;
         const double cost = costOf(candidates[i]);
         const std::uint64_t tie = mixedBits(candidates[i].idHash ^ tieBreaker);
