--- a/lib/Policy/Health.cpp
+++ b/lib/Policy/Health.cpp
@@ -12,7 +12,7 @@
 namespace {
 constexpr int failuresToEject = 3;
 constexpr duration firstEjection = seconds(2);
-constexpr int mostDoublings = 5;
+constexpr int maxDoublings = 5;
 } // namespace
 
 bool retry_budget::spend()
@@ -37,7 +37,7 @@
     if (item.failures < failuresToEject)
         return;
     item.failures = 0;
-    item.until = now + firstEjection * (1 << std::min(item.ejections, mostDoublings));
+    item.until = now + firstEjection * (1 << std::min(item.ejections, maxDoublings));
     item.ejections += 1;
 }
 
