--- a/include/laurelcroft/Policy/Health.h
+++ b/include/laurelcroft/Policy/Health.h
@@ -22,18 +22,18 @@
 public:
     explicit retry_budget(double share = 0.1, double most = 20)
         : m_share(share)
-        , m_most(most)
+        , m_capacity(most)
         , m_tokens(most)
     {
     }
-    void earn() { m_tokens = m_tokens + m_share < m_most ? m_tokens + m_share : m_most; }
+    void earn() { m_tokens = m_tokens + m_share < m_capacity ? m_tokens + m_share : m_capacity; }
 
     /// \returns false when no retry is left; the request must then be refused.
     bool spend();
 
 private:
     double m_share;
-    double m_most;
+    double m_capacity;
     double m_tokens;
 };
 
