--- a/include/laurelcroft/Policy/Health.h
+++ b/include/laurelcroft/Policy/Health.h
@@ -41,7 +41,7 @@
 class endpoint_ejection
 {
 public:
-    static constexpr double ceilingShare = 0.3;
+    static constexpr double maxEjectedShare = 0.3;
 
     void succeeded(std::string_view id);
     void failed(std::string_view id, time_point now);
--- a/lib/Policy/Health.cpp
+++ b/lib/Policy/Health.cpp
@@ -49,5 +49,5 @@
 
 bool endpoint_ejection::mayEject(std::size_t ejected, std::size_t poolSize)
 {
-    return static_cast<double>(ejected) <= ceilingShare * static_cast<double>(poolSize);
+    return static_cast<double>(ejected) <= maxEjectedShare * static_cast<double>(poolSize);
 }
