--- a/include/laurelcroft/Policy/Patience.h
+++ b/include/laurelcroft/Policy/Patience.h
@@ -20,7 +20,7 @@
 };
 
 /// What is known when the question is asked.
-struct patience_view
+struct attempt_wait
 {
     awaited_part part = awaited_part::wholeAnswer;
     std::chrono::milliseconds objective{0}; ///< of the route
@@ -32,7 +32,7 @@
 };
 
 /// \returns how long to wait since the last progress.
-std::chrono::milliseconds patienceFor(const patience_view &view);
+std::chrono::milliseconds patienceFor(const attempt_wait &view);
 
 } // namespace laurelcroft
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -394,7 +394,7 @@
 template <flow_environment Env>
 milliseconds request_flow<Env>::patienceNow()
 {
-    patience_view view;
+    attempt_wait view;
     view.objective = m_route->objective;
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -334,7 +334,7 @@
 
 TEST_CASE("patience grows with the usual wait and ends in time for another endpoint")
 {
-    patience_view view;
+    attempt_wait view;
     view.part = awaited_part::firstEvent;
     view.objective = milliseconds(1500);
     view.timeout = milliseconds(20000);
@@ -350,7 +350,7 @@
 
 TEST_CASE("patience with a silent endpoint is bounded sooner, but leaves it the time to read")
 {
-    patience_view view;
+    attempt_wait view;
     view.part = awaited_part::firstEvent;
     view.objective = milliseconds(4000);
     view.timeout = milliseconds(20000);
@@ -371,7 +371,7 @@
 
 TEST_CASE("a pause at a silent endpoint ends before it is late, at a busy one only after")
 {
-    patience_view view;
+    attempt_wait view;
     view.part = awaited_part::nextEvent;
     view.eventGap = milliseconds(1200);
     CHECK(patienceFor(view) > view.eventGap);
