--- a/include/laurelcroft/Policy/Patience.h
+++ b/include/laurelcroft/Policy/Patience.h
@@ -32,7 +32,7 @@
 };
 
 /// \returns how long to wait since the last progress.
-std::chrono::milliseconds patienceFor(const attempt_wait &view);
+std::chrono::milliseconds attemptTimeoutOf(const attempt_wait &view);
 
 } // namespace laurelcroft
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -403,7 +403,7 @@
     view.endpointSilent = seemsDead();
     if (m_route->form == answer_form::events)
         view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
-    return patienceFor(view);
+    return attemptTimeoutOf(view);
 }
 
 template <flow_environment Env>
--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/Patience.cpp
@@ -41,7 +41,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(whole * part);
 }
 
-std::chrono::milliseconds laurelcroft::patienceFor(const attempt_wait &view)
+std::chrono::milliseconds laurelcroft::attemptTimeoutOf(const attempt_wait &view)
 {
     if (view.part == awaited_part::nextEvent)
         return share(view.eventGap, view.endpointSilent ? silentGapShare : busyGapShare);
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -339,13 +339,13 @@
     view.objective = milliseconds(1500);
     view.timeout = milliseconds(20000);
     view.meanWait = 0.05;
-    CHECK(patienceFor(view) < view.objective);
+    CHECK(attemptTimeoutOf(view) < view.objective);
     view.meanWait = 0.3;
-    CHECK(patienceFor(view) > view.objective);
+    CHECK(attemptTimeoutOf(view) > view.objective);
     view.readingMs = 500;
-    CHECK(patienceFor(view) > view.objective * 2);
+    CHECK(attemptTimeoutOf(view) > view.objective * 2);
     view.timeout = milliseconds(5000);
-    CHECK(patienceFor(view) < milliseconds(2000));
+    CHECK(attemptTimeoutOf(view) < milliseconds(2000));
 }
 
 TEST_CASE("patience with a silent endpoint is bounded sooner, but leaves it the time to read")
@@ -356,17 +356,17 @@
     view.timeout = milliseconds(20000);
     view.meanWait = 0.05;
     view.endpointSilent = true;
-    CHECK(patienceFor(view) < view.objective);
+    CHECK(attemptTimeoutOf(view) < view.objective);
     view.meanWait = 0.3;
-    const auto silent = patienceFor(view);
+    const auto silent = attemptTimeoutOf(view);
     CHECK(silent > view.objective);
     view.endpointSilent = false;
-    CHECK(patienceFor(view) > silent);
+    CHECK(attemptTimeoutOf(view) > silent);
     // A prompt of 23,000 tokens of a large model is not left while it may still be read.
     view.endpointSilent = true;
     view.meanWait = 0.05;
     view.readingMs = 1800;
-    CHECK(patienceFor(view) > milliseconds(5400));
+    CHECK(attemptTimeoutOf(view) > milliseconds(5400));
 }
 
 TEST_CASE("a pause at a silent endpoint ends before it is late, at a busy one only after")
@@ -374,7 +374,7 @@
     attempt_wait view;
     view.part = awaited_part::nextEvent;
     view.eventGap = milliseconds(1200);
-    CHECK(patienceFor(view) > view.eventGap);
+    CHECK(attemptTimeoutOf(view) > view.eventGap);
     view.endpointSilent = true;
-    CHECK(patienceFor(view) < view.eventGap);
+    CHECK(attemptTimeoutOf(view) < view.eventGap);
 }
