--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/Patience.cpp
@@ -15,7 +15,7 @@
 /// A wait of this many recent means is unusual: waits of prompts differ by an order.
 constexpr double unusualWaitFactor = 10;
 /// Shares of the objective between which that is bounded.
-constexpr double leastShare = 0.4;
+constexpr double minShare = 0.4;
 constexpr double mostShare = 2.4;
 /// Upper bound at an endpoint that answers nobody. An entry with few requests has nobody else there
 /// to judge by, so its own prompt's reading counts as elsewhere: without it, prompts of 23,000
@@ -47,7 +47,7 @@
         return share(view.eventGap, view.endpointSilent ? silentGapShare : busyGapShare);
     const std::chrono::milliseconds latest = share(view.timeout, latestShare);
     const double most = view.endpointSilent ? mostSilentShare : mostShare;
-    const double usual = std::clamp(unusualWaitFactor * view.meanWait, leastShare, most);
+    const double usual = std::clamp(unusualWaitFactor * view.meanWait, minShare, most);
     const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * readingMargin));
     return std::min(latest, share(view.objective, usual) + reading);
 }
