--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/Patience.cpp
@@ -16,7 +16,7 @@
 constexpr double unusualWaitFactor = 10;
 /// Shares of the objective between which that is bounded.
 constexpr double minShare = 0.4;
-constexpr double mostShare = 2.4;
+constexpr double maxShare = 2.4;
 /// Upper bound at an endpoint that answers nobody. An entry with few requests has nobody else there
 /// to judge by, so its own prompt's reading counts as elsewhere: without it, prompts of 23,000
 /// tokens were left at 0.8 of the objective and read anew, up to 800 times in a day of 52 s.
@@ -46,7 +46,7 @@
     if (view.part == awaited_part::nextEvent)
         return share(view.eventGap, view.endpointSilent ? silentGapShare : busyGapShare);
     const std::chrono::milliseconds latest = share(view.timeout, latestShare);
-    const double most = view.endpointSilent ? mostSilentShare : mostShare;
+    const double most = view.endpointSilent ? mostSilentShare : maxShare;
     const double usual = std::clamp(unusualWaitFactor * view.meanWait, minShare, most);
     const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * readingMargin));
     return std::min(latest, share(view.objective, usual) + reading);
