--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/Patience.cpp
@@ -22,7 +22,7 @@
 /// tokens were left at 0.8 of the objective and read anew, up to 800 times in a day of 52 s.
 /// It gains 0.008 of worth on 3 entries with 12 endpoints (0.690 to 0.698, 30 days with faults)
 /// and 0.009 on 32 with 57 (0.651 to 0.660, 10 days).
-constexpr double mostSilentShare = 1.2;
+constexpr double maxSilentShare = 1.2;
 /// The time that reading is thought to take may be this many times too low.
 constexpr double readingMargin = 3;
 /// Part of the route's timeout after which a request moves in any case, so that another
@@ -46,7 +46,7 @@
     if (view.part == awaited_part::nextEvent)
         return share(view.eventGap, view.endpointSilent ? silentGapShare : busyGapShare);
     const std::chrono::milliseconds latest = share(view.timeout, latestShare);
-    const double most = view.endpointSilent ? mostSilentShare : maxShare;
+    const double most = view.endpointSilent ? maxSilentShare : maxShare;
     const double usual = std::clamp(unusualWaitFactor * view.meanWait, minShare, most);
     const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * readingMargin));
     return std::min(latest, share(view.objective, usual) + reading);
