--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/Patience.cpp
@@ -24,7 +24,7 @@
 /// and 0.009 on 32 with 57 (0.651 to 0.660, 10 days).
 constexpr double maxSilentShare = 1.2;
 /// The time that reading is thought to take may be this many times too low.
-constexpr double readingMargin = 3;
+constexpr double prefillMargin = 3;
 /// Part of the route's timeout after which a request moves in any case, so that another
 /// endpoint has the time to serve it.
 constexpr double latestShare = 0.35;
@@ -48,6 +48,6 @@
     const std::chrono::milliseconds latest = share(view.timeout, latestShare);
     const double most = view.endpointSilent ? maxSilentShare : maxShare;
     const double usual = std::clamp(unusualWaitFactor * view.meanWait, minShare, most);
-    const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * readingMargin));
+    const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * prefillMargin));
     return std::min(latest, share(view.objective, usual) + reading);
 }
