--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/Patience.cpp
@@ -27,7 +27,7 @@
 constexpr double prefillMargin = 3;
 /// Part of the route's timeout after which a request moves in any case, so that another
 /// endpoint has the time to serve it.
-constexpr double latestShare = 0.35;
+constexpr double maxTimeoutShare = 0.35;
 /// Parts of the longest pause in time after which a stream moves, at a silent endpoint and at
 /// one that goes on with other requests. The second is late already: it is for endpoints that
 /// have lost just this request.
@@ -45,7 +45,7 @@
 {
     if (view.part == awaited_part::nextEvent)
         return share(view.eventGap, view.endpointSilent ? silentGapShare : busyGapShare);
-    const std::chrono::milliseconds latest = share(view.timeout, latestShare);
+    const std::chrono::milliseconds latest = share(view.timeout, maxTimeoutShare);
     const double most = view.endpointSilent ? maxSilentShare : maxShare;
     const double usual = std::clamp(unusualWaitFactor * view.meanWait, minShare, most);
     const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * prefillMargin));
