--- a/include/laurelcroft/Policy/PromptRate.h
+++ b/include/laurelcroft/Policy/PromptRate.h
@@ -11,7 +11,7 @@
 namespace laurelcroft {
 
 /// The rate of one model.
-class prompt_rate
+class prefill_rate
 {
 public:
     /// Takes the wait for a first event, in milliseconds, after \p tokens were read.
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -19,7 +19,7 @@
 double request_flow<Env>::readingMsPerToken()
 {
     routing_state &state = m_env.routing();
-    const prompt_rate &rate = state.promptRate(modelName());
+    const prefill_rate &rate = state.promptRate(modelName());
     const bool first = !m_request->anyModel || m_model == 0;
     if (first || rate.isKnown())
         return rate.msPerToken();
--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -118,7 +118,7 @@
     recent_wait &waits(std::string_view service);
 
     /// How fast \p model reads prompts.
-    prompt_rate &promptRate(std::string_view model);
+    prefill_rate &promptRate(std::string_view model);
 
     /// Is told of each send, with the time that its prompt is thought to take to read and the
     /// prompt's shared prefixes.
@@ -196,7 +196,7 @@
     std::map<std::string, send_budget, std::less<>> m_repeats;
     std::map<std::string, repeat_outlook, std::less<>> m_outlooks;
     std::map<std::string, recent_wait, std::less<>> m_waits;
-    std::map<std::string, prompt_rate, std::less<>> m_promptRates;
+    std::map<std::string, prefill_rate, std::less<>> m_promptRates;
     struct sample_list
     {
         std::uint64_t revision = 0; ///< of the directory
--- a/lib/Policy/PromptRate.cpp
+++ b/lib/Policy/PromptRate.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void prompt_rate::note(unsigned tokens, double waitMs, double ownShare)
+void prefill_rate::note(unsigned tokens, double waitMs, double ownShare)
 {
     if (tokens < leastTokens)
         return;
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -180,7 +180,7 @@
             && now - endpoint.lastSentAt() >= delays.sinceSend;
 }
 
-prompt_rate &routing_state::promptRate(std::string_view model)
+prefill_rate &routing_state::promptRate(std::string_view model)
 {
     return itemOf(m_promptRates, model);
 }
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -256,7 +256,7 @@
 TEST_CASE("a model's reading rate is known after its first prompt, less what was read before")
 {
     constexpr unsigned tokens = 10'000;
-    prompt_rate rate;
+    prefill_rate rate;
     CHECK(!rate.isKnown());
     rate.note(10, 500);
     CHECK(!rate.isKnown());
@@ -264,7 +264,7 @@
     CHECK(rate.isKnown());
     CHECK(rate.msPerToken() * tokens == doctest::Approx(800));
     // Behind another prompt as long, the same wait tells of half the rate.
-    prompt_rate behind;
+    prefill_rate behind;
     behind.note(tokens, 800, 0.5);
     CHECK(behind.msPerToken() * tokens == doctest::Approx(400));
     // Later on queues raise it only slowly.
