--- a/include/laurelcroft/Policy/PromptRate.h
+++ b/include/laurelcroft/Policy/PromptRate.h
@@ -27,8 +27,8 @@
 
 private:
     /// Before the first sample: a middle-sized model on a large accelerator.
-    static constexpr double firstGuess = 0.01;
-    double m_msPerToken = firstGuess;
+    static constexpr double initialMsPerToken = 0.01;
+    double m_msPerToken = initialMsPerToken;
     unsigned m_samples = 0;
 };
 
