--- a/lib/Policy/PromptRate.cpp
+++ b/lib/Policy/PromptRate.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Shorter prompts say more about the way there than about reading.
-constexpr unsigned leastTokens = 1500;
+constexpr unsigned minTokens = 1500;
 constexpr double weightOfShorter = 0.1;
 constexpr double weightOfLonger = 0.01;
 
@@ -20,7 +20,7 @@
 
 void prefill_rate::note(unsigned tokens, double waitMs, double ownShare)
 {
-    if (tokens < leastTokens)
+    if (tokens < minTokens)
         return;
     const double sample = waitMs * ownShare / tokens;
     ++m_samples;
