--- a/lib/Policy/PromptRate.cpp
+++ b/lib/Policy/PromptRate.cpp
@@ -14,7 +14,7 @@
 /// Shorter prompts say more about the way there than about reading.
 constexpr unsigned minTokens = 1500;
 constexpr double shorterWeight = 0.1;
-constexpr double weightOfLonger = 0.01;
+constexpr double longerWeight = 0.01;
 
 } // namespace
 
@@ -24,7 +24,7 @@
         return;
     const double sample = waitMs * ownShare / tokens;
     ++m_samples;
-    const double usual = sample < m_msPerToken ? shorterWeight : weightOfLonger;
+    const double usual = sample < m_msPerToken ? shorterWeight : longerWeight;
     const double weight = std::max(usual, 1.0 / m_samples);
     m_msPerToken += weight * (sample - m_msPerToken);
 }
