--- a/lib/Policy/RateShare.cpp
+++ b/lib/Policy/RateShare.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// Least time before an entry without a share of a rate limit checks it.
-constexpr seconds leastCheckDelay{10};
+constexpr seconds minCheckDelay{10};
 /// Fraction of a rate limit that the checks of all entries together may use.
 constexpr double checkFraction = 0.25;
 /// Requests a second; lower limits are checked at this rate. Without it, an endpoint with a limit
@@ -68,6 +68,6 @@
             / static_cast<double>(steps);
     const double checksPerSecond = checkFraction * std::max(leastCheckedRate, perSecond);
     const std::chrono::duration<double> interval(static_cast<double>(entries) / checksPerSecond);
-    return {leastCheckDelay + std::chrono::duration_cast<duration>(fraction * interval),
+    return {minCheckDelay + std::chrono::duration_cast<duration>(fraction * interval),
             std::chrono::duration_cast<duration>(interval)};
 }
