--- a/lib/Policy/RateShare.cpp
+++ b/lib/Policy/RateShare.cpp
@@ -23,7 +23,7 @@
 constexpr double checkFraction = 0.25;
 /// Requests a second; lower limits are checked at this rate. Without it, an endpoint with a limit
 /// of 0 would get no request whose answer could raise the limit.
-constexpr double leastCheckedRate = 0.1;
+constexpr double minCheckedRate = 0.1;
 
 } // namespace
 
@@ -66,7 +66,7 @@
     constexpr std::uint64_t steps = 1 << 16;
     const double fraction = static_cast<double>(stableHash(endpoint, stableHash(own)) % steps)
             / static_cast<double>(steps);
-    const double checksPerSecond = checkFraction * std::max(leastCheckedRate, perSecond);
+    const double checksPerSecond = checkFraction * std::max(minCheckedRate, perSecond);
     const std::chrono::duration<double> interval(static_cast<double>(entries) / checksPerSecond);
     return {minCheckDelay + std::chrono::duration_cast<duration>(fraction * interval),
             std::chrono::duration_cast<duration>(interval)};
