--- a/include/laurelcroft/Policy/RepeatOutlook.h
+++ b/include/laurelcroft/Policy/RepeatOutlook.h
@@ -16,7 +16,7 @@
 namespace laurelcroft {
 
 /// The attempts of one entry at one service.
-class repeat_outlook
+class failure_streak
 {
 public:
     /// Attempts in a row that came to nothing from which the next one is thought to as well: it has
--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -142,7 +142,7 @@
                                                 std::uint64_t draw);
     std::optional<endpoint_pick> pickEligible(const std::vector<endpoint_ptr> &usable);
     void send(const endpoint_pick &pick);
-    repeat_outlook &outlook() { return m_env.routing().outlook(m_service); }
+    failure_streak &outlook() { return m_env.routing().outlook(m_service); }
     send_budget &budget() { return m_env.routing().repeats(m_service); }
     double allowanceShare() { return m_env.routing().shareOfEntries(); }
     bool mayTakeFurtherSend(further_send what);
--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -112,7 +112,7 @@
     std::map<std::string, send_budget, std::less<>> &allRepeats() { return m_repeats; }
 
     /// How the last attempts at endpoints of \p service ended.
-    repeat_outlook &outlook(std::string_view service);
+    failure_streak &outlook(std::string_view service);
 
     /// Recent waits for first parts at endpoints of \p service.
     recent_wait &waits(std::string_view service);
@@ -194,7 +194,7 @@
     leaving_watch m_leaving;
     std::map<std::string, rollout_tracker, std::less<>> m_rollouts;
     std::map<std::string, send_budget, std::less<>> m_repeats;
-    std::map<std::string, repeat_outlook, std::less<>> m_outlooks;
+    std::map<std::string, failure_streak, std::less<>> m_outlooks;
     std::map<std::string, recent_wait, std::less<>> m_waits;
     std::map<std::string, prefill_rate, std::less<>> m_promptRates;
     struct sample_list
--- a/lib/Policy/RepeatOutlook.cpp
+++ b/lib/Policy/RepeatOutlook.cpp
@@ -7,7 +7,7 @@
 
 using namespace laurelcroft;
 
-void repeat_outlook::failed(time_point now)
+void failure_streak::failed(time_point now)
 {
     const bool isNew = m_failuresInRow == 0 || now - m_last > fresh;
     if (isNew) {
@@ -18,12 +18,12 @@
     m_last = now;
 }
 
-bool repeat_outlook::isHopeless(time_point now) const
+bool failure_streak::isHopeless(time_point now) const
 {
     return m_failuresInRow >= hopelessAfter && now - m_last <= fresh;
 }
 
-milliseconds repeat_outlook::expectedLeft(time_point now) const
+milliseconds failure_streak::expectedLeft(time_point now) const
 {
     return isHopeless(now) ? std::chrono::ceil<milliseconds>(now - m_since) : milliseconds(0);
 }
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -38,7 +38,7 @@
     return itemOf(m_repeats, service, m_bounds.repeats, m_roundings.uniform());
 }
 
-repeat_outlook &routing_state::outlook(std::string_view service)
+failure_streak &routing_state::outlook(std::string_view service)
 {
     return itemOf(m_outlooks, service);
 }
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -19,10 +19,10 @@
 
 TEST_CASE("a repeat has no chance after many failures in a row, until one succeeds or they are old")
 {
-    repeat_outlook outlook;
+    failure_streak outlook;
     time_point now{seconds(100)};
     const time_point begin = now;
-    for (unsigned i = 1; i < repeat_outlook::hopelessAfter; ++i) {
+    for (unsigned i = 1; i < failure_streak::hopelessAfter; ++i) {
         outlook.failed(now);
         CHECK(!outlook.isHopeless(now));
         now += milliseconds(50);
@@ -30,7 +30,7 @@
     outlook.failed(now);
     CHECK(outlook.isHopeless(now));
     CHECK(outlook.expectedLeft(now) == std::chrono::ceil<milliseconds>(now - begin));
-    CHECK(!outlook.isHopeless(now + repeat_outlook::fresh + milliseconds(1)));
+    CHECK(!outlook.isHopeless(now + failure_streak::fresh + milliseconds(1)));
     outlook.succeeded();
     CHECK(!outlook.isHopeless(now));
     CHECK(outlook.expectedLeft(now) == milliseconds(0));
