--- a/include/laurelcroft/Policy/RepeatOutlook.h
+++ b/include/laurelcroft/Policy/RepeatOutlook.h
@@ -21,7 +21,7 @@
 public:
     /// Attempts in a row that came to nothing from which the next one is thought to as well: it has
     /// a chance of about one in thirty then.
-    static constexpr unsigned hopelessAfter = 30;
+    static constexpr unsigned failuresToGiveUp = 30;
     /// A failure that is older says nothing any more.
     static constexpr milliseconds fresh{1000};
 
--- a/lib/Policy/RepeatOutlook.cpp
+++ b/lib/Policy/RepeatOutlook.cpp
@@ -20,7 +20,7 @@
 
 bool failure_streak::isHopeless(time_point now) const
 {
-    return m_failuresInRow >= hopelessAfter && now - m_last <= fresh;
+    return m_failuresInRow >= failuresToGiveUp && now - m_last <= fresh;
 }
 
 milliseconds failure_streak::expectedLeft(time_point now) const
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -22,7 +22,7 @@
     failure_streak outlook;
     time_point now{seconds(100)};
     const time_point begin = now;
-    for (unsigned i = 1; i < failure_streak::hopelessAfter; ++i) {
+    for (unsigned i = 1; i < failure_streak::failuresToGiveUp; ++i) {
         outlook.failed(now);
         CHECK(!outlook.isHopeless(now));
         now += milliseconds(50);
--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -91,7 +91,7 @@
     const auto flow = startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 90);
     world.data(0, eventText(1));
-    for (unsigned i = 0; i < failure_streak::hopelessAfter; ++i)
+    for (unsigned i = 0; i < failure_streak::failuresToGiveUp; ++i)
         world.routing.outlook("pool").failed(world.runtime.now());
     world.end(0, call_end::broken);
     CHECK(world.calls.size() == 2);
