--- a/include/laurelcroft/Policy/RepeatOutlook.h
+++ b/include/laurelcroft/Policy/RepeatOutlook.h
@@ -32,7 +32,7 @@
     void failed(time_point now);
 
     /// \returns true when a repeat at \p now would hardly bring an answer.
-    bool isHopeless(time_point now) const;
+    bool isRepeatFutile(time_point now) const;
 
     /// \returns a guess of how much longer it will be so: as long as it has been. Nothing better is
     /// known of an outage.
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -274,7 +274,7 @@
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
     facts.timeLeft = timeLeft() >= flow_bounds::leastForAttempt;
     // A stream that has begun goes on against the odds: its caller would lose what it holds.
-    facts.worthRetrying = m_begun || !outlook().isHopeless(now());
+    facts.worthRetrying = m_begun || !outlook().isRepeatFutile(now());
     return facts;
 }
 
--- a/lib/Policy/RepeatOutlook.cpp
+++ b/lib/Policy/RepeatOutlook.cpp
@@ -18,12 +18,12 @@
     m_last = now;
 }
 
-bool failure_streak::isHopeless(time_point now) const
+bool failure_streak::isRepeatFutile(time_point now) const
 {
     return m_failuresInRow >= failuresToGiveUp && now - m_last <= fresh;
 }
 
 milliseconds failure_streak::expectedLeft(time_point now) const
 {
-    return isHopeless(now) ? std::chrono::ceil<milliseconds>(now - m_since) : milliseconds(0);
+    return isRepeatFutile(now) ? std::chrono::ceil<milliseconds>(now - m_since) : milliseconds(0);
 }
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -24,15 +24,15 @@
     const time_point begin = now;
     for (unsigned i = 1; i < failure_streak::failuresToGiveUp; ++i) {
         outlook.failed(now);
-        CHECK(!outlook.isHopeless(now));
+        CHECK(!outlook.isRepeatFutile(now));
         now += milliseconds(50);
     }
     outlook.failed(now);
-    CHECK(outlook.isHopeless(now));
+    CHECK(outlook.isRepeatFutile(now));
     CHECK(outlook.expectedLeft(now) == std::chrono::ceil<milliseconds>(now - begin));
-    CHECK(!outlook.isHopeless(now + failure_streak::fresh + milliseconds(1)));
+    CHECK(!outlook.isRepeatFutile(now + failure_streak::fresh + milliseconds(1)));
     outlook.succeeded();
-    CHECK(!outlook.isHopeless(now));
+    CHECK(!outlook.isRepeatFutile(now));
     CHECK(outlook.expectedLeft(now) == milliseconds(0));
 }
 
