--- a/include/laurelcroft/Policy/RepeatOutlook.h
+++ b/include/laurelcroft/Policy/RepeatOutlook.h
@@ -36,7 +36,7 @@
 
     /// \returns a guess of how much longer it will be so: as long as it has been. Nothing better is
     /// known of an outage.
-    milliseconds expectedLeft(time_point now) const;
+    milliseconds expectedRemaining(time_point now) const;
 
 private:
     unsigned m_failuresInRow = 0;
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -422,8 +422,8 @@
 milliseconds request_flow<Env>::untilRoom()
 {
     const std::optional<time_point> end = m_env.routing().earliestBackoffEnd(m_service, now());
-    const milliseconds wait
-            = end ? std::chrono::ceil<milliseconds>(*end - now()) : outlook().expectedLeft(now());
+    const milliseconds wait = end ? std::chrono::ceil<milliseconds>(*end - now())
+                                  : outlook().expectedRemaining(now());
     return std::clamp(wait, flow_bounds::retryAfterFull, flow_bounds::retryAfterOutage);
 }
 
--- a/lib/Policy/RepeatOutlook.cpp
+++ b/lib/Policy/RepeatOutlook.cpp
@@ -23,7 +23,7 @@
     return m_failuresInRow >= failuresToGiveUp && now - m_last <= fresh;
 }
 
-milliseconds failure_streak::expectedLeft(time_point now) const
+milliseconds failure_streak::expectedRemaining(time_point now) const
 {
     return isRepeatFutile(now) ? std::chrono::ceil<milliseconds>(now - m_since) : milliseconds(0);
 }
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -29,11 +29,11 @@
     }
     outlook.failed(now);
     CHECK(outlook.isRepeatFutile(now));
-    CHECK(outlook.expectedLeft(now) == std::chrono::ceil<milliseconds>(now - begin));
+    CHECK(outlook.expectedRemaining(now) == std::chrono::ceil<milliseconds>(now - begin));
     CHECK(!outlook.isRepeatFutile(now + failure_streak::fresh + milliseconds(1)));
     outlook.succeeded();
     CHECK(!outlook.isRepeatFutile(now));
-    CHECK(outlook.expectedLeft(now) == milliseconds(0));
+    CHECK(outlook.expectedRemaining(now) == milliseconds(0));
 }
 
 TEST_CASE("repeats stay within the ratio in every window, and return with time")
