--- a/include/laurelcroft/Policy/RepeatOutlook.h
+++ b/include/laurelcroft/Policy/RepeatOutlook.h
@@ -23,7 +23,7 @@
     /// a chance of about one in thirty then.
     static constexpr unsigned failuresToGiveUp = 30;
     /// A failure that is older says nothing any more.
-    static constexpr milliseconds fresh{1000};
+    static constexpr milliseconds failureLifetime{1000};
 
     /// An endpoint has begun to answer with a success.
     void succeeded() { m_failuresInRow = 0; }
--- a/lib/Policy/RepeatOutlook.cpp
+++ b/lib/Policy/RepeatOutlook.cpp
@@ -9,7 +9,7 @@
 
 void failure_streak::failed(time_point now)
 {
-    const bool isNew = m_failuresInRow == 0 || now - m_last > fresh;
+    const bool isNew = m_failuresInRow == 0 || now - m_last > failureLifetime;
     if (isNew) {
         m_failuresInRow = 0;
         m_since = now;
@@ -20,7 +20,7 @@
 
 bool failure_streak::isRepeatFutile(time_point now) const
 {
-    return m_failuresInRow >= failuresToGiveUp && now - m_last <= fresh;
+    return m_failuresInRow >= failuresToGiveUp && now - m_last <= failureLifetime;
 }
 
 milliseconds failure_streak::expectedRemaining(time_point now) const
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -30,7 +30,7 @@
     outlook.failed(now);
     CHECK(outlook.isRepeatFutile(now));
     CHECK(outlook.expectedRemaining(now) == std::chrono::ceil<milliseconds>(now - begin));
-    CHECK(!outlook.isRepeatFutile(now + failure_streak::fresh + milliseconds(1)));
+    CHECK(!outlook.isRepeatFutile(now + failure_streak::failureLifetime + milliseconds(1)));
     outlook.succeeded();
     CHECK(!outlook.isRepeatFutile(now));
     CHECK(outlook.expectedRemaining(now) == milliseconds(0));
