--- a/include/laurelcroft/Policy/SendBudget.h
+++ b/include/laurelcroft/Policy/SendBudget.h
@@ -78,7 +78,7 @@
     bool take(time_point now, double share, further_send what);
 
     /// A send that was taken is not made after all.
-    void giveBack() { m_saved += 1; }
+    void refund() { m_saved += 1; }
 
 private:
     struct bucket
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -481,7 +481,7 @@
 {
     m_done = true;
     if (std::exchange(m_heldSend, std::nullopt))
-        budget().giveBack();
+        budget().refund();
     m_env.runtime().cancel(m_deadlineTimer);
     m_env.runtime().cancel(m_progressTimer);
     m_record.reason = why;
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -117,7 +117,7 @@
         budget.request(now, 0);
     const double before = budget.left(now, 0);
     REQUIRE(budget.take(now, 0, further_send::repeat));
-    budget.giveBack();
+    budget.refund();
     CHECK(budget.left(now, 0) == doctest::Approx(before));
 }
 
