--- a/include/laurelcroft/Policy/SendBudget.h
+++ b/include/laurelcroft/Policy/SendBudget.h
@@ -87,7 +87,7 @@
         std::size_t requests = 0;
     };
     void advance(time_point now, double share);
-    double mostSaved() const;
+    double maxSaved() const;
 
     send_budget_bounds m_bounds;
     double m_rounding;
--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -46,7 +46,7 @@
     return bounds.ratio / (1 + savedPart) * static_cast<double>(requests);
 }
 
-double send_budget::mostSaved() const
+double send_budget::maxSaved() const
 {
     return savedPart * earnedBy(m_bounds, m_requests)
             + allowanceSaved * m_bounds.allowance * m_share;
@@ -63,7 +63,7 @@
         m_requests -= m_buckets.front().requests;
         m_buckets.pop_front();
     }
-    m_saved = std::min(m_saved, mostSaved());
+    m_saved = std::min(m_saved, maxSaved());
 }
 
 void send_budget::request(time_point now, double share)
@@ -73,7 +73,7 @@
         m_buckets.push_back({now, 0});
     ++m_buckets.back().requests;
     ++m_requests;
-    m_saved = std::min(m_saved + earnedBy(m_bounds, 1), mostSaved());
+    m_saved = std::min(m_saved + earnedBy(m_bounds, 1), maxSaved());
 }
 
 double send_budget::left(time_point now, double share)
@@ -85,7 +85,7 @@
 bool send_budget::allows(time_point now, double share, further_send what)
 {
     advance(now, share);
-    const double beyondFew = std::max(0.0, mostSaved() - fewSends);
+    const double beyondFew = std::max(0.0, maxSaved() - fewSends);
     const double kept = what == further_send::largerModel ? keptForRepeats * beyondFew : 0;
     return m_saved + m_rounding >= 1 + kept;
 }
