--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds bucketLength{200};
 /// Part of what a window's requests earn that is saved. The loss of a data centre takes the answers
 /// of a second or two with it, which are all sent again at once.
-constexpr double savedPart = 0.25;
+constexpr double savedFraction = 0.25;
 /// Part of an entry's share of the allowance that it may save, and part that it is given over each
 /// window. The rest is for entries that have joined and that others don't know yet.
 constexpr double allowanceSaved = 0.5;
@@ -43,12 +43,12 @@
 
 static double earnedBy(const send_budget_bounds &bounds, std::size_t requests)
 {
-    return bounds.ratio / (1 + savedPart) * static_cast<double>(requests);
+    return bounds.ratio / (1 + savedFraction) * static_cast<double>(requests);
 }
 
 double send_budget::maxSaved() const
 {
-    return savedPart * earnedBy(m_bounds, m_requests)
+    return savedFraction * earnedBy(m_bounds, m_requests)
             + allowanceSaved * m_bounds.allowance * m_share;
 }
 
