--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -23,7 +23,7 @@
 /// Part of the savings beyond a few sends that is kept from larger models: a repeat saves an
 /// answer, a larger model betters it. Of a few nothing is kept: an entry with a request now and
 /// then would hardly ever ask a larger model.
-constexpr double keptForRepeats = 0.5;
+constexpr double reservedForRepeats = 0.5;
 constexpr double fewSends = 4;
 
 } // namespace
@@ -86,7 +86,7 @@
 {
     advance(now, share);
     const double beyondFew = std::max(0.0, maxSaved() - fewSends);
-    const double kept = what == further_send::largerModel ? keptForRepeats * beyondFew : 0;
+    const double kept = what == further_send::largerModel ? reservedForRepeats * beyondFew : 0;
     return m_saved + m_rounding >= 1 + kept;
 }
 
