--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -24,7 +24,7 @@
 /// answer, a larger model betters it. Of a few nothing is kept: an entry with a request now and
 /// then would hardly ever ask a larger model.
 constexpr double reservedForRepeats = 0.5;
-constexpr double fewSends = 4;
+constexpr double unreservedSends = 4;
 
 } // namespace
 
@@ -85,7 +85,7 @@
 bool send_budget::allows(time_point now, double share, further_send what)
 {
     advance(now, share);
-    const double beyondFew = std::max(0.0, maxSaved() - fewSends);
+    const double beyondFew = std::max(0.0, maxSaved() - unreservedSends);
     const double kept = what == further_send::largerModel ? reservedForRepeats * beyondFew : 0;
     return m_saved + m_rounding >= 1 + kept;
 }
