--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -27,7 +27,7 @@
 /// to 20.4 s (12 days each, window from 5 to 23 s, 32 entries).
 constexpr double trialRequestsPerSecond = 9;
 /// Largest part of the tolerated exposure that a trial uses.
-constexpr double usedByTrial = 0.5;
+constexpr double trialExposureFraction = 0.5;
 /// Part of the tolerated exposure that trial and full share use together when nothing is
 /// found; the rest is for a rate that rises towards the end.
 constexpr double usedExposure = 0.88;
@@ -108,7 +108,7 @@
     case rollout_stage::trial:
         break;
     }
-    const double most = view.exposure * usedByTrial;
+    const double most = view.exposure * trialExposureFraction;
     if (view.requestsPerSecond <= 0)
         return most;
     return std::min(most, trialRequestsPerSecond / view.requestsPerSecond);
