--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -30,7 +30,7 @@
 constexpr double trialExposureFraction = 0.5;
 /// Part of the tolerated exposure that trial and full share use together when nothing is
 /// found; the rest is for a rate that rises towards the end.
-constexpr double usedExposure = 0.88;
+constexpr double plannedExposureFraction = 0.88;
 /// A trial begins just after the first half of the window. With a share of the sessions from the
 /// order on, sized for 1.5 requests a second, 1 or 2 requests of sessions under way went over in
 /// the first half, on 23 of 72 days of a good version (32 entries, 128 requests a second).
@@ -131,7 +131,7 @@
 static std::chrono::duration<double> fullFrom(std::chrono::duration<double> window, double share,
                                               double exposure)
 {
-    const double part = (1 - usedExposure * exposure) / (1 - std::min(share, exposure));
+    const double part = (1 - plannedExposureFraction * exposure) / (1 - std::min(share, exposure));
     const auto latest = window - beforeDeadline - leastFull;
     return std::max(window * earliestFull, std::min(window * part, latest));
 }
