--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -34,7 +34,7 @@
 /// A trial begins just after the first half of the window. With a share of the sessions from the
 /// order on, sized for 1.5 requests a second, 1 or 2 requests of sessions under way went over in
 /// the first half, on 23 of 72 days of a good version (32 entries, 128 requests a second).
-constexpr double trialPart = 0.51;
+constexpr double trialStartFraction = 0.51;
 /// A stage is written this long before it begins: entries that are cut off from some others read
 /// it up to 1.0 s late. With stages that began as they were read, 20 requests went back to the old
 /// version in ten roll-outs in which half of 32 entries read 0.7 s late.
@@ -204,7 +204,7 @@
         return std::nullopt;
     switch (row->stage) {
     case rollout_stage::waiting: {
-        const auto due = window * trialPart;
+        const auto due = window * trialStartFraction;
         if (elapsed >= due - stageLead)
             return movedFrom(*row, rollout_stage::trial, view, beginOf(due, elapsed, window));
         break;
