--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -43,7 +43,7 @@
 /// the store turns half of them away within 0.44 s.
 constexpr std::chrono::duration<double> leastLead{0.5};
 /// Full share never begins earlier.
-constexpr double earliestFull = 0.56;
+constexpr double minFullStartFraction = 0.56;
 /// The old version is let go this long before the deadline: a step, a slow write, and the
 /// time between the order and its first row.
 constexpr std::chrono::duration<double> beforeDeadline{1.0};
@@ -133,7 +133,7 @@
 {
     const double part = (1 - plannedExposureFraction * exposure) / (1 - std::min(share, exposure));
     const auto latest = window - beforeDeadline - leastFull;
-    return std::max(window * earliestFull, std::min(window * part, latest));
+    return std::max(window * minFullStartFraction, std::min(window * part, latest));
 }
 
 /// \returns \p row at \p stage from \p begin on, a time since the roll-out's start.
