--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -41,7 +41,7 @@
 constexpr std::chrono::duration<double> stageLead{1.0};
 /// The same where the deadline leaves less: entries without trouble read it within 0.05 s, where
 /// the store turns half of them away within 0.44 s.
-constexpr std::chrono::duration<double> leastLead{0.5};
+constexpr std::chrono::duration<double> minStageLead{0.5};
 /// Full share never begins earlier.
 constexpr double minFullStartFraction = 0.56;
 /// The old version is let go this long before the deadline: a step, a slow write, and the
@@ -161,7 +161,7 @@
                                              std::chrono::duration<double> window)
 {
     const auto left = window - beforeDeadline - leastFull - elapsed;
-    return std::max(due, elapsed + std::clamp(left, leastLead, stageLead));
+    return std::max(due, elapsed + std::clamp(left, minStageLead, stageLead));
 }
 
 /// \returns the first row of \p order. An order for the version that sessions have already, such
