--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -46,7 +46,7 @@
 constexpr double minFullStartFraction = 0.56;
 /// The old version is let go this long before the deadline: a step, a slow write, and the
 /// time between the order and its first row.
-constexpr std::chrono::duration<double> beforeDeadline{1.0};
+constexpr std::chrono::duration<double> completionMargin{1.0};
 /// Answers that this entry must know of before it lets the old version go; a restarted one
 /// knows nothing.
 constexpr std::uint64_t leastJudged = 15;
@@ -132,7 +132,7 @@
                                               double exposure)
 {
     const double part = (1 - plannedExposureFraction * exposure) / (1 - std::min(share, exposure));
-    const auto latest = window - beforeDeadline - leastFull;
+    const auto latest = window - completionMargin - leastFull;
     return std::max(window * minFullStartFraction, std::min(window * part, latest));
 }
 
@@ -160,7 +160,7 @@
                                              std::chrono::duration<double> elapsed,
                                              std::chrono::duration<double> window)
 {
-    const auto left = window - beforeDeadline - leastFull - elapsed;
+    const auto left = window - completionMargin - leastFull - elapsed;
     return std::max(due, elapsed + std::clamp(left, minStageLead, stageLead));
 }
 
@@ -214,7 +214,7 @@
         // What a trial has left in doubt, full share would spread: the last second of a window is
         // too short for slow answers to come.
         if (view.suspected) {
-            if (elapsed >= window - beforeDeadline)
+            if (elapsed >= window - completionMargin)
                 return moved(*row, rollout_stage::reverted, view);
             break;
         }
@@ -223,7 +223,7 @@
         break;
     }
     default:
-        if (elapsed < window - beforeDeadline || inStage < leastFull)
+        if (elapsed < window - completionMargin || inStage < leastFull)
             break;
         // Completion can't be taken back: in doubt the new version goes.
         if (view.suspected)
