--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -49,7 +49,7 @@
 constexpr std::chrono::duration<double> completionMargin{1.0};
 /// Answers that this entry must know of before it lets the old version go; a restarted one
 /// knows nothing.
-constexpr std::uint64_t leastJudged = 15;
+constexpr std::uint64_t minJudgedAnswers = 15;
 /// Shortest time at full share before that, so that faults under full load show, and what
 /// other entries see of them is told.
 constexpr std::chrono::duration<double> leastFull{1.2};
@@ -228,7 +228,7 @@
         // Completion can't be taken back: in doubt the new version goes.
         if (view.suspected)
             return moved(*row, rollout_stage::reverted, view);
-        if (view.judged >= leastJudged)
+        if (view.judged >= minJudgedAnswers)
             return moved(*row, rollout_stage::completed, view);
         break;
     }
