--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -52,7 +52,7 @@
 constexpr std::uint64_t minJudgedAnswers = 15;
 /// Shortest time at full share before that, so that faults under full load show, and what
 /// other entries see of them is told.
-constexpr std::chrono::duration<double> leastFull{1.2};
+constexpr std::chrono::duration<double> minFullDuration{1.2};
 
 /// Endpoints of a trial at least: what goes wrong at one alone is that endpoint's fault as likely
 /// as the version's.
@@ -132,7 +132,7 @@
                                               double exposure)
 {
     const double part = (1 - plannedExposureFraction * exposure) / (1 - std::min(share, exposure));
-    const auto latest = window - completionMargin - leastFull;
+    const auto latest = window - completionMargin - minFullDuration;
     return std::max(window * minFullStartFraction, std::min(window * part, latest));
 }
 
@@ -160,7 +160,7 @@
                                              std::chrono::duration<double> elapsed,
                                              std::chrono::duration<double> window)
 {
-    const auto left = window - completionMargin - leastFull - elapsed;
+    const auto left = window - completionMargin - minFullDuration - elapsed;
     return std::max(due, elapsed + std::clamp(left, minStageLead, stageLead));
 }
 
@@ -223,7 +223,7 @@
         break;
     }
     default:
-        if (elapsed < window - completionMargin || inStage < leastFull)
+        if (elapsed < window - completionMargin || inStage < minFullDuration)
             break;
         // Completion can't be taken back: in doubt the new version goes.
         if (view.suspected)
