--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -56,7 +56,7 @@
 
 /// Endpoints of a trial at least: what goes wrong at one alone is that endpoint's fault as likely
 /// as the version's.
-constexpr std::size_t fewestTrialEndpoints = 2;
+constexpr std::size_t minTrialEndpoints = 2;
 
 constexpr std::array<std::pair<rollout_stage, std::string_view>, 5> stageNames = {{
         {rollout_stage::waiting, "waiting"},
@@ -124,7 +124,7 @@
 std::size_t laurelcroft::trialEndpoints(double share, std::size_t endpoints)
 {
     const auto part = static_cast<std::size_t>(std::lround(share * static_cast<double>(endpoints)));
-    return std::min(endpoints, std::max(fewestTrialEndpoints, part));
+    return std::min(endpoints, std::max(minTrialEndpoints, part));
 }
 
 /// \returns when, from the order on, full share begins for a trial of \p share.
