--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -128,8 +128,8 @@
 }
 
 /// \returns when, from the order on, full share begins for a trial of \p share.
-static std::chrono::duration<double> fullFrom(std::chrono::duration<double> window, double share,
-                                              double exposure)
+static std::chrono::duration<double> fullStageStart(std::chrono::duration<double> window,
+                                                    double share, double exposure)
 {
     const double part = (1 - plannedExposureFraction * exposure) / (1 - std::min(share, exposure));
     const auto latest = window - completionMargin - minFullDuration;
@@ -210,7 +210,7 @@
         break;
     }
     case rollout_stage::trial: {
-        const auto due = fullFrom(window, row->share, view.exposure);
+        const auto due = fullStageStart(window, row->share, view.exposure);
         // What a trial has left in doubt, full share would spread: the last second of a window is
         // too short for slow answers to come.
         if (view.suspected) {
