--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -156,9 +156,9 @@
 }
 
 /// \returns when the next stage begins that is due at \p due and written now.
-static std::chrono::duration<double> beginOf(std::chrono::duration<double> due,
-                                             std::chrono::duration<double> elapsed,
-                                             std::chrono::duration<double> window)
+static std::chrono::duration<double> stageStart(std::chrono::duration<double> due,
+                                                std::chrono::duration<double> elapsed,
+                                                std::chrono::duration<double> window)
 {
     const auto left = window - completionMargin - minFullDuration - elapsed;
     return std::max(due, elapsed + std::clamp(left, minStageLead, stageLead));
@@ -206,7 +206,7 @@
     case rollout_stage::waiting: {
         const auto due = window * trialStartFraction;
         if (elapsed >= due - stageLead)
-            return movedFrom(*row, rollout_stage::trial, view, beginOf(due, elapsed, window));
+            return movedFrom(*row, rollout_stage::trial, view, stageStart(due, elapsed, window));
         break;
     }
     case rollout_stage::trial: {
@@ -219,7 +219,7 @@
             break;
         }
         if (elapsed >= due - stageLead)
-            return movedFrom(*row, rollout_stage::full, view, beginOf(due, elapsed, window));
+            return movedFrom(*row, rollout_stage::full, view, stageStart(due, elapsed, window));
         break;
     }
     default:
