--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -137,8 +137,8 @@
 }
 
 /// \returns \p row at \p stage from \p begin on, a time since the roll-out's start.
-static rollout_row movedFrom(rollout_row row, rollout_stage stage, const rollout_view &view,
-                             std::chrono::duration<double> begin)
+static rollout_row advancedAt(rollout_row row, rollout_stage stage, const rollout_view &view,
+                              std::chrono::duration<double> begin)
 {
     row.stage = stage;
     row.stageSince = row.startedAt + std::chrono::ceil<std::chrono::milliseconds>(begin);
@@ -152,7 +152,7 @@
 /// \returns \p row at \p stage from now on.
 static rollout_row moved(const rollout_row &row, rollout_stage stage, const rollout_view &view)
 {
-    return movedFrom(row, stage, view, view.now - row.startedAt);
+    return advancedAt(row, stage, view, view.now - row.startedAt);
 }
 
 /// \returns when the next stage begins that is due at \p due and written now.
@@ -206,7 +206,7 @@
     case rollout_stage::waiting: {
         const auto due = window * trialStartFraction;
         if (elapsed >= due - stageLead)
-            return movedFrom(*row, rollout_stage::trial, view, stageStart(due, elapsed, window));
+            return advancedAt(*row, rollout_stage::trial, view, stageStart(due, elapsed, window));
         break;
     }
     case rollout_stage::trial: {
@@ -219,7 +219,7 @@
             break;
         }
         if (elapsed >= due - stageLead)
-            return movedFrom(*row, rollout_stage::full, view, stageStart(due, elapsed, window));
+            return advancedAt(*row, rollout_stage::full, view, stageStart(due, elapsed, window));
         break;
     }
     default:
