--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -150,7 +150,8 @@
 }
 
 /// \returns \p row at \p stage from now on.
-static rollout_row moved(const rollout_row &row, rollout_stage stage, const rollout_view &view)
+static rollout_row advancedNow(const rollout_row &row, rollout_stage stage,
+                               const rollout_view &view)
 {
     return advancedAt(row, stage, view, view.now - row.startedAt);
 }
@@ -192,7 +193,7 @@
     if (isFinal(row->stage))
         return std::nullopt;
     if (view.foundBad)
-        return moved(*row, rollout_stage::reverted, view);
+        return advancedNow(*row, rollout_stage::reverted, view);
     if (!view.targetListed || !view.othersKnown)
         return std::nullopt;
 
@@ -215,7 +216,7 @@
         // too short for slow answers to come.
         if (view.suspected) {
             if (elapsed >= window - completionMargin)
-                return moved(*row, rollout_stage::reverted, view);
+                return advancedNow(*row, rollout_stage::reverted, view);
             break;
         }
         if (elapsed >= due - stageLead)
@@ -227,9 +228,9 @@
             break;
         // Completion can't be taken back: in doubt the new version goes.
         if (view.suspected)
-            return moved(*row, rollout_stage::reverted, view);
+            return advancedNow(*row, rollout_stage::reverted, view);
         if (view.judged >= minJudgedAnswers)
-            return moved(*row, rollout_stage::completed, view);
+            return advancedNow(*row, rollout_stage::completed, view);
         break;
     }
     return std::nullopt;
