--- a/include/laurelcroft/Policy/ServiceRollout.h
+++ b/include/laurelcroft/Policy/ServiceRollout.h
@@ -92,7 +92,7 @@
 
 /// \param sessionHash the same at every entry.
 /// \returns true when the session is one of \p share of all.
-bool isAmongShare(double share, std::uint64_t sessionHash);
+bool isInShare(double share, std::uint64_t sessionHash);
 
 } // namespace laurelcroft
 
--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -236,7 +236,7 @@
     return std::nullopt;
 }
 
-bool laurelcroft::isAmongShare(double share, std::uint64_t sessionHash)
+bool laurelcroft::isInShare(double share, std::uint64_t sessionHash)
 {
     if (share >= 1)
         return true;
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -96,7 +96,7 @@
 
 bool rollout_tracker::isForTarget(const session_request &request) const
 {
-    return isCurrent() && isAmongShare(shareAt(request.arrivedAt), request.session);
+    return isCurrent() && isInShare(shareAt(request.arrivedAt), request.session);
 }
 
 bool rollout_tracker::stopsAlone(time_point now)
