--- a/lib/Policy/VersionChoice.cpp
+++ b/lib/Policy/VersionChoice.cpp
@@ -58,8 +58,8 @@
 }
 
 static outcome<version_choice, version_refusal>
-chooseWanted(const bundle &rules, const customer &who, std::string_view name,
-             std::string_view wanted, const version_knowledge &known)
+chooseRequested(const bundle &rules, const customer &who, std::string_view name,
+                std::string_view wanted, const version_knowledge &known)
 {
     const auto checked = checkVersion(rules, who, name, wanted);
     if (!checked)
@@ -95,7 +95,7 @@
     if (item == nullptr)
         return failure(version_refusal::unknownModel);
     if (!wanted.empty())
-        return chooseWanted(rules, who, name, wanted, known);
+        return chooseRequested(rules, who, name, wanted, known);
     const rollout *moving = rules.findRollout(name);
     const version_reason reason = drawRollout(moving, rules, who, known, random);
     if (reason == version_reason::rolloutShare)
