--- a/lib/Policy/VersionGuard.cpp
+++ b/lib/Policy/VersionGuard.cpp
@@ -21,7 +21,7 @@
 constexpr double priorBadShare = 0.03;
 constexpr double highestTolerated = 0.95;
 /// Bad answers that a share is reckoned from.
-constexpr double leastBad = 3;
+constexpr double minBadAnswers = 3;
 /// Shares of the largest bet that can't ruin the wealth.
 constexpr std::array<double, 4> betShares = {0.1, 0.25, 0.5, 0.8};
 
@@ -44,7 +44,7 @@
 double version_guard::deviationsAbove() const
 {
     const double count = m_rolloutGood + m_rolloutBad;
-    if (m_rolloutBad < leastBad)
+    if (m_rolloutBad < minBadAnswers)
         return 0;
     const double tolerated = toleratedBadShare();
     const double deviation = std::sqrt(tolerated * (1 - tolerated) / count);
