--- a/lib/Policy/VersionGuard.cpp
+++ b/lib/Policy/VersionGuard.cpp
@@ -19,7 +19,7 @@
 /// Answers of the settled version that are assumed before any was seen.
 constexpr double priorAnswers = 20;
 constexpr double priorBadShare = 0.03;
-constexpr double highestTolerated = 0.95;
+constexpr double maxToleratedShare = 0.95;
 /// Bad answers that a share is reckoned from.
 constexpr double minBadAnswers = 3;
 /// Shares of the largest bet that can't ruin the wealth.
@@ -38,7 +38,7 @@
     const double count = m_settledGood + m_settledBad + priorAnswers;
     const double share = (m_settledBad + priorBadShare * priorAnswers) / count;
     const double deviation = std::sqrt(share * (1 - share) / count);
-    return std::min(highestTolerated, share + 2 * deviation + m_bounds.worseBy / 2);
+    return std::min(maxToleratedShare, share + 2 * deviation + m_bounds.worseBy / 2);
 }
 
 double version_guard::deviationsAbove() const
