--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t innocent = 2;
 
 /// Ends of endpoints, each another one.
-struct end_world
+struct suspects_fixture
 {
     crash_suspects suspects;
     time_point now{std::chrono::hours(1)};
@@ -41,7 +41,7 @@
 
 TEST_CASE("a request that ends three endpoints one after the other is withheld")
 {
-    end_world world;
+    suspects_fixture world;
     CHECK(world.suspects.isEmpty());
     CHECK(world.end({guilty}).empty());
     CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::weak);
@@ -60,7 +60,7 @@
 
 TEST_CASE("runs that were under way together count as one, however many end")
 {
-    end_world world;
+    suspects_fixture world;
     const time_point sentAt = world.now;
     world.now += milliseconds(300);
     for (std::uint64_t endpoint = 1; endpoint <= 8; ++endpoint) {
@@ -73,7 +73,7 @@
 
 TEST_CASE("an end that several entries tell of counts once")
 {
-    end_world world;
+    suspects_fixture world;
     for (int entry = 0; entry < 3; ++entry) {
         world.now += milliseconds(2);
         std::vector<recent_request> young{{guilty, world.now - milliseconds(1), world.now, 0, {}}};
@@ -84,7 +84,7 @@
 
 TEST_CASE("who was answered is above suspicion, at that version")
 {
-    end_world world;
+    suspects_fixture world;
     world.end({innocent});
     world.suspects.clear(innocent, "v1", world.now);
     for (int i = 0; i < 8; ++i)
@@ -97,7 +97,7 @@
 
 TEST_CASE("what is young beside a request with two ends is in the clear")
 {
-    end_world world;
+    suspects_fixture world;
     world.end({guilty, innocent});
     world.end({guilty, innocent});
     // Both have two ends: they are sent apart from now on, and only one ends its endpoint.
@@ -111,7 +111,7 @@
 {
     for (const bool isTold : {true, false}) {
         CAPTURE(isTold);
-        end_world world;
+        suspects_fixture world;
         std::vector<recent_request> own{
                 {innocent, world.now, world.now + milliseconds(100), 0, {}}};
         std::vector<recent_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {}}};
@@ -128,7 +128,7 @@
 
 TEST_CASE("where endpoints end by themselves it takes five ends")
 {
-    end_world world;
+    suspects_fixture world;
     for (std::size_t i = 0; i < crash_suspects::minUnexplainedEnds; ++i)
         world.end({1000 + i});
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
@@ -138,7 +138,7 @@
 
 TEST_CASE("a new version gets a withheld request once")
 {
-    end_world world;
+    suspects_fixture world;
     for (int i = 0; i < 3; ++i)
         world.end({guilty});
     world.version = "v2";
@@ -151,7 +151,7 @@
 
 TEST_CASE("a new version that answers it is free to")
 {
-    end_world world;
+    suspects_fixture world;
     for (int i = 0; i < 3; ++i)
         world.end({guilty});
     world.version = "v2";
@@ -163,7 +163,7 @@
 
 TEST_CASE("an operator's word lets a request pass, and it takes three ends again")
 {
-    end_world world;
+    suspects_fixture world;
     for (int i = 0; i < 3; ++i)
         world.end({guilty});
     world.suspects.release(guilty);
@@ -175,7 +175,7 @@
 
 TEST_CASE("a suspicion fades, and a slow caller is still known")
 {
-    end_world world;
+    suspects_fixture world;
     world.end({guilty});
     world.now += crash_suspects::suspicionLifetime - seconds(1);
     CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::weak);
@@ -185,7 +185,7 @@
 
 TEST_CASE("a flood of requests that come once stays within its memory and hides nobody")
 {
-    end_world world;
+    suspects_fixture world;
     world.end({guilty});
     world.end({guilty});
     for (std::uint64_t key = 1000; key < 1000 + 2 * crash_suspects::maxSuspects; key += 8) {
@@ -200,7 +200,7 @@
 
 TEST_CASE("another entry's finding holds here, and clears what was young there")
 {
-    end_world world;
+    suspects_fixture world;
     world.end({innocent});
     withheld_request told{"pool", {"v1"}, {world.endpoint}, world.now + seconds(60), {}};
     CHECK(world.suspects.withhold(guilty, told, world.now));
@@ -213,7 +213,7 @@
 
 TEST_CASE("an entry that has missed the earlier ends learns of them with the next one")
 {
-    end_world world;
+    suspects_fixture world;
     std::vector<recent_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {7, 8}}};
     const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
     CHECK(world.suspects.ended(end, told) == std::vector{guilty});
@@ -223,7 +223,7 @@
 TEST_CASE("of two that always end together both are withheld at the fifth end, and a third is not "
           "lost")
 {
-    end_world world;
+    suspects_fixture world;
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
         CHECK(world.end({guilty, innocent}).empty());
     CHECK(world.end({guilty, innocent}).size() == 2);
@@ -233,7 +233,7 @@
 
 TEST_CASE("a request that another version's endpoints ended under is found beside a suspect")
 {
-    end_world world;
+    suspects_fixture world;
     for (int i = 0; i < 3; ++i)
         world.end({guilty});
     world.version = "v2";
