--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint64_t guilty = 1;
+constexpr std::uint64_t crashingKey = 1;
 constexpr std::uint64_t innocent = 2;
 
 /// Ends of endpoints, each another one.
@@ -43,17 +43,17 @@
 {
     suspects_fixture world;
     CHECK(world.suspects.isEmpty());
-    CHECK(world.end({guilty}).empty());
-    CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::weak);
-    CHECK(world.end({guilty}).empty());
-    CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::strong);
-    CHECK(world.end({guilty}) == std::vector{guilty});
-    CHECK(world.isWithheld(guilty));
-    CHECK(world.suspects.withheld().at(guilty).ended.size() == 3);
-    CHECK(world.suspects.withheldUntil(guilty, world.now)
+    CHECK(world.end({crashingKey}).empty());
+    CHECK(world.suspects.suspicionOf(crashingKey, world.now) == suspicion::weak);
+    CHECK(world.end({crashingKey}).empty());
+    CHECK(world.suspects.suspicionOf(crashingKey, world.now) == suspicion::strong);
+    CHECK(world.end({crashingKey}) == std::vector{crashingKey});
+    CHECK(world.isWithheld(crashingKey));
+    CHECK(world.suspects.withheld().at(crashingKey).ended.size() == 3);
+    CHECK(world.suspects.withheldUntil(crashingKey, world.now)
           == world.now + crash_suspects::withheldFor);
     world.now += crash_suspects::withheldFor;
-    CHECK_FALSE(world.isWithheld(guilty));
+    CHECK_FALSE(world.isWithheld(crashingKey));
     world.suspects.expire(world.now);
     CHECK(world.suspects.isEmpty());
 }
@@ -76,10 +76,11 @@
     suspects_fixture world;
     for (int entry = 0; entry < 3; ++entry) {
         world.now += milliseconds(2);
-        std::vector<recent_request> young{{guilty, world.now - milliseconds(1), world.now, 0, {}}};
+        std::vector<recent_request> young{
+                {crashingKey, world.now - milliseconds(1), world.now, 0, {}}};
         world.suspects.ended({7, "pool", "v1", world.now}, young);
     }
-    CHECK(world.suspects.endsOf(guilty) == 1);
+    CHECK(world.suspects.endsOf(crashingKey) == 1);
 }
 
 TEST_CASE("who was answered is above suspicion, at that version")
@@ -98,11 +99,11 @@
 TEST_CASE("what is young beside a request with two ends is in the clear")
 {
     suspects_fixture world;
-    world.end({guilty, innocent});
-    world.end({guilty, innocent});
+    world.end({crashingKey, innocent});
+    world.end({crashingKey, innocent});
     // Both have two ends: they are sent apart from now on, and only one ends its endpoint.
     CHECK(world.suspects.endsOf(innocent) == 2);
-    CHECK(world.end({guilty, 5, 6, 7}) == std::vector{guilty});
+    CHECK(world.end({crashingKey, 5, 6, 7}) == std::vector{crashingKey});
     for (const std::uint64_t key : {innocent, std::uint64_t(5), std::uint64_t(6), std::uint64_t(7)})
         CHECK(world.suspects.suspicionOf(key, world.now) == suspicion::none);
 }
@@ -114,7 +115,8 @@
         suspects_fixture world;
         std::vector<recent_request> own{
                 {innocent, world.now, world.now + milliseconds(100), 0, {}}};
-        std::vector<recent_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {}}};
+        std::vector<recent_request> told{
+                {crashingKey, world.now, world.now + milliseconds(100), 3, {}}};
         const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
         if (isTold)
             world.suspects.ended(end, told);
@@ -122,7 +124,7 @@
         if (!isTold)
             world.suspects.ended(end, told);
         CHECK(world.suspects.suspicionOf(innocent, end.at) == suspicion::none);
-        CHECK(world.suspects.suspicionOf(guilty, end.at) != suspicion::none);
+        CHECK(world.suspects.suspicionOf(crashingKey, end.at) != suspicion::none);
     }
 }
 
@@ -132,69 +134,70 @@
     for (std::size_t i = 0; i < crash_suspects::minUnexplainedEnds; ++i)
         world.end({1000 + i});
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
-        CHECK(world.end({guilty}).empty());
-    CHECK(world.end({guilty}) == std::vector{guilty});
+        CHECK(world.end({crashingKey}).empty());
+    CHECK(world.end({crashingKey}) == std::vector{crashingKey});
 }
 
 TEST_CASE("a new version gets a withheld request once")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
-        world.end({guilty});
+        world.end({crashingKey});
     world.version = "v2";
-    CHECK_FALSE(world.isWithheld(guilty));
-    CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::strong);
-    CHECK(world.end({guilty}) == std::vector{guilty});
-    CHECK(world.isWithheld(guilty));
-    CHECK(world.suspects.withheld().at(guilty).versions == std::vector<std::string>{"v1", "v2"});
+    CHECK_FALSE(world.isWithheld(crashingKey));
+    CHECK(world.suspects.suspicionOf(crashingKey, world.now) == suspicion::strong);
+    CHECK(world.end({crashingKey}) == std::vector{crashingKey});
+    CHECK(world.isWithheld(crashingKey));
+    CHECK(world.suspects.withheld().at(crashingKey).versions
+          == std::vector<std::string>{"v1", "v2"});
 }
 
 TEST_CASE("a new version that answers it is free to")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
-        world.end({guilty});
+        world.end({crashingKey});
     world.version = "v2";
-    world.suspects.clear(guilty, "v2", world.now);
-    CHECK(world.end({guilty}).empty());
-    CHECK_FALSE(world.isWithheld(guilty));
-    CHECK(world.suspects.isWithheld(guilty, "v1", world.now));
+    world.suspects.clear(crashingKey, "v2", world.now);
+    CHECK(world.end({crashingKey}).empty());
+    CHECK_FALSE(world.isWithheld(crashingKey));
+    CHECK(world.suspects.isWithheld(crashingKey, "v1", world.now));
 }
 
 TEST_CASE("an operator's word lets a request pass, and it takes three ends again")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
-        world.end({guilty});
-    world.suspects.release(guilty);
-    CHECK_FALSE(world.isWithheld(guilty));
-    CHECK(world.end({guilty}).empty());
-    CHECK(world.end({guilty}).empty());
-    CHECK(world.end({guilty}) == std::vector{guilty});
+        world.end({crashingKey});
+    world.suspects.release(crashingKey);
+    CHECK_FALSE(world.isWithheld(crashingKey));
+    CHECK(world.end({crashingKey}).empty());
+    CHECK(world.end({crashingKey}).empty());
+    CHECK(world.end({crashingKey}) == std::vector{crashingKey});
 }
 
 TEST_CASE("a suspicion fades, and a slow caller is still known")
 {
     suspects_fixture world;
-    world.end({guilty});
+    world.end({crashingKey});
     world.now += crash_suspects::suspicionLifetime - seconds(1);
-    CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::weak);
+    CHECK(world.suspects.suspicionOf(crashingKey, world.now) == suspicion::weak);
     world.now += seconds(2);
-    CHECK(world.suspects.suspicionOf(guilty, world.now) == suspicion::none);
+    CHECK(world.suspects.suspicionOf(crashingKey, world.now) == suspicion::none);
 }
 
 TEST_CASE("a flood of requests that come once stays within its memory and hides nobody")
 {
     suspects_fixture world;
-    world.end({guilty});
-    world.end({guilty});
+    world.end({crashingKey});
+    world.end({crashingKey});
     for (std::uint64_t key = 1000; key < 1000 + 2 * crash_suspects::maxSuspects; key += 8) {
         world.end({key, key + 1, key + 2, key + 3, key + 4, key + 5, key + 6, key + 7});
         world.now -= milliseconds(90);
     }
     world.suspects.expire(world.now);
     CHECK(world.suspects.suspects() <= crash_suspects::maxSuspects);
-    CHECK(world.suspects.endsOf(guilty) == 2);
+    CHECK(world.suspects.endsOf(crashingKey) == 2);
     CHECK(world.suspects.withheld().empty());
 }
 
@@ -203,9 +206,9 @@
     suspects_fixture world;
     world.end({innocent});
     withheld_request told{"pool", {"v1"}, {world.endpoint}, world.now + seconds(60), {}};
-    CHECK(world.suspects.withhold(guilty, told, world.now));
-    CHECK_FALSE(world.suspects.withhold(guilty, told, world.now));
-    CHECK(world.isWithheld(guilty));
+    CHECK(world.suspects.withhold(crashingKey, told, world.now));
+    CHECK_FALSE(world.suspects.withhold(crashingKey, told, world.now));
+    CHECK(world.isWithheld(crashingKey));
     CHECK(world.suspects.suspicionOf(innocent, world.now) == suspicion::none);
     told.until = world.now;
     CHECK_FALSE(world.suspects.withhold(3, told, world.now));
@@ -214,10 +217,11 @@
 TEST_CASE("an entry that has missed the earlier ends learns of them with the next one")
 {
     suspects_fixture world;
-    std::vector<recent_request> told{{guilty, world.now, world.now + milliseconds(100), 3, {7, 8}}};
+    std::vector<recent_request> told{
+            {crashingKey, world.now, world.now + milliseconds(100), 3, {7, 8}}};
     const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
-    CHECK(world.suspects.ended(end, told) == std::vector{guilty});
-    CHECK(world.suspects.withheld().at(guilty).ended.size() == 3);
+    CHECK(world.suspects.ended(end, told) == std::vector{crashingKey});
+    CHECK(world.suspects.withheld().at(crashingKey).ended.size() == 3);
 }
 
 TEST_CASE("of two that always end together both are withheld at the fifth end, and a third is not "
@@ -225,9 +229,9 @@
 {
     suspects_fixture world;
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
-        CHECK(world.end({guilty, innocent}).empty());
-    CHECK(world.end({guilty, innocent}).size() == 2);
-    CHECK(world.isWithheld(guilty));
+        CHECK(world.end({crashingKey, innocent}).empty());
+    CHECK(world.end({crashingKey, innocent}).size() == 2);
+    CHECK(world.isWithheld(crashingKey));
     CHECK(world.isWithheld(innocent));
 }
 
@@ -235,10 +239,10 @@
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
-        world.end({guilty});
+        world.end({crashingKey});
     world.version = "v2";
     world.end({3});
     world.end({3});
-    CHECK(world.end({guilty, 3}) == std::vector{guilty});
-    CHECK(world.isWithheld(guilty));
+    CHECK(world.end({crashingKey, 3}) == std::vector{crashingKey});
+    CHECK(world.isWithheld(crashingKey));
 }
