--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -1,7 +1,7 @@
 //===-- CrashSuspectsTests.cpp - requests that end endpoints ----------------===//
 //
-// Who is to blame for an end: over several ends, among innocent requests, and where endpoints end
-// by themselves.
+// Who is to blame for an end: over several ends, among harmlessKey requests, and where endpoints
+// end by themselves.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CrashSuspects.h"
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint64_t crashingKey = 1;
-constexpr std::uint64_t innocent = 2;
+constexpr std::uint64_t harmlessKey = 2;
 
 /// Ends of endpoints, each another one.
 struct suspects_fixture
@@ -64,11 +64,11 @@
     const time_point sentAt = world.now;
     world.now += milliseconds(300);
     for (std::uint64_t endpoint = 1; endpoint <= 8; ++endpoint) {
-        std::vector<recent_request> young{{innocent, sentAt, world.now, 0, {}}};
+        std::vector<recent_request> young{{harmlessKey, sentAt, world.now, 0, {}}};
         CHECK(world.suspects.ended({endpoint, "pool", "v1", world.now}, young).empty());
         world.now += milliseconds(25);
     }
-    CHECK(world.suspects.endsOf(innocent) == 1);
+    CHECK(world.suspects.endsOf(harmlessKey) == 1);
 }
 
 TEST_CASE("an end that several entries tell of counts once")
@@ -86,25 +86,26 @@
 TEST_CASE("who was answered is above suspicion, at that version")
 {
     suspects_fixture world;
-    world.end({innocent});
-    world.suspects.clear(innocent, "v1", world.now);
+    world.end({harmlessKey});
+    world.suspects.clear(harmlessKey, "v1", world.now);
     for (int i = 0; i < 8; ++i)
-        CHECK(world.end({innocent}).empty());
-    CHECK(world.suspects.suspicionOf(innocent, world.now) == suspicion::none);
+        CHECK(world.end({harmlessKey}).empty());
+    CHECK(world.suspects.suspicionOf(harmlessKey, world.now) == suspicion::none);
     world.version = "v2";
-    world.end({innocent});
-    CHECK(world.suspects.suspicionOf(innocent, world.now) == suspicion::weak);
+    world.end({harmlessKey});
+    CHECK(world.suspects.suspicionOf(harmlessKey, world.now) == suspicion::weak);
 }
 
 TEST_CASE("what is young beside a request with two ends is in the clear")
 {
     suspects_fixture world;
-    world.end({crashingKey, innocent});
-    world.end({crashingKey, innocent});
+    world.end({crashingKey, harmlessKey});
+    world.end({crashingKey, harmlessKey});
     // Both have two ends: they are sent apart from now on, and only one ends its endpoint.
-    CHECK(world.suspects.endsOf(innocent) == 2);
+    CHECK(world.suspects.endsOf(harmlessKey) == 2);
     CHECK(world.end({crashingKey, 5, 6, 7}) == std::vector{crashingKey});
-    for (const std::uint64_t key : {innocent, std::uint64_t(5), std::uint64_t(6), std::uint64_t(7)})
+    for (const std::uint64_t key :
+         {harmlessKey, std::uint64_t(5), std::uint64_t(6), std::uint64_t(7)})
         CHECK(world.suspects.suspicionOf(key, world.now) == suspicion::none);
 }
 
@@ -114,7 +115,7 @@
         CAPTURE(isTold);
         suspects_fixture world;
         std::vector<recent_request> own{
-                {innocent, world.now, world.now + milliseconds(100), 0, {}}};
+                {harmlessKey, world.now, world.now + milliseconds(100), 0, {}}};
         std::vector<recent_request> told{
                 {crashingKey, world.now, world.now + milliseconds(100), 3, {}}};
         const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
@@ -123,7 +124,7 @@
         world.suspects.ended(end, own);
         if (!isTold)
             world.suspects.ended(end, told);
-        CHECK(world.suspects.suspicionOf(innocent, end.at) == suspicion::none);
+        CHECK(world.suspects.suspicionOf(harmlessKey, end.at) == suspicion::none);
         CHECK(world.suspects.suspicionOf(crashingKey, end.at) != suspicion::none);
     }
 }
@@ -204,12 +205,12 @@
 TEST_CASE("another entry's finding holds here, and clears what was young there")
 {
     suspects_fixture world;
-    world.end({innocent});
+    world.end({harmlessKey});
     withheld_request told{"pool", {"v1"}, {world.endpoint}, world.now + seconds(60), {}};
     CHECK(world.suspects.withhold(crashingKey, told, world.now));
     CHECK_FALSE(world.suspects.withhold(crashingKey, told, world.now));
     CHECK(world.isWithheld(crashingKey));
-    CHECK(world.suspects.suspicionOf(innocent, world.now) == suspicion::none);
+    CHECK(world.suspects.suspicionOf(harmlessKey, world.now) == suspicion::none);
     told.until = world.now;
     CHECK_FALSE(world.suspects.withhold(3, told, world.now));
 }
@@ -229,10 +230,10 @@
 {
     suspects_fixture world;
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
-        CHECK(world.end({crashingKey, innocent}).empty());
-    CHECK(world.end({crashingKey, innocent}).size() == 2);
+        CHECK(world.end({crashingKey, harmlessKey}).empty());
+    CHECK(world.end({crashingKey, harmlessKey}).size() == 2);
     CHECK(world.isWithheld(crashingKey));
-    CHECK(world.isWithheld(innocent));
+    CHECK(world.isWithheld(harmlessKey));
 }
 
 TEST_CASE("a request that another version's endpoints ended under is found beside a suspect")
