--- a/include/laurelcroft/Policy/Patience.h
+++ b/include/laurelcroft/Policy/AttemptTimeout.h
@@ -1,12 +1,12 @@
-//===-- Policy/Patience.h - when to leave a silent endpoint ------*- C++ -*-===//
+//===-- Policy/AttemptTimeout.h - when to leave a silent endpoint ------*- C++ -*-===//
 //
 // How long a request that may be repeated waits for an endpoint before it moves on. Too
 // early, and busy endpoints read every prompt twice; too late, and a lost answer costs the
 // objective.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_POLICY_PATIENCE_H
-#define LAURELCROFT_POLICY_PATIENCE_H
+#ifndef LAURELCROFT_POLICY_ATTEMPTTIMEOUT_H
+#define LAURELCROFT_POLICY_ATTEMPTTIMEOUT_H
 
 #include <chrono>
 
--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -10,9 +10,9 @@
 
 #include "laurelcroft/Http/EventSplitter.h"
 #include "laurelcroft/Policy/AttemptOutcome.h"
+#include "laurelcroft/Policy/AttemptTimeout.h"
 #include "laurelcroft/Policy/CandidateSample.h"
 #include "laurelcroft/Policy/DirectChoice.h"
-#include "laurelcroft/Policy/Patience.h"
 #include "laurelcroft/Proxy/FlowTypes.h"
 #include "laurelcroft/Proxy/ProxyTypes.h"
 #include "laurelcroft/Proxy/RequestKey.h"
--- a/lib/Policy/Patience.cpp
+++ b/lib/Policy/AttemptTimeout.cpp
@@ -1,10 +1,10 @@
-//===-- Patience.cpp - when to leave a silent endpoint ----------------------===//
+//===-- AttemptTimeout.cpp - when to leave a silent endpoint ----------------------===//
 //
 // A wait is unusual when it is many times the recent mean. While requests wait longer
 // everywhere, the mean says so, and moving on would only make it worse.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Policy/Patience.h"
+#include "laurelcroft/Policy/AttemptTimeout.h"
 
 #include <algorithm>
 
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -4,9 +4,9 @@
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/AttemptOutcome.h"
+#include "laurelcroft/Policy/AttemptTimeout.h"
 #include "laurelcroft/Policy/ConfidenceCascade.h"
 #include "laurelcroft/Policy/DirectChoice.h"
-#include "laurelcroft/Policy/Patience.h"
 #include "laurelcroft/Policy/PromptRate.h"
 #include "laurelcroft/Policy/ServiceRollout.h"
 #include "laurelcroft/Support/Crypto.h"
