--- a/include/laurelcroft/Policy/PromptRate.h
+++ b/include/laurelcroft/Policy/PrefillRate.h
@@ -1,12 +1,12 @@
-//===-- Policy/PromptRate.h - how fast a model reads prompts -----*- C++ -*-===//
+//===-- Policy/PrefillRate.h - how fast a model reads prompts -----*- C++ -*-===//
 //
 // Learned from the waits for first events. Waits in a queue only make a sample longer, so
 // the estimate follows short samples quickly and long ones slowly; the first samples count
 // alike, since an entry sees few long prompts of a large model.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_POLICY_PROMPTRATE_H
-#define LAURELCROFT_POLICY_PROMPTRATE_H
+#ifndef LAURELCROFT_POLICY_PREFILLRATE_H
+#define LAURELCROFT_POLICY_PREFILLRATE_H
 
 namespace laurelcroft {
 
--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -11,7 +11,7 @@
 #include "laurelcroft/Fleet/ServiceDirectory.h"
 #include "laurelcroft/Policy/CandidateSample.h"
 #include "laurelcroft/Policy/ConfidenceCascade.h"
-#include "laurelcroft/Policy/PromptRate.h"
+#include "laurelcroft/Policy/PrefillRate.h"
 #include "laurelcroft/Policy/RateShare.h"
 #include "laurelcroft/Policy/RepeatOutlook.h"
 #include "laurelcroft/Policy/SendBudget.h"
--- a/lib/Policy/PromptRate.cpp
+++ b/lib/Policy/PrefillRate.cpp
@@ -1,9 +1,9 @@
-//===-- PromptRate.cpp - how fast a model reads prompts ---------------------===//
+//===-- PrefillRate.cpp - how fast a model reads prompts ---------------------===//
 //
 // An asymmetric running mean, which settles near a low quantile.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Policy/PromptRate.h"
+#include "laurelcroft/Policy/PrefillRate.h"
 
 #include <algorithm>
 
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -7,7 +7,7 @@
 #include "laurelcroft/Policy/AttemptTimeout.h"
 #include "laurelcroft/Policy/ConfidenceCascade.h"
 #include "laurelcroft/Policy/DirectChoice.h"
-#include "laurelcroft/Policy/PromptRate.h"
+#include "laurelcroft/Policy/PrefillRate.h"
 #include "laurelcroft/Policy/ServiceRollout.h"
 #include "laurelcroft/Support/Crypto.h"
 #include "laurelcroft/Support/Runtime.h"
