--- a/include/laurelcroft/Policy/RepeatOutlook.h
+++ b/include/laurelcroft/Policy/FailureStreak.h
@@ -1,4 +1,4 @@
-//===-- Policy/RepeatOutlook.h - does a repeat have a chance? ----*- C++ -*-===//
+//===-- Policy/FailureStreak.h - does a repeat have a chance? ----*- C++ -*-===//
 //
 // How the last attempts at a service ended, at whichever endpoints, tells how the next one will.
 // The load it answers: all endpoints of a service refuse or fail for seconds. A repeat is one more
@@ -8,8 +8,8 @@
 // repeats going.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_POLICY_REPEATOUTLOOK_H
-#define LAURELCROFT_POLICY_REPEATOUTLOOK_H
+#ifndef LAURELCROFT_POLICY_FAILURESTREAK_H
+#define LAURELCROFT_POLICY_FAILURESTREAK_H
 
 #include "laurelcroft/Support/Runtime.h"
 
--- a/lib/Policy/RepeatOutlook.cpp
+++ b/lib/Policy/FailureStreak.cpp
@@ -1,9 +1,9 @@
-//===-- RepeatOutlook.cpp - does a repeat have a chance? --------------------===//
+//===-- FailureStreak.cpp - does a repeat have a chance? --------------------===//
 //
 // A run of failures without a success between. It ends by a success or by age.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Policy/RepeatOutlook.h"
+#include "laurelcroft/Policy/FailureStreak.h"
 
 using namespace laurelcroft;
 
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -8,7 +8,7 @@
 
 #include "RepeatRule.h"
 
-#include "laurelcroft/Policy/RepeatOutlook.h"
+#include "laurelcroft/Policy/FailureStreak.h"
 #include "laurelcroft/Support/Random.h"
 
 #include <doctest/doctest.h>
