--- a/include/laurelcroft/Policy/AttemptOutcome.h
+++ b/include/laurelcroft/Policy/AttemptOutcome.h
@@ -1,7 +1,8 @@
-//===-- Policy/AttemptOutcome.h - what follows from an attempt ---*- C++ -*-===//
+//===-- Policy/AttemptOutcome.h - next step after an attempt ----*- C++ -*-===//
 //
-// One pure function: how an attempt ended and what its request allows, to what the
-// caller gets. Everything about running once and about true refusals is decided here.
+// Maps how an attempt ended and what its request still allows to the next step. The rules that a
+// non-repeatable request runs at most once, and that a refusal is only reported for a request that
+// has not run, are enforced here.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_ATTEMPTOUTCOME_H
@@ -13,48 +14,48 @@
 
 /// How an attempt at one endpoint ended.
 enum class attempt_end {
-    notSent, ///< no connection stood: the endpoint saw nothing
-    refused, ///< the endpoint says that it has not run the request and won't
-    answered, ///< a whole, valid success
-    failed, ///< a whole answer with an error of the endpoint's own: it ran
-    broken, ///< reset, closed, or bytes that are no valid answer: it may have run
-    silent ///< nothing came for too long: it may have run
+    notSent, ///< no connection was established; the endpoint received nothing
+    refused, ///< the endpoint states that it has not run the request and will not
+    answered, ///< a complete, valid success response
+    failed, ///< a complete response with an error of the endpoint itself; the request ran
+    broken, ///< connection reset or closed, or invalid response; the request may have run
+    silent ///< no response within the time allowed; the request may have run
 };
 
-/// What the request allows at that moment.
+/// What the request still allows after an attempt.
 struct attempt_facts
 {
-    bool mayRepeat = false; ///< the request may run again
-    bool partDelivered = false; ///< the caller has got a part of the answer
-    bool resumable = false; ///< a stream that may go on elsewhere after an event id
-    bool mayHaveRun = false; ///< at this endpoint or an earlier one
-    bool endpointsLeft = false; ///< one more endpoint may be tried
-    bool budgetLeft = false; ///< the fleet's budget for repeats has room
-    bool worthRetrying = false; ///< one more attempt may bring an answer, or is worth it anyway
-    bool timeLeft = false; ///< enough of the deadline for another attempt
+    bool mayRepeat = false; ///< the request is safe to run more than once
+    bool partDelivered = false; ///< part of the response was already forwarded to the caller
+    bool resumable = false; ///< a stream that can continue at another endpoint after an event id
+    bool mayHaveRun = false; ///< at this endpoint or at an earlier one
+    bool endpointsLeft = false; ///< the limit of endpoints per request is not reached
+    bool budgetLeft = false; ///< the service's budget for repeats allows one more send
+    bool worthRetrying = false; ///< success is likely, or a stream has begun
+    bool timeLeft = false; ///< the deadline leaves enough time for another attempt
 };
 
 /// What to do next.
 enum class next_step {
-    deliver, ///< pass the answer on, success or the endpoint's own failure
+    deliver, ///< forward the response, whether a success or the endpoint's own error
     tryElsewhere,
-    resumeElsewhere, ///< after the last event that was passed on
-    refuse, ///< tell the caller, truly, that the request has not run
-    fail, ///< tell the caller that nothing is known
-    cut ///< break the begun answer off, so that it can't look whole
+    resumeElsewhere, ///< after the last event that was forwarded
+    refuse, ///< report an error stating that the request has not run
+    fail, ///< report an error stating that it is unknown whether the request ran
+    cut ///< abort the partly sent response so that it cannot be mistaken for a complete one
 };
 
-/// What a further attempt lacked, the first that applies.
+/// The condition that prevents a further attempt; conditions are checked in this order.
 enum class retry_blocker { nothing, endpoints, time, chance, budget };
 
 std::string_view textOf(attempt_end end);
 std::string_view textOf(next_step step);
 std::string_view textOf(retry_blocker lack);
 
-/// \returns why no further attempt may be made, whatever the one before came to.
+/// \returns why no further attempt may be made, independent of how the last one ended.
 retry_blocker retryBlockerOf(const attempt_facts &facts);
 
-/// \returns what follows from \p end.
+/// \returns the step that follows an attempt that ended with \p end.
 next_step stepAfter(attempt_end end, const attempt_facts &facts);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Policy/AttemptTimeout.h
+++ b/include/laurelcroft/Policy/AttemptTimeout.h
@@ -1,8 +1,8 @@
-//===-- Policy/AttemptTimeout.h - when to leave a silent endpoint ------*- C++ -*-===//
+//===-- Policy/AttemptTimeout.h - wait for a silent endpoint ----*- C++ -*-===//
 //
-// How long a request that may be repeated waits for an endpoint before it moves on. Too
-// early, and busy endpoints read every prompt twice; too late, and a lost answer costs the
-// objective.
+// Computes how long a repeatable request waits for an endpoint before it is sent to another one. If
+// the timeout is too short, busy endpoints process every prompt twice; if it is too long, one lost
+// response makes the request miss its latency objective.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_ATTEMPTTIMEOUT_H
@@ -12,26 +12,26 @@
 
 namespace laurelcroft {
 
-/// What the wait is for.
+/// The part of the response that the request waits for.
 enum class awaited_part {
     wholeAnswer,
     firstEvent,
     nextEvent ///< of a stream that has begun
 };
 
-/// What is known when the question is asked.
+/// Inputs of the timeout.
 struct attempt_wait
 {
     awaited_part part = awaited_part::wholeAnswer;
-    std::chrono::milliseconds objective{0}; ///< of the route
-    std::chrono::milliseconds eventGap{0}; ///< longest pause that is in time
+    std::chrono::milliseconds objective{0}; ///< latency objective of the route
+    std::chrono::milliseconds eventGap{0}; ///< longest acceptable pause
     std::chrono::milliseconds timeout{0}; ///< of the route
     double meanWait = 0; ///< recent mean at the service, as a share of the objective
-    double readingMs = 0; ///< thought to take: the prompts before this one and its own
-    bool endpointSilent = false; ///< it answers none of this entry's requests either
+    double readingMs = 0; ///< estimated time to process this prompt and those queued before it
+    bool endpointSilent = false; ///< it responds to none of this entry's other requests either
 };
 
-/// \returns how long to wait since the last progress.
+/// \returns how long to wait, counted from the last progress of the attempt.
 std::chrono::milliseconds attemptTimeoutOf(const attempt_wait &view);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Policy/FailureStreak.h
+++ b/include/laurelcroft/Policy/FailureStreak.h
@@ -1,11 +1,10 @@
-//===-- Policy/FailureStreak.h - does a repeat have a chance? ----*- C++ -*-===//
+//===-- Policy/FailureStreak.h - consecutive failures -----------*- C++ -*-===//
 //
-// How the last attempts at a service ended, at whichever endpoints, tells how the next one will.
-// The load it answers: all endpoints of a service refuse or fail for seconds. A repeat is one more
-// arrival at endpoints that have too many, comes out of a budget that other failures need, and ends
-// like the one before; the caller is better told at once when to come back. First attempts go on
-// and show when the service is back. Where only some endpoints fail, a success between keeps
-// repeats going.
+// Suppresses repeats while all attempts at a service fail. If all endpoints of a service refuse or
+// fail for seconds, a repeat adds load to endpoints that are already overloaded, uses budget that
+// other failures need, and most likely fails too; it is better to tell the caller at once when to
+// try again. First attempts are still sent and show when the service has recovered. If only some
+// endpoints fail, successes in between reset the streak, so repeats continue.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_FAILURESTREAK_H
@@ -15,32 +14,32 @@
 
 namespace laurelcroft {
 
-/// The attempts of one entry at one service.
+/// The consecutive failures that one entry has seen at one service, at any endpoint.
 class failure_streak
 {
 public:
-    /// Attempts in a row that came to nothing from which the next one is thought to as well: it has
-    /// a chance of about one in thirty then.
+    /// Number of consecutive failures from which a repeat is expected to fail. Its chance of
+    /// success is then about one in thirty.
     static constexpr unsigned failuresToGiveUp = 30;
-    /// A failure that is older says nothing any more.
+    /// A streak ends when its last failure is older than this.
     static constexpr milliseconds failureLifetime{1000};
 
-    /// An endpoint has begun to answer with a success.
+    /// Records that an endpoint has begun a success response.
     void succeeded() { m_failuresInRow = 0; }
 
-    /// An endpoint refused, failed or left without an answer.
+    /// Records that an endpoint refused, failed or did not respond.
     void failed(time_point now);
 
-    /// \returns true when a repeat at \p now would hardly bring an answer.
+    /// \returns true if a repeat at \p now is expected to fail.
     bool isRepeatFutile(time_point now) const;
 
-    /// \returns a guess of how much longer it will be so: as long as it has been. Nothing better is
-    /// known of an outage.
+    /// \returns an estimate of the remaining duration of the outage: the time that it has lasted so
+    /// far, since nothing better is known.
     milliseconds expectedRemaining(time_point now) const;
 
 private:
     unsigned m_failuresInRow = 0;
-    time_point m_since{}; ///< of the first of them
+    time_point m_since{}; ///< time of the streak's first failure
     time_point m_last{};
 };
 
--- a/lib/Policy/AttemptOutcome.cpp
+++ b/lib/Policy/AttemptOutcome.cpp
@@ -1,6 +1,6 @@
-//===-- AttemptOutcome.cpp - what follows from an attempt -------------------===//
+//===-- AttemptOutcome.cpp - next step after an attempt -------------------===//
 //
-// Read stepAfter as a table, top to bottom.
+// stepAfter reads as a decision table, from top to bottom.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/AttemptOutcome.h"
@@ -79,7 +79,8 @@
         return next_step::deliver;
 
     const retry_blocker lack = retryBlockerOf(facts);
-    // An endpoint that saw nothing says nothing of its service, and costs no budget.
+    // An attempt that did not reach its endpoint tells nothing about the service and uses no
+    // budget.
     const bool mayDoWithout = end == attempt_end::notSent
             && (lack == retry_blocker::chance || lack == retry_blocker::budget);
     const bool mayGoOn = lack == retry_blocker::nothing || mayDoWithout;
--- a/lib/Policy/AttemptTimeout.cpp
+++ b/lib/Policy/AttemptTimeout.cpp
@@ -1,7 +1,7 @@
-//===-- AttemptTimeout.cpp - when to leave a silent endpoint ----------------------===//
+//===-- AttemptTimeout.cpp - wait for a silent endpoint -------------------===//
 //
-// A wait is unusual when it is many times the recent mean. While requests wait longer
-// everywhere, the mean says so, and moving on would only make it worse.
+// A request moves to another endpoint after a multiple of the recent mean wait. When waits grow at
+// all endpoints, so does the timeout, since moving requests would only add load.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/AttemptTimeout.h"
@@ -12,25 +12,27 @@
 
 namespace {
 
-/// A wait of this many recent means is unusual: waits of prompts differ by an order.
+/// Timeout as a multiple of the recent mean wait; waits differ by an order of magnitude
+/// between prompts.
 constexpr double unusualWaitFactor = 10;
-/// Shares of the objective between which that is bounded.
+/// Bounds of that timeout, as shares of the objective.
 constexpr double minShare = 0.4;
 constexpr double maxShare = 2.4;
-/// Upper bound at an endpoint that answers nobody. An entry with few requests has nobody else there
-/// to judge by, so its own prompt's reading counts as elsewhere: without it, prompts of 23,000
-/// tokens were left at 0.8 of the objective and read anew, up to 800 times in a day of 52 s.
-/// It gains 0.008 of worth on 3 entries with 12 endpoints (0.690 to 0.698, 30 days with faults)
-/// and 0.009 on 32 with 57 (0.651 to 0.660, 10 days).
+/// Upper bound for an endpoint that responds to none of this entry's requests. An entry with little
+/// traffic has no other requests there to compare with, so the time to process the request's own
+/// prompt is added here too. Without it, requests with prompts of 23,000 tokens were moved at 0.8
+/// of the objective and processed again, up to 800 times in a simulated day of 52 s. It raises the
+/// value of the served requests by 0.008 with 3 entries and 12 endpoints (0.690 to 0.698, 30 days
+/// with faults) and by 0.009 with 32 entries and 57 endpoints (0.651 to 0.660, 10 days).
 constexpr double maxSilentShare = 1.2;
-/// The time that reading is thought to take may be this many times too low.
+/// The estimated prompt processing time may be too low by this factor.
 constexpr double prefillMargin = 3;
-/// Part of the route's timeout after which a request moves in any case, so that another
-/// endpoint has the time to serve it.
+/// Part of the route's timeout after which a request is moved in any case, so that another endpoint
+/// has enough time to serve it.
 constexpr double maxTimeoutShare = 0.35;
-/// Parts of the longest pause in time after which a stream moves, at a silent endpoint and at
-/// one that goes on with other requests. The second is late already: it is for endpoints that
-/// have lost just this request.
+/// Parts of the longest acceptable pause after which a stream is moved: at a silent endpoint, and
+/// at one that still serves other requests. The second is already late; it is meant for endpoints
+/// that have lost only this request.
 constexpr double silentGapShare = 0.75;
 constexpr double busyGapShare = 2.25;
 
--- a/lib/Policy/FailureStreak.cpp
+++ b/lib/Policy/FailureStreak.cpp
@@ -1,6 +1,6 @@
-//===-- FailureStreak.cpp - does a repeat have a chance? --------------------===//
+//===-- FailureStreak.cpp - consecutive failures --------------------------===//
 //
-// A run of failures without a success between. It ends by a success or by age.
+// A streak ends with a success, or when its last failure is too old.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/FailureStreak.h"
