--- a/include/laurelcroft/Policy/Health.h
+++ b/include/laurelcroft/Policy/Health.h
@@ -1,7 +1,7 @@
-//===-- Policy/Health.h - retry budget and ejection --------------*- C++ -*-===//
+//===-- Policy/Health.h - retry budget and ejection -------------*- C++ -*-===//
 //
-// Small bounded mechanisms against second waves: retries as a share of requests,
-// and ejection of failing endpoints with a ceiling.
+// Keeps failures from causing further overload: a budget limits retries to a share of the requests,
+// and failing endpoints are ejected, but at most a fixed share of a pool.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_HEALTH_H
@@ -16,7 +16,7 @@
 
 namespace laurelcroft {
 
-/// Retries earn a share of each request and spend one each.
+/// Token bucket for retries: each request adds a fraction of a token, each retry takes one.
 class retry_budget
 {
 public:
@@ -28,7 +28,7 @@
     }
     void earn() { m_tokens = m_tokens + m_share < m_capacity ? m_tokens + m_share : m_capacity; }
 
-    /// \returns false when no retry is left; the request must then be refused.
+    /// \returns false if no retry is left; the request must then be refused.
     bool spend();
 
 private:
@@ -37,7 +37,7 @@
     double m_tokens;
 };
 
-/// Ejects endpoints that fail in a row; never more than a share of a pool.
+/// Ejects endpoints after consecutive failures, up to a maximum share of a pool.
 class endpoint_ejection
 {
 public:
@@ -46,10 +46,10 @@
     void succeeded(std::string_view id);
     void failed(std::string_view id, time_point now);
 
-    /// \returns true while \p id is out, of a pool of \p poolSize endpoints.
+    /// \returns true while \p id is ejected.
     bool isEjected(std::string_view id, time_point now) const;
 
-    /// \returns true when another endpoint of \p poolSize may be left out.
+    /// \returns true if another endpoint of a pool of \p poolSize may be ejected.
     static bool mayEject(std::size_t ejected, std::size_t poolSize);
 
 private:
--- a/include/laurelcroft/Policy/SendBudget.h
+++ b/include/laurelcroft/Policy/SendBudget.h
@@ -1,24 +1,25 @@
-//===-- Policy/SendBudget.h - a bound on further sends -----------*- C++ -*-===//
+//===-- Policy/SendBudget.h - budget for repeated sends ---------*- C++ -*-===//
 //
-// Bounds the sends beyond the first of each request to a service. The load it answers: endpoints
-// that fail or refuse, each request of which would be sent to several of them.
+// Limits the sends after the first of each request to a service ("further sends"), so that
+// endpoints that fail or refuse are not overloaded by requests that are each sent to several of
+// them.
 //
-// The bound is on the sum over all entries: in any window, further sends are at most a ratio of
-// callers' requests, in that window or the one before, and an allowance. It holds without a word
-// between entries, whatever becomes of their processes:
+// The limit applies to the sum over all entries: in any window, further sends are at most a ratio
+// of the callers' requests, in that window or the one before, plus an allowance. It needs no
+// messages between entries and holds when their processes are killed or restarted:
 //
 // - Each request earns ratio / (1 + s) of a further send, and an entry saves at most s times what
-//   its requests of the last window have earned. What it sends in a window is at most what it had
-//   saved at its beginning and what it earns in it, so all entries together send at most
-//   ratio / (1 + s) * (requests of the window + s * requests of the window before), which is the
-//   ratio of the larger of the two.
-// - A process begins with nothing: one that is killed takes its savings with it, and the one in
-//   its place earns from new requests only.
-// - Sends are whole. Each process has a rounding of its own, so that many entries with less than
-//   one each make as many on average as they earn; the sum of n processes is off by about
-//   sqrt(n) / 2.
-// - An entry whose row others can read may save and be given a share of the allowance besides;
-//   one that knows of no row of its own is counted by nobody and has none.
+//   its requests of the last window have earned. In a window it sends at most what it had saved at
+//   the beginning and what it earns in the window, so all entries together send at most
+//   ratio / (1 + s) * (requests of the window + s * requests of the window before), which is at
+//   most the ratio times the larger of the two.
+// - A process starts with no savings: the savings of a killed process are lost, and its replacement
+//   earns only from new requests.
+// - The number of sends is an integer. Each process has its own random rounding offset, so that
+//   many entries that have earned less than one send each make as many sends on average as they
+//   have earned; the sum over n processes deviates by about sqrt(n) / 2.
+// - An entry whose row is visible to others also gets a share of the allowance, and may save part
+//   of it; an entry that knows of no row of its own is not counted by the others and gets none.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_SENDBUDGET_H
@@ -33,51 +34,52 @@
 
 namespace laurelcroft {
 
-/// What a further send of a request is for.
+/// The purpose of a further send.
 enum class further_send {
-    repeat, ///< the one before was not answered
-    resume, ///< the stream that it began broke off
-    largerModel ///< its answer was dropped for a larger model's
+    repeat, ///< the previous send was not answered
+    resume, ///< the stream that it had begun was interrupted
+    largerModel ///< its answer was dropped in favour of a larger model's
 };
 
 std::string_view textOf(further_send what);
 
-/// Bounds of a budget.
+/// Parameters of a budget.
 struct send_budget_bounds
 {
-    double ratio = 0.1; ///< further sends for each request in the window
-    double allowance = 10; ///< further sends beyond it, of all entries together
+    double ratio = 0.1; ///< further sends per request in the window
+    double allowance = 10; ///< additional further sends per window, of all entries together
     seconds window{10};
 };
 
-/// The budget of one service at one entry. All calls take \c share, the part of the allowance that
-/// is this entry's; 0 while that is not known.
+/// The budget of one service at one entry. In all calls, \c share is this entry's share of the
+/// allowance, or 0 while it is not known.
 class send_budget
 {
 public:
-    /// \param rounding from 0 to 1, another one for each process: what is missing to a whole send
-    /// when it is made. Where many entries get a request now and then, none would ever have a whole
-    /// one; with roundings drawn at random they make as many on average as they have earned.
+    /// \param rounding offset from 0 to 1, drawn at random for each process: the fraction of a send
+    /// that may be missing when a send is made. Without it, entries that rarely get a request would
+    /// never have earned a whole send; with random offsets, they make as many sends on average as
+    /// they have earned.
     explicit send_budget(const send_budget_bounds &bounds, double rounding = 0)
         : m_bounds(bounds)
         , m_rounding(rounding)
     {
     }
 
-    /// Counts a request, sent or not.
+    /// Counts a request, whether it was sent or not.
     void request(time_point now, double share);
 
-    /// \returns further sends that may be made at \p now.
+    /// \returns the number of further sends available at \p now.
     double left(time_point now, double share);
 
-    /// \returns true when one more send for \p what may be made at \p now.
+    /// \returns true if one more send for \p what is allowed at \p now.
     bool allows(time_point now, double share, further_send what);
 
-    /// Takes one further send out of the budget, before it is made.
-    /// \returns false when none is left for \p what.
+    /// Takes one further send from the budget before it is made.
+    /// \returns false if none is available for \p what.
     bool take(time_point now, double share, further_send what);
 
-    /// A send that was taken is not made after all.
+    /// Returns a send that was taken but not made.
     void refund() { m_saved += 1; }
 
 private:
@@ -92,10 +94,10 @@
     send_budget_bounds m_bounds;
     double m_rounding;
     std::deque<bucket> m_buckets; ///< requests of the last window
-    std::size_t m_requests = 0; ///< in all of them
-    std::optional<time_point> m_at; ///< of the last call
+    std::size_t m_requests = 0; ///< sum over the buckets
+    std::optional<time_point> m_at; ///< time of the last call
     double m_share = 0;
-    double m_saved = 0; ///< further sends; above -1
+    double m_saved = 0; ///< available further sends; above -1
 };
 
 } // namespace laurelcroft
--- a/lib/Policy/Health.cpp
+++ b/lib/Policy/Health.cpp
@@ -1,6 +1,6 @@
-//===-- Health.cpp - retry budget and ejection ------------------------------===//
+//===-- Health.cpp - retry budget and ejection ----------------------------===//
 //
-// Both are driven by results alone and read no clock of their own.
+// Both are updated by results only; the caller passes in the time.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/Health.h"
--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -1,7 +1,8 @@
-//===-- SendBudget.cpp - a bound on further sends ---------------------------===//
+//===-- SendBudget.cpp - budget for repeated sends ------------------------===//
 //
-// A token bucket that requests fill. What it may hold follows the requests of the last window, in
-// buckets of a fifth of a second; a bucket counts while all of it lies in the window.
+// A token bucket that is filled by requests. Its capacity depends on the requests of the last
+// window, which are counted in buckets of a fifth of a second; a bucket counts while it lies
+// entirely in the window.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/SendBudget.h"
@@ -13,16 +14,18 @@
 namespace {
 
 constexpr milliseconds bucketLength{200};
-/// Part of what a window's requests earn that is saved. The loss of a data centre takes the answers
-/// of a second or two with it, which are all sent again at once.
+/// Fraction of a window's earnings that can be saved. When a data centre is lost, one or two
+/// seconds' worth of requests lose their responses and are all sent again at once.
 constexpr double savedFraction = 0.25;
-/// Part of an entry's share of the allowance that it may save, and part that it is given over each
-/// window. The rest is for entries that have joined and that others don't know yet.
+/// Fraction of an entry's share of the allowance that it may save, and fraction that it receives
+/// over each window. The rest is reserved for entries that have joined but are not known to others
+/// yet.
 constexpr double allowanceSaved = 0.5;
 constexpr double allowanceGiven = 0.25;
-/// Part of the savings beyond a few sends that is kept from larger models: a repeat saves an
-/// answer, a larger model betters it. Of a few nothing is kept: an entry with a request now and
-/// then would hardly ever ask a larger model.
+/// Fraction of the capacity, beyond the first few sends, that larger models cannot use: a repeat
+/// saves a request, whereas a larger model only improves an answer. Nothing is reserved of the
+/// first few sends; otherwise an entry that rarely gets a request could hardly ever use a larger
+/// model.
 constexpr double reservedForRepeats = 0.5;
 constexpr double unreservedSends = 4;
 
