--- a/include/laurelcroft/Policy/PrefillRate.h
+++ b/include/laurelcroft/Policy/PrefillRate.h
@@ -1,8 +1,8 @@
-//===-- Policy/PrefillRate.h - how fast a model reads prompts -----*- C++ -*-===//
+//===-- Policy/PrefillRate.h - estimated prompt processing rate -*- C++ -*-===//
 //
-// Learned from the waits for first events. Waits in a queue only make a sample longer, so
-// the estimate follows short samples quickly and long ones slowly; the first samples count
-// alike, since an entry sees few long prompts of a large model.
+// Estimates how fast a model processes prompts from the waits for first events. Queueing only makes
+// a sample longer, so shorter samples have a larger weight than longer ones. The first samples have
+// equal weights, since an entry sees few long prompts of a large model.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_PREFILLRATE_H
@@ -10,23 +10,24 @@
 
 namespace laurelcroft {
 
-/// The rate of one model.
+/// The estimate for one model.
 class prefill_rate
 {
 public:
-    /// Takes the wait for a first event, in milliseconds, after \p tokens were read.
-    /// \param ownShare of the wait, 0 to 1, that these tokens are thought to have taken; the
-    /// rest went to prompts before them.
+    /// Adds a sample.
+    /// \param waitMs wait for the first event, in milliseconds, after a prompt of \p tokens.
+    /// \param ownShare estimated share of the wait, 0 to 1, that was spent on these tokens; the
+    /// rest was spent on prompts queued before them.
     void note(unsigned tokens, double waitMs, double ownShare = 1);
 
-    /// \returns true when a sample was taken.
+    /// \returns true if there is at least one sample.
     bool isKnown() const { return m_samples > 0; }
 
-    /// \returns the time that reading a token is thought to take, in milliseconds.
+    /// \returns the estimated processing time per token, in milliseconds.
     double msPerToken() const { return m_msPerToken; }
 
 private:
-    /// Before the first sample: a middle-sized model on a large accelerator.
+    /// Used before the first sample: a medium-sized model on a large accelerator.
     static constexpr double initialMsPerToken = 0.01;
     double m_msPerToken = initialMsPerToken;
     unsigned m_samples = 0;
--- a/lib/Policy/PrefillRate.cpp
+++ b/lib/Policy/PrefillRate.cpp
@@ -1,6 +1,6 @@
-//===-- PrefillRate.cpp - how fast a model reads prompts ---------------------===//
+//===-- PrefillRate.cpp - estimated prompt processing rate ----------------===//
 //
-// An asymmetric running mean, which settles near a low quantile.
+// An exponential moving average with asymmetric weights, which converges to a low quantile.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/PrefillRate.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Shorter prompts say more about the way there than about reading.
+/// For shorter prompts, network latency dominates the wait.
 constexpr unsigned minTokens = 1500;
 constexpr double shorterWeight = 0.1;
 constexpr double longerWeight = 0.01;
