--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -1,8 +1,9 @@
-//===-- Policy/DirectChoice.h - an endpoint without an agent -----*- C++ -*-===//
+//===-- Policy/DirectChoice.h - endpoint choice, no agent -------*- C++ -*-===//
 //
-// Picks the endpoint for one send where no agent reports. What is known of a load is
-// own sends, what answers said and what other entries told; prefixes are kept together by
-// rendezvous hashing, which every entry computes alike.
+// Selects the endpoint for one send when no agent reports the endpoints' load. The load is
+// estimated from this entry's own sends, from what endpoints state in responses and from reports of
+// other entries. Requests with the same prompt prefix are directed to the same endpoint, its home,
+// by rendezvous hashing, which gives the same result at every entry.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_DIRECTCHOICE_H
@@ -16,33 +17,32 @@
 
 namespace laurelcroft {
 
-/// One endpoint as the choice sees it.
+/// The state of one endpoint as known to this entry.
 struct direct_candidate
 {
     std::uint64_t idHash = 0;
-    double load = 0; ///< requests it is thought to have, of all callers
-    double slots = 1; ///< requests that run at once
-    double waitMs = 0; ///< for prompts that are read before this one, and for this one
-    double uncachedMs = 0; ///< part of waitMs for shared prefixes that it isn't known to keep
+    double load = 0; ///< estimated number of requests there, of all callers
+    double slots = 1; ///< number of requests that run concurrently
+    double waitMs = 0; ///< estimated time to process this prompt and those queued before it
+    double uncachedMs = 0; ///< part of waitMs for prefixes not known to be cached
     double failureShare = 0; ///< recent share of failures, 0 to 1
     bool sameDataCentre = true;
-    bool avoided = false; ///< unreachable or full a moment ago
-    bool tried = false; ///< this request was there already
-    bool failedInDataCentre
-            = false; ///< this request was broken off or not taken in its data centre
-    bool runsSuspect = false; ///< a request that may end it is under way there
-    bool withheld = false; ///< it must not get this request
-    bool hasConnection = true; ///< a connection is free or may be opened
-    bool withinRateShare = true; ///< this entry's share of its rate, if bounded, is not used up
+    bool avoided = false; ///< recently unreachable or full
+    bool tried = false; ///< this request was already sent to it
+    bool failedInDataCentre = false; ///< an attempt of this request failed in its data centre
+    bool runsSuspect = false; ///< it runs another request that is suspected of crashing endpoints
+    bool withheld = false; ///< this request must not be sent to it
+    bool hasConnection = true; ///< a connection is free or can be opened
+    bool withinRateShare = true; ///< this entry's share of its rate limit, if any, is not used up
     bool isInBackoff = false; ///< the Retry-After that it sent to this entry has not elapsed
-    bool hasRateLimit = false; ///< it states a rate limit, so it is no home of a prompt
+    bool hasRateLimit = false; ///< it states a rate limit, so it cannot be the home of a prompt
 };
 
-/// The shared part of a prompt.
+/// The part of a prompt that it shares with other prompts.
 struct shared_prompt
 {
-    std::uint64_t hash = 0; ///< of its longest shared prefix
-    double readingMs = 0; ///< to read it where nothing of it is kept
+    std::uint64_t hash = 0; ///< of the longest shared prefix
+    double readingMs = 0; ///< to process it where none of it is cached
 };
 
 /// Why an endpoint was chosen.
@@ -54,15 +54,15 @@
 struct direct_choice
 {
     std::size_t index = 0;
-    double cost = 0; ///< milliseconds, with what else makes a send dearer
-    double waitMs = 0; ///< the candidate's
+    double cost = 0; ///< in milliseconds, including penalties
+    double waitMs = 0; ///< of the chosen candidate
     direct_reason reason = direct_reason::leastCost;
 };
 
-/// \param shared empty if the prompt shares nothing. It has a home among the endpoints, where it
-/// is thought to be kept; the home is chosen while it costs about as much as the best.
-/// \param tieBreaker spreads equal costs.
-/// \returns nothing when no candidate may be sent to.
+/// \param shared empty if the prompt shares no prefix. Its home is the endpoint that is expected to
+/// have it cached; the home is chosen if its cost is not much higher than the lowest.
+/// \param tieBreaker selects among candidates of equal cost.
+/// \returns nothing if no candidate is eligible.
 std::optional<direct_choice> chooseDirect(std::span<const direct_candidate> candidates,
                                           const std::optional<shared_prompt> &shared,
                                           std::uint64_t tieBreaker);
--- a/include/laurelcroft/Policy/EndpointChoice.h
+++ b/include/laurelcroft/Policy/EndpointChoice.h
@@ -1,8 +1,8 @@
-//===-- Policy/EndpointChoice.h - which endpoint serves a request -*- C++ -*-===//
+//===-- Policy/EndpointChoice.h - endpoint choice by reports ----*- C++ -*-===//
 //
-// Pure decision: expected wait from the reported load, corrected by what this
-// entry sent since the report; two random choices, plus the endpoint that holds
-// the session's prefix in its cache.
+// Computes the expected wait from the reported load plus the requests that this entry has sent
+// since the report. Compares two random endpoints and every endpoint that has the session's prefix
+// in its cache.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_ENDPOINTCHOICE_H
@@ -17,20 +17,20 @@
 
 namespace laurelcroft {
 
-/// One endpoint as this entry sees it.
+/// The state of one endpoint as known to this entry.
 struct endpoint_view
 {
     std::string_view id;
-    double reportedPending = 0; ///< running and queued, as last reported
-    double sentSinceReport = 0; ///< by this entry, not yet in the report
-    double ownRunning = 0; ///< by this entry, sent and not finished
-    double slots = 1; ///< requests that run at once
-    double tokensPerSecond = 0; ///< of one request; 0: not known yet
-    bool holdsPrefix = false; ///< served this session's prefix lately
+    double reportedPending = 0; ///< running and queued requests, as last reported
+    double sentSinceReport = 0; ///< sent by this entry, not in the report yet
+    double ownRunning = 0; ///< requests sent by this entry that have not finished
+    double slots = 1; ///< number of requests that run concurrently
+    double tokensPerSecond = 0; ///< of one request; 0 if not known yet
+    bool holdsPrefix = false; ///< it recently served this session's prefix
     bool sameDataCentre = true;
 };
 
-/// What a request asks of an endpoint, as far as known beforehand.
+/// Estimated size of a request.
 struct work_estimate
 {
     double promptTokens = 0;
@@ -52,8 +52,8 @@
 /// \returns the expected time to the first token in milliseconds.
 double expectedWaitMs(const endpoint_view &endpoint, const work_estimate &work);
 
-/// Chooses among \p endpoints, all of which may serve the request.
-/// \returns nothing when there are none.
+/// Chooses among \p endpoints, all of which can serve the request.
+/// \returns nothing if there are none.
 std::optional<endpoint_choice> chooseEndpoint(std::span<const endpoint_view> endpoints,
                                               const work_estimate &work, random_source &random);
 
--- a/lib/Policy/CandidateSample.cpp
+++ b/lib/Policy/CandidateSample.cpp
@@ -1,6 +1,7 @@
-//===-- CandidateSample.cpp - few of many endpoints -------------------------===//
+//===-- CandidateSample.cpp - bounded candidate sample --------------------===//
 //
-// One pass over small records finds the homes; a window from a drawn place on gives the rest.
+// A single pass over the endpoints finds the homes; consecutive endpoints from a random offset on
+// give the rest.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CandidateSample.h"
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// The indices that rank first, best first.
+/// The indices of the highest ranks, in descending order.
 class top_ranks
 {
 public:
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -1,7 +1,6 @@
-//===-- DirectChoice.cpp - an endpoint without an agent ---------------------===//
+//===-- DirectChoice.cpp - endpoint choice, no agent ----------------------===//
 //
-// The cost of a candidate is a wait in milliseconds, with additions for what else makes a
-// send there dearer.
+// The cost of a candidate is its expected wait in milliseconds plus penalties.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/DirectChoice.h"
@@ -15,35 +14,37 @@
 
 namespace {
 
-/// What full slots add to the wait: the steps of a full batch against those of one request,
-/// over an answer of usual length.
+/// Penalty at a load equal to the number of slots, in proportion to the load: the steps of a full
+/// batch are slower than those of a single request, over an answer of usual length.
 constexpr double fullSlotsMs = 250;
-/// A send to another data centre is worth it when it saves this much: bytes between data
-/// centres have a price that is several percent of a request's worth. Of 120 and 250 the
-/// second served better where many entries share endpoints, and as well elsewhere.
+/// Penalty for another data centre, since traffic between data centres costs several percent of a
+/// request's value. Of 120 and 250, the latter gave better results where many entries share the
+/// endpoints, and equal results elsewhere.
 constexpr double otherDataCentreMs = 250;
-/// An endpoint that fails always costs as much as this wait.
+/// Penalty for an endpoint that always fails; proportional to its share of failures.
 constexpr double failurePenaltyMs = 1500;
-/// Where an attempt was broken off or found nobody, the next one goes to another data centre,
-/// unless that costs more than this: a data centre's endpoints are lost together, and each of a
-/// stream's few attempts there ends like the first. Before 3,000 endpoints, of which a choice looks
-/// at a part, 0.018 of the callers were refused without it, 0.004 with it (101 entries, one play of
-/// a day with a lost data centre each); before 40 and 58 endpoints it changes nothing measurable.
+/// Penalty for a data centre in which an attempt of this request was broken off or not accepted.
+/// The endpoints of a data centre are usually lost together, so another of the few attempts of a
+/// stream would fail there as well. With 3,000 endpoints, of which each request samples a part, the
+/// share of callers refused was 0.018 without it and 0.004 with it (101 entries, one simulated day
+/// each in which a data centre is lost); with 40 and 58 endpoints there was no measurable
+/// difference.
 constexpr double failedDataCentrePenaltyMs = 1000;
-/// Beside a request that may end its endpoint nobody is sent who may go elsewhere: what was young
-/// there is sent again. It is worth as much as a reading of the longest prompts.
+/// Penalty for an endpoint that runs a request suspected of crashing endpoints, since other
+/// requests there may have to be sent again. It equals the processing time of the longest prompts.
 constexpr double suspectPenaltyMs = 1000;
-/// The home of a prefix is chosen while it costs no more than the best and this.
+/// The home of a prefix is chosen if its cost exceeds the lowest by at most this.
 constexpr double homeToleranceMs = 40;
-/// A shared part that takes longer to read has one home in the whole site, a shorter one has one
-/// in each data centre: twice what the way to another data centre costs.
+/// A shared prefix that takes longer than this to process has one home in the whole site, a shorter
+/// one has one in each data centre. Twice the penalty for another data centre.
 constexpr double siteWideHomeMs = 2 * otherDataCentreMs;
-/// Part of the unseen reading that a home is thought to be spared: other entries send the prefix
-/// there, too, and not all of them tell. On 32 entries with 57 endpoints it gains 0.013 of
-/// worth (0.638 to 0.651, 10 days of 33 s with faults), on 3 with 12 nothing; of 0.3, 0.6, 0.75 and
-/// 0.9 the last three served about as well, and 1.0 made others late.
+/// Fraction of the uncached processing time that a home is expected to save: other entries send
+/// requests with the prefix there too, and not all of them report it. It raises the value of the
+/// served requests by 0.013 with 32 entries and 57 endpoints (0.638 to 0.651, 10 days of 33 s with
+/// faults), and has no effect with 3 entries and 12 endpoints. Of 0.3, 0.6, 0.75 and 0.9, the last
+/// three gave similar results; 1.0 delayed other requests.
 constexpr double homeCachedFraction = 0.75;
-/// An endpoint that was avoided is taken only when there is no other.
+/// Penalty for an avoided endpoint; it is chosen only if there is no other.
 constexpr double avoidedPenaltyMs = 1e6;
 
 } // namespace
@@ -82,7 +83,7 @@
             && candidate.withinRateShare && !candidate.isInBackoff;
 }
 
-/// \returns the candidate that ranks first for \p shared among those that may be its home.
+/// \returns the candidate with the highest rank for \p shared among those eligible as its home.
 static std::optional<std::size_t> homeOf(std::span<const direct_candidate> candidates,
                                          const shared_prompt &shared)
 {
--- a/lib/Policy/EndpointChoice.cpp
+++ b/lib/Policy/EndpointChoice.cpp
@@ -1,7 +1,7 @@
-//===-- EndpointChoice.cpp - which endpoint serves a request ----------------===//
+//===-- EndpointChoice.cpp - endpoint choice by reports -------------------===//
 //
-// Reports lag, so that all entries see the same idle endpoint at the same time;
-// two random choices keep them from rushing there together.
+// Reports are delayed, so all entries see the same idle endpoint at the same time; choosing the
+// better of two random endpoints avoids sending all requests to it at once.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/EndpointChoice.h"
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr double defaultTokensPerSecond = 50;
-/// A prompt token costs about this share of a generated one in a batching engine.
+/// Cost of a prompt token relative to a generated token in a batching engine.
 constexpr double prefillShare = 0.02;
 constexpr double otherDataCentreMs = 3;
 constexpr double typicalOutputTokens = 128;
@@ -39,14 +39,14 @@
     const double rate
             = endpoint.tokensPerSecond > 0 ? endpoint.tokensPerSecond : defaultTokensPerSecond;
     const double slots = std::max(1.0, endpoint.slots);
-    // What this entry has running itself is known for sure; the report may be older.
+    // This entry knows the number of its own running requests exactly; the report may be older.
     const double pending
             = std::max(endpoint.reportedPending + endpoint.sentSinceReport, endpoint.ownRunning);
     const double output = work.outputTokens > 0 ? work.outputTokens : typicalOutputTokens;
     const double serviceMs = 1000.0 * output / rate;
     const double excess = std::max(0.0, pending + 1.0 - slots);
     const double queueMs = excess / slots * serviceMs;
-    // Below its slots an engine still slows with its batch: prefer the emptier one.
+    // An engine slows down with its batch size even below its slots: prefer the emptier one.
     const double batchMs = 0.05 * serviceMs * std::min(1.0, pending / slots);
     const double prompt = endpoint.holdsPrefix ? 0.0 : work.promptTokens;
     const double prefillMs = 1000.0 * prefillShare * prompt / rate;
