--- a/include/laurelcroft/Policy/RateShare.h
+++ b/include/laurelcroft/Policy/RateShare.h
@@ -1,12 +1,14 @@
-//===-- Policy/RateShare.h - sharing a bounded request rate ------*- C++ -*-===//
+//===-- Policy/RateShare.h - sharing a bounded request rate -----*- C++ -*-===//
 //
-// Some endpoints accept only a bounded number of requests a second, summed over all entries: cold
-// ones, after a start or when their data centre is taken back, and those that state a rate limit in
-// their answers. Without coordination many entries overload them, since to each they look idle.
+// Some endpoints accept only a bounded number of requests per second, summed over all entries: cold
+// ones, after a start or when their data centre is put back into service, and those that state a
+// rate limit in their responses. Without coordination, many entries overload them, since they look
+// idle to each of them.
 //
-// A few entries own each of these endpoints, by rendezvous hashing, and share its rate between
-// them; no word passes. Equal shares of all entries were the other way: a share of 18 a second is
-// below one request for more than 18 entries, so that idle endpoints get little of the traffic.
+// A few entries, chosen by rendezvous hashing, own each of these endpoints and share its rate;
+// entries exchange no messages for this. Equal shares for all entries were rejected: with more than
+// 18 entries, each share of a rate of 18 per second is below one request per second, so idle
+// endpoints get little of the traffic.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_RATESHARE_H
@@ -21,33 +23,35 @@
 
 namespace laurelcroft {
 
-/// Requests a second that one owner gets of what a cold endpoint bears. Below one, all owners may
-/// send within the same second. With three, owners are few, and each has little to send: 20
-/// endpoints that bear 6 a second got 0.7 of them, with one 1.4 (40 entries, paused clock).
+/// Requests per second that one owner gets of the rate that a cold endpoint accepts. If it were
+/// below one, all owners could send within the same second. With three, there are few owners, and
+/// each has little traffic of its own: 20 endpoints that accept 6 per second received 0.7 per
+/// second, as against 1.4 with one (40 entries, simulated clock).
 inline constexpr double coldShareOfOwner = 1;
 
-/// Owners of an endpoint with a rate limit in addition to one for each request a second, so that
-/// most of the limit is still used when an owner fails.
+/// Number of owners of an endpoint with a rate limit, in addition to one for each request per
+/// second, so that most of the limit is still used when an owner fails.
 inline constexpr std::size_t spareOwners = 2;
 
-/// \param perSecond requests a second that the endpoint accepts from all entries.
-/// \param owners number of entries that share them, at most all entries.
-/// \param entries names of all entries; \param own the one that asks.
-/// \returns requests a second that \p own may send there; 0 when it does not own the endpoint.
+/// \param perSecond requests per second that the endpoint accepts from all entries.
+/// \param owners number of entries that share the rate; limited to the number of entries.
+/// \param entries names of all entries.
+/// \param own name of the entry whose share is computed.
+/// \returns requests per second that \p own may send there; 0 if it does not own the endpoint.
 double rateShareOf(std::string_view endpoint, double perSecond, std::size_t owners,
                    std::span<const std::string> entries, std::string_view own);
 
-/// \returns the share of an endpoint that bears \p perSecond while it is cold.
+/// \returns \p own's share of an endpoint that accepts \p perSecond while it is cold.
 double coldShareOf(std::string_view endpoint, double perSecond,
                    std::span<const std::string> entries, std::string_view own);
 
-/// \returns the share of an endpoint that states \p perSecond as its rate limit. In any T seconds,
-/// all owners together send at most \p perSecond * (T + 2) + \c spareOwners requests.
+/// \returns \p own's share of an endpoint that states \p perSecond as its rate limit. In any T
+/// seconds, all owners together send at most \p perSecond * (T + 2) + \c spareOwners requests.
 double limitShareOf(std::string_view endpoint, double perSecond,
                     std::span<const std::string> entries, std::string_view own);
 
 /// Minimum delays before an entry without a share of a rate limit may send a request to check
-/// whether the limit still holds, in case the notices of other entries are lost. Both apply.
+/// whether the limit still applies, in case notices of other entries are lost. Both delays apply.
 struct limit_check_delays
 {
     duration sinceReport{0}; ///< since the latest report of the limit
--- a/lib/Policy/RateShare.cpp
+++ b/lib/Policy/RateShare.cpp
@@ -1,7 +1,7 @@
-//===-- RateShare.cpp - sharing a bounded request rate ---------------------===//
+//===-- RateShare.cpp - sharing a bounded request rate --------------------===//
 //
-// Entries that know each other agree on the owners. While one starts or ends, two may think that
-// they are the same owner: the sum then exceeds the endpoint's rate by one share.
+// Entries with the same view of the fleet agree on the owners. While an entry starts or ends, two
+// entries may both act as the same owner; the total then exceeds the endpoint's rate by one share.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/RateShare.h"
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// Least time before an entry without a share of a rate limit checks it.
+/// Minimum delay before an entry without a share of a rate limit checks it.
 constexpr seconds minCheckDelay{10};
 /// Fraction of a rate limit that the checks of all entries together may use.
 constexpr double checkFraction = 0.25;
-/// Requests a second; lower limits are checked at this rate. Without it, an endpoint with a limit
-/// of 0 would get no request whose answer could raise the limit.
+/// Requests per second; lower limits are checked as if they were this high. Otherwise an endpoint
+/// with a limit of 0 would get no request whose response could raise the limit.
 constexpr double minCheckedRate = 0.1;
 
 } // namespace
@@ -38,7 +38,7 @@
     return perSecond / static_cast<double>(ownerCount);
 }
 
-/// \returns one owner for each whole request a second, at most \p most.
+/// \returns one owner for each whole request per second, at most \p most.
 static std::size_t wholeOwners(double perSecond, std::size_t most)
 {
     return static_cast<std::size_t>(std::min(std::floor(perSecond), static_cast<double>(most)));
@@ -62,7 +62,7 @@
 limit_check_delays laurelcroft::limitCheckDelaysOf(std::string_view endpoint, double perSecond,
                                                    std::size_t entries, std::string_view own)
 {
-    // Spreads the checks over time: all entries learn of the limit at nearly the same moment.
+    // Spreads the checks over time, since all entries learn of the limit at nearly the same moment.
     constexpr std::uint64_t steps = 1 << 16;
     const double fraction = static_cast<double>(stableHash(endpoint, stableHash(own)) % steps)
             / static_cast<double>(steps);
