--- a/include/laurelcroft/Policy/CascadeLearner.h
+++ b/include/laurelcroft/Policy/CascadeLearner.h
@@ -1,8 +1,8 @@
-//===-- Policy/CascadeLearner.h - when a cheap answer suffices ---*- C++ -*-===//
+//===-- Policy/CascadeLearner.h - learned cascade thresholds ----*- C++ -*-===//
 //
-// Learns, for each customer group, cascade and tier, how often an answer of a
-// given score is good, from few and late ratings, and sets the score that
-// suffices so that the quality target is met at the least cost.
+// Estimates, for each customer group, cascade and tier, the probability that an answer with a given
+// score is good. Ratings are sparse and arrive late. From the estimates it derives the score
+// threshold that meets the quality target at the lowest cost.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_CASCADELEARNER_H
@@ -19,7 +19,7 @@
 
 namespace laurelcroft {
 
-/// Where a request starts and why.
+/// Why a request starts at its first tier.
 enum class start_reason { cheapFirst, cheapRarelySuffices, mayNotRepeat, noTimeLeft, exploring };
 
 std::string_view textOf(start_reason reason);
@@ -37,35 +37,36 @@
     bool learned = false; ///< false: the bundle's start score was used
 };
 
-/// Learned quality of cascades at one entry.
+/// Rating statistics and thresholds of the cascades at one entry.
 class cascade_learner
 {
 public:
     static constexpr std::size_t bins = 20;
 
     /// Chooses the first tier of a request.
-    /// \param timeLeftMs until the caller's deadline. \param expectedMs of the cheap tier.
+    /// \param timeLeftMs time until the caller's deadline.
+    /// \param expectedMs expected duration of the cheap tier.
     start_decision chooseStart(const bundle &rules, const cascade &item, std::string_view group,
                                double timeLeftMs, double expectedMs, random_source &random) const;
 
-    /// Judges an answer of \p tier with \p score, and counts the score as seen.
+    /// Decides whether an answer of \p tier with \p score is accepted, and records the score.
     acceptance_decision evaluate(const cascade &item, std::string_view group, std::size_t tier,
                                  double score);
 
-    /// Learns that an answer of \p tier with \p score was good or not.
-    /// \param released the caller got this answer, not one of a later tier.
+    /// Records a rating of an answer of \p tier with \p score.
+    /// \param released true if the caller received this answer, not one of a later tier.
     void learn(const cascade &item, std::string_view group, std::size_t tier, double score,
                bool good, bool released);
 
-    /// \returns the share of released answers that were rated good; the target before
-    /// enough were rated.
+    /// \returns the share of answers delivered to callers that were rated good, or the quality
+    /// target while there are too few ratings.
     double releasedQuality(const cascade &item, std::string_view group) const;
 
-    /// \returns the score that suffices now.
+    /// \returns the current threshold; \c suffices is not set.
     acceptance_decision threshold(const cascade &item, std::string_view group,
                                   std::size_t tier) const;
 
-    /// \returns the share of answers of \p tier that suffice; 1 before anything was seen.
+    /// \returns the share of answers of \p tier that are accepted; 1 before any was seen.
     double acceptanceRate(const cascade &item, std::string_view group, std::size_t tier) const;
 
 private:
@@ -76,7 +77,7 @@
         std::array<double, bins> rated{};
         double ratedTotal = 0;
     };
-    /// Ratings of what callers got, whatever tier it came from.
+    /// Ratings of the answers that callers received, from any tier.
     struct released_record
     {
         double good = 0;
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -1,8 +1,8 @@
-//===-- CascadeLearner.cpp - when a cheap answer suffices -------------------===//
+//===-- CascadeLearner.cpp - learned cascade thresholds -------------------===//
 //
-// The good share rises with the score, so that the bins are smoothed to be
-// monotone (pool adjacent violators). Old ratings fade, so that the threshold
-// follows a shift of the request mix.
+// The share of good answers rises with the score, so the bins are smoothed to be monotone (pool
+// adjacent violators). Older ratings decay so that the threshold follows changes in the request
+// mix.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CascadeLearner.h"
@@ -15,23 +15,24 @@
 
 namespace {
 
-/// Ratings below which the bundle's start score rules.
+/// Minimum number of ratings; below it, the bundle's start score is used.
 constexpr double minRatings = 40;
-/// Each new rating fades the older ones of its tier by this factor.
+/// Factor by which each new rating decays the older ratings of its tier.
 constexpr double ratingDecay = 0.999;
-/// Prior of a bin: as many ratings, split by the bin's own score.
+/// Weight of a bin's prior, in ratings; the prior's good share is the bin's own score.
 constexpr double priorWeight = 1.0;
-/// Standard deviations kept between the estimate and the target.
+/// Safety margin between estimate and target, in standard deviations.
 constexpr double marginDeviations = 0.5;
-/// Released answers fade faster than what is known of a bin: they steer.
+/// The ratings of released answers decay faster than those of bins, since they correct the target.
 constexpr double releasedDecay = 0.997;
 constexpr double correctionGain = 1.5;
 constexpr double maxCorrection = 0.08;
-/// Answers that are taken to have sufficed before any was seen: one miss proves little.
+/// Number of accepted answers assumed in advance, so that a few rejected ones do not disable a
+/// tier.
 constexpr double priorAcceptedAnswers = 20;
-/// Share of requests that try the cheap tier although it rarely suffices.
+/// Share of requests that start at the cheap tier for exploration although it is rarely accepted.
 constexpr double exploreShare = 0.02;
-/// The costly tier's good share before it was rated.
+/// Good share of the costly tier before it is rated.
 constexpr double assumedCostlyQuality = 0.97;
 
 } // namespace
@@ -103,8 +104,8 @@
     return it->second.good / it->second.rated;
 }
 
-/// The estimate by bins errs when the mix shifts; what callers really got corrects it:
-/// quality above the target is given back, quality below it is made up.
+/// The estimate by bins is wrong while the request mix changes. The quality that callers actually
+/// received corrects it: a surplus over the target lowers the target, a shortfall raises it.
 double cascade_learner::adjustedTarget(const cascade &item, std::string_view group) const
 {
     const double surplus = releasedQuality(item, group) - item.qualityTarget;
@@ -168,8 +169,8 @@
     if (seen <= 0)
         return {false, item.startScore, false};
     const double costly = costlyQuality(item, group);
-    // From the highest bin down: accept one more bin as long as the whole mix keeps
-    // the target with its margin, and of the last one the part that still fits.
+    // From the highest bin down, accept further bins as long as the whole mix meets the target plus
+    // margin; accept the fraction of the last bin that still fits.
     double quality = costly;
     const double wanted = adjustedTarget(item, group);
     double variance = 0;
@@ -226,7 +227,7 @@
     const std::size_t last = item.tiers.size() - 1;
     if (!item.repeatable)
         return {last, start_reason::mayNotRepeat};
-    // A tier that fails costs its own time before the costly one starts.
+    // If the cheap tier's answer is rejected, its time is lost before the costly tier starts.
     if (timeLeftMs < 2 * expectedMs)
         return {last, start_reason::noTimeLeft};
     for (std::size_t tier = 0; tier < last; ++tier) {
--- a/lib/Policy/ConfidenceCascade.cpp
+++ b/lib/Policy/ConfidenceCascade.cpp
@@ -1,13 +1,14 @@
-//===-- ConfidenceCascade.cpp - small model first ---------------------------===//
+//===-- ConfidenceCascade.cpp - cascade of models -------------------------===//
 //
-// A larger model's run takes several times the endpoint's time. While requests wait, that
-// time is worth more to others, so that only the most doubtful answers are asked for again.
-// A doubtful answer goes straight to the largest model: a second doubtful answer would
-// cost another wait before the first event.
+// A larger model uses several times the endpoint time. While requests are queued, other requests
+// need that time, so only answers of the lowest confidence are escalated. They are escalated
+// directly to the largest model, since a second answer of low confidence would cost another wait
+// before the first event.
 //
-// An answer that would come late is worth less than a doubtful one in time, and its long prompt
-// holds up others. Keeping those gains 0.014 of worth on three entries with 12 endpoints (0.675 to
-// 0.689, 30 days of 34 s with faults) and 0.050 on 32 entries with 57 (0.588 to 0.638, 10 days).
+// An answer of low confidence in time is better than a late one, whose long prompt also delays
+// other requests. Keeping such answers raises the value of the served requests by 0.014 with 3
+// entries and 12 endpoints (0.675 to 0.689, 30 days of 34 s with faults) and by 0.050 with 32
+// entries and 57 endpoints (0.588 to 0.638, 10 days).
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/ConfidenceCascade.h"
@@ -19,8 +20,8 @@
 
 namespace {
 
-/// Share of the objective up to which a larger model's first part is in time. Keeping some in
-/// reserve (0.67 to 0.83 of the objective) leaves the longest prompts without the larger model.
+/// Latest expected time of a larger model's first part, as a share of the objective. A safety
+/// margin (0.67 to 0.83) would keep the longest prompts from ever being escalated.
 constexpr double maxExpectedAt = 1;
 
 } // namespace
@@ -38,7 +39,7 @@
     return static_cast<int>(std::lround(settings.keepFrom + busy * range));
 }
 
-/// \returns the share of doubtful answers that are asked for again at this mean wait.
+/// \returns the share of low-confidence answers that are escalated at this mean wait.
 static double escalatedShare(const cascade_settings &settings, double wait)
 {
     const double span = settings.fullWait - settings.busyWait;
