--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -1,11 +1,13 @@
-//===-- Policy/CrashSuspects.h - requests that end endpoints -----*- C++ -*-===//
+//===-- Policy/CrashSuspects.h - requests that crash endpoints --*- C++ -*-===//
 //
-// Some requests end each endpoint that begins to run them, and come again. When an endpoint ends,
-// all that it had just begun may be to blame; who is shows over several ends, and by who survives.
+// Some requests crash every endpoint that starts to run them, and callers send them again. When an
+// endpoint terminates unexpectedly (an "end"), any request that it had recently started may be the
+// cause. The cause is identified over several ends, and by requests that other endpoints complete.
 //
-// The load that it answers: one request that comes every 0.4 s, at any entry, before endpoints that
-// each have some ten other young requests; endpoints that also end by themselves, eight a second of
-// 24, under a request that everybody sends; a flood of requests of which none comes twice.
+// The cases that it must handle: a crashing request every 0.4 s, at any entry, to endpoints that
+// each run about ten other recent requests; endpoints that also terminate for other reasons, eight
+// per second out of 24, while all callers send the same harmless request; and a flood of requests
+// of which none is repeated.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_CRASHSUSPECTS_H
@@ -25,132 +27,137 @@
 
 namespace laurelcroft {
 
-/// How much speaks against a request.
+/// Level of evidence that a request crashes endpoints.
 enum class suspicion {
     none,
-    weak, ///< one endpoint ended while it was young there
-    strong ///< more did, one after the other: its sends are made one at a time
+    weak, ///< one endpoint ended shortly after it received the request
+    strong ///< several did, one after the other; the request is then sent to one at a time
 };
 
-/// An endpoint that has ended without being asked to.
+/// An unexpected termination of an endpoint.
 struct endpoint_end
 {
-    std::uint64_t endpoint = 0; ///< hash of its id and start
+    std::uint64_t endpoint = 0; ///< hash of its id and start time
     std::string service;
-    std::string version; ///< of its software
+    std::string version; ///< of the endpoint's software
     time_point at{};
 };
 
-/// A request that an ended endpoint had just begun, or was about to.
+/// A request that had recently started at an endpoint that ended, or was about to start.
 struct recent_request
 {
-    std::uint64_t key = 0; ///< of its caller, path and body
+    std::uint64_t key = 0; ///< hash of its caller, path and body
     time_point sentAt{};
-    time_point leftAt{}; ///< when its entry no longer waited for it, or the end
-    unsigned ends = 0; ///< endpoints that have ended under it, this one included
-    std::vector<std::uint64_t> earlier; ///< hashes of the others, as far as told
+    time_point leftAt{}; ///< when its entry stopped waiting for it, or the end
+    unsigned ends = 0; ///< number of endpoints that ended while they had it, including this one
+    std::vector<std::uint64_t> earlier; ///< hashes of the other endpoints, as far as reported
 };
 
-/// A request that no endpoint of some versions gets any more.
+/// A request that is no longer sent to endpoints of certain versions.
 struct withheld_request
 {
     std::string service;
     std::vector<std::string> versions; ///< of the service's software
-    std::vector<std::uint64_t> ended; ///< hashes of the endpoints
+    std::vector<std::uint64_t> ended; ///< hashes of the endpoints that it ended
     time_point until{};
-    time_point confirmedAt{}; ///< until then it waits: what is under way elsewhere may clear it
+    time_point confirmedAt{}; ///< until then sends wait; it may still be cleared
 };
 
-/// What one entry thinks of requests. One thread.
+/// The suspected and withheld requests as known to one entry. Not thread-safe.
 class crash_suspects
 {
 public:
-    /// Endpoints that end under a request, one after the other, before it is withheld. An innocent
-    /// request that was young at two ended endpoints in turn is sent alone to a third.
+    /// Number of consecutive ends after which a request is withheld. A harmless request that was
+    /// recent at two ended endpoints is sent alone to a third.
     static constexpr unsigned endsToWithhold = 3;
-    /// The same while endpoints also end for no known reason, \c minUnexplainedEnds of them or more
-    /// in \c unexplainedEndsWindow: where each ends every three seconds, 3 of 1,000 requests would
-    /// meet three.
+    /// The same while endpoints also terminate for unknown reasons: \c minUnexplainedEnds or more
+    /// times within \c unexplainedEndsWindow. If each endpoint terminates every three seconds, 3 of
+    /// 1,000 harmless requests meet three ends.
     static constexpr unsigned endsToWithholdUnstable = 5;
     static constexpr std::size_t minUnexplainedEnds = 5;
     static constexpr seconds unexplainedEndsWindow{10};
-    /// An end of an endpoint where a request with so many earlier ends was young is that request's.
+    /// Number of earlier ends from which a request explains the next end at which it was recent:
+    /// that end is attributed to it alone.
     static constexpr unsigned minEndsToExplain = 2;
-    /// A suspicion is kept this long after the last end: a caller that comes every few minutes is
-    /// still known.
+    /// How long a suspicion is kept after the last end; long enough to recognise a caller that
+    /// repeats the request every few minutes.
     static constexpr std::chrono::minutes suspicionLifetime{5};
-    /// A request that an endpoint has answered is above suspicion at this version for so long.
+    /// How long a request that an endpoint has completed is not suspected for that version.
     static constexpr std::chrono::minutes clearedFor{10};
-    /// A request is withheld this long, unless an operator or a new version ends it before: each
-    /// hour costs three endpoints at most.
+    /// How long a request is withheld unless an operator or a new version ends it earlier. Once it
+    /// expires, the request can end at most three endpoints: at most three per hour.
     static constexpr std::chrono::hours withheldFor{1};
-    /// A finding is firm after this: an innocent request's runs that were under way at any entry
-    /// have been answered or run for long by then, and its sends have only waited. Where eight of
-    /// 24 endpoints end each second under a body that all have just begun to send, it was withheld
-    /// on 2 of 12 plays without it, and 960 requests were refused on each.
+    /// Delay after which a finding is confirmed. By then, any runs of a harmless request that were
+    /// in progress at any entry have been completed or have lasted long enough to clear it; its
+    /// sends have only been delayed. Without the delay, a harmless request that all callers had
+    /// just begun to send, while eight of 24 endpoints ended per second, was withheld in 2 of 12
+    /// simulation runs, and 960 requests were refused in each.
     static constexpr milliseconds confirmationDelay{1100};
-    /// Bounds of memory, about 200 bytes each: a flood of requests that come only once.
+    /// Memory bounds, at about 200 bytes per entry, against a flood of requests that are sent only
+    /// once.
     static constexpr std::size_t maxSuspects = 4096;
     static constexpr std::size_t maxCleared = 4096;
     static constexpr std::size_t maxWithheld = 1024;
 
-    /// \returns true when nothing speaks against any request.
+    /// \returns true if no request is suspected or withheld.
     bool isEmpty() const { return m_suspects.empty() && m_withheld.empty(); }
 
-    /// An endpoint has ended. \param young what it had, as far as known here; sets their \c ends.
-    /// \returns the keys of those that are withheld from now on.
-    std::vector<std::uint64_t> ended(const endpoint_end &end, std::span<recent_request> young);
+    /// Records the end of an endpoint.
+    /// \param recent its recent requests, as far as this entry knows them; sets their \c ends.
+    /// \returns the keys of the requests that are withheld from now on.
+    std::vector<std::uint64_t> ended(const endpoint_end &end, std::span<recent_request> recent);
 
-    /// Another entry's row tells that \p endpoints have ended under \p key.
+    /// Records that, according to another entry's row, \p endpoints have ended under \p key.
     void addReportedEnds(std::uint64_t key, std::span<const std::uint64_t> endpoints,
                          time_point now);
 
-    /// An endpoint of \p version has answered the request, or runs it for long: it is withheld
-    /// there no more. \returns true when others may think otherwise and have to be told.
+    /// Records that an endpoint of \p version has completed the request or has run it for a long
+    /// time, so it is no longer withheld from that version.
+    /// \returns true if other entries may still suspect or withhold it and must be notified.
     bool clear(std::uint64_t key, std::string_view version, time_point now);
 
-    /// \returns what speaks against \p key.
+    /// \returns the level of suspicion against \p key.
     suspicion suspicionOf(std::uint64_t key, time_point now) const;
 
-    /// \returns true when endpoints of \p version must not get \p key.
+    /// \returns true if \p key must not be sent to endpoints of \p version.
     bool isWithheld(std::uint64_t key, std::string_view version, time_point now) const;
 
-    /// \returns true while it is not yet firm that \p key is withheld.
+    /// \returns true while \p key is withheld but the finding is not yet confirmed.
     bool isUnconfirmed(std::uint64_t key, time_point now) const;
 
-    /// \returns when \p key is withheld no more, if it is.
+    /// \returns the time until which \p key is withheld, if it is.
     std::optional<time_point> withheldUntil(std::uint64_t key, time_point now) const;
 
-    /// \returns hashes of the endpoints whose ends speak against \p key.
+    /// \returns hashes of the endpoints whose ends count against \p key.
     std::vector<std::uint64_t> endpointsOf(std::uint64_t key) const;
 
-    /// \returns the ends that speak against \p key.
+    /// \returns the number of ends that count against \p key.
     unsigned endsOf(std::uint64_t key) const;
 
-    /// Another entry has found that \p key has to be withheld.
-    /// \returns true when that is news.
+    /// Records another entry's finding that \p key must be withheld.
+    /// \returns true if it changes what this entry knows.
     bool withhold(std::uint64_t key, const withheld_request &request, time_point now);
 
-    /// Nothing speaks against \p key any more.
+    /// Removes all findings and suspicions against \p key.
     void release(std::uint64_t key);
 
-    /// A suspected request is under way here, or no more.
+    /// Tracks the sends of a suspected request that are in progress at this entry.
     void probeStarted(std::uint64_t key) { ++m_probes[key]; }
     void probeFinished(std::uint64_t key);
     bool isProbing(std::uint64_t key) const { return m_probes.count(key) != 0; }
     bool hasProbes() const { return !m_probes.empty(); }
 
-    /// Drops what is too old.
+    /// Removes expired items.
     void expire(time_point now);
 
     const std::map<std::uint64_t, withheld_request> &withheld() const { return m_withheld; }
     std::size_t suspects() const { return m_suspects.size(); }
 
 private:
-    /// One end that counts against a request.
+    /// An end that counts against a request.
     struct counted_end
     {
-        std::uint64_t endpoint = 0; ///< hash
+        std::uint64_t endpoint = 0; ///< hash of its id and start time
         time_point sentAt{};
         time_point leftAt{};
     };
@@ -163,14 +170,14 @@
     };
     struct cleared_request
     {
-        std::uint64_t version = 0; ///< hash
+        std::uint64_t version = 0; ///< hash of the version
         time_point until{};
     };
 
     unsigned endsBefore(const recent_request &request) const;
     bool attributeEnd(const endpoint_end &end, recent_request &request);
     std::vector<std::uint64_t> attributeToStrongest(const endpoint_end &end,
-                                                    std::span<recent_request> young,
+                                                    std::span<recent_request> recent,
                                                     unsigned leastBefore);
     void explainEarlierEnds(std::span<const std::uint64_t> keys);
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
@@ -183,9 +190,9 @@
     std::map<std::uint64_t, suspect> m_suspects; ///< by key
     std::map<std::uint64_t, cleared_request> m_cleared;
     std::map<std::uint64_t, withheld_request> m_withheld;
-    std::map<std::uint64_t, unsigned> m_probes; ///< sends under way, by key
-    std::deque<endpoint_end> m_unexplained; ///< of \c unexplainedEndsWindow
-    std::deque<std::uint64_t> m_explained; ///< endpoints whose ends are some request's
+    std::map<std::uint64_t, unsigned> m_probes; ///< number of sends in progress, by key
+    std::deque<endpoint_end> m_unexplained; ///< within \c unexplainedEndsWindow
+    std::deque<std::uint64_t> m_explained; ///< endpoints whose ends are attributed to a request
 };
 
 } // namespace laurelcroft
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -1,8 +1,8 @@
-//===-- CrashSuspects.cpp - requests that end endpoints ---------------------===//
+//===-- CrashSuspects.cpp - requests that crash endpoints -----------------===//
 //
-// Ends count one after the other: runs that were under way together tell no more than one of them.
-// Without that a request that everybody sends would be withheld within 0.4 s where eight of 24
-// endpoints end a second.
+// Only consecutive ends count: several runs that were in progress at the same time count as one.
+// Otherwise a harmless request that all callers send would be withheld within 0.4 s while eight of
+// 24 endpoints end per second.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CrashSuspects.h"
@@ -15,14 +15,15 @@
 
 namespace {
 
-/// A request is sent on at the moment of an end, which entries tell this far apart: the way of a
-/// datagram, and what a look at an address takes.
+/// Runs that overlap by no more than this count as consecutive. A request is sent to another
+/// endpoint as soon as one ends, and entries report the same end at times that differ by the
+/// latency of a datagram plus a connection check.
 constexpr milliseconds overlapTolerance{20};
-/// Explained ends that are remembered: other entries tell of them within milliseconds.
+/// Number of attributed ends kept; other entries report the same end within milliseconds.
 constexpr std::size_t maxExplained = 256;
-/// Ends that are remembered of one request.
+/// Number of ends kept per request.
 constexpr std::size_t maxEndsKept = 8;
-/// Versions of a service that are remembered of one request, the last ones: one or two run.
+/// Number of versions kept per withheld request, the latest ones; a service runs one or two.
 constexpr std::size_t maxVersionsKept = 8;
 
 } // namespace
@@ -94,7 +95,7 @@
 {
     std::erase_if(m_unexplained,
                   [now](const endpoint_end &end) { return now - end.at > unexplainedEndsWindow; });
-    // It has done so at another version: one end tells that it does here as well.
+    // Already withheld for another version: one end suffices for this version.
     if (m_withheld.count(key) != 0)
         return true;
     const bool endByThemselves = m_unexplained.size() >= minUnexplainedEnds;
@@ -105,8 +106,8 @@
 {
     if (m_withheld.count(request.key) != 0)
         return endsToWithhold;
-    const unsigned told = request.ends > 0 ? request.ends - 1 : 0;
-    return std::max(endsOf(request.key), told);
+    const unsigned reported = request.ends > 0 ? request.ends - 1 : 0;
+    return std::max(endsOf(request.key), reported);
 }
 
 std::vector<std::uint64_t> crash_suspects::endpointsOf(std::uint64_t key) const
@@ -124,7 +125,7 @@
     const std::vector<std::uint64_t> known = item.endpoints();
     for (const std::uint64_t endpoint : endpoints) {
         const bool isNew = std::find(known.begin(), known.end(), endpoint) == known.end();
-        // Whoever tells has counted them one after the other, all before what comes now.
+        // The reporting entry has counted these ends as consecutive, all before any later one.
         if (isNew && item.ends.size() < maxEndsKept)
             item.ends.push_back({endpoint, {}, {}});
     }
@@ -142,12 +143,12 @@
 }
 
 std::vector<std::uint64_t> crash_suspects::attributeToStrongest(const endpoint_end &end,
-                                                                std::span<recent_request> young,
+                                                                std::span<recent_request> recent,
                                                                 unsigned leastBefore)
 {
     std::vector<std::uint64_t> blamed;
     std::vector<std::uint64_t> found;
-    for (recent_request &request : young) {
+    for (recent_request &request : recent) {
         if (endsBefore(request) < leastBefore)
             continue;
         blamed.push_back(request.key);
@@ -157,7 +158,7 @@
     explainEarlierEnds(blamed);
     if (leastBefore > 0)
         explain(end.endpoint, blamed);
-    // Of two that ended the same ones one is innocent: they are sent apart the next time.
+    // With the same ends, one of two requests may be harmless: they are sent separately next time.
     if (found.size() > 1 && endsOf(found.front()) < endsToWithholdUnstable)
         found.clear();
     return found;
@@ -170,7 +171,7 @@
         most = std::max(most, endsOf(key));
     if (most < minEndsToExplain)
         return;
-    // The earlier ends were theirs, too: what else was young there is in the clear.
+    // The earlier ends were caused by these requests too; clear all others that were recent there.
     std::vector<std::uint64_t> strongest;
     std::vector<std::uint64_t> endpoints;
     for (const std::uint64_t key : keys) {
@@ -185,19 +186,20 @@
 }
 
 std::vector<std::uint64_t> crash_suspects::ended(const endpoint_end &end,
-                                                 std::span<recent_request> young)
+                                                 std::span<recent_request> recent)
 {
     expire(end.at);
-    // Who has ended others before is to blame for this one, too; nobody else is.
+    // A request with earlier ends is to blame for this one too, and no other request is.
     unsigned most = 0;
-    for (const recent_request &request : young)
+    for (const recent_request &request : recent)
         most = std::max(most, endsBefore(request));
     const bool isExplainedHere = most >= minEndsToExplain;
     if (!isExplainedHere && isExplained(end.endpoint))
         return {};
-    std::vector<std::uint64_t> found = attributeToStrongest(end, young, isExplainedHere ? most : 0);
+    std::vector<std::uint64_t> found
+            = attributeToStrongest(end, recent, isExplainedHere ? most : 0);
     addUnexplained(end);
-    // Read before the first one is withheld, which takes its ends from all others.
+    // Copied before the first request is withheld, which removes its ends from all others.
     std::vector<withheld_request> findings;
     findings.reserve(found.size());
     for (const std::uint64_t key : found)
@@ -210,7 +212,7 @@
 
 void crash_suspects::addUnexplained(const endpoint_end &end)
 {
-    // Each entry that had young requests there tells of the same end.
+    // Every entry with recent requests at the endpoint reports the same end.
     const bool isKnown = std::any_of(
             m_unexplained.begin(), m_unexplained.end(),
             [&](const endpoint_end &known) { return known.endpoint == end.endpoint; });
@@ -326,7 +328,7 @@
                   [now](const auto &item) { return now - item.second.lastAt > suspicionLifetime; });
     std::erase_if(m_cleared, [now](const auto &item) { return now >= item.second.until; });
     std::erase_if(m_withheld, [now](const auto &item) { return now >= item.second.until; });
-    // The oldest of those that least speaks against go first.
+    // Evict those with the fewest ends first, among equals the oldest.
     while (m_suspects.size() > maxSuspects) {
         const auto least = std::min_element(
                 m_suspects.begin(), m_suspects.end(), [](const auto &a, const auto &b) {
