--- a/include/laurelcroft/Policy/CustomerLimits.h
+++ b/include/laurelcroft/Policy/CustomerLimits.h
@@ -1,7 +1,7 @@
-//===-- Policy/CustomerLimits.h - a customer's rate and share ----*- C++ -*-===//
+//===-- Policy/CustomerLimits.h - request limits of customers ---*- C++ -*-===//
 //
-// A token bucket and a ceiling of requests in flight for each customer, scaled by
-// this entry's share of the customer's whole allowance.
+// For each customer, a token bucket and a limit on requests in flight, both scaled by this entry's
+// share of the customer's total allowance.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_CUSTOMERLIMITS_H
@@ -25,7 +25,7 @@
     milliseconds retryAfter{0};
 };
 
-/// One customer's demand at this entry.
+/// A customer's demand at this entry.
 struct customer_demand
 {
     std::string customer;
@@ -36,32 +36,32 @@
 class customer_limits
 {
 public:
-    /// Share that an entry always keeps of a fleet's even split, so that a customer
-    /// that turns to it anew is not refused before shares have moved.
+    /// Minimum share of an entry, as a fraction of the even split between all entries, so that a
+    /// customer that starts to use another entry is not refused before the shares are adjusted.
     static constexpr double minEvenShareFraction = 0.25;
 
-    /// Takes \p who's request or refuses it, and counts it as demand either way.
+    /// Admits or refuses a request of \p who, and counts it as demand in either case.
     limit_decision admit(const customer &who, time_point now);
 
     /// Ends a request that was admitted.
     void finish(std::string_view who);
 
-    /// Sets the number of live entries, for customers without a share of their own.
+    /// Sets the number of live entries, for customers without an assigned share.
     void setEntries(std::size_t entries) { m_entries = entries == 0 ? 1 : entries; }
 
-    /// Sets the share of \p who's allowance that this entry may use, valid for \p life.
+    /// Sets the share of \p who's allowance that this entry may use, valid until \p until.
     void setShare(std::string_view who, double share, time_point until);
 
-    /// \returns the share that holds at \p now.
+    /// \returns the share that applies at \p now.
     double share(std::string_view who, time_point now) const;
 
-    /// \returns each customer's demand since the last call, in requests a second.
+    /// \returns each customer's demand since the last call, in requests per second.
     std::vector<customer_demand> takeDemand(duration since);
 
 private:
     struct account
     {
-        double tokens = -1; ///< negative: not used yet, starts full
+        double tokens = -1; ///< negative: not used yet; the bucket starts full
         time_point filledAt{};
         std::uint32_t inFlight = 0;
         std::uint64_t asked = 0;
@@ -73,20 +73,21 @@
     std::size_t m_entries = 1;
 };
 
-/// What an entry tells the home of a customer.
+/// An entry's report to the entry that allocates a customer's allowance.
 struct allowance_request
 {
-    double perSecond = 0; ///< its demand
-    double rate = 0; ///< the customer's whole rate, in requests a second
-    std::size_t entries = 1; ///< live ones
-    duration keep{0}; ///< how long a demand counts
+    double perSecond = 0; ///< the reporting entry's demand
+    double rate = 0; ///< the customer's total rate, in requests per second
+    std::size_t entries = 1; ///< number of live entries
+    duration keep{0}; ///< how long a reported demand is valid
 };
 
-/// Splits one customer's allowance by the demand of each entry, at its home entry.
+/// Splits a customer's allowance by the demand of each entry. Runs at the customer's home entry.
 class allowance_allocator
 {
 public:
-    /// Notes \p entry's demand and \returns its share of the customer's allowance.
+    /// Records \p entry's demand.
+    /// \returns its share of the customer's allowance.
     double report(const std::string &customer, const std::string &entry,
                   const allowance_request &asked, time_point now);
 
--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -1,8 +1,8 @@
-//===-- CustomerLimits.cpp - a customer's rate and share --------------------===//
+//===-- CustomerLimits.cpp - request limits of customers ------------------===//
 //
-// The overshoot is bounded: shares that were given together sum to at most one, a
-// share that is not renewed falls back to the even split, and each entry lets a few
-// requests pass at once.
+// The total over all entries can exceed the limits only by a bounded amount: the shares assigned
+// together sum to at most one, a share that is not renewed falls back to the even split, and every
+// entry allows a small minimum burst.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CustomerLimits.h"
@@ -15,7 +15,7 @@
 namespace {
 constexpr milliseconds inFlightRetryAfter{200};
 constexpr milliseconds minRetryAfter{10};
-/// Requests that every entry lets pass at once, however small its share.
+/// Minimum burst of an entry, however small its share.
 constexpr double minBurst = 3;
 constexpr double smoothingFactor = 0.6;
 } // namespace
@@ -87,7 +87,7 @@
     auto &items = m_demands[customer];
     item &own = items[entry];
     const bool isFresh = now - own.at <= asked.keep;
-    // One second's count is noise for a small customer: it is smoothed.
+    // One second's count is too noisy for a customer with few requests, so it is smoothed.
     own.perSecond = isFresh ? own.perSecond + smoothingFactor * (asked.perSecond - own.perSecond)
                             : asked.perSecond;
     own.at = now;
@@ -101,12 +101,12 @@
         ++it;
     }
     const auto entries = static_cast<double>(std::max<std::size_t>(1, asked.entries));
-    const double silent = std::max(0.0, entries - static_cast<double>(items.size()));
-    // Entries that have not reported keep their floor: the reported ones share the rest.
-    const double shared = 1.0 - customer_limits::minEvenShareFraction * silent / entries;
+    const double unreported = std::max(0.0, entries - static_cast<double>(items.size()));
+    // Entries that have not reported keep their minimum share; the others split the rest.
+    const double shared = 1.0 - customer_limits::minEvenShareFraction * unreported / entries;
     const double rate = std::max(asked.rate, 1e-6) * shared;
     if (total >= rate)
         return shared * own.perSecond / total;
-    // While all demand fits, what is left over is split evenly.
+    // While the rate covers all demand, the remainder is split evenly.
     return (own.perSecond + (rate - total) / static_cast<double>(items.size())) / rate * shared;
 }
