--- a/include/laurelcroft/Policy/VersionChoice.h
+++ b/include/laurelcroft/Policy/VersionChoice.h
@@ -1,6 +1,6 @@
-//===-- Policy/VersionChoice.h - which version a session gets ----*- C++ -*-===//
+//===-- Policy/VersionChoice.h - version of a session -----------*- C++ -*-===//
 //
-// Pure decision at the start of a session; from then on the session keeps it.
+// Selects a model version at the start of a session; the session then keeps it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_VERSIONCHOICE_H
@@ -15,10 +15,10 @@
 
 namespace laurelcroft {
 
-/// What this process knows about the versions beside the bundle.
+/// State of versions that is not part of the bundle.
 struct version_knowledge
 {
-    bool confirmed = true; ///< the epoch was confirmed within the roll-out's bound
+    bool confirmed = true; ///< the epoch was confirmed within the time limit for roll-outs
     bool rolloutStopped = false; ///< the guard stopped the version under roll-out
 };
 
@@ -37,13 +37,13 @@
 std::string_view textOf(version_refusal refusal);
 
 /// Chooses the version of \p name for a new session of \p who.
-/// \param wanted the version that the caller asks for; empty: any that is allowed.
+/// \param wanted the version that the caller requested; empty if any allowed version will do.
 outcome<version_choice, version_refusal>
 chooseVersion(const bundle &rules, const customer &who, std::string_view name,
               std::string_view wanted, const version_knowledge &known, random_source &random);
 
-/// Checks a version that a session holds already.
-/// \returns success when it may still be used.
+/// Checks the version that a session already uses.
+/// \returns success if it may still be used.
 outcome<void, version_refusal> checkVersion(const bundle &rules, const customer &who,
                                             std::string_view name, std::string_view version);
 
--- a/include/laurelcroft/Policy/VersionGuard.h
+++ b/include/laurelcroft/Policy/VersionGuard.h
@@ -1,8 +1,8 @@
-//===-- Policy/VersionGuard.h - stops a bad version --------------*- C++ -*-===//
+//===-- Policy/VersionGuard.h - detects a bad version -----------*- C++ -*-===//
 //
-// A sequential test of a version under roll-out against the settled one. It may
-// look after every answer: the probability of ever stopping a version that is no
-// worse than the guard allows stays below the guard's bound.
+// A sequential test of a version under roll-out against the settled version. It may be evaluated
+// after every answer: the probability of ever stopping a version that is no worse than the guard
+// allows stays below the guard's bound.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_VERSIONGUARD_H
@@ -30,28 +30,29 @@
     /// Adds answers of the version under roll-out, in any order within the call.
     void addRollout(std::uint64_t good, std::uint64_t bad);
 
-    /// \returns true once the version was found bad; it stays so.
+    /// \returns true once the version was found bad; this is permanent.
     bool isStopped() const { return m_stopped; }
 
-    /// How sure it is that the version is bad: stopped from 1 / falseStop on, 1 when nothing
-    /// speaks for it.
+    /// \returns the evidence that the version is bad, as the wealth of the test: it stops the
+    /// version at 1 / falseStop, and values up to about 1 are no evidence.
     double evidence() const;
 
-    /// \returns the evidence as a part of what stops a version.
+    /// \returns the evidence as a fraction of the amount that stops a version.
     double certainty() const { return evidence() * m_bounds.falseStop; }
 
-    /// \returns by how many standard deviations the bad share of the version under roll-out is
-    /// above what is tolerated; 0 when it is not, or hardly anything is known.
+    /// \returns by how many standard deviations the bad share of the version under roll-out exceeds
+    /// the tolerated share; 0 if it does not, or if there are too few bad answers.
     double deviationsAbove() const;
 
-    /// \returns answers of the version under roll-out, the bad ones and all.
+    /// \returns the number of bad answers, and of all answers, of the version under roll-out.
     std::uint64_t rolloutBad() const { return static_cast<std::uint64_t>(m_rolloutBad); }
     std::uint64_t rolloutAll() const
     {
         return static_cast<std::uint64_t>(m_rolloutGood + m_rolloutBad);
     }
 
-    /// The bad share that is tolerated: the settled one's, its margin and the guard's drop.
+    /// \returns the tolerated bad share: that of the settled version, plus its statistical margin
+    /// and half of the drop that the guard allows.
     double toleratedBadShare() const;
 
 private:
--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -1,11 +1,12 @@
-//===-- ServiceRollout.cpp - a service's move to a version ------------------===//
+//===-- ServiceRollout.cpp - stages of a roll-out -------------------------===//
 //
-// A session that goes on while a stage begins changes its version, which it must not in the
-// first half of the window: nothing is sent to the new version then. No entry keeps anything of
-// a session, so that its requests get one version only where all entries apply one stage at a
-// time: a row tells when its stage begins, some time ahead. A version can be bad only under load,
-// for one route, or late, and full share is the first sure test of that: it comes so late that
-// even a version whose faults nobody sees stays within the tolerated exposure.
+// A session in progress may change its version when a stage starts. That is not allowed in the
+// first half of the window, so the new version gets no requests in that half. Entries keep no
+// session state, so the requests of a session use a single version only if all entries switch to a
+// stage at the same time: the row states the start of its stage some time in advance. A version may
+// be bad only under load, on one route or after some time, and full share is the first reliable
+// test of that. It therefore starts late enough that even a version whose faults go undetected
+// stays within the tolerated exposure.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/ServiceRollout.h"
@@ -20,42 +21,44 @@
 
 namespace {
 
-/// Requests a second, of all entries, that a trial gets: a version of which a third fails is
-/// found bad within some seconds, before fifty of its answers were bad. With 6, and nothing in the
-/// first half, a version half of whose answers take eight times as long was taken back 18.0 to
-/// 22.4 s after the day's start, with 9 and slow answers that count when they are late after 16.8
-/// to 20.4 s (12 days each, window from 5 to 23 s, 32 entries).
+/// Requests per second, over all entries, that a trial gets: a version that fails a third of its
+/// requests is detected within some seconds, before fifty of its answers were bad. With 6, and no
+/// requests in the first half of the window, a version that answers half of its requests eight
+/// times as slowly was reverted 18.0 to 22.4 s after the start of the simulated day. With 9, and
+/// slow answers counted as soon as they are late, it was reverted after 16.8 to 20.4 s (12 days
+/// each, window from 5 to 23 s, 32 entries).
 constexpr double trialRequestsPerSecond = 9;
-/// Largest part of the tolerated exposure that a trial uses.
+/// Largest fraction of the tolerated exposure that a trial uses.
 constexpr double trialExposureFraction = 0.5;
-/// Part of the tolerated exposure that trial and full share use together when nothing is
-/// found; the rest is for a rate that rises towards the end.
+/// Fraction of the tolerated exposure that trial and full share use together if no fault is found;
+/// the rest is reserved for a request rate that rises towards the end.
 constexpr double plannedExposureFraction = 0.88;
-/// A trial begins just after the first half of the window. With a share of the sessions from the
-/// order on, sized for 1.5 requests a second, 1 or 2 requests of sessions under way went over in
-/// the first half, on 23 of 72 days of a good version (32 entries, 128 requests a second).
+/// Start of the trial, as a fraction of the window: just after its first half. When the trial
+/// started with the order, at a share sized for 1.5 requests per second, 1 or 2 requests of
+/// sessions in progress changed their version in the first half on 23 of 72 days with a good
+/// version (32 entries, 128 requests per second).
 constexpr double trialStartFraction = 0.51;
-/// A stage is written this long before it begins: entries that are cut off from some others read
-/// it up to 1.0 s late. With stages that began as they were read, 20 requests went back to the old
-/// version in ten roll-outs in which half of 32 entries read 0.7 s late.
+/// How long before its start a stage is written: entries that are cut off from some others read it
+/// up to 1.0 s late. When stages started as soon as they were read, 20 requests went back to the
+/// old version in ten roll-outs in which half of 32 entries read 0.7 s late.
 constexpr std::chrono::duration<double> stageLead{1.0};
-/// The same where the deadline leaves less: entries without trouble read it within 0.05 s, where
-/// the store turns half of them away within 0.44 s.
+/// Minimum of that time when the deadline is close: entries read the row within 0.05 s in normal
+/// operation, and within 0.44 s when the store rejects half of their calls.
 constexpr std::chrono::duration<double> minStageLead{0.5};
-/// Full share never begins earlier.
+/// Earliest start of full share, as a fraction of the window.
 constexpr double minFullStartFraction = 0.56;
-/// The old version is let go this long before the deadline: a step, a slow write, and the
+/// How long before the deadline the old version is released: covers a step, a slow write, and the
 /// time between the order and its first row.
 constexpr std::chrono::duration<double> completionMargin{1.0};
-/// Answers that this entry must know of before it lets the old version go; a restarted one
-/// knows nothing.
+/// Minimum number of answers that this entry must have evaluated before it releases the old
+/// version; a restarted entry has evaluated none.
 constexpr std::uint64_t minJudgedAnswers = 15;
-/// Shortest time at full share before that, so that faults under full load show, and what
-/// other entries see of them is told.
+/// Minimum time at full share before that, so that faults under full load show and other entries
+/// can report them.
 constexpr std::chrono::duration<double> minFullDuration{1.2};
 
-/// Endpoints of a trial at least: what goes wrong at one alone is that endpoint's fault as likely
-/// as the version's.
+/// Minimum number of endpoints in a trial: with a single one, a fault may be the endpoint's rather
+/// than the version's.
 constexpr std::size_t minTrialEndpoints = 2;
 
 constexpr std::array<std::pair<rollout_stage, std::string_view>, 5> stageNames = {{
@@ -127,7 +130,7 @@
     return std::min(endpoints, std::max(minTrialEndpoints, part));
 }
 
-/// \returns when, from the order on, full share begins for a trial of \p share.
+/// \returns when full share starts, counted from the order, after a trial of \p share.
 static std::chrono::duration<double> fullStageStart(std::chrono::duration<double> window,
                                                     double share, double exposure)
 {
@@ -136,27 +139,27 @@
     return std::max(window * minFullStartFraction, std::min(window * part, latest));
 }
 
-/// \returns \p row at \p stage from \p begin on, a time since the roll-out's start.
+/// \returns \p row advanced to \p stage, which starts \p begin after the roll-out's start.
 static rollout_row advancedAt(rollout_row row, rollout_stage stage, const rollout_view &view,
                               std::chrono::duration<double> begin)
 {
     row.stage = stage;
     row.stageSince = row.startedAt + std::chrono::ceil<std::chrono::milliseconds>(begin);
     row.shareBefore = std::exchange(row.share, shareOf(stage, view));
-    // What was sent before goes no more to a version that is taken back.
+    // Nothing is sent to a reverted version any more, not even at the previous share.
     if (stage == rollout_stage::reverted)
         row.shareBefore = 0;
     return row;
 }
 
-/// \returns \p row at \p stage from now on.
+/// \returns \p row advanced to \p stage, which starts now.
 static rollout_row advancedNow(const rollout_row &row, rollout_stage stage,
                                const rollout_view &view)
 {
     return advancedAt(row, stage, view, view.now - row.startedAt);
 }
 
-/// \returns when the next stage begins that is due at \p due and written now.
+/// \returns the start of a stage that is due at \p due and is written now.
 static std::chrono::duration<double> stageStart(std::chrono::duration<double> due,
                                                 std::chrono::duration<double> elapsed,
                                                 std::chrono::duration<double> window)
@@ -165,22 +168,22 @@
     return std::max(due, elapsed + std::clamp(left, minStageLead, stageLead));
 }
 
-/// \returns the first row of \p order. An order for the version that sessions have already, such
-/// as one that is written again, goes on where the last one was.
+/// \returns the first row of \p order. An order for the version that is already being rolled out,
+/// for example a repeated order, continues at the current stage.
 static rollout_row firstRow(const rollout_order &order, const std::optional<rollout_row> &row,
                             std::chrono::milliseconds now)
 {
-    const bool goesOn = row && row->targetVersion == order.targetVersion
+    const bool continues = row && row->targetVersion == order.targetVersion
             && row->stage != rollout_stage::reverted;
     rollout_row first;
-    if (goesOn)
+    if (continues)
         first = *row;
     else
         first.stage = rollout_stage::waiting;
     first.orderedAt = order.orderedAt;
     first.targetVersion = order.targetVersion;
     first.startedAt = now;
-    first.stageSince = goesOn ? std::max(now, row->stageSince) : now;
+    first.stageSince = continues ? std::max(now, row->stageSince) : now;
     return first;
 }
 
@@ -200,7 +203,7 @@
     const std::chrono::duration<double> window = order.window;
     const std::chrono::duration<double> elapsed = view.now - row->startedAt;
     const std::chrono::duration<double> inStage = view.now - row->stageSince;
-    // A stage that is yet to begin is not left for the next one.
+    // A stage that has not started yet is not replaced by the next one.
     if (inStage.count() < 0)
         return std::nullopt;
     switch (row->stage) {
@@ -212,8 +215,8 @@
     }
     case rollout_stage::trial: {
         const auto due = fullStageStart(window, row->share, view.exposure);
-        // What a trial has left in doubt, full share would spread: the last second of a window is
-        // too short for slow answers to come.
+        // Do not extend a suspected fault to full share. It is reverted at the end of the window,
+        // whose last second is too short for slow answers to arrive.
         if (view.suspected) {
             if (elapsed >= window - completionMargin)
                 return advancedNow(*row, rollout_stage::reverted, view);
@@ -226,7 +229,7 @@
     default:
         if (elapsed < window - completionMargin || inStage < minFullDuration)
             break;
-        // Completion can't be taken back: in doubt the new version goes.
+        // Completion is final: if a fault is still suspected, revert.
         if (view.suspected)
             return advancedNow(*row, rollout_stage::reverted, view);
         if (view.judged >= minJudgedAnswers)
--- a/lib/Policy/VersionChoice.cpp
+++ b/lib/Policy/VersionChoice.cpp
@@ -1,7 +1,7 @@
-//===-- VersionChoice.cpp - which version a session gets --------------------===//
+//===-- VersionChoice.cpp - version of a session --------------------------===//
 //
-// Settled versions are listed in the order of the bundle; the last allowed one
-// serves new sessions. A roll-out draws its share first.
+// The bundle lists settled versions in order; new sessions get the last allowed one, unless they
+// are drawn for the version under roll-out.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/VersionChoice.h"
@@ -64,21 +64,21 @@
     const auto checked = checkVersion(rules, who, name, wanted);
     if (!checked)
         return failure(checked.error());
-    const rollout *moving = rules.findRollout(name);
-    const bool isMoving = moving != nullptr && moving->to == wanted;
-    if (isMoving && (known.rolloutStopped || !known.confirmed))
+    const rollout *active = rules.findRollout(name);
+    const bool isUnderRollout = active != nullptr && active->to == wanted;
+    if (isUnderRollout && (known.rolloutStopped || !known.confirmed))
         return failure(version_refusal::stopped);
     return version_choice{std::string(wanted), version_reason::wanted};
 }
 
-/// Why the version under roll-out is or is not drawn.
-static version_reason drawRollout(const rollout *moving, const bundle &rules, const customer &who,
+/// \returns whether a new session gets the version under roll-out, and why.
+static version_reason drawRollout(const rollout *active, const bundle &rules, const customer &who,
                                   const version_knowledge &known, random_source &random)
 {
-    if (moving == nullptr || !mayUse(rules, who, moving->model, moving->to))
+    if (active == nullptr || !mayUse(rules, who, active->model, active->to))
         return version_reason::settled;
-    // The draw comes first, so that a seeded run draws the same whatever is known.
-    const bool drawn = random.uniform() * 100.0 < moving->sharePercent;
+    // Draw first, so that seeded runs draw the same numbers regardless of the other conditions.
+    const bool drawn = random.uniform() * 100.0 < active->sharePercent;
     if (known.rolloutStopped)
         return version_reason::rolloutStopped;
     if (!known.confirmed)
@@ -96,10 +96,10 @@
         return failure(version_refusal::unknownModel);
     if (!wanted.empty())
         return chooseRequested(rules, who, name, wanted, known);
-    const rollout *moving = rules.findRollout(name);
-    const version_reason reason = drawRollout(moving, rules, who, known, random);
+    const rollout *active = rules.findRollout(name);
+    const version_reason reason = drawRollout(active, rules, who, known, random);
     if (reason == version_reason::rolloutShare)
-        return version_choice{moving->to, reason};
+        return version_choice{active->to, reason};
     for (auto it = item->versions.rbegin(); it != item->versions.rend(); ++it) {
         if (it->state == version_state::settled && mayUse(rules, who, name, it->name))
             return version_choice{it->name, reason};
--- a/lib/Policy/VersionGuard.cpp
+++ b/lib/Policy/VersionGuard.cpp
@@ -1,9 +1,10 @@
-//===-- VersionGuard.cpp - stops a bad version ------------------------------===//
+//===-- VersionGuard.cpp - detects a bad version --------------------------===//
 //
-// Betting on each answer against the tolerated bad share: wealth grows only when
-// the version is worse. New wealth enters at every step with weight 1/(k(k+1)),
-// whose sum is one, so that a version that turns bad late is found as fast as one
-// that was bad from the start, and Ville's inequality still bounds false stops.
+// Testing by betting: each answer is a bet against the tolerated bad share, and the wealth grows
+// only if the version is worse than tolerated. New wealth is added at step k with weight
+// 1/(k(k+1)); these weights sum to one. A version that becomes bad late is thus detected as fast as
+// one that was bad from the start, and Ville's inequality still bounds the probability of a false
+// stop.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/VersionGuard.h"
@@ -16,13 +17,13 @@
 
 namespace {
 
-/// Answers of the settled version that are assumed before any was seen.
+/// Number of answers of the settled version assumed in advance.
 constexpr double priorAnswers = 20;
 constexpr double priorBadShare = 0.03;
 constexpr double maxToleratedShare = 0.95;
-/// Bad answers that a share is reckoned from.
+/// Minimum number of bad answers for a meaningful share.
 constexpr double minBadAnswers = 3;
-/// Shares of the largest bet that can't ruin the wealth.
+/// Bet sizes, as fractions of the largest bet that cannot lose all wealth.
 constexpr std::array<double, 4> betShares = {0.1, 0.25, 0.5, 0.8};
 
 } // namespace
@@ -73,8 +74,8 @@
 
 void version_guard::addRollout(std::uint64_t good, std::uint64_t bad)
 {
-    // A batch has lost its order: the bad answers are spread evenly over it, because a
-    // run of them at its end would look like a version that has just turned bad.
+    // A batch has lost the order of its answers: spread the bad ones evenly, because a run of them
+    // at the end would look like a version that has just become bad.
     const std::uint64_t count = good + bad;
     m_rolloutGood += static_cast<double>(good);
     m_rolloutBad += static_cast<double>(bad);
