--- a/unittests/Policy/CandidateSampleTests.cpp
+++ b/unittests/Policy/CandidateSampleTests.cpp
@@ -1,6 +1,6 @@
-//===-- CandidateSampleTests.cpp - few of many endpoints --------------------===//
+//===-- CandidateSampleTests.cpp - bounded candidate sample ---------------===//
 //
-// What a choice among thousands of endpoints looks at.
+// Size and contents of the candidate sample among thousands of endpoints.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CandidateSample.h"
@@ -14,7 +14,7 @@
 
 using namespace laurelcroft;
 
-/// \returns endpoints by turns in three data centres, the first of which is the own one.
+/// \returns endpoints distributed in turn over three data centres; the first is the local one.
 static std::vector<sampled_endpoint> endpointsOf(std::size_t count)
 {
     std::vector<sampled_endpoint> endpoints;
@@ -23,13 +23,13 @@
     return endpoints;
 }
 
-TEST_CASE("up to the bound nothing is left out")
+TEST_CASE("all endpoints are sampled up to the bound")
 {
     for (const std::size_t count : {std::size_t(0), std::size_t(1), maxCandidates})
         CHECK(sampleCandidates(endpointsOf(count), 7, 5).size() == count);
 }
 
-TEST_CASE("of thousands of endpoints a bounded number is looked at, most of them near")
+TEST_CASE("the sample of thousands of endpoints is bounded and mostly local")
 {
     const auto endpoints = endpointsOf(3000);
     for (std::uint64_t draw = 0; draw < 200; ++draw) {
@@ -44,7 +44,7 @@
     }
 }
 
-TEST_CASE("the homes of a prompt are looked at, whatever is drawn, and all endpoints in their turn")
+TEST_CASE("the sample always contains the prompt's home, and over time every endpoint")
 {
     const auto endpoints = endpointsOf(1000);
     constexpr std::uint64_t prompt = 99;
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -1,7 +1,7 @@
-//===-- CrashSuspectsTests.cpp - requests that end endpoints ----------------===//
+//===-- CrashSuspectsTests.cpp - requests that crash endpoints ------------===//
 //
-// Who is to blame for an end: over several ends, among harmlessKey requests, and where endpoints
-// end by themselves.
+// Which requests are withheld after several ends, among harmless requests, and while endpoints also
+// terminate for other reasons.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CrashSuspects.h"
@@ -15,7 +15,7 @@
 constexpr std::uint64_t crashingKey = 1;
 constexpr std::uint64_t harmlessKey = 2;
 
-/// Ends of endpoints, each another one.
+/// Simulates ends of distinct endpoints.
 struct suspects_fixture
 {
     crash_suspects suspects;
@@ -23,15 +23,15 @@
     std::uint64_t endpoint = 100;
     std::string version = "v1";
 
-    /// An endpoint ends 100 ms after \p keys were sent there.
+    /// Records the end of an endpoint 100 ms after \p keys were sent there.
     std::vector<std::uint64_t> end(const std::vector<std::uint64_t> &keys)
     {
         const time_point sentAt = now;
         now += milliseconds(100);
-        std::vector<recent_request> young;
+        std::vector<recent_request> recent;
         for (const std::uint64_t key : keys)
-            young.push_back({key, sentAt, now, 0, {}});
-        return suspects.ended({++endpoint, "pool", version, now}, young);
+            recent.push_back({key, sentAt, now, 0, {}});
+        return suspects.ended({++endpoint, "pool", version, now}, recent);
     }
 
     bool isWithheld(std::uint64_t key) const { return suspects.isWithheld(key, version, now); }
@@ -58,32 +58,32 @@
     CHECK(world.suspects.isEmpty());
 }
 
-TEST_CASE("runs that were under way together count as one, however many end")
+TEST_CASE("ends of concurrent runs of a request count as one")
 {
     suspects_fixture world;
     const time_point sentAt = world.now;
     world.now += milliseconds(300);
     for (std::uint64_t endpoint = 1; endpoint <= 8; ++endpoint) {
-        std::vector<recent_request> young{{harmlessKey, sentAt, world.now, 0, {}}};
-        CHECK(world.suspects.ended({endpoint, "pool", "v1", world.now}, young).empty());
+        std::vector<recent_request> recent{{harmlessKey, sentAt, world.now, 0, {}}};
+        CHECK(world.suspects.ended({endpoint, "pool", "v1", world.now}, recent).empty());
         world.now += milliseconds(25);
     }
     CHECK(world.suspects.endsOf(harmlessKey) == 1);
 }
 
-TEST_CASE("an end that several entries tell of counts once")
+TEST_CASE("an end that several entries report counts once")
 {
     suspects_fixture world;
     for (int entry = 0; entry < 3; ++entry) {
         world.now += milliseconds(2);
-        std::vector<recent_request> young{
+        std::vector<recent_request> recent{
                 {crashingKey, world.now - milliseconds(1), world.now, 0, {}}};
-        world.suspects.ended({7, "pool", "v1", world.now}, young);
+        world.suspects.ended({7, "pool", "v1", world.now}, recent);
     }
     CHECK(world.suspects.endsOf(crashingKey) == 1);
 }
 
-TEST_CASE("who was answered is above suspicion, at that version")
+TEST_CASE("a request that was answered is not suspected for that version")
 {
     suspects_fixture world;
     world.end({harmlessKey});
@@ -96,12 +96,12 @@
     CHECK(world.suspects.suspicionOf(harmlessKey, world.now) == suspicion::weak);
 }
 
-TEST_CASE("what is young beside a request with two ends is in the clear")
+TEST_CASE("requests beside one with two earlier ends are cleared")
 {
     suspects_fixture world;
     world.end({crashingKey, harmlessKey});
     world.end({crashingKey, harmlessKey});
-    // Both have two ends: they are sent apart from now on, and only one ends its endpoint.
+    // Both have two ends: they are sent separately from now on, and only one ends its endpoint.
     CHECK(world.suspects.endsOf(harmlessKey) == 2);
     CHECK(world.end({crashingKey, 5, 6, 7}) == std::vector{crashingKey});
     for (const std::uint64_t key :
@@ -109,27 +109,27 @@
         CHECK(world.suspects.suspicionOf(key, world.now) == suspicion::none);
 }
 
-TEST_CASE("an entry that had others there hears whose end it was, before and after its own look")
+TEST_CASE("another entry's earlier ends explain an end, reported before or after the own ones")
 {
-    for (const bool isTold : {true, false}) {
-        CAPTURE(isTold);
+    for (const bool isReportedFirst : {true, false}) {
+        CAPTURE(isReportedFirst);
         suspects_fixture world;
         std::vector<recent_request> own{
                 {harmlessKey, world.now, world.now + milliseconds(100), 0, {}}};
-        std::vector<recent_request> told{
+        std::vector<recent_request> reported{
                 {crashingKey, world.now, world.now + milliseconds(100), 3, {}}};
         const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
-        if (isTold)
-            world.suspects.ended(end, told);
+        if (isReportedFirst)
+            world.suspects.ended(end, reported);
         world.suspects.ended(end, own);
-        if (!isTold)
-            world.suspects.ended(end, told);
+        if (!isReportedFirst)
+            world.suspects.ended(end, reported);
         CHECK(world.suspects.suspicionOf(harmlessKey, end.at) == suspicion::none);
         CHECK(world.suspects.suspicionOf(crashingKey, end.at) != suspicion::none);
     }
 }
 
-TEST_CASE("where endpoints end by themselves it takes five ends")
+TEST_CASE("five ends are needed while endpoints also terminate for other reasons")
 {
     suspects_fixture world;
     for (std::size_t i = 0; i < crash_suspects::minUnexplainedEnds; ++i)
@@ -139,7 +139,7 @@
     CHECK(world.end({crashingKey}) == std::vector{crashingKey});
 }
 
-TEST_CASE("a new version gets a withheld request once")
+TEST_CASE("a withheld request is sent to a new version once")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
@@ -153,7 +153,7 @@
           == std::vector<std::string>{"v1", "v2"});
 }
 
-TEST_CASE("a new version that answers it is free to")
+TEST_CASE("a new version that answers a withheld request may go on serving it")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
@@ -165,7 +165,7 @@
     CHECK(world.suspects.isWithheld(crashingKey, "v1", world.now));
 }
 
-TEST_CASE("an operator's word lets a request pass, and it takes three ends again")
+TEST_CASE("after an operator's release, three ends are needed again")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
@@ -177,7 +177,7 @@
     CHECK(world.end({crashingKey}) == std::vector{crashingKey});
 }
 
-TEST_CASE("a suspicion fades, and a slow caller is still known")
+TEST_CASE("a suspicion expires after a fixed time")
 {
     suspects_fixture world;
     world.end({crashingKey});
@@ -187,7 +187,7 @@
     CHECK(world.suspects.suspicionOf(crashingKey, world.now) == suspicion::none);
 }
 
-TEST_CASE("a flood of requests that come once stays within its memory and hides nobody")
+TEST_CASE("a flood of unrepeated requests is bounded in memory and evicts no strong suspect")
 {
     suspects_fixture world;
     world.end({crashingKey});
@@ -202,31 +202,30 @@
     CHECK(world.suspects.withheld().empty());
 }
 
-TEST_CASE("another entry's finding holds here, and clears what was young there")
+TEST_CASE("another entry's finding is adopted and clears other requests at its endpoints")
 {
     suspects_fixture world;
     world.end({harmlessKey});
-    withheld_request told{"pool", {"v1"}, {world.endpoint}, world.now + seconds(60), {}};
-    CHECK(world.suspects.withhold(crashingKey, told, world.now));
-    CHECK_FALSE(world.suspects.withhold(crashingKey, told, world.now));
+    withheld_request reported{"pool", {"v1"}, {world.endpoint}, world.now + seconds(60), {}};
+    CHECK(world.suspects.withhold(crashingKey, reported, world.now));
+    CHECK_FALSE(world.suspects.withhold(crashingKey, reported, world.now));
     CHECK(world.isWithheld(crashingKey));
     CHECK(world.suspects.suspicionOf(harmlessKey, world.now) == suspicion::none);
-    told.until = world.now;
-    CHECK_FALSE(world.suspects.withhold(3, told, world.now));
+    reported.until = world.now;
+    CHECK_FALSE(world.suspects.withhold(3, reported, world.now));
 }
 
-TEST_CASE("an entry that has missed the earlier ends learns of them with the next one")
+TEST_CASE("an entry that missed earlier ends learns of them with the next one")
 {
     suspects_fixture world;
-    std::vector<recent_request> told{
+    std::vector<recent_request> reported{
             {crashingKey, world.now, world.now + milliseconds(100), 3, {7, 8}}};
     const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
-    CHECK(world.suspects.ended(end, told) == std::vector{crashingKey});
+    CHECK(world.suspects.ended(end, reported) == std::vector{crashingKey});
     CHECK(world.suspects.withheld().at(crashingKey).ended.size() == 3);
 }
 
-TEST_CASE("of two that always end together both are withheld at the fifth end, and a third is not "
-          "lost")
+TEST_CASE("two requests that always end endpoints together are both withheld at the fifth end")
 {
     suspects_fixture world;
     for (unsigned i = 1; i < crash_suspects::endsToWithholdUnstable; ++i)
@@ -236,7 +235,7 @@
     CHECK(world.isWithheld(harmlessKey));
 }
 
-TEST_CASE("a request that another version's endpoints ended under is found beside a suspect")
+TEST_CASE("a request withheld for another version is found beside a suspect")
 {
     suspects_fixture world;
     for (int i = 0; i < 3; ++i)
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -1,6 +1,6 @@
-//===-- DirectPolicyTests.cpp - decisions of the direct path ----------------===//
+//===-- DirectPolicyTests.cpp - decisions without an agent ----------------===//
 //
-// The outcome table row by row, choice, cascade and roll-out steps.
+// All rows of the attempt outcome table, endpoint choice, cascade and roll-out stages.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/AttemptOutcome.h"
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("in no row does a request that may run once run twice")
+TEST_CASE("no row repeats a request that may run only once")
 {
     for (unsigned bits = 0; bits < allFacts; ++bits) {
         const attempt_facts facts = factsOf(bits);
@@ -53,7 +53,7 @@
     }
 }
 
-TEST_CASE("in no row is a refusal given for what may have run")
+TEST_CASE("no row reports a refusal for a request that may have run")
 {
     for (unsigned bits = 0; bits < allFacts; ++bits) {
         const attempt_facts facts = factsOf(bits);
@@ -65,7 +65,7 @@
     }
 }
 
-TEST_CASE("in no row does a begun answer end in anything but its rest or a cut")
+TEST_CASE("every row resumes or cuts a response that has begun")
 {
     for (unsigned bits = 0; bits < allFacts; ++bits) {
         const attempt_facts facts = factsOf(bits);
@@ -80,7 +80,7 @@
     }
 }
 
-TEST_CASE("in no row is a further endpoint tried beyond attempts, time or budget")
+TEST_CASE("no row tries another endpoint beyond the limits of endpoints, time or budget")
 {
     for (unsigned bits = 0; bits < allFacts; ++bits) {
         const attempt_facts facts = factsOf(bits);
@@ -90,20 +90,20 @@
                 continue;
             CHECK(facts.endpointsLeft);
             CHECK(facts.timeLeft);
-            // What never reached an endpoint costs no budget.
+            // A send that did not reach its endpoint uses no budget.
             CHECK((facts.budgetLeft || end == attempt_end::notSent));
             CHECK((facts.worthRetrying || end == attempt_end::notSent));
         }
     }
 }
 
-TEST_CASE("an answer that is ready is always delivered")
+TEST_CASE("a complete response is always delivered")
 {
     for (unsigned bits = 0; bits < allFacts; ++bits)
         CHECK(stepAfter(attempt_end::answered, factsOf(bits)) == next_step::deliver);
 }
 
-TEST_CASE("what a further attempt lacks is named: endpoints, time, a chance, the budget")
+TEST_CASE("the first missing condition of a further attempt is reported")
 {
     attempt_facts facts;
     CHECK(retryBlockerOf(facts) == retry_blocker::endpoints);
@@ -128,7 +128,7 @@
     return candidates;
 }
 
-TEST_CASE("the emptier endpoint of the own data centre is chosen")
+TEST_CASE("the least loaded local endpoint is chosen")
 {
     auto candidates = threeCandidates();
     candidates[0].load = 3;
@@ -138,13 +138,13 @@
     candidates[0].load = 9;
     candidates[1].load = 9;
     CHECK(chooseDirect(candidates, std::nullopt, 1)->index < 2);
-    // Full ones are worse than the way to another data centre.
+    // Full endpoints cost more than the penalty for another data centre.
     candidates[0].load = 11;
     candidates[1].load = 11;
     CHECK(chooseDirect(candidates, std::nullopt, 1)->index == 2);
 }
 
-TEST_CASE("tried and exhausted endpoints are left out, avoided ones are the last resort")
+TEST_CASE("tried and exhausted endpoints are excluded, avoided ones are the last resort")
 {
     auto candidates = threeCandidates();
     candidates[0].tried = true;
@@ -158,7 +158,7 @@
     CHECK(!chooseDirect(candidates, std::nullopt, 1));
 }
 
-TEST_CASE("a prefix stays at one endpoint until that is much fuller")
+TEST_CASE("a prefix stays at its home until that is much more loaded")
 {
     auto candidates = threeCandidates();
     const shared_prompt prompt{77, 0};
@@ -171,14 +171,14 @@
     CHECK(chooseDirect(candidates, prompt, 1)->index != home);
 }
 
-TEST_CASE("a long shared part has one home in the site, a short one in each data centre")
+TEST_CASE("a long shared prefix has one home in the site, a short one in each data centre")
 {
     constexpr double waitMs = 1500;
     unsigned homesAbroad = 0;
     for (std::uint64_t hash = 0; hash < 50; ++hash) {
         std::optional<std::uint64_t> longHome;
         for (std::size_t own = 0; own < 3; ++own) {
-            // Three entries, each in the data centre of another endpoint, that know nothing.
+            // Three entries, each local to a different endpoint, without knowledge of any cache.
             auto candidates = threeCandidates();
             for (std::size_t i = 0; i < candidates.size(); ++i) {
                 candidates[i].sameDataCentre = i == own;
@@ -198,7 +198,7 @@
     CHECK(homesAbroad == 100);
 }
 
-TEST_CASE("an endpoint that is known to keep a prefix is better than a home that isn't")
+TEST_CASE("an endpoint known to have the prefix cached is preferred to a home that is not")
 {
     for (std::uint64_t hash = 0; hash < 50; ++hash) {
         auto candidates = threeCandidates();
@@ -212,7 +212,7 @@
     }
 }
 
-TEST_CASE("an endpoint that fails often is avoided before it is full")
+TEST_CASE("an endpoint that often fails costs more than one that is half full")
 {
     auto candidates = threeCandidates();
     candidates[0].failureShare = 0.3;
@@ -221,7 +221,7 @@
     CHECK(chooseDirect(candidates, std::nullopt, 1)->index == 1);
 }
 
-TEST_CASE("the cascade escalates only doubtful answers, and only where it may run again")
+TEST_CASE("the cascade escalates only answers of low confidence that may run again")
 {
     const cascade_settings settings{0, 50};
     CHECK(escalationTarget(settings, {0, 3, 20, true}) == 2);
@@ -235,7 +235,7 @@
     CHECK(firstModel({0, 50}, 0) == 0);
 }
 
-TEST_CASE("the longer requests wait, the fewer doubtful answers are asked for again, down to none")
+TEST_CASE("the share of escalated answers falls with the mean wait, down to none")
 {
     const cascade_settings settings;
     const auto escalated = [&](double wait) {
@@ -253,7 +253,7 @@
     CHECK(escalated(5) == 0);
 }
 
-TEST_CASE("a model's reading rate is known after its first prompt, less what was read before")
+TEST_CASE("the prefill rate follows the first prompt, less the time of prompts queued before it")
 {
     constexpr unsigned tokens = 10'000;
     prefill_rate rate;
@@ -263,18 +263,18 @@
     rate.note(tokens, 800);
     CHECK(rate.isKnown());
     CHECK(rate.msPerToken() * tokens == doctest::Approx(800));
-    // Behind another prompt as long, the same wait tells of half the rate.
+    // Behind another prompt of the same length, the same wait means half the time per token.
     prefill_rate behind;
     behind.note(tokens, 800, 0.5);
     CHECK(behind.msPerToken() * tokens == doctest::Approx(400));
-    // Later on queues raise it only slowly.
+    // After several samples, a longer wait raises the estimate only slowly.
     for (int i = 0; i < 50; ++i)
         rate.note(tokens, 800);
     rate.note(tokens, 8000);
     CHECK(rate.msPerToken() * tokens < 1000);
 }
 
-TEST_CASE("a trial is no larger than its evidence needs, and never beyond the exposure")
+TEST_CASE("a trial gets no more traffic than its test needs, and stays below the exposure")
 {
     rollout_view view;
     view.exposure = 0.15;
@@ -288,7 +288,7 @@
     }
 }
 
-TEST_CASE("a version whose faults nobody sees stays within the exposure, and in time")
+TEST_CASE("a version whose faults go undetected stays within the exposure and the deadline")
 {
     for (const double window : {6.0, 8.0, 12.0, 20.0, 24.0, 60.0, 600.0}) {
         const rollout_order order{"pool", "v2", milliseconds(std::int64_t(window * 1000)), 1};
@@ -307,7 +307,7 @@
                 row = next;
             const double share = shareInForce(*row, view.now >= row->stageSince);
             exposed += share * step;
-            // No session that is under way may go over yet.
+            // No session in progress may change its version yet.
             if (at < window / 2)
                 CHECK(share == 0);
             if (row->stage == rollout_stage::completed && completedAt == 0)
@@ -315,16 +315,15 @@
         }
         CHECK(completedAt > 0);
         CHECK(completedAt < window - 0.5);
-        // Below some ten seconds the deadline goes first.
+        // In windows below some ten seconds, the deadline takes precedence.
         if (window >= 20)
             CHECK(exposed / window < 0.15);
     }
 }
 
-TEST_CASE(
-        "a trial is about as dense at its endpoints as full share will be, and never at one alone")
+TEST_CASE("a trial uses at least two endpoints, at about the load of full share")
 {
-    // One endpoint's own trouble would look like the version's.
+    // With a single endpoint, the endpoint's own faults would look like the version's.
     CHECK(trialEndpoints(0.05, 18) == 2);
     CHECK(trialEndpoints(0.05, 40) == 2);
     CHECK(trialEndpoints(0.05, 100) == 5);
@@ -332,7 +331,7 @@
     CHECK(trialEndpoints(0.5, 0) == 0);
 }
 
-TEST_CASE("patience grows with the usual wait and ends in time for another endpoint")
+TEST_CASE("the timeout grows with the mean wait and leaves time for another endpoint")
 {
     attempt_wait view;
     view.part = awaited_part::firstEvent;
@@ -348,7 +347,7 @@
     CHECK(attemptTimeoutOf(view) < milliseconds(2000));
 }
 
-TEST_CASE("patience with a silent endpoint is bounded sooner, but leaves it the time to read")
+TEST_CASE("the timeout of a silent endpoint is lower, but covers prompt processing")
 {
     attempt_wait view;
     view.part = awaited_part::firstEvent;
@@ -362,14 +361,14 @@
     CHECK(silent > view.objective);
     view.endpointSilent = false;
     CHECK(attemptTimeoutOf(view) > silent);
-    // A prompt of 23,000 tokens of a large model is not left while it may still be read.
+    // A request with 23,000 tokens to a large model is not moved while it may be in processing.
     view.endpointSilent = true;
     view.meanWait = 0.05;
     view.readingMs = 1800;
     CHECK(attemptTimeoutOf(view) > milliseconds(5400));
 }
 
-TEST_CASE("a pause at a silent endpoint ends before it is late, at a busy one only after")
+TEST_CASE("a stream is moved before a pause is late if the endpoint is silent, else after")
 {
     attempt_wait view;
     view.part = awaited_part::nextEvent;
--- a/unittests/Policy/PolicyTests.cpp
+++ b/unittests/Policy/PolicyTests.cpp
@@ -1,6 +1,6 @@
-//===-- PolicyTests.cpp - the pure decisions --------------------------------===//
+//===-- PolicyTests.cpp - policy functions --------------------------------===//
 //
-// Each decision in the situations that it is meant for.
+// Unit tests of endpoint choice, customer limits, version choice, guard, cascade and health.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CascadeLearner.h"
@@ -23,7 +23,7 @@
     return view;
 }
 
-TEST_CASE("endpoint choice: none, one, the emptier of two")
+TEST_CASE("endpoint choice: none, one, the less loaded of two")
 {
     random_source random(1);
     CHECK_FALSE(chooseEndpoint({}, {}, random));
@@ -35,17 +35,17 @@
         CHECK(chooseEndpoint(two, {}, random)->index == 1);
 }
 
-TEST_CASE("endpoint choice: what was sent since a report counts")
+TEST_CASE("endpoint choice: requests sent since the last report count")
 {
     random_source random(1);
     std::vector<endpoint_view> two = {idle("a"), idle("b")};
-    two[0].reportedPending = 1; // looks emptier
+    two[0].reportedPending = 1; // looks less loaded
     two[0].sentSinceReport = 9;
     two[1].reportedPending = 5;
     CHECK(chooseEndpoint(two, {}, random)->index == 1);
 }
 
-TEST_CASE("endpoint choice: a cached prefix wins unless its endpoint is full")
+TEST_CASE("endpoint choice: a cached prefix is preferred unless its endpoint is full")
 {
     random_source random(1);
     std::vector<endpoint_view> three = {idle("a"), idle("b"), idle("c")};
@@ -66,7 +66,7 @@
     return who;
 }
 
-TEST_CASE("limits: a burst passes, then the rate, with the time to come back")
+TEST_CASE("limits: a burst is admitted, then the rate, with the time to retry")
 {
     manual_runtime runtime;
     customer_limits limits;
@@ -80,7 +80,7 @@
     CHECK(limits.admit(who, runtime.now()).verdict == limit_verdict::admitted);
 }
 
-TEST_CASE("limits: requests in flight are counted and given back")
+TEST_CASE("limits: requests in flight are counted until they finish")
 {
     manual_runtime runtime;
     customer_limits limits;
@@ -92,7 +92,7 @@
     CHECK(limits.admit(who, runtime.now()).verdict == limit_verdict::admitted);
 }
 
-TEST_CASE("limits: shares follow demand, never below the floor, and lapse to the even split")
+TEST_CASE("limits: shares have a minimum and expire to the even split")
 {
     manual_runtime runtime;
     customer_limits limits;
@@ -106,24 +106,24 @@
     CHECK(limits.share("school", runtime.now()) == doctest::Approx(0.25));
 }
 
-TEST_CASE("demand ledger: scarce, the rate follows demand; silent entries keep their floors")
+TEST_CASE("allowance: when scarce it follows demand, and silent entries keep their minimum")
 {
     manual_runtime runtime;
-    allowance_allocator ledger;
+    allowance_allocator allocator;
     const auto ask = [&](const char *entry, double perSecond) {
-        return ledger.report("school", entry, {perSecond, 20, 4, seconds(5)}, runtime.now());
+        return allocator.report("school", entry, {perSecond, 20, 4, seconds(5)}, runtime.now());
     };
     ask("e1", 30);
-    // Two silent entries keep a quarter of an even quarter each.
+    // Each of the two silent entries keeps a quarter of its even share of a quarter.
     CHECK(ask("e2", 10) == doctest::Approx(0.25 * (1 - 2 * 0.0625)));
 }
 
-TEST_CASE("demand ledger: plenty, what is left over is split evenly")
+TEST_CASE("allowance: when demand is below the rate, the rest is split evenly")
 {
     manual_runtime runtime;
-    allowance_allocator ledger;
+    allowance_allocator allocator;
     const auto ask = [&](const char *entry, double perSecond) {
-        return ledger.report("school", entry, {perSecond, 20, 2, seconds(5)}, runtime.now());
+        return allocator.report("school", entry, {perSecond, 20, 2, seconds(5)}, runtime.now());
     };
     ask("e1", 4);
     CHECK(ask("e2", 2) == doctest::Approx((2 + 7) / 20.0));
@@ -159,7 +159,7 @@
     CHECK(fresh < 700);
 }
 
-TEST_CASE("versions: unconfirmed or stopped, the roll-out gets nothing")
+TEST_CASE("versions: a roll-out that is unconfirmed or stopped gets no sessions")
 {
     const bundle rules = rollingOut();
     random_source random(3);
@@ -178,7 +178,7 @@
     CHECK(wanted.error() == version_refusal::stopped);
 }
 
-TEST_CASE("versions: refusals name their reason")
+TEST_CASE("versions: refusals state their reason")
 {
     bundle rules = rollingOut();
     random_source random(3);
@@ -217,7 +217,7 @@
     CHECK(answers < 60);
 }
 
-TEST_CASE("guard: a version that turns bad late is stopped as well")
+TEST_CASE("guard: a version that becomes bad late is stopped too")
 {
     version_guard guard({0.1, 0.001, 30});
     guard.addSettled(950, 50);
@@ -238,7 +238,7 @@
     return {"c", {"small", "large"}, 0.9, 0.8, 1000, true};
 }
 
-TEST_CASE("cascade: the given score rules until enough is learned")
+TEST_CASE("cascade: the start score applies until enough ratings are known")
 {
     cascade_learner learner;
     const cascade item = twoTiers();
@@ -247,7 +247,7 @@
     CHECK_FALSE(learner.threshold(item, "g", 0).learned);
 }
 
-TEST_CASE("cascade: the threshold falls where low scores are good, and rises where not")
+TEST_CASE("cascade: the threshold falls if low scores are good, and rises if they are not")
 {
     const cascade item = twoTiers();
     const auto learned = [&](double goodShare) {
@@ -276,7 +276,7 @@
     CHECK(learner.chooseStart(rules, item, "g", 10, 10, random).reason == start_reason::noTimeLeft);
     item.repeatable = false;
     CHECK(learner.chooseStart(rules, item, "g", 1000, 10, random).tier == 1);
-    // One miss proves little; many prove that the cheap tier is not worth its cost.
+    // A few rejected answers prove little; many show that the cheap tier is not worth its cost.
     item.repeatable = true;
     learner.evaluate(item, "g", 0, 0.1);
     CHECK(learner.chooseStart(rules, item, "g", 1000, 10, random).tier == 0);
@@ -286,10 +286,10 @@
     for (int i = 0; i < 1000; ++i)
         cheap += learner.chooseStart(rules, item, "g", 1000, 10, random).tier == 0 ? 1 : 0;
     CHECK(cheap < 50);
-    CHECK(cheap > 0); // it goes on exploring
+    CHECK(cheap > 0); // exploration goes on
 }
 
-TEST_CASE("retries have a budget; ejection has a ceiling and an end")
+TEST_CASE("the retry budget is limited; ejection is limited and ends")
 {
     retry_budget budget(0.1, 2);
     CHECK(budget.spend());
--- a/unittests/Policy/RateShareTests.cpp
+++ b/unittests/Policy/RateShareTests.cpp
@@ -1,6 +1,7 @@
-//===-- RateShareTests.cpp - sharing a bounded request rate ----------------===//
+//===-- RateShareTests.cpp - sharing a bounded request rate ---------------===//
 //
-// The sum of the shares over all entries, and the requests that owners send in any time window.
+// The sum of the shares over all entries, and the number of requests that owners send in any
+// window.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/ServiceDirectory.h"
@@ -31,7 +32,7 @@
     return sum;
 }
 
-TEST_CASE("entries together send a cold endpoint what it bears, at any number of them")
+TEST_CASE("the shares of a cold endpoint add up to its rate, for any number of entries")
 {
     for (const std::size_t count : {1, 2, 3, 21, 103, 380}) {
         const std::vector<std::string> entries = namesOf(count);
@@ -43,7 +44,7 @@
     }
 }
 
-TEST_CASE("while entries start and end, the sum is above what the endpoint bears by few shares")
+TEST_CASE("while entries start, the sum of the shares exceeds the rate by few shares only")
 {
     constexpr double perSecond = 18;
     const std::vector<std::string> before = namesOf(21);
@@ -51,7 +52,7 @@
     for (int i = 0; i < 40; ++i) {
         const std::string endpoint = "p" + std::to_string(i);
         double sum = 0;
-        // The worst: each new owner knows of the new entries, each old one does not.
+        // Worst case: new owners know of the new entries, old owners do not.
         for (const std::string &name : after) {
             const bool isOld = std::find(before.begin(), before.end(), name) != before.end();
             sum += coldShareOf(endpoint, perSecond, isOld ? before : after, name);
@@ -60,8 +61,7 @@
     }
 }
 
-TEST_CASE(
-        "an entry that nobody lists sends nothing to a cold endpoint, nor does one that bears none")
+TEST_CASE("an unlisted entry has no share, nor has any entry if the rate is 0")
 {
     CHECK(coldShareOf("p1", 18, namesOf(3), "other") == 0);
     CHECK(coldShareOf("p1", 18, {}, "e0") == 0);
@@ -129,7 +129,7 @@
     std::sort(delays.begin(), delays.end());
     CHECK(delays.front() >= seconds(10));
     CHECK(delays.back() <= seconds(10) + seconds(200));
-    // 100 entries at 0.5 checks a second: spread over 200 s, 2 s apart on average.
+    // 100 entries at 0.5 checks per second: spread over 200 s, 2 s apart on average.
     for (std::size_t i = 0; i + 12 < delays.size(); ++i)
         CHECK(delays[i + 12] - delays[i] >= seconds(4));
 }
--- a/unittests/Policy/RepeatRule.h
+++ b/unittests/Policy/RepeatRule.h
@@ -1,7 +1,7 @@
-//===-- RepeatRule.h - the users' rule on repeats ----------------*- C++ -*-===//
+//===-- RepeatRule.h - bound on repeated sends ------------------*- C++ -*-===//
 //
-// What a budget of further sends must keep, computed from outside: from what callers sent and what
-// reached the endpoints.
+// Checks a budget of further sends from the outside: from the times of the callers' requests and of
+// the sends that reached endpoints.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_UNITTESTS_POLICY_REPEATRULE_H
@@ -14,19 +14,20 @@
 
 namespace laurelcroft {
 
-/// The rule: arrivals beyond the first of a request, in any window, are at most a ratio of the
-/// requests that callers sent (in that window, in the one before it or in the one half a window
-/// earlier, whichever holds most) and an allowance.
+/// The rule: in any window, the sends after the first of each request are at most a ratio of the
+/// callers' requests plus an allowance. The requests are counted in that window, in the one before
+/// it and in the one half a window earlier; the largest count applies.
 struct repeat_rule
 {
     send_budget_bounds bounds;
 
-    /// \returns the largest share of what is allowed that came in any window; above 1 it is broken.
+    /// \returns the largest ratio, over all windows, of actual to allowed further sends; above 1
+    /// the rule is violated.
     double worstShare(std::span<const time_point> requests,
                       std::span<const time_point> further) const;
 };
 
-/// \returns how many of \p moments, which are in order, lie after \p from and up to \p to.
+/// \returns how many of the sorted \p moments lie after \p from and up to \p to.
 inline std::size_t countWithin(std::span<const time_point> moments, time_point from, time_point to)
 {
     const auto first = std::upper_bound(moments.begin(), moments.end(), from);
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -1,7 +1,7 @@
-//===-- SendBudgetTests.cpp - how many further sends, and which -------------===//
+//===-- SendBudgetTests.cpp - budget of further sends ---------------------===//
 //
-// The budget alone, without flows: what one process may spend, and that no series of requests,
-// sends and new processes takes the sum over its bound.
+// Tests the budget alone, without request flows: what one process may spend, and that no sequence
+// of requests, sends and process restarts exceeds the bound on the sum.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/SendBudget.h"
@@ -17,7 +17,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("a repeat has no chance after many failures in a row, until one succeeds or they are old")
+TEST_CASE("repeats are futile after many consecutive failures, until a success or expiry")
 {
     failure_streak outlook;
     time_point now{seconds(100)};
@@ -36,7 +36,7 @@
     CHECK(outlook.expectedRemaining(now) == milliseconds(0));
 }
 
-TEST_CASE("repeats stay within the ratio in every window, and return with time")
+TEST_CASE("repeats stay within the ratio in every window, and are allowed again later")
 {
     const send_budget_bounds bounds{0.5, 4, seconds(10)};
     send_budget budget(bounds);
@@ -54,7 +54,7 @@
     CHECK(budget.allows(now, 0.5, further_send::repeat));
 }
 
-TEST_CASE("entries share the allowance between them")
+TEST_CASE("entries share the allowance")
 {
     const auto alone = [](double share) {
         send_budget budget({0.5, 40, seconds(10)});
@@ -72,7 +72,7 @@
     CHECK(alone(0) == 0);
 }
 
-TEST_CASE("a process begins without savings, and saves a part of a window only")
+TEST_CASE("a process starts without savings and saves only a fraction of a window")
 {
     const send_budget_bounds bounds{0.9, 0, seconds(10)};
     const auto spent = [](send_budget &budget, time_point now) {
@@ -82,20 +82,20 @@
         return count;
     };
     const time_point begin{seconds(100)};
-    send_budget young(bounds);
-    CHECK(spent(young, begin) == 0);
+    send_budget restarted(bounds);
+    CHECK(spent(restarted, begin) == 0);
 
-    send_budget old(bounds);
+    send_budget running(bounds);
     time_point now = begin;
     for (int i = 0; i < 1000; ++i)
-        old.request(now += milliseconds(10), 0);
-    const unsigned saved = spent(old, now);
+        running.request(now += milliseconds(10), 0);
+    const unsigned saved = spent(running, now);
     CHECK(saved > 100);
     CHECK(saved <= 225);
-    CHECK(spent(old, now + seconds(11)) == 0);
+    CHECK(spent(running, now + seconds(11)) == 0);
 }
 
-TEST_CASE("larger models leave repeats a part of what is saved")
+TEST_CASE("larger models leave a part of the savings to repeats")
 {
     send_budget budget({0.9, 0, seconds(10)});
     time_point now{seconds(100)};
@@ -109,7 +109,7 @@
     CHECK(budget.take(now, 0, further_send::repeat));
 }
 
-TEST_CASE("a send that is given back can be made again")
+TEST_CASE("a refunded send can be made again")
 {
     send_budget budget({0.9, 0, seconds(10)});
     const time_point now{seconds(100)};
@@ -121,7 +121,7 @@
     CHECK(budget.left(now, 0) == doctest::Approx(before));
 }
 
-TEST_CASE("many entries with a request now and then make as many sends as they earn")
+TEST_CASE("many entries with few requests make as many sends as they have earned")
 {
     // Each process alone has earned less than one send when its only request fails.
     constexpr unsigned processes = 1000;
@@ -140,8 +140,8 @@
 
 namespace {
 
-/// Processes that get pulses of requests, spend all that they have in pulses of their own, and are
-/// replaced now and then. Nobody has a share of the allowance.
+/// Simulates processes that get bursts of requests, spend all that they have in bursts and are
+/// restarted at random. None has a share of the allowance.
 double worstOfPulses(std::uint64_t seed)
 {
     constexpr milliseconds step{20};
@@ -174,7 +174,7 @@
 
 } // namespace
 
-TEST_CASE("no series of requests, sends and new processes takes the sum over its bound")
+TEST_CASE("no sequence of requests, sends and restarts exceeds the bound on the sum")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         CAPTURE(seed);
