--- a/include/laurelcroft/Policy/AttemptTimeout.h
+++ b/include/laurelcroft/Policy/AttemptTimeout.h
@@ -27,7 +27,7 @@
     std::chrono::milliseconds eventGap{0}; ///< longest acceptable pause
     std::chrono::milliseconds timeout{0}; ///< of the route
     double meanWait = 0; ///< recent mean at the service, as a share of the objective
-    double readingMs = 0; ///< estimated time to process this prompt and those queued before it
+    double prefillMs = 0; ///< estimated time to process this prompt and those queued before it
     bool endpointSilent = false; ///< it responds to none of this entry's other requests either
 };
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -399,7 +399,7 @@
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
-    view.readingMs = m_expectedMs;
+    view.prefillMs = m_expectedMs;
     view.endpointSilent = seemsDead();
     if (m_route->form == answer_form::events)
         view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
--- a/lib/Policy/AttemptTimeout.cpp
+++ b/lib/Policy/AttemptTimeout.cpp
@@ -50,6 +50,6 @@
     const std::chrono::milliseconds latest = share(view.timeout, maxTimeoutShare);
     const double most = view.endpointSilent ? maxSilentShare : maxShare;
     const double usual = std::clamp(unusualWaitFactor * view.meanWait, minShare, most);
-    const std::chrono::milliseconds reading(static_cast<long>(view.readingMs * prefillMargin));
+    const std::chrono::milliseconds reading(static_cast<long>(view.prefillMs * prefillMargin));
     return std::min(latest, share(view.objective, usual) + reading);
 }
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -341,7 +341,7 @@
     CHECK(attemptTimeoutOf(view) < view.objective);
     view.meanWait = 0.3;
     CHECK(attemptTimeoutOf(view) > view.objective);
-    view.readingMs = 500;
+    view.prefillMs = 500;
     CHECK(attemptTimeoutOf(view) > view.objective * 2);
     view.timeout = milliseconds(5000);
     CHECK(attemptTimeoutOf(view) < milliseconds(2000));
@@ -364,7 +364,7 @@
     // A request with 23,000 tokens to a large model is not moved while it may be in processing.
     view.endpointSilent = true;
     view.meanWait = 0.05;
-    view.readingMs = 1800;
+    view.prefillMs = 1800;
     CHECK(attemptTimeoutOf(view) > milliseconds(5400));
 }
 
