--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -42,7 +42,7 @@
 struct shared_prompt
 {
     std::uint64_t hash = 0; ///< of the longest shared prefix
-    double readingMs = 0; ///< to process it where none of it is cached
+    double prefillMs = 0; ///< to process it where none of it is cached
 };
 
 /// Why an endpoint was chosen.
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -87,7 +87,7 @@
 static std::optional<std::size_t> homeOf(std::span<const direct_candidate> candidates,
                                          const shared_prompt &shared)
 {
-    const bool anywhere = shared.readingMs > siteWideHomeMs;
+    const bool anywhere = shared.prefillMs > siteWideHomeMs;
     std::optional<std::size_t> home;
     std::uint64_t highest = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
