--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -365,7 +365,7 @@
                    addEvidence(sample.model, sample.version, sample.group, evidence_kind::ratings,
                                good);
                    if (const cascade *item = rules->rules.findCascade(target))
-                       m_learner.learn(*item, sample.group, tier, score, good, released);
+                       m_learner.addRating(*item, sample.group, tier, score, good, released);
                });
 }
 
--- a/include/laurelcroft/Policy/CascadeLearner.h
+++ b/include/laurelcroft/Policy/CascadeLearner.h
@@ -55,8 +55,8 @@
 
     /// Records a rating of an answer of \p tier with \p score.
     /// \param released true if the caller received this answer, not one of a later tier.
-    void learn(const cascade &item, std::string_view group, std::size_t tier, double score,
-               bool good, bool released);
+    void addRating(const cascade &item, std::string_view group, std::size_t tier, double score,
+                   bool good, bool released);
 
     /// \returns the share of answers delivered to callers that were rated good, or the quality
     /// target while there are too few ratings.
--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -150,7 +150,7 @@
     for (int i = 0; i < requests; ++i) {
         const trial_request request = draw(i, mix, random);
         for (const late_rating &rating : late.front())
-            learner.learn(item, "g", rating.tier, rating.score, rating.good, rating.released);
+            learner.addRating(item, "g", rating.tier, rating.score, rating.good, rating.released);
         late.pop_front();
         late.emplace_back();
         const auto sample = [&](std::size_t tier, bool good, bool released) {
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -78,8 +78,8 @@
     return m_records[keyOf(item, group, tier)];
 }
 
-void cascade_learner::learn(const cascade &item, std::string_view group, std::size_t tier,
-                            double score, bool good, bool released)
+void cascade_learner::addRating(const cascade &item, std::string_view group, std::size_t tier,
+                                double score, bool good, bool released)
 {
     tier_record &known = record(item, group, tier);
     for (std::size_t i = 0; i < bins; ++i) {
--- a/unittests/Policy/PolicyTests.cpp
+++ b/unittests/Policy/PolicyTests.cpp
@@ -256,7 +256,7 @@
         for (int i = 0; i < 3000; ++i) {
             const double score = random.uniform();
             learner.evaluate(item, "g", 0, score);
-            learner.learn(item, "g", 0, score, random.chance(goodShare), false);
+            learner.addRating(item, "g", 0, score, random.chance(goodShare), false);
         }
         return learner.threshold(item, "g", 0);
     };
