--- a/include/laurelcroft/Policy/ConfidenceCascade.h
+++ b/include/laurelcroft/Policy/ConfidenceCascade.h
@@ -48,7 +48,7 @@
 {
 public:
     /// \param share wait for a first part divided by the route's objective.
-    void note(double share) { m_mean += weight * (share - m_mean); }
+    void addSample(double share) { m_mean += weight * (share - m_mean); }
     double mean() const { return m_mean; }
 
 private:
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -63,9 +63,11 @@
 void request_flow<Env>::noteWait()
 {
     const std::chrono::duration<double, std::milli> wait = now() - m_attemptAt;
-    m_env.routing().waits(m_service).note(ofObjective(wait));
+    m_env.routing().waits(m_service).addSample(ofObjective(wait));
     if (m_answered)
-        m_env.routing().promptRate(m_record.model).note(m_readTokens, wait.count(), m_ownShare);
+        m_env.routing()
+                .promptRate(m_record.model)
+                .addSample(m_readTokens, wait.count(), m_ownShare);
     m_record.serviceWait = m_env.routing().waits(m_service).mean();
 }
 
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -258,7 +258,7 @@
                         {10'000, milliseconds(1500), false}};
     for (const row &item : rows) {
         flow_world world(draftRoute(), {"e1", "e2"});
-        world.routing.promptRate("small").note(10'000, 100);
+        world.routing.promptRate("small").addSample(10'000, 100);
         auto request = requestFor(draftRoute());
         request->promptTokens = item.tokens;
         startFlow(world, request);
@@ -277,7 +277,7 @@
 TEST_CASE("the log keeps why an endpoint was chosen when no larger model is asked after all")
 {
     flow_world world(draftRoute(), {"e1", "e2"});
-    world.routing.promptRate("small").note(10'000, 100);
+    world.routing.promptRate("small").addSample(10'000, 100);
     auto request = requestFor(draftRoute());
     request->promptTokens = 40'000;
     startFlow(world, request);
