--- a/include/laurelcroft/Policy/PrefillRate.h
+++ b/include/laurelcroft/Policy/PrefillRate.h
@@ -18,7 +18,7 @@
     /// \param waitMs wait for the first event, in milliseconds, after a prompt of \p tokens.
     /// \param ownShare estimated share of the wait, 0 to 1, that was spent on these tokens; the
     /// rest was spent on prompts queued before them.
-    void note(unsigned tokens, double waitMs, double ownShare = 1);
+    void addSample(unsigned tokens, double waitMs, double ownShare = 1);
 
     /// \returns true if there is at least one sample.
     bool isKnown() const { return m_samples > 0; }
--- a/lib/Policy/PrefillRate.cpp
+++ b/lib/Policy/PrefillRate.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void prefill_rate::note(unsigned tokens, double waitMs, double ownShare)
+void prefill_rate::addSample(unsigned tokens, double waitMs, double ownShare)
 {
     if (tokens < minTokens)
         return;
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -258,19 +258,19 @@
     constexpr unsigned tokens = 10'000;
     prefill_rate rate;
     CHECK(!rate.isKnown());
-    rate.note(10, 500);
+    rate.addSample(10, 500);
     CHECK(!rate.isKnown());
-    rate.note(tokens, 800);
+    rate.addSample(tokens, 800);
     CHECK(rate.isKnown());
     CHECK(rate.msPerToken() * tokens == doctest::Approx(800));
     // Behind another prompt of the same length, the same wait means half the time per token.
     prefill_rate behind;
-    behind.note(tokens, 800, 0.5);
+    behind.addSample(tokens, 800, 0.5);
     CHECK(behind.msPerToken() * tokens == doctest::Approx(400));
     // After several samples, a longer wait raises the estimate only slowly.
     for (int i = 0; i < 50; ++i)
-        rate.note(tokens, 800);
-    rate.note(tokens, 8000);
+        rate.addSample(tokens, 800);
+    rate.addSample(tokens, 8000);
     CHECK(rate.msPerToken() * tokens < 1000);
 }
 
