--- a/include/laurelcroft/Policy/SendBudget.h
+++ b/include/laurelcroft/Policy/SendBudget.h
@@ -67,7 +67,7 @@
     }
 
     /// Counts a request, whether it was sent or not.
-    void request(time_point now, double share);
+    void countRequest(time_point now, double share);
 
     /// \returns the number of further sends available at \p now.
     double left(time_point now, double share);
--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -69,7 +69,7 @@
     m_saved = std::min(m_saved, maxSaved());
 }
 
-void send_budget::request(time_point now, double share)
+void send_budget::countRequest(time_point now, double share)
 {
     advance(now, share);
     if (m_buckets.empty() || now - m_buckets.back().from >= bucketLength)
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -44,7 +44,7 @@
     unsigned repeats = 0;
     for (int i = 0; i < 200; ++i) {
         now += milliseconds(50);
-        budget.request(now, 0.5);
+        budget.countRequest(now, 0.5);
         for (int j = 0; j < 3; ++j)
             repeats += budget.take(now, 0.5, further_send::repeat) ? 1 : 0;
     }
@@ -88,7 +88,7 @@
     send_budget running(bounds);
     time_point now = begin;
     for (int i = 0; i < 1000; ++i)
-        running.request(now += milliseconds(10), 0);
+        running.countRequest(now += milliseconds(10), 0);
     const unsigned saved = spent(running, now);
     CHECK(saved > 100);
     CHECK(saved <= 225);
@@ -100,7 +100,7 @@
     send_budget budget({0.9, 0, seconds(10)});
     time_point now{seconds(100)};
     for (int i = 0; i < 1000; ++i)
-        budget.request(now += milliseconds(10), 0);
+        budget.countRequest(now += milliseconds(10), 0);
     unsigned larger = 0;
     while (budget.take(now, 0, further_send::largerModel))
         ++larger;
@@ -114,7 +114,7 @@
     send_budget budget({0.9, 0, seconds(10)});
     const time_point now{seconds(100)};
     for (int i = 0; i < 100; ++i)
-        budget.request(now, 0);
+        budget.countRequest(now, 0);
     const double before = budget.left(now, 0);
     REQUIRE(budget.take(now, 0, further_send::repeat));
     budget.refund();
@@ -131,7 +131,7 @@
     unsigned sends = 0;
     for (unsigned i = 0; i < processes; ++i) {
         send_budget budget(bounds, random.uniform());
-        budget.request(now, 1.0 / processes);
+        budget.countRequest(now, 1.0 / processes);
         sends += budget.take(now, 1.0 / processes, further_send::largerModel) ? 1 : 0;
     }
     CHECK(sends > 0.65 * processes);
@@ -160,7 +160,7 @@
             process = send_budget(rule.bounds);
         const std::size_t arriving = random.chance(0.05) ? random.index(mostAtOnce) : 0;
         for (std::size_t n = 0; n < arriving; ++n) {
-            process.request(now, 0);
+            process.countRequest(now, 0);
             requests.push_back(now);
         }
         if (!random.chance(0.1))
--- a/unittests/Proxy/FlowWorld.cpp
+++ b/unittests/Proxy/FlowWorld.cpp
@@ -50,7 +50,7 @@
     constexpr int requests = 100;
     routing.setEntries({"own"}, "own");
     for (int i = 0; i < requests; ++i)
-        routing.repeats(service).request(runtime.now(), routing.shareOfEntries());
+        routing.repeats(service).countRequest(runtime.now(), routing.shareOfEntries());
 }
 
 void flow_world::useRoute(const service_route &route)
