--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -105,7 +105,7 @@
     /// Records the end of an endpoint.
     /// \param recent its recent requests, as far as this entry knows them; sets their \c ends.
     /// \returns the keys of the requests that are withheld from now on.
-    std::vector<std::uint64_t> ended(const endpoint_end &end, std::span<recent_request> recent);
+    std::vector<std::uint64_t> recordEnd(const endpoint_end &end, std::span<recent_request> recent);
 
     /// Records that, according to another entry's row, \p endpoints have ended under \p key.
     void addReportedEnds(std::uint64_t key, std::span<const std::uint64_t> endpoints,
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -185,8 +185,8 @@
         explain(endpoint, strongest);
 }
 
-std::vector<std::uint64_t> crash_suspects::ended(const endpoint_end &end,
-                                                 std::span<recent_request> recent)
+std::vector<std::uint64_t> crash_suspects::recordEnd(const endpoint_end &end,
+                                                     std::span<recent_request> recent)
 {
     expire(end.at);
     // A request with earlier ends is to blame for this one too, and no other request is.
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -76,7 +76,7 @@
     if (isPlanned || young.empty())
         return;
     const endpoint_end end{hashOf(record), record.service, record.softwareVersion, at};
-    const std::vector<request_key> found = m_suspects.ended(end, young);
+    const std::vector<request_key> found = m_suspects.recordEnd(end, young);
     end_notice notice{end.endpoint, end.service, end.version, {}};
     for (const recent_request &request : young) {
         const auto age = std::chrono::duration_cast<milliseconds>(at - request.sentAt);
@@ -160,7 +160,7 @@
     before.reserve(young.size());
     for (const recent_request &request : young)
         before.push_back(m_suspects.endsOf(request.key));
-    const std::vector<request_key> found = m_suspects.ended(end, young);
+    const std::vector<request_key> found = m_suspects.recordEnd(end, young);
     passOn(notice, before);
     for (const request_key key : found) {
         ++m_newlyWithheld;
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -31,7 +31,7 @@
         std::vector<recent_request> recent;
         for (const std::uint64_t key : keys)
             recent.push_back({key, sentAt, now, 0, {}});
-        return suspects.ended({++endpoint, "pool", version, now}, recent);
+        return suspects.recordEnd({++endpoint, "pool", version, now}, recent);
     }
 
     bool isWithheld(std::uint64_t key) const { return suspects.isWithheld(key, version, now); }
@@ -65,7 +65,7 @@
     world.now += milliseconds(300);
     for (std::uint64_t endpoint = 1; endpoint <= 8; ++endpoint) {
         std::vector<recent_request> recent{{harmlessKey, sentAt, world.now, 0, {}}};
-        CHECK(world.suspects.ended({endpoint, "pool", "v1", world.now}, recent).empty());
+        CHECK(world.suspects.recordEnd({endpoint, "pool", "v1", world.now}, recent).empty());
         world.now += milliseconds(25);
     }
     CHECK(world.suspects.endsOf(harmlessKey) == 1);
@@ -78,7 +78,7 @@
         world.now += milliseconds(2);
         std::vector<recent_request> recent{
                 {crashingKey, world.now - milliseconds(1), world.now, 0, {}}};
-        world.suspects.ended({7, "pool", "v1", world.now}, recent);
+        world.suspects.recordEnd({7, "pool", "v1", world.now}, recent);
     }
     CHECK(world.suspects.endsOf(crashingKey) == 1);
 }
@@ -120,10 +120,10 @@
                 {crashingKey, world.now, world.now + milliseconds(100), 3, {}}};
         const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
         if (isReportedFirst)
-            world.suspects.ended(end, reported);
-        world.suspects.ended(end, own);
+            world.suspects.recordEnd(end, reported);
+        world.suspects.recordEnd(end, own);
         if (!isReportedFirst)
-            world.suspects.ended(end, reported);
+            world.suspects.recordEnd(end, reported);
         CHECK(world.suspects.suspicionOf(harmlessKey, end.at) == suspicion::none);
         CHECK(world.suspects.suspicionOf(crashingKey, end.at) != suspicion::none);
     }
@@ -221,7 +221,7 @@
     std::vector<recent_request> reported{
             {crashingKey, world.now, world.now + milliseconds(100), 3, {7, 8}}};
     const endpoint_end end{9, "pool", "v1", world.now + milliseconds(100)};
-    CHECK(world.suspects.ended(end, reported) == std::vector{crashingKey});
+    CHECK(world.suspects.recordEnd(end, reported) == std::vector{crashingKey});
     CHECK(world.suspects.withheld().at(crashingKey).ended.size() == 3);
 }
 
