--- a/include/laurelcroft/Policy/VersionGuard.h
+++ b/include/laurelcroft/Policy/VersionGuard.h
@@ -38,7 +38,7 @@
     double evidence() const;
 
     /// \returns the evidence as a fraction of the amount that stops a version.
-    double certainty() const { return evidence() * m_bounds.falseStop; }
+    double evidenceFraction() const { return evidence() * m_bounds.falseStop; }
 
     /// \returns by how many standard deviations the bad share of the version under roll-out exceeds
     /// the tolerated share; 0 if it does not, or if there are too few bad answers.
--- a/lib/Proxy/VersionJudge.cpp
+++ b/lib/Proxy/VersionJudge.cpp
@@ -263,7 +263,7 @@
     // Where endpoints of the old version fail as well, few answers tell no difference: 13 of 17
     // that failed were no doubt.
     return mostlyFails() || anyGuard([](const version_guard &guard) {
-               return guard.certainty() >= doubtfulPart
+               return guard.evidenceFraction() >= doubtfulPart
                        || guard.deviationsAbove() >= doubtfulDeviations;
            });
 }
