--- a/include/laurelcroft/Policy/CustomerLimits.h
+++ b/include/laurelcroft/Policy/CustomerLimits.h
@@ -79,7 +79,7 @@
     double perSecond = 0; ///< the reporting entry's demand
     double rate = 0; ///< the customer's total rate, in requests per second
     std::size_t entries = 1; ///< number of live entries
-    duration keep{0}; ///< how long a reported demand is valid
+    duration validFor{0}; ///< how long a reported demand is valid
 };
 
 /// Splits a customer's allowance by the demand of each entry. Runs at the customer's home entry.
--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -86,14 +86,14 @@
 {
     auto &items = m_demands[customer];
     item &own = items[entry];
-    const bool isFresh = now - own.at <= asked.keep;
+    const bool isFresh = now - own.at <= asked.validFor;
     // One second's count is too noisy for a customer with few requests, so it is smoothed.
     own.perSecond = isFresh ? own.perSecond + smoothingFactor * (asked.perSecond - own.perSecond)
                             : asked.perSecond;
     own.at = now;
     double total = 0;
     for (auto it = items.begin(); it != items.end();) {
-        if (now - it->second.at > asked.keep) {
+        if (now - it->second.at > asked.validFor) {
             it = items.erase(it);
             continue;
         }
