--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-bool crash_suspects::count(const endpoint_end &end, const recent_request &request)
+bool crash_suspects::addEnd(const endpoint_end &end, const recent_request &request)
 {
     if (isCleared(request.key, end.version, end.at))
         return false;
@@ -136,7 +136,7 @@
 {
     std::erase(request.earlier, end.endpoint);
     addReportedEnds(request.key, request.earlier, end.at);
-    const bool isNew = count(end, request);
+    const bool isNew = addEnd(end, request);
     request.ends = std::max(request.ends, endsOf(request.key));
     return isNew && !isWithheld(request.key, end.version, end.at)
             && hasEnoughEnds(request.key, end.at);
