--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -183,7 +183,7 @@
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
     bool addEnd(const endpoint_end &end, const recent_request &request);
     bool hasEnoughEnds(std::uint64_t key, time_point now);
-    void explain(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys);
+    void markExplained(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys);
     void addUnexplained(const endpoint_end &end);
     bool isExplained(std::uint64_t endpoint) const;
 
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -54,7 +54,7 @@
     return std::find(m_explained.begin(), m_explained.end(), endpoint) != m_explained.end();
 }
 
-void crash_suspects::explain(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys)
+void crash_suspects::markExplained(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys)
 {
     if (!isExplained(endpoint))
         m_explained.push_back(endpoint);
@@ -157,7 +157,7 @@
     }
     explainEarlierEnds(blamed);
     if (leastBefore > 0)
-        explain(end.endpoint, blamed);
+        markExplained(end.endpoint, blamed);
     // With the same ends, one of two requests may be harmless: they are sent separately next time.
     if (found.size() > 1 && endsOf(found.front()) < endsToWithholdUnstable)
         found.clear();
@@ -182,7 +182,7 @@
         endpoints.insert(endpoints.end(), ended.begin(), ended.end());
     }
     for (const std::uint64_t endpoint : endpoints)
-        explain(endpoint, strongest);
+        markExplained(endpoint, strongest);
 }
 
 std::vector<std::uint64_t> crash_suspects::recordEnd(const endpoint_end &end,
@@ -304,7 +304,7 @@
         if (std::find(known.ended.begin(), known.ended.end(), endpoint) == known.ended.end()
             && known.ended.size() < maxEndsKept)
             known.ended.push_back(endpoint);
-        explain(endpoint, std::span(&key, 1));
+        markExplained(endpoint, std::span(&key, 1));
     }
     return isNews;
 }
