--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -174,7 +174,7 @@
         time_point until{};
     };
 
-    unsigned endsBefore(const recent_request &request) const;
+    unsigned priorEnds(const recent_request &request) const;
     bool attributeEnd(const endpoint_end &end, recent_request &request);
     std::vector<std::uint64_t> attributeToStrongest(const endpoint_end &end,
                                                     std::span<recent_request> recent,
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -102,7 +102,7 @@
     return endsOf(key) >= (endByThemselves ? endsToWithholdUnstable : endsToWithhold);
 }
 
-unsigned crash_suspects::endsBefore(const recent_request &request) const
+unsigned crash_suspects::priorEnds(const recent_request &request) const
 {
     if (m_withheld.count(request.key) != 0)
         return endsToWithhold;
@@ -149,7 +149,7 @@
     std::vector<std::uint64_t> blamed;
     std::vector<std::uint64_t> found;
     for (recent_request &request : recent) {
-        if (endsBefore(request) < leastBefore)
+        if (priorEnds(request) < leastBefore)
             continue;
         blamed.push_back(request.key);
         if (attributeEnd(end, request))
@@ -192,7 +192,7 @@
     // A request with earlier ends is to blame for this one too, and no other request is.
     unsigned most = 0;
     for (const recent_request &request : recent)
-        most = std::max(most, endsBefore(request));
+        most = std::max(most, priorEnds(request));
     const bool isExplainedHere = most >= minEndsToExplain;
     if (!isExplainedHere && isExplained(end.endpoint))
         return {};
