--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -142,7 +142,7 @@
 
 /// Simulates processes that get bursts of requests, spend all that they have in bursts and are
 /// restarted at random. None has a share of the allowance.
-double worstOfPulses(std::uint64_t seed)
+double worstShareOfBursts(std::uint64_t seed)
 {
     constexpr milliseconds step{20};
     constexpr int steps = 3000;
@@ -178,6 +178,6 @@
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         CAPTURE(seed);
-        CHECK(worstOfPulses(seed) <= 1.0);
+        CHECK(worstShareOfBursts(seed) <= 1.0);
     }
 }
