--- a/include/laurelcroft/Policy/SendBudget.h
+++ b/include/laurelcroft/Policy/SendBudget.h
@@ -70,7 +70,7 @@
     void countRequest(time_point now, double share);
 
     /// \returns the number of further sends available at \p now.
-    double left(time_point now, double share);
+    double availableSends(time_point now, double share);
 
     /// \returns true if one more send for \p what is allowed at \p now.
     bool allows(time_point now, double share, further_send what);
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -342,7 +342,7 @@
 {
     const attempt_facts facts = this->facts();
     m_record.lack = retryBlockerOf(facts);
-    m_record.budgetLeft = budget().left(now(), allowanceShare());
+    m_record.budgetLeft = budget().availableSends(now(), allowanceShare());
     const bool ran = end != attempt_end::notSent && end != attempt_end::refused;
     m_mayHaveRun = m_mayHaveRun || ran;
     m_hasFailure = end == attempt_end::failed;
--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -79,7 +79,7 @@
     m_saved = std::min(m_saved + earnedBy(m_bounds, 1), maxSaved());
 }
 
-double send_budget::left(time_point now, double share)
+double send_budget::availableSends(time_point now, double share)
 {
     advance(now, share);
     return m_saved + m_rounding;
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -381,7 +381,7 @@
     metrics.set("entries_known", static_cast<double>(routing.entries()));
     for (auto &[service, budget] : routing.allRepeats())
         metrics.set("further_sends_left{service=\"" + service + "\"}",
-                    budget.left(now, routing.shareOfEntries()));
+                    budget.availableSends(now, routing.shareOfEntries()));
 }
 
 void proxy_server::state::acceptWhenReady(time_point latest)
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -105,7 +105,7 @@
     while (budget.take(now, 0, further_send::largerModel))
         ++larger;
     CHECK(larger > 0);
-    CHECK(budget.left(now, 0) >= larger / 4.0);
+    CHECK(budget.availableSends(now, 0) >= larger / 4.0);
     CHECK(budget.take(now, 0, further_send::repeat));
 }
 
@@ -115,10 +115,10 @@
     const time_point now{seconds(100)};
     for (int i = 0; i < 100; ++i)
         budget.countRequest(now, 0);
-    const double before = budget.left(now, 0);
+    const double before = budget.availableSends(now, 0);
     REQUIRE(budget.take(now, 0, further_send::repeat));
     budget.refund();
-    CHECK(budget.left(now, 0) == doctest::Approx(before));
+    CHECK(budget.availableSends(now, 0) == doctest::Approx(before));
 }
 
 TEST_CASE("many entries with few requests make as many sends as they have earned")
--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -164,7 +164,8 @@
 
 double furtherSendsLeft(flow_world &world)
 {
-    return world.routing.repeats("pool").left(world.runtime.now(), world.routing.shareOfEntries());
+    return world.routing.repeats("pool").availableSends(world.runtime.now(),
+                                                        world.routing.shareOfEntries());
 }
 
 /// \returns how many seeds are played: one, or as many as LAURELCROFT_SEEDS says for runs by hand.
