--- a/include/laurelcroft/Policy/ServiceRollout.h
+++ b/include/laurelcroft/Policy/ServiceRollout.h
@@ -65,7 +65,7 @@
     std::chrono::milliseconds now{0}; ///< in the store's time
     bool targetListed = false; ///< endpoints of the target version accept requests
     bool foundBad = false; ///< by the guards of this entry
-    std::uint64_t judged = 0; ///< answers of the new version that the guards evaluated
+    std::uint64_t evaluatedAnswers = 0; ///< answers of the new version that the guards evaluated
     bool suspected = false; ///< there is too much evidence against it to stop the old version
     /// Whether the findings of other entries are up to date. If not, no further stage is started.
     bool othersKnown = true;
--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -232,7 +232,7 @@
         // Completion is final: if a fault is still suspected, revert.
         if (view.suspected)
             return advancedNow(*row, rollout_stage::reverted, view);
-        if (view.judged >= minJudgedAnswers)
+        if (view.evaluatedAnswers >= minJudgedAnswers)
             return advancedNow(*row, rollout_stage::completed, view);
         break;
     }
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -246,7 +246,7 @@
     view.now = storeNow;
     view.exposure = m_exposure;
     view.requestsPerSecond = static_cast<double>(m_arrivals.size() * entries);
-    view.judged = m_judge.judged();
+    view.evaluatedAnswers = m_judge.judged();
     view.suspected = m_judge.isSuspected();
     view.foundBad = m_judge.isFoundBad();
     view.othersKnown = othersKnown;
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -296,7 +296,7 @@
         view.exposure = 0.15;
         view.requestsPerSecond = 100;
         view.targetListed = true;
-        view.judged = 100;
+        view.evaluatedAnswers = 100;
         std::optional<rollout_row> row;
         double exposed = 0;
         double completedAt = 0;
--- a/unittests/Proxy/VersionInForceTests.cpp
+++ b/unittests/Proxy/VersionInForceTests.cpp
@@ -146,7 +146,7 @@
     const rollout_order order = orderOf("v2", 7);
     rollout_view view;
     view.targetListed = true;
-    view.judged = 100;
+    view.evaluatedAnswers = 100;
     view.exposure = 0.15;
     view.requestsPerSecond = 100;
     std::optional<rollout_row> row;
--- a/unittests/Proxy/VersionJudgeTests.cpp
+++ b/unittests/Proxy/VersionJudgeTests.cpp
@@ -223,7 +223,7 @@
     const rollout_order order = exampleOrder();
     rollout_view view;
     view.targetListed = true;
-    view.judged = 40;
+    view.evaluatedAnswers = 40;
     view.requestsPerSecond = 100;
     view.suspected = true;
     rollout_row row = rowAt(rollout_stage::trial);
