--- a/include/laurelcroft/Policy/CustomerLimits.h
+++ b/include/laurelcroft/Policy/CustomerLimits.h
@@ -64,7 +64,7 @@
         double tokens = -1; ///< negative: not used yet; the bucket starts full
         time_point filledAt{};
         std::uint32_t inFlight = 0;
-        std::uint64_t asked = 0;
+        std::uint64_t requestCount = 0;
         double share = 0;
         time_point shareUntil{};
     };
--- a/lib/Policy/CustomerLimits.cpp
+++ b/lib/Policy/CustomerLimits.cpp
@@ -40,7 +40,7 @@
 {
     const double part = share(who.name, now);
     account &item = m_accounts[who.name];
-    item.asked += 1;
+    item.requestCount += 1;
     const double rate = who.requestsPerSecond * part;
     const double capacity = std::max(minBurst, who.burst * part);
     if (item.tokens < 0)
@@ -73,10 +73,10 @@
     std::vector<customer_demand> demands;
     const double elapsed = std::max(1e-3, std::chrono::duration<double>(since).count());
     for (auto &[name, item] : m_accounts) {
-        if (item.asked == 0)
+        if (item.requestCount == 0)
             continue;
-        demands.push_back({name, static_cast<double>(item.asked) / elapsed});
-        item.asked = 0;
+        demands.push_back({name, static_cast<double>(item.requestCount) / elapsed});
+        item.requestCount = 0;
     }
     return demands;
 }
