--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -151,7 +151,7 @@
     void expire(time_point now);
 
     const std::map<std::uint64_t, withheld_request> &withheld() const { return m_withheld; }
-    std::size_t suspects() const { return m_suspects.size(); }
+    std::size_t suspectCount() const { return m_suspects.size(); }
 
 private:
     /// An end that counts against a request.
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -377,7 +377,7 @@
     metrics.add("rate_limit_changes_total", routing.rateLimits().takeChanges());
     metrics.add("requests_withheld_total", routing.crashes().takeNewlyWithheld());
     metrics.set("requests_withheld", static_cast<double>(routing.suspects().withheld().size()));
-    metrics.set("requests_suspected", static_cast<double>(routing.suspects().suspects()));
+    metrics.set("requests_suspected", static_cast<double>(routing.suspects().suspectCount()));
     metrics.set("entries_known", static_cast<double>(routing.entries()));
     for (auto &[service, budget] : routing.allRepeats())
         metrics.set("further_sends_left{service=\"" + service + "\"}",
--- a/unittests/Policy/CrashSuspectsTests.cpp
+++ b/unittests/Policy/CrashSuspectsTests.cpp
@@ -197,7 +197,7 @@
         world.now -= milliseconds(90);
     }
     world.suspects.expire(world.now);
-    CHECK(world.suspects.suspects() <= crash_suspects::maxSuspects);
+    CHECK(world.suspects.suspectCount() <= crash_suspects::maxSuspects);
     CHECK(world.suspects.endsOf(crashingKey) == 2);
     CHECK(world.suspects.withheld().empty());
 }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -480,7 +480,7 @@
     world.play(seconds(20), milliseconds(1500));
     CHECK(world.outcomes["others"].withheld == 0);
     for (fleet_entry &entry : world.entries.entries)
-        CHECK(entry.routing.suspects().suspects() <= crash_suspects::maxSuspects);
+        CHECK(entry.routing.suspects().suspectCount() <= crash_suspects::maxSuspects);
 }
 
 TEST_CASE("a new version gets the crasher once and then no more")
