--- a/include/laurelcroft/Policy/AttemptOutcome.h
+++ b/include/laurelcroft/Policy/AttemptOutcome.h
@@ -31,7 +31,7 @@
     bool mayHaveRun = false; ///< at this endpoint or at an earlier one
     bool endpointsLeft = false; ///< the limit of endpoints per request is not reached
     bool budgetLeft = false; ///< the service's budget for repeats allows one more send
-    bool worthRetrying = false; ///< success is likely, or a stream has begun
+    bool worthRetrying = false; ///< a repeat is not futile, or a stream has begun
     bool timeLeft = false; ///< the deadline leaves enough time for another attempt
 };
 
--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -67,8 +67,8 @@
 class crash_suspects
 {
 public:
-    /// Number of consecutive ends after which a request is withheld. A harmless request that was
-    /// recent at two ended endpoints is sent alone to a third.
+    /// Number of consecutive ends after which a request is withheld. A harmless request that two
+    /// ended endpoints had recently started is sent alone to a third.
     static constexpr unsigned endsToWithhold = 3;
     /// The same while endpoints also terminate for unknown reasons: \c minUnexplainedEnds or more
     /// times within \c unexplainedEndsWindow. If each endpoint terminates every three seconds, 3 of
@@ -76,8 +76,8 @@
     static constexpr unsigned endsToWithholdUnstable = 5;
     static constexpr std::size_t minUnexplainedEnds = 5;
     static constexpr seconds unexplainedEndsWindow{10};
-    /// Number of earlier ends from which a request explains the next end at which it was recent:
-    /// that end is attributed to it alone.
+    /// Number of earlier ends from which a request explains the next end of an endpoint that had
+    /// recently started it: that end is attributed to it alone.
     static constexpr unsigned minEndsToExplain = 2;
     /// How long a suspicion is kept after the last end; long enough to recognise a caller that
     /// repeats the request every few minutes.
@@ -91,7 +91,7 @@
     /// in progress at any entry have been completed or have lasted long enough to clear it; its
     /// sends have only been delayed. Without the delay, a harmless request that all callers had
     /// just begun to send, while eight of 24 endpoints ended per second, was withheld in 2 of 12
-    /// simulation runs, and 960 requests were refused in each.
+    /// test runs, and 960 requests were refused in each.
     static constexpr milliseconds confirmationDelay{1100};
     /// Memory bounds, at about 200 bytes per entry, against a flood of requests that are sent only
     /// once.
--- a/lib/Policy/AttemptTimeout.cpp
+++ b/lib/Policy/AttemptTimeout.cpp
@@ -21,7 +21,7 @@
 /// Upper bound for an endpoint that responds to none of this entry's requests. An entry with little
 /// traffic has no other requests there to compare with, so the time to process the request's own
 /// prompt is added here too. Without it, requests with prompts of 23,000 tokens were moved at 0.8
-/// of the objective and processed again, up to 800 times in a simulated day of 52 s. It raises the
+/// of the objective and processed again, up to 800 times in a test day of 52 s. It raises the
 /// value of the served requests by 0.008 with 3 entries and 12 endpoints (0.690 to 0.698, 30 days
 /// with faults) and by 0.009 with 32 entries and 57 endpoints (0.651 to 0.660, 10 days).
 constexpr double maxSilentShare = 1.2;
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -23,7 +23,8 @@
 constexpr double priorWeight = 1.0;
 /// Safety margin between estimate and target, in standard deviations.
 constexpr double marginDeviations = 0.5;
-/// The ratings of released answers decay faster than those of bins, since they correct the target.
+/// The ratings of answers released to callers decay faster than those of bins, since they correct
+/// the target.
 constexpr double releasedDecay = 0.997;
 constexpr double correctionGain = 1.5;
 constexpr double maxCorrection = 0.08;
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -98,8 +98,8 @@
     // Already withheld for another version: one end suffices for this version.
     if (m_withheld.count(key) != 0)
         return true;
-    const bool endByThemselves = m_unexplained.size() >= minUnexplainedEnds;
-    return endsOf(key) >= (endByThemselves ? endsToWithholdUnstable : endsToWithhold);
+    const bool isUnstable = m_unexplained.size() >= minUnexplainedEnds;
+    return endsOf(key) >= (isUnstable ? endsToWithholdUnstable : endsToWithhold);
 }
 
 unsigned crash_suspects::priorEnds(const recent_request &request) const
@@ -171,7 +171,7 @@
         most = std::max(most, endsOf(key));
     if (most < minEndsToExplain)
         return;
-    // The earlier ends were caused by these requests too; clear all others that were recent there.
+    // The earlier ends were caused by these requests too; clear the others.
     std::vector<std::uint64_t> strongest;
     std::vector<std::uint64_t> endpoints;
     for (const std::uint64_t key : keys) {
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -26,8 +26,8 @@
 /// Penalty for a data centre in which an attempt of this request was broken off or not accepted.
 /// The endpoints of a data centre are usually lost together, so another of the few attempts of a
 /// stream would fail there as well. With 3,000 endpoints, of which each request samples a part, the
-/// share of callers refused was 0.018 without it and 0.004 with it (101 entries, one simulated day
-/// each in which a data centre is lost); with 40 and 58 endpoints there was no measurable
+/// share of callers refused was 0.018 without it and 0.004 with it (101 entries, one test day each
+/// in which a data centre is lost); with 40 and 58 endpoints there was no measurable
 /// difference.
 constexpr double failedDataCentrePenaltyMs = 1000;
 /// Penalty for an endpoint that runs a request suspected of crashing endpoints, since other
--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -24,7 +24,7 @@
 /// Requests per second, over all entries, that a trial gets: a version that fails a third of its
 /// requests is detected within some seconds, before fifty of its answers were bad. With 6, and no
 /// requests in the first half of the window, a version that answers half of its requests eight
-/// times as slowly was reverted 18.0 to 22.4 s after the start of the simulated day. With 9, and
+/// times as slowly was reverted 18.0 to 22.4 s after the start of the test day. With 9, and
 /// slow answers counted as soon as they are late, it was reverted after 16.8 to 20.4 s (12 days
 /// each, window from 5 to 23 s, 32 entries).
 constexpr double trialRequestsPerSecond = 9;
