--- a/include/laurelcroft/Policy/Health.h
+++ b/include/laurelcroft/Policy/Health.h
@@ -1,7 +1,7 @@
-//===-- Policy/Health.h - retry budget and ejection --------------*- C++ -*-===//
+//===-- Policy/Health.h - retry budget and ejection -------------*- C++ -*-===//
 //
-// Small bounded mechanisms against second waves: retries as a share of requests,
-// and ejection of failing endpoints with a ceiling.
+// Keeps failures from causing further overload: a budget limits retries to a share of the requests,
+// and failing endpoints are ejected, but at most a fixed share of a pool.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_POLICY_HEALTH_H
@@ -16,40 +16,40 @@
 
 namespace laurelcroft {
 
-/// Retries earn a share of each request and spend one each.
+/// Token bucket for retries: each request adds a fraction of a token, each retry takes one.
 class retry_budget
 {
 public:
     explicit retry_budget(double share = 0.1, double most = 20)
         : m_share(share)
-        , m_most(most)
+        , m_capacity(most)
         , m_tokens(most)
     {
     }
-    void earn() { m_tokens = m_tokens + m_share < m_most ? m_tokens + m_share : m_most; }
+    void earn() { m_tokens = m_tokens + m_share < m_capacity ? m_tokens + m_share : m_capacity; }
 
-    /// \returns false when no retry is left; the request must then be refused.
+    /// \returns false if no retry is left; the request must then be refused.
     bool spend();
 
 private:
     double m_share;
-    double m_most;
+    double m_capacity;
     double m_tokens;
 };
 
-/// Ejects endpoints that fail in a row; never more than a share of a pool.
+/// Ejects endpoints after consecutive failures, up to a maximum share of a pool.
 class endpoint_ejection
 {
 public:
-    static constexpr double ceilingShare = 0.3;
+    static constexpr double maxEjectedShare = 0.3;
 
     void succeeded(std::string_view id);
     void failed(std::string_view id, time_point now);
 
-    /// \returns true while \p id is out, of a pool of \p poolSize endpoints.
+    /// \returns true while \p id is ejected.
     bool isEjected(std::string_view id, time_point now) const;
 
-    /// \returns true when another endpoint of \p poolSize may be left out.
+    /// \returns true if another endpoint of a pool of \p poolSize may be ejected.
     static bool mayEject(std::size_t ejected, std::size_t poolSize);
 
 private:
--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -10,9 +10,9 @@
 
 #include "laurelcroft/Http/EventSplitter.h"
 #include "laurelcroft/Policy/AttemptOutcome.h"
+#include "laurelcroft/Policy/AttemptTimeout.h"
 #include "laurelcroft/Policy/CandidateSample.h"
 #include "laurelcroft/Policy/DirectChoice.h"
-#include "laurelcroft/Policy/Patience.h"
 #include "laurelcroft/Proxy/FlowTypes.h"
 #include "laurelcroft/Proxy/ProxyTypes.h"
 #include "laurelcroft/Proxy/RequestKey.h"
@@ -142,7 +142,7 @@
                                                 std::uint64_t draw);
     std::optional<endpoint_pick> pickEligible(const std::vector<endpoint_ptr> &usable);
     void send(const endpoint_pick &pick);
-    repeat_outlook &outlook() { return m_env.routing().outlook(m_service); }
+    failure_streak &outlook() { return m_env.routing().outlook(m_service); }
     send_budget &budget() { return m_env.routing().repeats(m_service); }
     double allowanceShare() { return m_env.routing().shareOfEntries(); }
     bool mayTakeFurtherSend(further_send what);
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -63,9 +63,11 @@
 void request_flow<Env>::noteWait()
 {
     const std::chrono::duration<double, std::milli> wait = now() - m_attemptAt;
-    m_env.routing().waits(m_service).note(ofObjective(wait));
+    m_env.routing().waits(m_service).addSample(ofObjective(wait));
     if (m_answered)
-        m_env.routing().promptRate(m_record.model).note(m_readTokens, wait.count(), m_ownShare);
+        m_env.routing()
+                .promptRate(m_record.model)
+                .addSample(m_readTokens, wait.count(), m_ownShare);
     m_record.serviceWait = m_env.routing().waits(m_service).mean();
 }
 
@@ -93,7 +95,7 @@
         return;
     cascade_view view = cascadeView();
     const cascade_settings &settings = m_env.routing().cascade();
-    const std::optional<std::size_t> larger = escalatesTo(settings, view);
+    const std::optional<std::size_t> larger = escalationTarget(settings, view);
     if (!larger)
         return;
     // The answer is dropped only when another endpoint stands ready for the larger model.
@@ -106,7 +108,7 @@
         view.expectedAt = ofObjective(now() - m_arrivedAt + wait);
     }
     m_record.largerExpectedAt = view.expectedAt;
-    if (!pick || !escalatesTo(settings, view) || !takeFurtherSend(further_send::largerModel)) {
+    if (!pick || !escalationTarget(settings, view) || !takeFurtherSend(further_send::largerModel)) {
         m_tried = tried;
         m_model = smaller;
         m_prefixes = prefixesOf(modelName());
@@ -266,7 +268,7 @@
 {
     attempt_facts facts;
     facts.mayRepeat = m_route->mayRepeat();
-    facts.passedOn = m_begun;
+    facts.partDelivered = m_begun;
     facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEvent);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
@@ -274,7 +276,7 @@
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
     facts.timeLeft = timeLeft() >= flow_bounds::leastForAttempt;
     // A stream that has begun goes on against the odds: its caller would lose what it holds.
-    facts.hasChance = m_begun || !outlook().isHopeless(now());
+    facts.worthRetrying = m_begun || !outlook().isRepeatFutile(now());
     return facts;
 }
 
@@ -339,8 +341,8 @@
 next_step request_flow<Env>::decideAfter(attempt_end end)
 {
     const attempt_facts facts = this->facts();
-    m_record.lack = lackOf(facts);
-    m_record.budgetLeft = budget().left(now(), allowanceShare());
+    m_record.lack = retryBlockerOf(facts);
+    m_record.budgetLeft = budget().availableSends(now(), allowanceShare());
     const bool ran = end != attempt_end::notSent && end != attempt_end::refused;
     m_mayHaveRun = m_mayHaveRun || ran;
     m_hasFailure = end == attempt_end::failed;
@@ -422,8 +424,8 @@
 milliseconds request_flow<Env>::untilRoom()
 {
     const std::optional<time_point> end = m_env.routing().earliestBackoffEnd(m_service, now());
-    const milliseconds wait
-            = end ? std::chrono::ceil<milliseconds>(*end - now()) : outlook().expectedLeft(now());
+    const milliseconds wait = end ? std::chrono::ceil<milliseconds>(*end - now())
+                                  : outlook().expectedRemaining(now());
     return std::clamp(wait, flow_bounds::retryAfterFull, flow_bounds::retryAfterOutage);
 }
 
@@ -481,7 +483,7 @@
 {
     m_done = true;
     if (std::exchange(m_heldSend, std::nullopt))
-        budget().giveBack();
+        budget().refund();
     m_env.runtime().cancel(m_deadlineTimer);
     m_env.runtime().cancel(m_progressTimer);
     m_record.reason = why;
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -19,7 +19,7 @@
 double request_flow<Env>::readingMsPerToken()
 {
     routing_state &state = m_env.routing();
-    const prompt_rate &rate = state.promptRate(modelName());
+    const prefill_rate &rate = state.promptRate(modelName());
     const bool first = !m_request->anyModel || m_model == 0;
     if (first || rate.isKnown())
         return rate.msPerToken();
@@ -137,7 +137,7 @@
     candidate.waitMs = endpoint->readingMs()
             + flow_bounds::weightElsewhere * endpoint->readingElsewhereMs(at)
             + prompt.msPerToken * tokensToRead(kept);
-    candidate.unseenMs = prompt.msPerToken * (prompt.sharedTokens - kept);
+    candidate.uncachedMs = prompt.msPerToken * (prompt.sharedTokens - kept);
     candidate.failureShare = endpoint->failureShare(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
     // An endpoint that refuses at once has no load and so the lowest cost. Further attempts avoid
@@ -147,18 +147,18 @@
             = endpoint->isAvoided(at) || (m_arrivals > 0 && endpoint->isRecoveryUnconfirmed());
     candidate.tried
             = std::find(m_tried.begin(), m_tried.end(), endpoint->record().id) != m_tried.end();
-    candidate.besideSuspect = isBesideSuspect(*endpoint);
+    candidate.runsSuspect = isBesideSuspect(*endpoint);
     if (m_suspicion == suspicion::strong
         && m_env.routing().suspects().isWithheld(*m_record.key, endpoint->record().softwareVersion,
                                                  at)) {
         candidate.withheld = true;
         m_withheld = true;
     }
-    candidate.sharesFailure = m_failedPlaces.count(endpoint->record().dataCentre) != 0;
+    candidate.failedInDataCentre = m_failedPlaces.count(endpoint->record().dataCentre) != 0;
     candidate.hasConnection = m_env.hasRoomAt(endpoint);
     if (const std::optional<double> share = m_env.routing().coldShare(*endpoint, at)) {
-        candidate.bearsMore = endpoint->hasRoomFor(*share, at);
-        m_coldLeftOut = m_coldLeftOut || !candidate.bearsMore;
+        candidate.withinRateShare = endpoint->hasRoomFor(*share, at);
+        m_coldLeftOut = m_coldLeftOut || !candidate.withinRateShare;
         m_roomComes = m_roomComes || (*share > 0 && !candidate.tried);
     }
     if (endpoint->isInBackoff(at))
@@ -192,7 +192,7 @@
     candidate.hasRateLimit = true;
     if (endpoint.hasRoomFor(share, now()) || (share <= 0 && state.isLimitCheckDue(endpoint, now())))
         return;
-    candidate.bearsMore = false;
+    candidate.withinRateShare = false;
     m_limitedLeftOut = true;
     if (share > 0)
         noteAvailableAt(candidate, endpoint.nextSendAllowedAt(share));
@@ -228,7 +228,7 @@
     // everybody keeps away from where one is on trial.
     crash_watch &crashes = m_env.routing().crashes();
     const bool isSuspected = m_suspicion != suspicion::none;
-    if (!isSuspected && !crashes.suspects().hasTrials())
+    if (!isSuspected && !crashes.suspects().hasProbes())
         return false;
     return crashes.runs().hasSuspected(endpoint.record().id,
                                        isSuspected ? suspicion::weak : suspicion::strong);
@@ -272,7 +272,7 @@
 {
     std::vector<std::size_t> within;
     const std::size_t from = draw % endpoints.size();
-    for (std::size_t i = 0; i < endpoints.size() && within.size() < mostCandidates; ++i) {
+    for (std::size_t i = 0; i < endpoints.size() && within.size() < maxCandidates; ++i) {
         const std::size_t index = (from + i) % endpoints.size();
         const service_endpoint &endpoint = *endpoints[index];
         const bool hasRoom = !endpoint.rateLimit()
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -38,7 +38,7 @@
 {
     m_service = pickService().name;
     m_record.service = m_service;
-    budget().request(m_arrivedAt, allowanceShare());
+    budget().countRequest(m_arrivedAt, allowanceShare());
     m_env.routing().rollouts(m_service).arrived(m_arrivedAt);
 
     m_session = stableHash(m_request->session.empty() ? m_request->id : m_request->session);
@@ -195,14 +195,14 @@
     m_run->suspected = m_suspicion;
     m_isTrial = m_suspicion != suspicion::none;
     if (m_isTrial)
-        crashes.suspects().trialBegan(*m_record.key);
+        crashes.suspects().probeStarted(*m_record.key);
 }
 
 template <flow_environment Env>
 void request_flow<Env>::endTrial()
 {
     if (std::exchange(m_isTrial, false))
-        m_env.routing().suspects().trialEnded(*m_record.key);
+        m_env.routing().suspects().probeFinished(*m_record.key);
 }
 
 template <flow_environment Env>
@@ -232,12 +232,12 @@
     // Another try of the same request shows within the time of an answer whether it does harm:
     // then all go on, or all are refused. Each that went on beside it could end one more endpoint.
     const crash_suspects &suspects = m_env.routing().suspects();
-    if (suspects.isInDoubt(*m_record.key, now())) {
+    if (suspects.isUnconfirmed(*m_record.key, now())) {
         sendAfter(flow_bounds::roomCheck);
         return true;
     }
     const bool isKnown = suspects.withheldUntil(*m_record.key, now()).has_value();
-    if (isKnown || !suspects.isOnTrial(*m_record.key))
+    if (isKnown || !suspects.isProbing(*m_record.key))
         return false;
     return waitAndSend(m_route->objective);
 }
@@ -394,16 +394,16 @@
 template <flow_environment Env>
 milliseconds request_flow<Env>::patienceNow()
 {
-    patience_view view;
+    attempt_wait view;
     view.objective = m_route->objective;
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
-    view.readingMs = m_expectedMs;
+    view.prefillMs = m_expectedMs;
     view.endpointSilent = seemsDead();
     if (m_route->form == answer_form::events)
         view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
-    return patienceFor(view);
+    return attemptTimeoutOf(view);
 }
 
 template <flow_environment Env>
@@ -436,7 +436,7 @@
                       self->watchProgress(number);
                       return;
                   }
-                  if (lackOf(self->facts()) == attempt_lack::nothing)
+                  if (retryBlockerOf(self->facts()) == retry_blocker::nothing)
                       self->endAttempt(attempt_end::silent);
               });
 }
--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -11,9 +11,9 @@
 #include "laurelcroft/Fleet/ServiceDirectory.h"
 #include "laurelcroft/Policy/CandidateSample.h"
 #include "laurelcroft/Policy/ConfidenceCascade.h"
-#include "laurelcroft/Policy/PromptRate.h"
+#include "laurelcroft/Policy/FailureStreak.h"
+#include "laurelcroft/Policy/PrefillRate.h"
 #include "laurelcroft/Policy/RateShare.h"
-#include "laurelcroft/Policy/RepeatOutlook.h"
 #include "laurelcroft/Policy/SendBudget.h"
 #include "laurelcroft/Proxy/CrashWatch.h"
 #include "laurelcroft/Proxy/LeavingWatch.h"
@@ -112,13 +112,13 @@
     std::map<std::string, send_budget, std::less<>> &allRepeats() { return m_repeats; }
 
     /// How the last attempts at endpoints of \p service ended.
-    repeat_outlook &outlook(std::string_view service);
+    failure_streak &outlook(std::string_view service);
 
     /// Recent waits for first parts at endpoints of \p service.
     recent_wait &waits(std::string_view service);
 
     /// How fast \p model reads prompts.
-    prompt_rate &promptRate(std::string_view model);
+    prefill_rate &promptRate(std::string_view model);
 
     /// Is told of each send, with the time that its prompt is thought to take to read and the
     /// prompt's shared prefixes.
@@ -194,9 +194,9 @@
     leaving_watch m_leaving;
     std::map<std::string, rollout_tracker, std::less<>> m_rollouts;
     std::map<std::string, send_budget, std::less<>> m_repeats;
-    std::map<std::string, repeat_outlook, std::less<>> m_outlooks;
+    std::map<std::string, failure_streak, std::less<>> m_outlooks;
     std::map<std::string, recent_wait, std::less<>> m_waits;
-    std::map<std::string, prompt_rate, std::less<>> m_promptRates;
+    std::map<std::string, prefill_rate, std::less<>> m_promptRates;
     struct sample_list
     {
         std::uint64_t revision = 0; ///< of the directory
--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -150,7 +150,7 @@
     for (int i = 0; i < requests; ++i) {
         const trial_request request = draw(i, mix, random);
         for (const late_rating &rating : late.front())
-            learner.learn(item, "g", rating.tier, rating.score, rating.good, rating.released);
+            learner.addRating(item, "g", rating.tier, rating.score, rating.good, rating.released);
         late.pop_front();
         late.emplace_back();
         const auto sample = [&](std::size_t tier, bool good, bool released) {
@@ -164,7 +164,7 @@
         bool takesCheap = false;
         if (start.tier == 0) {
             paid += cheapCost;
-            takesCheap = learner.judge(item, "g", 0, request.score).suffices;
+            takesCheap = learner.evaluate(item, "g", 0, request.score).suffices;
             sample(0, request.cheapGood, takesCheap);
         }
         if (!takesCheap) {
--- a/lib/Policy/CandidateSample.cpp
+++ b/lib/Policy/CandidateSample.cpp
@@ -1,6 +1,7 @@
-//===-- CandidateSample.cpp - few of many endpoints -------------------------===//
+//===-- CandidateSample.cpp - bounded candidate sample --------------------===//
 //
-// One pass over small records finds the homes; a window from a drawn place on gives the rest.
+// A single pass over the endpoints finds the homes; consecutive endpoints from a random offset on
+// give the rest.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CandidateSample.h"
@@ -15,13 +16,13 @@
 
 namespace {
 
-/// The indices that rank first, best first.
+/// The indices of the highest ranks, in descending order.
 class top_ranks
 {
 public:
     void offer(std::uint64_t rank, std::size_t index)
     {
-        const bool isFull = m_kept.size() == homeRanks;
+        const bool isFull = m_kept.size() == homesPerScope;
         if (isFull && rank <= m_kept.back().first)
             return;
         if (isFull)
@@ -67,21 +68,21 @@
                                                        std::uint64_t draw)
 {
     std::vector<std::size_t> indices;
-    if (endpoints.size() <= mostCandidates) {
+    if (endpoints.size() <= maxCandidates) {
         indices.resize(endpoints.size());
         std::iota(indices.begin(), indices.end(), std::size_t(0));
         return indices;
     }
-    indices.reserve(mostCandidates);
+    indices.reserve(maxCandidates);
     if (prompt)
         addHomes(endpoints, *prompt, indices);
     std::size_t elsewhere = 0;
     std::size_t at = draw % endpoints.size();
     for (std::size_t seen = 0; seen < endpoints.size(); ++seen) {
-        if (indices.size() >= mostCandidates - 2 * homeRanks)
+        if (indices.size() >= maxCandidates - 2 * homesPerScope)
             break;
         const bool isNear = endpoints[at].sameDataCentre;
-        if (isNear || elsewhere < mostElsewhere)
+        if (isNear || elsewhere < maxRemoteCandidates)
             indices.push_back(at);
         elsewhere += isNear ? 0 : 1;
         at = at + 1 == endpoints.size() ? 0 : at + 1;
--- a/lib/Policy/CascadeLearner.cpp
+++ b/lib/Policy/CascadeLearner.cpp
@@ -1,8 +1,8 @@
-//===-- CascadeLearner.cpp - when a cheap answer suffices -------------------===//
+//===-- CascadeLearner.cpp - learned cascade thresholds -------------------===//
 //
-// The good share rises with the score, so that the bins are smoothed to be
-// monotone (pool adjacent violators). Old ratings fade, so that the threshold
-// follows a shift of the request mix.
+// The share of good answers rises with the score, so the bins are smoothed to be monotone (pool
+// adjacent violators). Older ratings decay so that the threshold follows changes in the request
+// mix.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CascadeLearner.h"
@@ -15,23 +15,25 @@
 
 namespace {
 
-/// Ratings below which the bundle's start score rules.
-constexpr double ratingsToLearn = 40;
-/// Each new rating fades the older ones of its tier by this factor.
-constexpr double fade = 0.999;
-/// Prior of a bin: as many ratings, split by the bin's own score.
+/// Minimum number of ratings; below it, the bundle's start score is used.
+constexpr double minRatings = 40;
+/// Factor by which each new rating decays the older ratings of its tier.
+constexpr double ratingDecay = 0.999;
+/// Weight of a bin's prior, in ratings; the prior's good share is the bin's own score.
 constexpr double priorWeight = 1.0;
-/// Standard deviations kept between the estimate and the target.
-constexpr double cautiousDeviations = 0.5;
-/// Released answers fade faster than what is known of a bin: they steer.
-constexpr double releasedFade = 0.997;
-constexpr double correction = 1.5;
-constexpr double largestCorrection = 0.08;
-/// Answers that are taken to have sufficed before any was seen: one miss proves little.
-constexpr double hopefulAnswers = 20;
-/// Share of requests that try the cheap tier although it rarely suffices.
+/// Safety margin between estimate and target, in standard deviations.
+constexpr double marginDeviations = 0.5;
+/// The ratings of answers released to callers decay faster than those of bins, since they correct
+/// the target.
+constexpr double releasedDecay = 0.997;
+constexpr double correctionGain = 1.5;
+constexpr double maxCorrection = 0.08;
+/// Number of accepted answers assumed in advance, so that a few rejected ones do not disable a
+/// tier.
+constexpr double priorAcceptedAnswers = 20;
+/// Share of requests that start at the cheap tier for exploration although it is rarely accepted.
 constexpr double exploreShare = 0.02;
-/// The costly tier's good share before it was rated.
+/// Good share of the costly tier before it is rated.
 constexpr double assumedCostlyQuality = 0.97;
 
 } // namespace
@@ -77,39 +79,38 @@
     return m_records[keyOf(item, group, tier)];
 }
 
-void cascade_learner::learn(const cascade &item, std::string_view group, std::size_t tier,
-                            double score, bool good, bool released)
+void cascade_learner::addRating(const cascade &item, std::string_view group, std::size_t tier,
+                                double score, bool good, bool released)
 {
     tier_record &known = record(item, group, tier);
     for (std::size_t i = 0; i < bins; ++i) {
-        known.good[i] *= fade;
-        known.rated[i] *= fade;
+        known.good[i] *= ratingDecay;
+        known.rated[i] *= ratingDecay;
     }
-    known.ratedTotal = known.ratedTotal * fade + 1.0;
+    known.ratedTotal = known.ratedTotal * ratingDecay + 1.0;
     known.rated[binOf(score)] += 1.0;
     known.good[binOf(score)] += good ? 1.0 : 0.0;
     if (!released)
         return;
     released_record &given = m_released[item.name + "/" + std::string(group)];
-    given.good = given.good * releasedFade + (good ? 1.0 : 0.0);
-    given.rated = given.rated * releasedFade + 1.0;
+    given.good = given.good * releasedDecay + (good ? 1.0 : 0.0);
+    given.rated = given.rated * releasedDecay + 1.0;
 }
 
 double cascade_learner::releasedQuality(const cascade &item, std::string_view group) const
 {
     const auto it = m_released.find(item.name + "/" + std::string(group));
-    if (it == m_released.end() || it->second.rated < ratingsToLearn)
+    if (it == m_released.end() || it->second.rated < minRatings)
         return item.qualityTarget;
     return it->second.good / it->second.rated;
 }
 
-/// The estimate by bins errs when the mix shifts; what callers really got corrects it:
-/// quality above the target is given back, quality below it is made up.
-double cascade_learner::wantedQuality(const cascade &item, std::string_view group) const
+/// The estimate by bins is wrong while the request mix changes. The quality that callers actually
+/// received corrects it: a surplus over the target lowers the target, a shortfall raises it.
+double cascade_learner::adjustedTarget(const cascade &item, std::string_view group) const
 {
     const double surplus = releasedQuality(item, group) - item.qualityTarget;
-    return item.qualityTarget
-            - std::clamp(correction * surplus, -largestCorrection, largestCorrection);
+    return item.qualityTarget - std::clamp(correctionGain * surplus, -maxCorrection, maxCorrection);
 }
 
 std::array<double, cascade_learner::bins> cascade_learner::smoothed(const tier_record &record)
@@ -147,8 +148,8 @@
     const tier_record *last = find(item, group, item.tiers.size() - 1);
     if (last == nullptr)
         return assumedCostlyQuality;
-    double good = assumedCostlyQuality * ratingsToLearn;
-    double rated = ratingsToLearn;
+    double good = assumedCostlyQuality * minRatings;
+    double rated = minRatings;
     for (std::size_t i = 0; i < bins; ++i) {
         good += last->good[i];
         rated += last->rated[i];
@@ -156,11 +157,11 @@
     return good / rated;
 }
 
-judgement cascade_learner::threshold(const cascade &item, std::string_view group,
-                                     std::size_t tier) const
+acceptance_decision cascade_learner::threshold(const cascade &item, std::string_view group,
+                                               std::size_t tier) const
 {
     const tier_record *known = find(item, group, tier);
-    if (known == nullptr || known->ratedTotal < ratingsToLearn)
+    if (known == nullptr || known->ratedTotal < minRatings)
         return {false, item.startScore, false};
     const std::array<double, bins> share = smoothed(*known);
     double seen = 0;
@@ -169,17 +170,17 @@
     if (seen <= 0)
         return {false, item.startScore, false};
     const double costly = costlyQuality(item, group);
-    // From the highest bin down: accept one more bin as long as the whole mix keeps
-    // the target with its margin, and of the last one the part that still fits.
+    // From the highest bin down, accept further bins as long as the whole mix meets the target plus
+    // margin; accept the fraction of the last bin that still fits.
     double quality = costly;
-    const double wanted = wantedQuality(item, group);
+    const double wanted = adjustedTarget(item, group);
     double variance = 0;
     double lowest = bins;
     for (std::size_t i = bins; i-- > 0;) {
         const double weight = known->seen[i] / seen;
         const double next = quality + weight * (share[i] - costly);
         variance += weight * weight * share[i] * (1 - share[i]) / (known->rated[i] + priorWeight);
-        const double needed = wanted + cautiousDeviations * std::sqrt(variance);
+        const double needed = wanted + marginDeviations * std::sqrt(variance);
         if (next < needed) {
             const double part = quality > needed ? (quality - needed) / (quality - next) : 0.0;
             lowest = static_cast<double>(i + 1) - part;
@@ -191,25 +192,25 @@
     return {false, lowest / bins, true};
 }
 
-judgement cascade_learner::judge(const cascade &item, std::string_view group, std::size_t tier,
-                                 double score)
+acceptance_decision cascade_learner::evaluate(const cascade &item, std::string_view group,
+                                              std::size_t tier, double score)
 {
-    judgement result = threshold(item, group, tier);
+    acceptance_decision result = threshold(item, group, tier);
     tier_record &known = record(item, group, tier);
     for (double &count : known.seen)
-        count *= fade;
+        count *= ratingDecay;
     known.seen[binOf(score)] += 1.0;
     result.suffices = result.threshold < 1.0 && score >= result.threshold;
     return result;
 }
 
-double cascade_learner::acceptShare(const cascade &item, std::string_view group,
-                                    std::size_t tier) const
+double cascade_learner::acceptanceRate(const cascade &item, std::string_view group,
+                                       std::size_t tier) const
 {
     const tier_record *known = find(item, group, tier);
     if (known == nullptr)
         return 1.0;
-    const judgement now = threshold(item, group, tier);
+    const acceptance_decision now = threshold(item, group, tier);
     double seen = 0;
     double accepted = 0;
     for (std::size_t i = 0; i < bins; ++i) {
@@ -217,7 +218,7 @@
         if (static_cast<double>(i) / bins >= now.threshold)
             accepted += known->seen[i];
     }
-    return (accepted + hopefulAnswers) / (seen + hopefulAnswers);
+    return (accepted + priorAcceptedAnswers) / (seen + priorAcceptedAnswers);
 }
 
 start_decision cascade_learner::chooseStart(const bundle &rules, const cascade &item,
@@ -227,7 +228,7 @@
     const std::size_t last = item.tiers.size() - 1;
     if (!item.repeatable)
         return {last, start_reason::mayNotRepeat};
-    // A tier that fails costs its own time before the costly one starts.
+    // If the cheap tier's answer is rejected, its time is lost before the costly tier starts.
     if (timeLeftMs < 2 * expectedMs)
         return {last, start_reason::noTimeLeft};
     for (std::size_t tier = 0; tier < last; ++tier) {
@@ -236,7 +237,7 @@
         if (cheap == nullptr || costly == nullptr)
             continue;
         const double needed = costly->outputCost > 0 ? cheap->outputCost / costly->outputCost : 1;
-        if (acceptShare(item, group, tier) > needed)
+        if (acceptanceRate(item, group, tier) > needed)
             return {tier, start_reason::cheapFirst};
     }
     if (random.chance(exploreShare))
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -1,8 +1,8 @@
-//===-- CrashSuspects.cpp - requests that end endpoints ---------------------===//
+//===-- CrashSuspects.cpp - requests that crash endpoints -----------------===//
 //
-// Ends count one after the other: runs that were under way together tell no more than one of them.
-// Without that a request that everybody sends would be withheld within 0.4 s where eight of 24
-// endpoints end a second.
+// Only consecutive ends count: several runs that were in progress at the same time count as one.
+// Otherwise a harmless request that all callers send would be withheld within 0.4 s while eight of
+// 24 endpoints end per second.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/CrashSuspects.h"
@@ -15,15 +15,16 @@
 
 namespace {
 
-/// A request is sent on at the moment of an end, which entries tell this far apart: the way of a
-/// datagram, and what a look at an address takes.
-constexpr milliseconds sameMoment{20};
-/// Explained ends that are remembered: other entries tell of them within milliseconds.
-constexpr std::size_t mostExplained = 256;
-/// Ends that are remembered of one request.
-constexpr std::size_t mostEndsKept = 8;
-/// Versions of a service that are remembered of one request, the last ones: one or two run.
-constexpr std::size_t mostVersionsKept = 8;
+/// Runs that overlap by no more than this count as consecutive. A request is sent to another
+/// endpoint as soon as one ends, and entries report the same end at times that differ by the
+/// latency of a datagram plus a connection check.
+constexpr milliseconds overlapTolerance{20};
+/// Number of attributed ends kept; other entries report the same end within milliseconds.
+constexpr std::size_t maxExplained = 256;
+/// Number of ends kept per request.
+constexpr std::size_t maxEndsKept = 8;
+/// Number of versions kept per withheld request, the latest ones; a service runs one or two.
+constexpr std::size_t maxVersionsKept = 8;
 
 } // namespace
 
@@ -53,11 +54,11 @@
     return std::find(m_explained.begin(), m_explained.end(), endpoint) != m_explained.end();
 }
 
-void crash_suspects::explain(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys)
+void crash_suspects::markExplained(std::uint64_t endpoint, std::span<const std::uint64_t> byKeys)
 {
     if (!isExplained(endpoint))
         m_explained.push_back(endpoint);
-    if (m_explained.size() > mostExplained)
+    if (m_explained.size() > maxExplained)
         m_explained.pop_front();
     std::erase_if(m_unexplained,
                   [endpoint](const endpoint_end &end) { return end.endpoint == endpoint; });
@@ -70,7 +71,7 @@
     }
 }
 
-bool crash_suspects::count(const endpoint_end &end, const young_request &request)
+bool crash_suspects::addEnd(const endpoint_end &end, const recent_request &request)
 {
     if (isCleared(request.key, end.version, end.at))
         return false;
@@ -79,34 +80,34 @@
     const bool isNews
             = std::none_of(item.ends.begin(), item.ends.end(), [&](const counted_end &known) {
                   return known.endpoint == added.endpoint
-                          || (known.sentAt + sameMoment < added.leftAt
-                              && added.sentAt + sameMoment < known.leftAt);
+                          || (known.sentAt + overlapTolerance < added.leftAt
+                              && added.sentAt + overlapTolerance < known.leftAt);
               });
     if (!isNews)
         return false;
-    if (item.ends.size() < mostEndsKept)
+    if (item.ends.size() < maxEndsKept)
         item.ends.push_back(added);
     item.lastAt = end.at;
     return true;
 }
 
-bool crash_suspects::isEnough(std::uint64_t key, time_point now)
+bool crash_suspects::hasEnoughEnds(std::uint64_t key, time_point now)
 {
     std::erase_if(m_unexplained,
-                  [now](const endpoint_end &end) { return now - end.at > endsWindow; });
-    // It has done so at another version: one end tells that it does here as well.
+                  [now](const endpoint_end &end) { return now - end.at > unexplainedEndsWindow; });
+    // Already withheld for another version: one end suffices for this version.
     if (m_withheld.count(key) != 0)
         return true;
-    const bool endByThemselves = m_unexplained.size() >= ordinaryEnds;
-    return endsOf(key) >= (endByThemselves ? enoughAmongEnds : enoughEnds);
+    const bool isUnstable = m_unexplained.size() >= minUnexplainedEnds;
+    return endsOf(key) >= (isUnstable ? endsToWithholdUnstable : endsToWithhold);
 }
 
-unsigned crash_suspects::endsBefore(const young_request &request) const
+unsigned crash_suspects::priorEnds(const recent_request &request) const
 {
     if (m_withheld.count(request.key) != 0)
-        return enoughEnds;
-    const unsigned told = request.ends > 0 ? request.ends - 1 : 0;
-    return std::max(endsOf(request.key), told);
+        return endsToWithhold;
+    const unsigned reported = request.ends > 0 ? request.ends - 1 : 0;
+    return std::max(endsOf(request.key), reported);
 }
 
 std::vector<std::uint64_t> crash_suspects::endpointsOf(std::uint64_t key) const
@@ -115,8 +116,8 @@
     return it == m_suspects.end() ? std::vector<std::uint64_t>() : it->second.endpoints();
 }
 
-void crash_suspects::suspectFor(std::uint64_t key, std::span<const std::uint64_t> endpoints,
-                                time_point now)
+void crash_suspects::addReportedEnds(std::uint64_t key, std::span<const std::uint64_t> endpoints,
+                                     time_point now)
 {
     if (endpoints.empty() || m_cleared.count(key) != 0)
         return;
@@ -124,52 +125,53 @@
     const std::vector<std::uint64_t> known = item.endpoints();
     for (const std::uint64_t endpoint : endpoints) {
         const bool isNew = std::find(known.begin(), known.end(), endpoint) == known.end();
-        // Whoever tells has counted them one after the other, all before what comes now.
-        if (isNew && item.ends.size() < mostEndsKept)
+        // The reporting entry has counted these ends as consecutive, all before any later one.
+        if (isNew && item.ends.size() < maxEndsKept)
             item.ends.push_back({endpoint, {}, {}});
     }
     item.lastAt = now;
 }
 
-bool crash_suspects::blame(const endpoint_end &end, young_request &request)
+bool crash_suspects::attributeEnd(const endpoint_end &end, recent_request &request)
 {
     std::erase(request.earlier, end.endpoint);
-    suspectFor(request.key, request.earlier, end.at);
-    const bool isNew = count(end, request);
+    addReportedEnds(request.key, request.earlier, end.at);
+    const bool isNew = addEnd(end, request);
     request.ends = std::max(request.ends, endsOf(request.key));
-    return isNew && !isWithheld(request.key, end.version, end.at) && isEnough(request.key, end.at);
+    return isNew && !isWithheld(request.key, end.version, end.at)
+            && hasEnoughEnds(request.key, end.at);
 }
 
-std::vector<std::uint64_t> crash_suspects::blameStrongest(const endpoint_end &end,
-                                                          std::span<young_request> young,
-                                                          unsigned leastBefore)
+std::vector<std::uint64_t> crash_suspects::attributeToStrongest(const endpoint_end &end,
+                                                                std::span<recent_request> recent,
+                                                                unsigned leastBefore)
 {
     std::vector<std::uint64_t> blamed;
     std::vector<std::uint64_t> found;
-    for (young_request &request : young) {
-        if (endsBefore(request) < leastBefore)
+    for (recent_request &request : recent) {
+        if (priorEnds(request) < leastBefore)
             continue;
         blamed.push_back(request.key);
-        if (blame(end, request))
+        if (attributeEnd(end, request))
             found.push_back(request.key);
     }
-    explainBy(blamed);
+    explainEarlierEnds(blamed);
     if (leastBefore > 0)
-        explain(end.endpoint, blamed);
-    // Of two that ended the same ones one is innocent: they are sent apart the next time.
-    if (found.size() > 1 && endsOf(found.front()) < enoughAmongEnds)
+        markExplained(end.endpoint, blamed);
+    // With the same ends, one of two requests may be harmless: they are sent separately next time.
+    if (found.size() > 1 && endsOf(found.front()) < endsToWithholdUnstable)
         found.clear();
     return found;
 }
 
-void crash_suspects::explainBy(std::span<const std::uint64_t> keys)
+void crash_suspects::explainEarlierEnds(std::span<const std::uint64_t> keys)
 {
     unsigned most = 0;
     for (const std::uint64_t key : keys)
         most = std::max(most, endsOf(key));
-    if (most < endsThatExplain)
+    if (most < minEndsToExplain)
         return;
-    // The earlier ends were theirs, too: what else was young there is in the clear.
+    // The earlier ends were caused by these requests too; clear the others.
     std::vector<std::uint64_t> strongest;
     std::vector<std::uint64_t> endpoints;
     for (const std::uint64_t key : keys) {
@@ -180,23 +182,24 @@
         endpoints.insert(endpoints.end(), ended.begin(), ended.end());
     }
     for (const std::uint64_t endpoint : endpoints)
-        explain(endpoint, strongest);
+        markExplained(endpoint, strongest);
 }
 
-std::vector<std::uint64_t> crash_suspects::ended(const endpoint_end &end,
-                                                 std::span<young_request> young)
+std::vector<std::uint64_t> crash_suspects::recordEnd(const endpoint_end &end,
+                                                     std::span<recent_request> recent)
 {
     expire(end.at);
-    // Who has ended others before is to blame for this one, too; nobody else is.
+    // A request with earlier ends is to blame for this one too, and no other request is.
     unsigned most = 0;
-    for (const young_request &request : young)
-        most = std::max(most, endsBefore(request));
-    const bool isExplainedHere = most >= endsThatExplain;
+    for (const recent_request &request : recent)
+        most = std::max(most, priorEnds(request));
+    const bool isExplainedHere = most >= minEndsToExplain;
     if (!isExplainedHere && isExplained(end.endpoint))
         return {};
-    std::vector<std::uint64_t> found = blameStrongest(end, young, isExplainedHere ? most : 0);
-    noteUnexplained(end);
-    // Read before the first one is withheld, which takes its ends from all others.
+    std::vector<std::uint64_t> found
+            = attributeToStrongest(end, recent, isExplainedHere ? most : 0);
+    addUnexplained(end);
+    // Copied before the first request is withheld, which removes its ends from all others.
     std::vector<withheld_request> findings;
     findings.reserve(found.size());
     for (const std::uint64_t key : found)
@@ -207,20 +210,20 @@
     return found;
 }
 
-void crash_suspects::noteUnexplained(const endpoint_end &end)
+void crash_suspects::addUnexplained(const endpoint_end &end)
 {
-    // Each entry that had young requests there tells of the same end.
+    // Every entry with recent requests at the endpoint reports the same end.
     const bool isKnown = std::any_of(
             m_unexplained.begin(), m_unexplained.end(),
             [&](const endpoint_end &known) { return known.endpoint == end.endpoint; });
-    if (isKnown || isExplained(end.endpoint) || m_unexplained.size() >= mostExplained)
+    if (isKnown || isExplained(end.endpoint) || m_unexplained.size() >= maxExplained)
         return;
     m_unexplained.push_back(end);
 }
 
 bool crash_suspects::clear(std::uint64_t key, std::string_view version, time_point now)
 {
-    const bool isStrong = endsOf(key) >= endsThatExplain || isWithheld(key, version, now);
+    const bool isStrong = endsOf(key) >= minEndsToExplain || isWithheld(key, version, now);
     const bool isKnown = m_suspects.erase(key) != 0 || m_withheld.count(key) != 0;
     if (!isKnown)
         return false;
@@ -229,7 +232,7 @@
         if (it->second.versions.empty())
             m_withheld.erase(it);
     }
-    if (m_cleared.size() >= mostCleared) {
+    if (m_cleared.size() >= maxCleared) {
         const auto oldest = std::min_element(
                 m_cleared.begin(), m_cleared.end(),
                 [](const auto &a, const auto &b) { return a.second.until < b.second.until; });
@@ -239,10 +242,10 @@
     return isStrong;
 }
 
-bool crash_suspects::isInDoubt(std::uint64_t key, time_point now) const
+bool crash_suspects::isUnconfirmed(std::uint64_t key, time_point now) const
 {
     const auto it = m_withheld.find(key);
-    return it != m_withheld.end() && now < it->second.until && now < it->second.firmAt;
+    return it != m_withheld.end() && now < it->second.until && now < it->second.confirmedAt;
 }
 
 suspicion crash_suspects::suspicionOf(std::uint64_t key, time_point now) const
@@ -250,7 +253,7 @@
     if (withheldUntil(key, now))
         return suspicion::strong;
     const auto it = m_suspects.find(key);
-    if (it == m_suspects.end() || now - it->second.lastAt > memory)
+    if (it == m_suspects.end() || now - it->second.lastAt > suspicionLifetime)
         return suspicion::none;
     return it->second.ends.size() > 1 ? suspicion::strong : suspicion::weak;
 }
@@ -276,7 +279,7 @@
 {
     if (now >= request.until)
         return false;
-    if (m_withheld.size() >= mostWithheld && m_withheld.count(key) == 0)
+    if (m_withheld.size() >= maxWithheld && m_withheld.count(key) == 0)
         return false;
     const bool isClearedAtAll
             = std::all_of(request.versions.begin(), request.versions.end(),
@@ -291,17 +294,17 @@
         if (std::find(known.versions.begin(), known.versions.end(), version)
             != known.versions.end())
             continue;
-        if (known.versions.size() >= mostVersionsKept)
+        if (known.versions.size() >= maxVersionsKept)
             known.versions.erase(known.versions.begin());
         known.versions.push_back(version);
-        known.firmAt = now + firmAfter;
+        known.confirmedAt = now + confirmationDelay;
         isNews = true;
     }
     for (const std::uint64_t endpoint : request.ended) {
         if (std::find(known.ended.begin(), known.ended.end(), endpoint) == known.ended.end()
-            && known.ended.size() < mostEndsKept)
+            && known.ended.size() < maxEndsKept)
             known.ended.push_back(endpoint);
-        explain(endpoint, std::span(&key, 1));
+        markExplained(endpoint, std::span(&key, 1));
     }
     return isNews;
 }
@@ -312,21 +315,21 @@
     m_suspects.erase(key);
 }
 
-void crash_suspects::trialEnded(std::uint64_t key)
+void crash_suspects::probeFinished(std::uint64_t key)
 {
-    const auto it = m_trials.find(key);
-    if (it != m_trials.end() && --it->second == 0)
-        m_trials.erase(it);
+    const auto it = m_probes.find(key);
+    if (it != m_probes.end() && --it->second == 0)
+        m_probes.erase(it);
 }
 
 void crash_suspects::expire(time_point now)
 {
     std::erase_if(m_suspects,
-                  [now](const auto &item) { return now - item.second.lastAt > memory; });
+                  [now](const auto &item) { return now - item.second.lastAt > suspicionLifetime; });
     std::erase_if(m_cleared, [now](const auto &item) { return now >= item.second.until; });
     std::erase_if(m_withheld, [now](const auto &item) { return now >= item.second.until; });
-    // The oldest of those that least speaks against go first.
-    while (m_suspects.size() > mostSuspects) {
+    // Evict those with the fewest ends first, among equals the oldest.
+    while (m_suspects.size() > maxSuspects) {
         const auto least = std::min_element(
                 m_suspects.begin(), m_suspects.end(), [](const auto &a, const auto &b) {
                     return std::pair(a.second.ends.size(), a.second.lastAt)
--- a/lib/Policy/Health.cpp
+++ b/lib/Policy/Health.cpp
@@ -1,6 +1,6 @@
-//===-- Health.cpp - retry budget and ejection ------------------------------===//
+//===-- Health.cpp - retry budget and ejection ----------------------------===//
 //
-// Both are driven by results alone and read no clock of their own.
+// Both are updated by results only; the caller passes in the time.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/Health.h"
@@ -12,7 +12,7 @@
 namespace {
 constexpr int failuresToEject = 3;
 constexpr duration firstEjection = seconds(2);
-constexpr int mostDoublings = 5;
+constexpr int maxDoublings = 5;
 } // namespace
 
 bool retry_budget::spend()
@@ -37,7 +37,7 @@
     if (item.failures < failuresToEject)
         return;
     item.failures = 0;
-    item.until = now + firstEjection * (1 << std::min(item.ejections, mostDoublings));
+    item.until = now + firstEjection * (1 << std::min(item.ejections, maxDoublings));
     item.ejections += 1;
 }
 
@@ -49,5 +49,5 @@
 
 bool endpoint_ejection::mayEject(std::size_t ejected, std::size_t poolSize)
 {
-    return static_cast<double>(ejected) <= ceilingShare * static_cast<double>(poolSize);
+    return static_cast<double>(ejected) <= maxEjectedShare * static_cast<double>(poolSize);
 }
--- a/lib/Policy/SendBudget.cpp
+++ b/lib/Policy/SendBudget.cpp
@@ -1,7 +1,8 @@
-//===-- SendBudget.cpp - a bound on further sends ---------------------------===//
+//===-- SendBudget.cpp - budget for repeated sends ------------------------===//
 //
-// A token bucket that requests fill. What it may hold follows the requests of the last window, in
-// buckets of a fifth of a second; a bucket counts while all of it lies in the window.
+// A token bucket that is filled by requests. Its capacity depends on the requests of the last
+// window, which are counted in buckets of a fifth of a second; a bucket counts while it lies
+// entirely in the window.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/SendBudget.h"
@@ -13,18 +14,20 @@
 namespace {
 
 constexpr milliseconds bucketLength{200};
-/// Part of what a window's requests earn that is saved. The loss of a data centre takes the answers
-/// of a second or two with it, which are all sent again at once.
-constexpr double savedPart = 0.25;
-/// Part of an entry's share of the allowance that it may save, and part that it is given over each
-/// window. The rest is for entries that have joined and that others don't know yet.
+/// Fraction of a window's earnings that can be saved. When a data centre is lost, one or two
+/// seconds' worth of requests lose their responses and are all sent again at once.
+constexpr double savedFraction = 0.25;
+/// Fraction of an entry's share of the allowance that it may save, and fraction that it receives
+/// over each window. The rest is reserved for entries that have joined but are not known to others
+/// yet.
 constexpr double allowanceSaved = 0.5;
 constexpr double allowanceGiven = 0.25;
-/// Part of the savings beyond a few sends that is kept from larger models: a repeat saves an
-/// answer, a larger model betters it. Of a few nothing is kept: an entry with a request now and
-/// then would hardly ever ask a larger model.
-constexpr double keptForRepeats = 0.5;
-constexpr double fewSends = 4;
+/// Fraction of the capacity, beyond the first few sends, that larger models cannot use: a repeat
+/// saves a request, whereas a larger model only improves an answer. Nothing is reserved of the
+/// first few sends; otherwise an entry that rarely gets a request could hardly ever use a larger
+/// model.
+constexpr double reservedForRepeats = 0.5;
+constexpr double unreservedSends = 4;
 
 } // namespace
 
@@ -43,12 +46,12 @@
 
 static double earnedBy(const send_budget_bounds &bounds, std::size_t requests)
 {
-    return bounds.ratio / (1 + savedPart) * static_cast<double>(requests);
+    return bounds.ratio / (1 + savedFraction) * static_cast<double>(requests);
 }
 
-double send_budget::mostSaved() const
+double send_budget::maxSaved() const
 {
-    return savedPart * earnedBy(m_bounds, m_requests)
+    return savedFraction * earnedBy(m_bounds, m_requests)
             + allowanceSaved * m_bounds.allowance * m_share;
 }
 
@@ -63,20 +66,20 @@
         m_requests -= m_buckets.front().requests;
         m_buckets.pop_front();
     }
-    m_saved = std::min(m_saved, mostSaved());
+    m_saved = std::min(m_saved, maxSaved());
 }
 
-void send_budget::request(time_point now, double share)
+void send_budget::countRequest(time_point now, double share)
 {
     advance(now, share);
     if (m_buckets.empty() || now - m_buckets.back().from >= bucketLength)
         m_buckets.push_back({now, 0});
     ++m_buckets.back().requests;
     ++m_requests;
-    m_saved = std::min(m_saved + earnedBy(m_bounds, 1), mostSaved());
+    m_saved = std::min(m_saved + earnedBy(m_bounds, 1), maxSaved());
 }
 
-double send_budget::left(time_point now, double share)
+double send_budget::availableSends(time_point now, double share)
 {
     advance(now, share);
     return m_saved + m_rounding;
@@ -85,8 +88,8 @@
 bool send_budget::allows(time_point now, double share, further_send what)
 {
     advance(now, share);
-    const double beyondFew = std::max(0.0, mostSaved() - fewSends);
-    const double kept = what == further_send::largerModel ? keptForRepeats * beyondFew : 0;
+    const double beyondFew = std::max(0.0, maxSaved() - unreservedSends);
+    const double kept = what == further_send::largerModel ? reservedForRepeats * beyondFew : 0;
     return m_saved + m_rounding >= 1 + kept;
 }
 
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -37,7 +37,7 @@
 bool end_notice::isUrgent() const
 {
     return std::any_of(requests.begin(), requests.end(), [](const noticed_request &request) {
-        return request.ends >= crash_suspects::endsThatExplain;
+        return request.ends >= crash_suspects::minEndsToExplain;
     });
 }
 
@@ -78,7 +78,7 @@
 /// \returns a time of a request that is young: longer ones are cut.
 static milliseconds timeIn(const json &item)
 {
-    const milliseconds longest = crash_suspects::endsWindow;
+    const milliseconds longest = crash_suspects::unexplainedEndsWindow;
     return milliseconds(
             std::min<std::uint64_t>(item.get<std::uint64_t>(), std::uint64_t(longest.count())));
 }
@@ -97,7 +97,7 @@
         if (!isRequest(&item[i]))
             return std::nullopt;
         const auto ends = std::min<std::uint64_t>(item[i + 3].get<std::uint64_t>(),
-                                                  crash_suspects::enoughAmongEnds);
+                                                  crash_suspects::endsToWithholdUnstable);
         notice.requests.push_back({item[i].get<request_key>(), timeIn(item[i + 1]),
                                    timeIn(item[i + 2]), static_cast<unsigned>(ends),
                                    item[i + 4].get<std::vector<std::uint64_t>>()});
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -20,7 +20,7 @@
 /// Young requests of an ended endpoint, each once, and a run of each at the same index.
 struct young_runs
 {
-    std::vector<young_request> requests;
+    std::vector<recent_request> requests;
     std::vector<std::shared_ptr<endpoint_run>> runs;
 };
 
@@ -32,7 +32,7 @@
     return stableHash(record.id, record.startedAt);
 }
 
-static std::string textOfKeys(std::span<const young_request> requests)
+static std::string textOfKeys(std::span<const recent_request> requests)
 {
     std::string text;
     for (std::size_t i = 0; i < std::min(requests.size(), mostKeysLogged); ++i)
@@ -45,11 +45,11 @@
 {
     young_runs young;
     for (const std::shared_ptr<endpoint_run> &run : runs) {
-        const young_request request{
+        const recent_request request{
                 keyOf(*run->request), run->sentAt, run->leftAt.value_or(at), 0, {}};
         const auto known
                 = std::find_if(young.requests.begin(), young.requests.end(),
-                               [&](const young_request &item) { return item.key == request.key; });
+                               [&](const recent_request &item) { return item.key == request.key; });
         if (known == young.requests.end()) {
             young.requests.push_back(request);
             young.runs.push_back(run);
@@ -76,9 +76,9 @@
     if (isPlanned || young.empty())
         return;
     const endpoint_end end{hashOf(record), record.service, record.softwareVersion, at};
-    const std::vector<request_key> found = m_suspects.ended(end, young);
+    const std::vector<request_key> found = m_suspects.recordEnd(end, young);
     end_notice notice{end.endpoint, end.service, end.version, {}};
-    for (const young_request &request : young) {
+    for (const recent_request &request : young) {
         const auto age = std::chrono::duration_cast<milliseconds>(at - request.sentAt);
         const auto lasted
                 = std::chrono::duration_cast<milliseconds>(request.leftAt - request.sentAt);
@@ -90,7 +90,7 @@
         m_links.tellEnd(notice);
     for (std::size_t i = 0; i < young.size(); ++i) {
         const request_key key = young[i].key;
-        if (young[i].ends < crash_suspects::endsThatExplain)
+        if (young[i].ends < crash_suspects::minEndsToExplain)
             continue;
         enqueue(key, *runs[i], end.service);
         if (std::find(found.begin(), found.end(), key) != found.end())
@@ -145,7 +145,7 @@
 
 void crash_watch::take(const end_notice &notice, time_point now)
 {
-    std::vector<young_request> young;
+    std::vector<recent_request> young;
     young.reserve(notice.requests.size());
     for (const noticed_request &request : notice.requests) {
         // Whoever doesn't know it yet, since it has just started or was cut off, is told.
@@ -158,9 +158,9 @@
     const endpoint_end end{notice.endpoint, notice.service, notice.version, now};
     std::vector<unsigned> before;
     before.reserve(young.size());
-    for (const young_request &request : young)
+    for (const recent_request &request : young)
         before.push_back(m_suspects.endsOf(request.key));
-    const std::vector<request_key> found = m_suspects.ended(end, young);
+    const std::vector<request_key> found = m_suspects.recordEnd(end, young);
     passOn(notice, before);
     for (const request_key key : found) {
         ++m_newlyWithheld;
@@ -231,7 +231,7 @@
         return;
     m_fromRows.insert(key);
     if (row.versions.empty()) {
-        m_suspects.suspectFor(key, row.ended, now);
+        m_suspects.addReportedEnds(key, row.ended, now);
         return;
     }
     if (!m_suspects.withhold(key, {row.service, row.versions, row.ended, until, {}}, now))
@@ -267,7 +267,7 @@
 bool crash_watch::isFinding(request_key key) const
 {
     return m_suspects.withheld().count(key) != 0
-            || m_suspects.endsOf(key) >= crash_suspects::endsThatExplain;
+            || m_suspects.endsOf(key) >= crash_suspects::minEndsToExplain;
 }
 
 void crash_watch::fillIn(withheld_row &row, request_key key) const
@@ -281,13 +281,13 @@
 std::optional<unwritten_finding> crash_watch::unwritten(time_point now)
 {
     std::erase_if(m_unwritten, [&](const unwritten_finding &item) { return !isFinding(item.key); });
-    if (m_unwritten.empty() || m_suspects.isInDoubt(m_unwritten.front().key, now))
+    if (m_unwritten.empty() || m_suspects.isUnconfirmed(m_unwritten.front().key, now))
         return std::nullopt;
     unwritten_finding finding = m_unwritten.front();
     fillIn(finding.row, finding.key);
     const auto known = m_suspects.withheld().find(finding.key);
     finding.left = known == m_suspects.withheld().end()
-            ? milliseconds(crash_suspects::memory)
+            ? milliseconds(crash_suspects::suspicionLifetime)
             : std::chrono::duration_cast<milliseconds>(known->second.until - now);
     return finding;
 }
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -96,7 +96,7 @@
 
 bool rollout_tracker::isForTarget(const session_request &request) const
 {
-    return isCurrent() && isAmongShare(shareAt(request.arrivedAt), request.session);
+    return isCurrent() && isInShare(shareAt(request.arrivedAt), request.session);
 }
 
 bool rollout_tracker::stopsAlone(time_point now)
@@ -246,7 +246,7 @@
     view.now = storeNow;
     view.exposure = m_exposure;
     view.requestsPerSecond = static_cast<double>(m_arrivals.size() * entries);
-    view.judged = m_judge.judged();
+    view.evaluatedAnswers = m_judge.judged();
     view.suspected = m_judge.isSuspected();
     view.foundBad = m_judge.isFoundBad();
     view.othersKnown = othersKnown;
--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -1,14 +1,14 @@
-//===-- SendBudgetTests.cpp - how many further sends, and which -------------===//
+//===-- SendBudgetTests.cpp - budget of further sends ---------------------===//
 //
-// The budget alone, without flows: what one process may spend, and that no series of requests,
-// sends and new processes takes the sum over its bound.
+// Tests the budget alone, without request flows: what one process may spend, and that no sequence
+// of requests, sends and process restarts exceeds the bound on the sum.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Policy/SendBudget.h"
 
 #include "RepeatRule.h"
 
-#include "laurelcroft/Policy/RepeatOutlook.h"
+#include "laurelcroft/Policy/FailureStreak.h"
 #include "laurelcroft/Support/Random.h"
 
 #include <doctest/doctest.h>
@@ -17,26 +17,26 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("a repeat has no chance after many failures in a row, until one succeeds or they are old")
+TEST_CASE("repeats are futile after many consecutive failures, until a success or expiry")
 {
-    repeat_outlook outlook;
+    failure_streak outlook;
     time_point now{seconds(100)};
     const time_point begin = now;
-    for (unsigned i = 1; i < repeat_outlook::hopelessAfter; ++i) {
+    for (unsigned i = 1; i < failure_streak::failuresToGiveUp; ++i) {
         outlook.failed(now);
-        CHECK(!outlook.isHopeless(now));
+        CHECK(!outlook.isRepeatFutile(now));
         now += milliseconds(50);
     }
     outlook.failed(now);
-    CHECK(outlook.isHopeless(now));
-    CHECK(outlook.expectedLeft(now) == std::chrono::ceil<milliseconds>(now - begin));
-    CHECK(!outlook.isHopeless(now + repeat_outlook::fresh + milliseconds(1)));
+    CHECK(outlook.isRepeatFutile(now));
+    CHECK(outlook.expectedRemaining(now) == std::chrono::ceil<milliseconds>(now - begin));
+    CHECK(!outlook.isRepeatFutile(now + failure_streak::failureLifetime + milliseconds(1)));
     outlook.succeeded();
-    CHECK(!outlook.isHopeless(now));
-    CHECK(outlook.expectedLeft(now) == milliseconds(0));
+    CHECK(!outlook.isRepeatFutile(now));
+    CHECK(outlook.expectedRemaining(now) == milliseconds(0));
 }
 
-TEST_CASE("repeats stay within the ratio in every window, and return with time")
+TEST_CASE("repeats stay within the ratio in every window, and are allowed again later")
 {
     const send_budget_bounds bounds{0.5, 4, seconds(10)};
     send_budget budget(bounds);
@@ -44,7 +44,7 @@
     unsigned repeats = 0;
     for (int i = 0; i < 200; ++i) {
         now += milliseconds(50);
-        budget.request(now, 0.5);
+        budget.countRequest(now, 0.5);
         for (int j = 0; j < 3; ++j)
             repeats += budget.take(now, 0.5, further_send::repeat) ? 1 : 0;
     }
@@ -54,7 +54,7 @@
     CHECK(budget.allows(now, 0.5, further_send::repeat));
 }
 
-TEST_CASE("entries share the allowance between them")
+TEST_CASE("entries share the allowance")
 {
     const auto alone = [](double share) {
         send_budget budget({0.5, 40, seconds(10)});
@@ -72,7 +72,7 @@
     CHECK(alone(0) == 0);
 }
 
-TEST_CASE("a process begins without savings, and saves a part of a window only")
+TEST_CASE("a process starts without savings and saves only a fraction of a window")
 {
     const send_budget_bounds bounds{0.9, 0, seconds(10)};
     const auto spent = [](send_budget &budget, time_point now) {
@@ -82,46 +82,46 @@
         return count;
     };
     const time_point begin{seconds(100)};
-    send_budget young(bounds);
-    CHECK(spent(young, begin) == 0);
+    send_budget restarted(bounds);
+    CHECK(spent(restarted, begin) == 0);
 
-    send_budget old(bounds);
+    send_budget running(bounds);
     time_point now = begin;
     for (int i = 0; i < 1000; ++i)
-        old.request(now += milliseconds(10), 0);
-    const unsigned saved = spent(old, now);
+        running.countRequest(now += milliseconds(10), 0);
+    const unsigned saved = spent(running, now);
     CHECK(saved > 100);
     CHECK(saved <= 225);
-    CHECK(spent(old, now + seconds(11)) == 0);
+    CHECK(spent(running, now + seconds(11)) == 0);
 }
 
-TEST_CASE("larger models leave repeats a part of what is saved")
+TEST_CASE("larger models leave a part of the savings to repeats")
 {
     send_budget budget({0.9, 0, seconds(10)});
     time_point now{seconds(100)};
     for (int i = 0; i < 1000; ++i)
-        budget.request(now += milliseconds(10), 0);
+        budget.countRequest(now += milliseconds(10), 0);
     unsigned larger = 0;
     while (budget.take(now, 0, further_send::largerModel))
         ++larger;
     CHECK(larger > 0);
-    CHECK(budget.left(now, 0) >= larger / 4.0);
+    CHECK(budget.availableSends(now, 0) >= larger / 4.0);
     CHECK(budget.take(now, 0, further_send::repeat));
 }
 
-TEST_CASE("a send that is given back can be made again")
+TEST_CASE("a refunded send can be made again")
 {
     send_budget budget({0.9, 0, seconds(10)});
     const time_point now{seconds(100)};
     for (int i = 0; i < 100; ++i)
-        budget.request(now, 0);
-    const double before = budget.left(now, 0);
+        budget.countRequest(now, 0);
+    const double before = budget.availableSends(now, 0);
     REQUIRE(budget.take(now, 0, further_send::repeat));
-    budget.giveBack();
-    CHECK(budget.left(now, 0) == doctest::Approx(before));
+    budget.refund();
+    CHECK(budget.availableSends(now, 0) == doctest::Approx(before));
 }
 
-TEST_CASE("many entries with a request now and then make as many sends as they earn")
+TEST_CASE("many entries with few requests make as many sends as they have earned")
 {
     // Each process alone has earned less than one send when its only request fails.
     constexpr unsigned processes = 1000;
@@ -131,7 +131,7 @@
     unsigned sends = 0;
     for (unsigned i = 0; i < processes; ++i) {
         send_budget budget(bounds, random.uniform());
-        budget.request(now, 1.0 / processes);
+        budget.countRequest(now, 1.0 / processes);
         sends += budget.take(now, 1.0 / processes, further_send::largerModel) ? 1 : 0;
     }
     CHECK(sends > 0.65 * processes);
@@ -140,9 +140,9 @@
 
 namespace {
 
-/// Processes that get pulses of requests, spend all that they have in pulses of their own, and are
-/// replaced now and then. Nobody has a share of the allowance.
-double worstOfPulses(std::uint64_t seed)
+/// Simulates processes that get bursts of requests, spend all that they have in bursts and are
+/// restarted at random. None has a share of the allowance.
+double worstShareOfBursts(std::uint64_t seed)
 {
     constexpr milliseconds step{20};
     constexpr int steps = 3000;
@@ -160,7 +160,7 @@
             process = send_budget(rule.bounds);
         const std::size_t arriving = random.chance(0.05) ? random.index(mostAtOnce) : 0;
         for (std::size_t n = 0; n < arriving; ++n) {
-            process.request(now, 0);
+            process.countRequest(now, 0);
             requests.push_back(now);
         }
         if (!random.chance(0.1))
@@ -174,10 +174,10 @@
 
 } // namespace
 
-TEST_CASE("no series of requests, sends and new processes takes the sum over its bound")
+TEST_CASE("no sequence of requests, sends and restarts exceeds the bound on the sum")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         CAPTURE(seed);
-        CHECK(worstOfPulses(seed) <= 1.0);
+        CHECK(worstShareOfBursts(seed) <= 1.0);
     }
 }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -480,7 +480,7 @@
     world.play(seconds(20), milliseconds(1500));
     CHECK(world.outcomes["others"].withheld == 0);
     for (fleet_entry &entry : world.entries.entries)
-        CHECK(entry.routing.suspects().suspects() <= crash_suspects::mostSuspects);
+        CHECK(entry.routing.suspects().suspectCount() <= crash_suspects::maxSuspects);
 }
 
 TEST_CASE("a new version gets the crasher once and then no more")
@@ -488,7 +488,7 @@
     crash_world world(3);
     world.play(seconds(5), milliseconds(400));
     const std::size_t before = world.endedAt.size();
-    CHECK(before >= crash_suspects::enoughEnds);
+    CHECK(before >= crash_suspects::endsToWithhold);
     world.version = "v2";
     for (const std::string &id : std::set<std::string>(world.alive))
         world.endEndpoint(id);
