--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -125,7 +125,7 @@
     void setDigest(const epoch_digest &digest) { m_digest = digest; }
 
     /// Tells a few members at once what is new here: an epoch, a stop, a stopped version.
-    void tellSome()
+    void gossipToRandomMembers()
     {
         for (const std::string &id : pickMembers(m_options.fanout, ""))
             sendTo(id, wire::datagram_rumor, 0, "");
@@ -135,7 +135,7 @@
     void spreadHealth(const wire::version_health &health)
     {
         m_health.push_back({health, retransmissions()});
-        tellSome();
+        gossipToRandomMembers();
     }
 
     /// Announces that this instance is leaving; it goes on answering probes.
@@ -144,7 +144,7 @@
         m_self.set_state(wire::member_leaving);
         m_self.set_incarnation(m_self.incarnation() + 1);
         enqueue(m_self);
-        tellSome();
+        gossipToRandomMembers();
     }
 
     /// Handles one received datagram.
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -262,7 +262,7 @@
         m_deadSince[known.id()] = m_runtime.now();
     // A planned stop is told on at once: its endpoint must get no new work.
     if (visible && known.state() == wire::member_leaving)
-        tellSome();
+        gossipToRandomMembers();
     if (visible && m_events.onMember)
         m_events.onMember(wire::member(known));
 }
--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -114,7 +114,7 @@
         item.counts.epoch = epoch;
         item.counts.tookAt = runtime.now();
         item.protocol->setDigest(makeDigest(epoch, runtime.now()));
-        item.protocol->tellSome();
+        item.protocol->gossipToRandomMembers();
     }
 
     void resetCounts()
@@ -307,7 +307,7 @@
     item.counts.epoch = epoch;
     item.counts.tookAt = runtime.now();
     item.protocol->setDigest(makeDigest(epoch, runtime.now()));
-    item.protocol->tellSome();
+    item.protocol->gossipToRandomMembers();
 }
 
 std::vector<trial_row> laurelcroft::runSocketSpreadTrial(const trial_settings &given)
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -141,7 +141,7 @@
     m_state->duty.post([inner = m_state.get(), digest, announce] {
         inner->protocol->setDigest(digest);
         if (announce)
-            inner->protocol->tellSome();
+            inner->protocol->gossipToRandomMembers();
     });
 }
 
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -75,7 +75,7 @@
         epoch_digest digest;
         digest.epoch = epoch;
         item.protocol->setDigest(digest);
-        item.protocol->tellSome();
+        item.protocol->gossipToRandomMembers();
     }
 
     /// \returns how many live members see \p id in \p state.
