--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -132,7 +132,7 @@
     }
 
     /// Spreads that this instance stopped a version.
-    void spreadHealth(const wire::version_health &health)
+    void gossipVersionHealth(const wire::version_health &health)
     {
         m_health.push_back({health, retransmissions()});
         gossipToRandomMembers();
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -152,7 +152,8 @@
 
 void fleet_duty::spreadHealth(const wire::version_health &health)
 {
-    m_state->duty.post([inner = m_state.get(), health] { inner->protocol->spreadHealth(health); });
+    m_state->duty.post(
+            [inner = m_state.get(), health] { inner->protocol->gossipVersionHealth(health); });
 }
 
 void fleet_duty::leave()
