--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -157,7 +157,7 @@
         merge(message->sender());
         for (const wire::member &update : message->updates())
             merge(update);
-        hearEpoch(*message);
+        handleEpoch(*message);
         for (const wire::version_health &health : message->health())
             hearHealth(health);
         answer(from, *message, isNew);
@@ -232,7 +232,7 @@
     }
 
     void takeAck(const wire::datagram &message);
-    void hearEpoch(const wire::datagram &message);
+    void handleEpoch(const wire::datagram &message);
 
     void hearHealth(const wire::version_health &health)
     {
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -216,7 +216,7 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::hearEpoch(const wire::datagram &message)
+void membership<Runtime, Port>::handleEpoch(const wire::datagram &message)
 {
     if (!m_events.onEpoch)
         return;
