--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -159,7 +159,7 @@
             merge(update);
         handleEpoch(*message);
         for (const wire::version_health &health : message->health())
-            hearHealth(health);
+            handleVersionHealth(health);
         answer(from, *message, isNew);
         tellAccusation(message->sender());
     }
@@ -234,7 +234,7 @@
     void takeAck(const wire::datagram &message);
     void handleEpoch(const wire::datagram &message);
 
-    void hearHealth(const wire::version_health &health)
+    void handleVersionHealth(const wire::version_health &health)
     {
         const std::string key = health.model() + "@" + health.version();
         if (!m_knownStops.emplace(key, m_digest.epoch).second)
