--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -161,7 +161,7 @@
         for (const wire::version_health &health : message->health())
             handleVersionHealth(health);
         answer(from, *message, isNew);
-        tellAccusation(message->sender());
+        notifyAccusedSender(message->sender());
     }
 
     const std::map<std::string, wire::member> &members() const { return m_members; }
@@ -220,7 +220,7 @@
     void answer(std::string_view from, const wire::datagram &message, bool isNew);
     /// A member that is taken for dead or suspect but speaks is told so at once, so that
     /// it can refute; the news of its death may have been told to all long ago.
-    void tellAccusation(const wire::member &sender);
+    void notifyAccusedSender(const wire::member &sender);
 
     void relay(const wire::datagram &message)
     {
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -192,7 +192,7 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::tellAccusation(const wire::member &sender)
+void membership<Runtime, Port>::notifyAccusedSender(const wire::member &sender)
 {
     const auto it = m_members.find(sender.id());
     const bool accused = it != m_members.end() && rank(it->second.state()) > 0;
