--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -231,7 +231,7 @@
         sendTo(message.target(), wire::datagram_ping, sequence, "");
     }
 
-    void takeAck(const wire::datagram &message);
+    void handleAck(const wire::datagram &message);
     void handleEpoch(const wire::datagram &message);
 
     void handleVersionHealth(const wire::version_health &health)
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -178,7 +178,7 @@
         relay(message);
         break;
     case wire::datagram_ack:
-        takeAck(message);
+        handleAck(message);
         break;
     case wire::datagram_sync:
         sendList(from);
@@ -204,7 +204,7 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::takeAck(const wire::datagram &message)
+void membership<Runtime, Port>::handleAck(const wire::datagram &message)
 {
     if (message.sequence() == m_probeSequence)
         m_probe.clear();
