--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -258,7 +258,7 @@
         }
     }
 
-    static bool isNews(const wire::member &known, const wire::member &heard)
+    static bool isSuperseded(const wire::member &known, const wire::member &heard)
     {
         if (heard.incarnation() != known.incarnation())
             return heard.incarnation() > known.incarnation();
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -240,7 +240,7 @@
     const auto it = m_members.find(heard.id());
     if (it == m_members.end() && heard.state() == wire::member_dead)
         return;
-    if (it != m_members.end() && !isNews(it->second, heard))
+    if (it != m_members.end() && !isSuperseded(it->second, heard))
         return;
     const bool isNew = it == m_members.end();
     // An accusation names the member only: it makes nobody known.
