--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -279,7 +279,7 @@
 
     void startSuspicion(const wire::member &suspect);
     /// \returns what is told of \p item: of a suspect or dead one only its name and life.
-    static wire::member told(const wire::member &item)
+    static wire::member gossipRecord(const wire::member &item)
     {
         if (rank(item.state()) == 0)
             return item;
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -288,7 +288,7 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::enqueue(const wire::member &changed)
 {
-    const wire::member item = told(changed);
+    const wire::member item = gossipRecord(changed);
     for (queued_update &queued : m_updates) {
         if (queued.member.id() != item.id())
             continue;
