--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -245,7 +245,7 @@
     }
 
     /// Order of news about one life of a member: dead beats suspect beats alive.
-    static int rank(wire::member_state state)
+    static int statePrecedence(wire::member_state state)
     {
         switch (state) {
         case wire::member_alive:
@@ -262,7 +262,7 @@
     {
         if (heard.incarnation() != known.incarnation())
             return heard.incarnation() > known.incarnation();
-        return rank(heard.state()) > rank(known.state());
+        return statePrecedence(heard.state()) > statePrecedence(known.state());
     }
 
     void merge(const wire::member &heard);
@@ -281,7 +281,7 @@
     /// \returns what is told of \p item: of a suspect or dead one only its name and life.
     static wire::member gossipRecord(const wire::member &item)
     {
-        if (rank(item.state()) == 0)
+        if (statePrecedence(item.state()) == 0)
             return item;
         wire::member brief;
         brief.set_id(item.id());
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -195,7 +195,7 @@
 void membership<Runtime, Port>::notifyAccusedSender(const wire::member &sender)
 {
     const auto it = m_members.find(sender.id());
-    const bool accused = it != m_members.end() && rank(it->second.state()) > 0;
+    const bool accused = it != m_members.end() && statePrecedence(it->second.state()) > 0;
     if (!accused || it->second.incarnation() < sender.incarnation())
         return;
     wire::datagram message = compose(wire::datagram_rumor, 0);
