--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -160,7 +160,7 @@
         handleEpoch(*message);
         for (const wire::version_health &health : message->health())
             handleVersionHealth(health);
-        answer(from, *message, isNew);
+        dispatch(from, *message, isNew);
         notifyAccusedSender(message->sender());
     }
 
@@ -217,7 +217,7 @@
     }
 
     void sendList(std::string_view address);
-    void answer(std::string_view from, const wire::datagram &message, bool isNew);
+    void dispatch(std::string_view from, const wire::datagram &message, bool isNew);
     /// A member that is taken for dead or suspect but speaks is told so at once, so that
     /// it can refute; the news of its death may have been told to all long ago.
     void notifyAccusedSender(const wire::member &sender);
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -166,8 +166,8 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::answer(std::string_view from, const wire::datagram &message,
-                                       bool isNew)
+void membership<Runtime, Port>::dispatch(std::string_view from, const wire::datagram &message,
+                                         bool isNew)
 {
     const std::string &sender = message.sender().id();
     switch (message.kind()) {
