--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -216,7 +216,7 @@
         m_port.send(address, sealDatagram(m_key, compose(wire::datagram_sync, 0)));
     }
 
-    void sendList(std::string_view address);
+    void sendMemberList(std::string_view address);
     void dispatch(std::string_view from, const wire::datagram &message, bool isNew);
     /// A member that is taken for dead or suspect but speaks is told so at once, so that
     /// it can refute; the news of its death may have been told to all long ago.
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -152,7 +152,7 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::sendList(std::string_view address)
+void membership<Runtime, Port>::sendMemberList(std::string_view address)
 {
     wire::datagram message = compose(wire::datagram_ack, 0);
     for (const auto &[id, item] : m_members) {
@@ -181,7 +181,7 @@
         handleAck(message);
         break;
     case wire::datagram_sync:
-        sendList(from);
+        sendMemberList(from);
         break;
     default:
         break;
