--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -226,7 +226,7 @@
     {
         const std::uint64_t sequence = ++m_sequence;
         m_relayed[sequence] = {message.sender().id(), message.sequence()};
-        if (m_relayed.size() > mostRelayed)
+        if (m_relayed.size() > maxRelayedProbes)
             m_relayed.erase(m_relayed.begin());
         sendTo(message.target(), wire::datagram_ping, sequence, "");
     }
@@ -301,7 +301,7 @@
     }
 
     void syncIfDue(time_point now);
-    static constexpr std::size_t mostRelayed = 256;
+    static constexpr std::size_t maxRelayedProbes = 256;
 
     Runtime &m_runtime;
     Port &m_port;
