--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -237,7 +237,7 @@
     void handleVersionHealth(const wire::version_health &health)
     {
         const std::string key = health.model() + "@" + health.version();
-        if (!m_knownStops.emplace(key, m_digest.epoch).second)
+        if (!m_knownStoppedVersions.emplace(key, m_digest.epoch).second)
             return;
         m_health.push_back({health, retransmissions()});
         if (m_events.onHealth)
@@ -316,7 +316,7 @@
     std::unordered_map<std::string, time_point> m_deadSince;
     std::vector<queued_update> m_updates;
     std::vector<queued_health> m_health;
-    std::map<std::string, std::uint64_t> m_knownStops;
+    std::map<std::string, std::uint64_t> m_knownStoppedVersions;
     std::vector<std::string> m_order;
     std::map<std::uint64_t, relayed_probe> m_relayed;
     std::string m_probe;
