--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -317,7 +317,7 @@
     std::vector<queued_update> m_updates;
     std::vector<queued_health> m_health;
     std::map<std::string, std::uint64_t> m_knownStoppedVersions;
-    std::vector<std::string> m_order;
+    std::vector<std::string> m_probeOrder;
     std::map<std::uint64_t, relayed_probe> m_relayed;
     std::string m_probe;
     std::uint64_t m_probeSequence = 0;
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -61,18 +61,18 @@
 auto membership<Runtime, Port>::nextTarget() -> std::string
 {
     for (int round = 0; round < 2; ++round) {
-        while (!m_order.empty()) {
-            std::string id = std::move(m_order.back());
-            m_order.pop_back();
+        while (!m_probeOrder.empty()) {
+            std::string id = std::move(m_probeOrder.back());
+            m_probeOrder.pop_back();
             const auto it = m_members.find(id);
             if (it != m_members.end() && isLive(it->second))
                 return id;
         }
         for (const auto &[id, item] : m_members) {
             if (isLive(item))
-                m_order.push_back(id);
+                m_probeOrder.push_back(id);
         }
-        std::shuffle(m_order.begin(), m_order.end(), m_random.engine());
+        std::shuffle(m_probeOrder.begin(), m_probeOrder.end(), m_random.engine());
     }
     return {};
 }
