--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -194,12 +194,12 @@
 
     void probeIndirectly(std::uint64_t sequence)
     {
-        if (m_probe.empty() || m_probeSequence != sequence)
+        if (m_probeTarget.empty() || m_probeSequence != sequence)
             return;
         // Asked once more directly: with loss, silence is seldom a death.
-        sendTo(m_probe, wire::datagram_ping, sequence, "");
-        for (const std::string &helper : pickMembers(m_options.helpers, m_probe))
-            sendTo(helper, wire::datagram_ping_request, sequence, m_probe);
+        sendTo(m_probeTarget, wire::datagram_ping, sequence, "");
+        for (const std::string &helper : pickMembers(m_options.helpers, m_probeTarget))
+            sendTo(helper, wire::datagram_ping_request, sequence, m_probeTarget);
     }
 
     void endProbe(std::uint64_t sequence);
@@ -319,7 +319,7 @@
     std::map<std::string, std::uint64_t> m_knownStoppedVersions;
     std::vector<std::string> m_probeOrder;
     std::map<std::uint64_t, relayed_probe> m_relayed;
-    std::string m_probe;
+    std::string m_probeTarget;
     std::uint64_t m_probeSequence = 0;
     std::uint64_t m_sequence = 0;
     time_point m_lastTick{};
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -18,7 +18,7 @@
     // After a freeze of this process the silence was its own: nobody is accused.
     const bool wasFrozen = gap > 2 * m_options.period;
     if (wasFrozen)
-        m_probe.clear();
+        m_probeTarget.clear();
     expireDead(now);
     syncIfDue(now);
     probeNext();
@@ -33,7 +33,7 @@
             sendSync(seed);
         return;
     }
-    m_probe = target;
+    m_probeTarget = target;
     const std::uint64_t sequence = ++m_sequence;
     m_probeSequence = sequence;
     sendTo(target, wire::datagram_ping, sequence, "");
@@ -44,10 +44,10 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::endProbe(std::uint64_t sequence)
 {
-    if (m_probe.empty() || m_probeSequence != sequence)
+    if (m_probeTarget.empty() || m_probeSequence != sequence)
         return;
-    const auto it = m_members.find(m_probe);
-    m_probe.clear();
+    const auto it = m_members.find(m_probeTarget);
+    m_probeTarget.clear();
     if (it == m_members.end() || it->second.state() == wire::member_dead)
         return;
     if (it->second.state() == wire::member_suspect)
@@ -207,7 +207,7 @@
 void membership<Runtime, Port>::handleAck(const wire::datagram &message)
 {
     if (message.sequence() == m_probeSequence)
-        m_probe.clear();
+        m_probeTarget.clear();
     const auto it = m_relayed.find(message.sequence());
     if (it == m_relayed.end())
         return;
