--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -124,7 +124,7 @@
     std::size_t bytes = 0;
     for (queued_update &item : m_updates) {
         const std::size_t size = item.member.ByteSizeLong();
-        if (bytes + size > m_options.largestUpdateBytes)
+        if (bytes + size > m_options.maxUpdateBytes)
             break;
         bytes += size;
         *message.add_updates() = item.member;
