--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -157,7 +157,7 @@
     wire::datagram message = compose(wire::datagram_ack, 0);
     for (const auto &[id, item] : m_members) {
         *message.add_updates() = item;
-        if (static_cast<std::size_t>(message.updates_size()) < m_options.syncMembers)
+        if (static_cast<std::size_t>(message.updates_size()) < m_options.membersPerSyncDatagram)
             continue;
         m_port.send(std::string(address), sealDatagram(m_key, message));
         message.clear_updates();
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -199,7 +199,7 @@
 {
     small_fleet fleet(2, 0);
     wire::datagram message;
-    for (std::size_t i = 0; i < membership_options{}.syncMembers; ++i) {
+    for (std::size_t i = 0; i < membership_options{}.membersPerSyncDatagram; ++i) {
         wire::member &item = *message.add_updates();
         item.set_id("agent-timetable-" + std::to_string(100000 + i));
         item.set_incarnation(1796818579982);
