--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -36,7 +36,7 @@
     std::size_t fanout = 4; ///< receivers of a rumor at each hop
     std::size_t maxUpdateBytes = 260; ///< of member changes on a datagram
     std::size_t membersPerSyncDatagram = 10; ///< members on a datagram of a full list
-    duration deadKept = seconds(600); ///< how long a death is remembered
+    duration deadRetention = seconds(600); ///< how long a death is remembered
     duration syncPerMember = milliseconds(1500); ///< period of full exchanges, times the size
 };
 
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -305,7 +305,7 @@
         const auto found = m_members.find(it->first);
         const bool stillDead
                 = found != m_members.end() && found->second.state() == wire::member_dead;
-        if (stillDead && now - it->second < m_options.deadKept) {
+        if (stillDead && now - it->second < m_options.deadRetention) {
             ++it;
             continue;
         }
