--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -37,7 +37,7 @@
     std::size_t maxUpdateBytes = 260; ///< of member changes on a datagram
     std::size_t membersPerSyncDatagram = 10; ///< members on a datagram of a full list
     duration deadRetention = seconds(600); ///< how long a death is remembered
-    duration syncPerMember = milliseconds(1500); ///< period of full exchanges, times the size
+    duration syncPeriodPerMember = milliseconds(1500); ///< period of full exchanges, times the size
 };
 
 /// What the bundle side tells the membership side to put on datagrams.
@@ -102,7 +102,7 @@
         const double phase = m_random.uniform() * 10.0;
         m_lastSync = m_lastTick
                 - duration(static_cast<std::int64_t>(
-                        phase * static_cast<double>(m_options.syncPerMember.count())));
+                        phase * static_cast<double>(m_options.syncPeriodPerMember.count())));
         // The first probe falls at a random part of the period: a fleet that starts
         // together must not probe in step.
         const auto first = duration(static_cast<std::int64_t>(
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -318,7 +318,7 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::syncIfDue(time_point now)
 {
-    const duration wait = m_options.syncPerMember * static_cast<int>(m_members.size() + 10);
+    const duration wait = m_options.syncPeriodPerMember * static_cast<int>(m_members.size() + 10);
     if (now - m_lastSync < wait)
         return;
     m_lastSync = now;
