--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -32,7 +32,7 @@
     duration period = milliseconds(1000); ///< one probe a period
     duration probeTimeout = milliseconds(300); ///< then indirect probes
     double suspicionPeriods = 3.0; ///< times log10 of the size, at least this many
-    std::size_t helpers = 3; ///< indirect probes
+    std::size_t indirectProbes = 3; ///< indirect probes
     std::size_t fanout = 4; ///< receivers of a rumor at each hop
     std::size_t maxUpdateBytes = 260; ///< of member changes on a datagram
     std::size_t membersPerSyncDatagram = 10; ///< members on a datagram of a full list
@@ -198,7 +198,7 @@
             return;
         // Asked once more directly: with loss, silence is seldom a death.
         sendTo(m_probeTarget, wire::datagram_ping, sequence, "");
-        for (const std::string &helper : pickMembers(m_options.helpers, m_probeTarget))
+        for (const std::string &helper : pickMembers(m_options.indirectProbes, m_probeTarget))
             sendTo(helper, wire::datagram_ping_request, sequence, m_probeTarget);
     }
 
