--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -71,7 +71,7 @@
 std::optional<wire::datagram> openDatagram(std::string_view key, std::string_view bytes);
 
 /// Largest datagram that is sent or read, in bytes; fits one Ethernet frame.
-inline constexpr std::size_t largestDatagram = 1400;
+inline constexpr std::size_t maxDatagramBytes = 1400;
 
 /// The protocol of one instance. \p Runtime gives clock and timers, \p Port sends:
 /// `port.send(address, bytes)`.
--- a/lib/Fleet/Datagram.cpp
+++ b/lib/Fleet/Datagram.cpp
@@ -22,7 +22,7 @@
 std::optional<wire::datagram> laurelcroft::openDatagram(std::string_view key,
                                                         std::string_view bytes)
 {
-    if (bytes.size() < macSize || bytes.size() > 2 * largestDatagram)
+    if (bytes.size() < macSize || bytes.size() > 2 * maxDatagramBytes)
         return std::nullopt;
     const std::string_view body = bytes.substr(macSize);
     const std::string mac = hmacSha256(key, body).substr(0, macSize);
--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -292,7 +292,7 @@
     std::string address;
     std::unique_ptr<membership<asio_runtime, socket_port>> protocol;
     udp::endpoint from;
-    std::array<char, 2 * largestDatagram> input{};
+    std::array<char, 2 * maxDatagramBytes> input{};
 };
 
 constexpr std::size_t mostSocketMembers = 300;
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -60,7 +60,7 @@
     std::string key;
     membership_options options;
     std::unique_ptr<membership<asio_runtime, udp_port>> protocol;
-    std::array<char, 2 * largestDatagram> input{};
+    std::array<char, 2 * maxDatagramBytes> input{};
     udp::endpoint from;
 
     void receive();
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -208,7 +208,7 @@
         item.set_link_address("192.168.100.100:65535");
         item.set_pool("timetable");
     }
-    CHECK(sealDatagram(siteKey, message).size() < largestDatagram);
+    CHECK(sealDatagram(siteKey, message).size() < maxDatagramBytes);
 }
 
 TEST_CASE("rendezvous ranking agrees, spreads, and moves little")
