--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -49,7 +49,7 @@
 };
 
 /// What others are told through \c membership_events.
-struct epoch_sighting
+struct epoch_observation
 {
     std::string from; ///< instance
     std::uint64_t epoch = 0;
@@ -60,7 +60,7 @@
 struct membership_events
 {
     std::function<void(const wire::member &)> onMember; ///< new, or changed state or incarnation
-    std::function<void(const epoch_sighting &)> onEpoch;
+    std::function<void(const epoch_observation &)> onEpoch;
     std::function<void(const wire::version_health &)> onHealth; ///< another's stop of a version
 };
 
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -220,7 +220,7 @@
 {
     if (!m_events.onEpoch)
         return;
-    epoch_sighting sighting;
+    epoch_observation sighting;
     sighting.from = message.sender().id();
     sighting.epoch = message.bundle_epoch();
     sighting.confirmed = message.confirmed_age_ms() != UINT32_MAX;
--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -55,7 +55,7 @@
 struct node_events
 {
     std::function<void(const wire::member &)> onMember;
-    std::function<void(const epoch_sighting &)> onEpoch;
+    std::function<void(const epoch_observation &)> onEpoch;
     std::function<void(const wire::version_health &)> onHealth;
     /// A stream of another instance with a path that the node does not answer itself.
     std::function<void(std::shared_ptr<link_stream>)> onStream;
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -61,7 +61,7 @@
 template <class Core>
 void answerFromCore(node_events &events, Core &core)
 {
-    events.onEpoch = [&core](const epoch_sighting &seen) {
+    events.onEpoch = [&core](const epoch_observation &seen) {
         core.keeper().hear(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
     };
     events.onBundleRequest = [&core] {
--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -96,7 +96,7 @@
         paused_member &item = *members[i];
         item.port = {this, i};
         membership_events events;
-        events.onEpoch = [this, &item](const epoch_sighting &seen) {
+        events.onEpoch = [this, &item](const epoch_observation &seen) {
             if (seen.epoch > item.counts.epoch)
                 take(item, seen.epoch);
         };
@@ -324,7 +324,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             socket_member &item = *members[i];
             membership_events events;
-            events.onEpoch = [&item, &runtime](const epoch_sighting &seen) {
+            events.onEpoch = [&item, &runtime](const epoch_observation &seen) {
                 if (seen.epoch > item.counts.epoch)
                     takeEpoch(item, runtime, seen.epoch);
             };
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -121,7 +121,7 @@
 {
     membership_events events;
     events.onMember = [this](const wire::member &item) { news.push(item); };
-    events.onEpoch = [this](const epoch_sighting &item) { news.push(item); };
+    events.onEpoch = [this](const epoch_observation &item) { news.push(item); };
     events.onHealth = [this](const wire::version_health &item) { news.push(item); };
     protocol = std::make_unique<membership<asio_runtime, udp_port>>(
             runtime, port, random, self, key, options, std::move(events));
--- a/lib/Node/FleetDuty.h
+++ b/lib/Node/FleetDuty.h
@@ -19,7 +19,7 @@
 namespace laurelcroft {
 
 /// News from the fleet duty to the routing duty.
-using fleet_news = std::variant<wire::member, epoch_sighting, wire::version_health>;
+using fleet_news = std::variant<wire::member, epoch_observation, wire::version_health>;
 
 class fleet_duty
 {
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -202,7 +202,7 @@
 {
     if (const auto *item = std::get_if<wire::member>(&news))
         onMember(*item);
-    else if (const auto *sighting = std::get_if<epoch_sighting>(&news))
+    else if (const auto *sighting = std::get_if<epoch_observation>(&news))
         events.onEpoch(*sighting);
     else if (const auto *health = std::get_if<wire::version_health>(&news))
         events.onHealth(*health);
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -58,7 +58,7 @@
         self.set_gossip_address(id);
         membership_events events;
         fleet_member *const raw = item.get();
-        events.onEpoch = [this, raw](const epoch_sighting &seen) {
+        events.onEpoch = [this, raw](const epoch_observation &seen) {
             if (seen.epoch > raw->epoch)
                 take(*raw, seen.epoch);
         };
