--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -80,7 +80,7 @@
     if (!m_keeper.current())
         return wire::refusal_no_bundle;
     if (epoch > m_keeper.epoch()) {
-        m_keeper.hear(offer.entry(), epoch, false, duration(0));
+        m_keeper.observePeerEpoch(offer.entry(), epoch, false, duration(0));
         return wire::refusal_behind;
     }
     const wire::refusal permitted = checkPermission(offer);
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -177,7 +177,7 @@
     void hearEpoch(const std::string &peer, bundle_epoch epoch)
     {
         if (epoch > m_keeper.epoch())
-            m_keeper.hear(peer, epoch, false, duration(0));
+            m_keeper.observePeerEpoch(peer, epoch, false, duration(0));
     }
 
     /// Another process stopped a version under roll-out.
--- a/include/laurelcroft/Fleet/BundleKeeper.h
+++ b/include/laurelcroft/Fleet/BundleKeeper.h
@@ -99,7 +99,8 @@
     }
 
     /// Hears that \p peer stands at \p seen, confirmed \p age ago.
-    void hear(const std::string &peer, bundle_epoch seen, bool isConfirmed, duration age)
+    void observePeerEpoch(const std::string &peer, bundle_epoch seen, bool isConfirmed,
+                          duration age)
     {
         if (seen == epoch() && isConfirmed && seen != 0)
             confirm(m_runtime.now() - age);
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -62,7 +62,7 @@
 void answerFromCore(node_events &events, Core &core)
 {
     events.onEpoch = [&core](const epoch_observation &seen) {
-        core.keeper().hear(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
+        core.keeper().observePeerEpoch(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
     };
     events.onBundleRequest = [&core] {
         wire::bundle_reply reply;
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -296,7 +296,7 @@
 static void hearFrom(K &keeper, const fake_instance &peer, bundle_epoch epoch, bool confirmed,
                      duration age)
 {
-    keeper.hear(peer.id, epoch, confirmed, age);
+    keeper.observePeerEpoch(peer.id, epoch, confirmed, age);
 }
 
 void fake_entry::hearPeer(const fake_instance &peer)
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -351,11 +351,11 @@
     CHECK(bench.keeper.isConfirmedWithin(seconds(1)));
     bench.runtime.advance(seconds(10));
     CHECK_FALSE(bench.keeper.isConfirmedWithin(seconds(5)));
-    bench.keeper.hear("peer", 1, true, seconds(2));
+    bench.keeper.observePeerEpoch("peer", 1, true, seconds(2));
     CHECK(bench.keeper.isConfirmedWithin(seconds(5)));
     // A new epoch is not confirmed by readings of the old one.
     bench.source.peer = bench.make(2, "b");
-    bench.keeper.hear("peer", 2, false, seconds(0));
+    bench.keeper.observePeerEpoch("peer", 2, false, seconds(0));
     CHECK(bench.keeper.epoch() == 2);
     CHECK_FALSE(bench.keeper.confirmed());
 }
