--- a/include/laurelcroft/Fleet/BundleKeeper.h
+++ b/include/laurelcroft/Fleet/BundleKeeper.h
@@ -109,7 +109,7 @@
     }
 
     /// Takes a bundle that a peer sent. \returns false when it is not valid or not higher.
-    bool take(const fetched_bundle &fetched)
+    bool install(const fetched_bundle &fetched)
     {
         if (fetched.accepted.epoch <= epoch())
             return false;
@@ -146,7 +146,7 @@
     void fetchText(const acceptance &row, time_point asked)
     {
         m_source.readBundleText(row.hash, [this, row, asked](std::optional<std::string> text) {
-            if (text && take({row, *text}))
+            if (text && install({row, *text}))
                 confirm(asked);
         });
     }
@@ -158,7 +158,7 @@
         m_source.fetchFromPeer(peer, [this, peer](std::optional<fetched_bundle> fetched) {
             m_fetching.erase(peer);
             if (fetched)
-                take(*fetched);
+                install(*fetched);
         });
     }
 
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -328,15 +328,15 @@
 TEST_CASE("keeper: takes only higher, signed and matching bundles")
 {
     keeper_bench bench;
-    CHECK(bench.keeper.take(bench.make(3, "a")));
-    CHECK_FALSE(bench.keeper.take(bench.make(3, "b")));
-    CHECK_FALSE(bench.keeper.take(bench.make(2, "b")));
+    CHECK(bench.keeper.install(bench.make(3, "a")));
+    CHECK_FALSE(bench.keeper.install(bench.make(3, "b")));
+    CHECK_FALSE(bench.keeper.install(bench.make(2, "b")));
     fetched_bundle unsignedOne = bench.make(4, "b");
     unsignedOne.accepted.signatures.clear();
-    CHECK_FALSE(bench.keeper.take(unsignedOne));
+    CHECK_FALSE(bench.keeper.install(unsignedOne));
     fetched_bundle swapped = bench.make(4, "b");
     swapped.text = bench.make(4, "c").text;
-    CHECK_FALSE(bench.keeper.take(swapped));
+    CHECK_FALSE(bench.keeper.install(swapped));
     CHECK(bench.keeper.epoch() == 3);
     CHECK(bench.taken == 1);
 }
