--- a/include/laurelcroft/Fleet/BundleKeeper.h
+++ b/include/laurelcroft/Fleet/BundleKeeper.h
@@ -60,7 +60,7 @@
         : m_runtime(runtime)
         , m_source(source)
         , m_rule(std::move(rule))
-        , m_onTaken(std::move(onTaken))
+        , m_onInstalled(std::move(onTaken))
     {
     }
 
@@ -130,7 +130,7 @@
         logInfo(log_part::bundle, "bundle in force",
                 {{"epoch", static_cast<std::int64_t>(epoch())},
                  {"hash", std::string_view(fetched.accepted.hash).substr(0, 12)}});
-        m_onTaken(m_current);
+        m_onInstalled(m_current);
         return true;
     }
 
@@ -165,7 +165,7 @@
     Runtime &m_runtime;
     Source &m_source;
     signoff_rule m_rule;
-    std::function<void(const ptr &)> m_onTaken;
+    std::function<void(const ptr &)> m_onInstalled;
     ptr m_current;
     bool m_confirmed = false;
     time_point m_confirmedAt{};
