--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -62,7 +62,7 @@
 class agent_core
 {
 public:
-    using keeper_type = bundle_keeper<Runtime, Env>;
+    using keeper_type = bundle_tracker<Runtime, Env>;
 
     agent_core(Runtime &runtime, Table &table, Env &env, signoff_rule rule, agent_options options)
         : m_runtime(runtime)
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -62,7 +62,7 @@
 class entry_core
 {
 public:
-    using keeper_type = bundle_keeper<Runtime, Env>;
+    using keeper_type = bundle_tracker<Runtime, Env>;
     using runner_type = attempt_runner<Runtime, Env>;
 
     entry_core(Runtime &runtime, Table &table, Env &env, random_source &random, signoff_rule rule,
--- a/include/laurelcroft/Fleet/BundleKeeper.h
+++ b/include/laurelcroft/Fleet/BundleKeeper.h
@@ -49,14 +49,14 @@
 
 /// Keeps the bundle of one process.
 template <runtime_like Runtime, bundle_source Source>
-class bundle_keeper
+class bundle_tracker
 {
 public:
     using ptr = std::shared_ptr<const accepted_bundle>;
 
     /// \param onTaken is called after each new epoch.
-    bundle_keeper(Runtime &runtime, Source &source, signoff_rule rule,
-                  std::function<void(const ptr &)> onTaken)
+    bundle_tracker(Runtime &runtime, Source &source, signoff_rule rule,
+                   std::function<void(const ptr &)> onTaken)
         : m_runtime(runtime)
         , m_source(source)
         , m_rule(std::move(rule))
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -305,7 +305,7 @@
     manual_runtime runtime;
     fake_source source;
     int taken = 0;
-    bundle_keeper<manual_runtime, fake_source> keeper{
+    bundle_tracker<manual_runtime, fake_source> keeper{
             runtime, source, signoff_rule{{key.publicHex}, 1}, [this](const auto &) { ++taken; }};
 
     fetched_bundle make(bundle_epoch epoch, const std::string &site)
