--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -9,7 +9,7 @@
 #define LAURELCROFT_AGENT_AGENTCORE_H
 
 #include "laurelcroft/Agent/Attempt.h"
-#include "laurelcroft/Fleet/BundleKeeper.h"
+#include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
 #include "laurelcroft/Ledger/ClaimBook.h"
 
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -8,7 +8,7 @@
 
 #include "laurelcroft/Entry/CallerRequest.h"
 #include "laurelcroft/Entry/SessionPinner.h"
-#include "laurelcroft/Fleet/BundleKeeper.h"
+#include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Policy/CascadeLearner.h"
 
 #include <optional>
--- a/include/laurelcroft/Fleet/BundleKeeper.h
+++ b/include/laurelcroft/Fleet/BundleTracker.h
@@ -1,11 +1,11 @@
-//===-- Fleet/BundleKeeper.h - the bundle in force ---------------*- C++ -*-===//
+//===-- Fleet/BundleTracker.h - the bundle in force ---------------*- C++ -*-===//
 //
 // Holds the highest accepted bundle that this process knows, and catches up when
 // a peer or the table shows a higher one. It never takes a lower epoch.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_FLEET_BUNDLEKEEPER_H
-#define LAURELCROFT_FLEET_BUNDLEKEEPER_H
+#ifndef LAURELCROFT_FLEET_BUNDLETRACKER_H
+#define LAURELCROFT_FLEET_BUNDLETRACKER_H
 
 #include "laurelcroft/Contract/BundleText.h"
 #include "laurelcroft/Contract/SignOff.h"
--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -8,7 +8,7 @@
 #ifndef LAURELCROFT_NODE_NODE_H
 #define LAURELCROFT_NODE_NODE_H
 
-#include "laurelcroft/Fleet/BundleKeeper.h"
+#include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Fleet/Membership.h"
 #include "laurelcroft/Link/Stream.h"
 #include "laurelcroft/Platform/HttpClients.h"
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -4,7 +4,7 @@
 // delays and cuts.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Fleet/BundleKeeper.h"
+#include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Fleet/EndpointDirectory.h"
 #include "laurelcroft/Fleet/Membership.h"
 #include "laurelcroft/Fleet/Ranking.h"
