--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -299,7 +299,7 @@
     }
 };
 
-struct keeper_bench
+struct bundle_tracker_fixture
 {
     signing_key key = makeSigningKey();
     manual_runtime runtime;
@@ -327,7 +327,7 @@
 
 TEST_CASE("keeper: takes only higher, signed and matching bundles")
 {
-    keeper_bench bench;
+    bundle_tracker_fixture bench;
     CHECK(bench.keeper.install(bench.make(3, "a")));
     CHECK_FALSE(bench.keeper.install(bench.make(3, "b")));
     CHECK_FALSE(bench.keeper.install(bench.make(2, "b")));
@@ -343,7 +343,7 @@
 
 TEST_CASE("keeper: confirmation comes from readings of the table and ages")
 {
-    keeper_bench bench;
+    bundle_tracker_fixture bench;
     const fetched_bundle made = bench.make(1, "a");
     bench.source.row = made.accepted;
     bench.keeper.poll();
