--- a/include/laurelcroft/Fleet/PromptMemory.h
+++ b/include/laurelcroft/Fleet/PromptMemory.h
@@ -39,7 +39,7 @@
     }
 
     /// \returns the tokens of the longest run of \p prefixes, from the first, that is kept.
-    unsigned keptTokens(std::span<const prompt_prefix> prefixes) const;
+    unsigned cachedTokens(std::span<const prompt_prefix> prefixes) const;
 
     /// Notes that a prompt with these prefixes was read.
     void note(std::span<const prompt_prefix> prefixes);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -295,7 +295,7 @@
     m_endpoint->sent(m_attemptAt);
     noteRun();
     beginRun();
-    m_readTokens = tokensToRead(endpoint->prompts().keptTokens(m_prefixes));
+    m_readTokens = tokensToRead(endpoint->prompts().cachedTokens(m_prefixes));
     m_readingMs = readingMsPerToken() * m_readTokens;
     m_expectedMs = m_endpoint->readingMs() + m_readingMs;
     m_elsewhereMs = m_endpoint->readingElsewhereMs(m_attemptAt);
--- a/lib/Fleet/PromptMemory.cpp
+++ b/lib/Fleet/PromptMemory.cpp
@@ -15,7 +15,7 @@
     return tokens;
 }
 
-unsigned prompt_memory::keptTokens(std::span<const prompt_prefix> prefixes) const
+unsigned prompt_memory::cachedTokens(std::span<const prompt_prefix> prefixes) const
 {
     unsigned kept = 0;
     for (const prompt_prefix &prefix : prefixes) {
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -44,7 +44,7 @@
     const endpoint_ptr after = directory.usable("pool")[0];
     CHECK(after != before);
     CHECK(before->isGone());
-    CHECK(after->prompts().keptTokens(prefixes) == 0);
+    CHECK(after->prompts().cachedTokens(prefixes) == 0);
     CHECK(!after->isAvoided(start));
     CHECK(!after->isCold(start));
     CHECK(after->failureShare(start) == 0);
