--- a/include/laurelcroft/Fleet/PromptMemory.h
+++ b/include/laurelcroft/Fleet/PromptMemory.h
@@ -42,7 +42,7 @@
     unsigned cachedTokens(std::span<const prompt_prefix> prefixes) const;
 
     /// Notes that a prompt with these prefixes was read.
-    void note(std::span<const prompt_prefix> prefixes);
+    void insert(std::span<const prompt_prefix> prefixes);
 
     std::size_t tokens() const { return m_tokens; }
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -302,7 +302,7 @@
     m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
     m_endpoint->beganReading(m_readingMs);
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
-    m_endpoint->prompts().note(m_prefixes);
+    m_endpoint->prompts().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
     assert((m_arrivals == 0 || m_heldSend) && "a further send is taken out of the budget first");
     m_sentFor = m_arrivals > 0 ? std::exchange(m_heldSend, std::nullopt) : std::nullopt;
--- a/lib/Fleet/PromptMemory.cpp
+++ b/lib/Fleet/PromptMemory.cpp
@@ -26,7 +26,7 @@
     return kept;
 }
 
-void prompt_memory::note(std::span<const prompt_prefix> prefixes)
+void prompt_memory::insert(std::span<const prompt_prefix> prefixes)
 {
     for (const prompt_prefix &prefix : prefixes) {
         const auto known = m_items.find(prefix.hash);
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -33,7 +33,7 @@
     directory.apply(recordOf("a", 10), start);
     const endpoint_ptr before = directory.usable("pool")[0];
     const std::array<prompt_prefix, 1> prefixes{{{7, 500}}};
-    before->prompts().note(prefixes);
+    before->prompts().insert(prefixes);
     before->unreachable(start);
     before->failed(start);
     before->heardCold(seconds(60), start);
