--- a/include/laurelcroft/Fleet/PromptMemory.h
+++ b/include/laurelcroft/Fleet/PromptMemory.h
@@ -58,7 +58,7 @@
     };
     std::size_t m_capacity;
     std::size_t m_tokens = 0;
-    std::list<item> m_order; ///< most recently used first
+    std::list<item> m_lruList; ///< most recently used first
     std::unordered_map<std::uint64_t, std::list<item>::iterator> m_items;
 };
 
--- a/lib/Fleet/PromptMemory.cpp
+++ b/lib/Fleet/PromptMemory.cpp
@@ -31,16 +31,16 @@
     for (const prompt_prefix &prefix : prefixes) {
         const auto known = m_items.find(prefix.hash);
         if (known != m_items.end()) {
-            m_order.splice(m_order.begin(), m_order, known->second);
+            m_lruList.splice(m_lruList.begin(), m_lruList, known->second);
             continue;
         }
-        m_order.push_front({prefix.hash, prefix.tokens});
-        m_items[prefix.hash] = m_order.begin();
+        m_lruList.push_front({prefix.hash, prefix.tokens});
+        m_items[prefix.hash] = m_lruList.begin();
         m_tokens += prefix.tokens;
     }
-    while (m_tokens > m_capacity && !m_order.empty()) {
-        m_tokens -= m_order.back().tokens;
-        m_items.erase(m_order.back().hash);
-        m_order.pop_back();
+    while (m_tokens > m_capacity && !m_lruList.empty()) {
+        m_tokens -= m_lruList.back().tokens;
+        m_items.erase(m_lruList.back().hash);
+        m_lruList.pop_back();
     }
 }
