--- a/include/laurelcroft/Fleet/PromptMemory.h
+++ b/include/laurelcroft/Fleet/PromptMemory.h
@@ -28,12 +28,12 @@
 unsigned tokensOf(std::span<const prompt_prefix> prefixes);
 
 /// The prefixes of one endpoint.
-class prompt_memory
+class prefix_cache_estimate
 {
 public:
     /// Prefixes of this many tokens are remembered at most; above it the endpoint is thought
     /// to have dropped the oldest.
-    explicit prompt_memory(std::size_t capacity = defaultCapacity)
+    explicit prefix_cache_estimate(std::size_t capacity = defaultCapacity)
         : m_capacity(capacity)
     {
     }
--- a/lib/Fleet/PromptMemory.cpp
+++ b/lib/Fleet/PromptMemory.cpp
@@ -15,7 +15,7 @@
     return tokens;
 }
 
-unsigned prompt_memory::cachedTokens(std::span<const prompt_prefix> prefixes) const
+unsigned prefix_cache_estimate::cachedTokens(std::span<const prompt_prefix> prefixes) const
 {
     unsigned kept = 0;
     for (const prompt_prefix &prefix : prefixes) {
@@ -26,7 +26,7 @@
     return kept;
 }
 
-void prompt_memory::insert(std::span<const prompt_prefix> prefixes)
+void prefix_cache_estimate::insert(std::span<const prompt_prefix> prefixes)
 {
     for (const prompt_prefix &prefix : prefixes) {
         const auto known = m_items.find(prefix.hash);
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -59,7 +59,7 @@
         const json &tokens = item[i + 1];
         if (!hash.is_number_unsigned() || !tokens.is_number_unsigned())
             return std::nullopt;
-        if (tokens.get<std::uint64_t>() > prompt_memory::defaultCapacity)
+        if (tokens.get<std::uint64_t>() > prefix_cache_estimate::defaultCapacity)
             return std::nullopt;
         prefixes.push_back({hash.get<std::uint64_t>(), tokens.get<unsigned>()});
     }
