--- a/include/laurelcroft/Fleet/PromptMemory.h
+++ b/include/laurelcroft/Fleet/PrefixCacheEstimate.h
@@ -1,11 +1,11 @@
-//===-- Fleet/PromptMemory.h - prefixes kept at an endpoint ------*- C++ -*-===//
+//===-- Fleet/PrefixCacheEstimate.h - prefixes kept at an endpoint ------*- C++ -*-===//
 //
 // Which prompt prefixes an endpoint is thought to keep, from what was sent there. The
 // least recently used are forgotten first, as the endpoint does it.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_FLEET_PROMPTMEMORY_H
-#define LAURELCROFT_FLEET_PROMPTMEMORY_H
+#ifndef LAURELCROFT_FLEET_PREFIXCACHEESTIMATE_H
+#define LAURELCROFT_FLEET_PREFIXCACHEESTIMATE_H
 
 #include <cstddef>
 #include <cstdint>
--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -7,7 +7,7 @@
 #ifndef LAURELCROFT_FLEET_SERVICEDIRECTORY_H
 #define LAURELCROFT_FLEET_SERVICEDIRECTORY_H
 
-#include "laurelcroft/Fleet/PromptMemory.h"
+#include "laurelcroft/Fleet/PrefixCacheEstimate.h"
 #include "laurelcroft/Support/Runtime.h"
 
 #include <algorithm>
--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -12,7 +12,7 @@
 #ifndef LAURELCROFT_PROXY_SENDNOTICES_H
 #define LAURELCROFT_PROXY_SENDNOTICES_H
 
-#include "laurelcroft/Fleet/PromptMemory.h"
+#include "laurelcroft/Fleet/PrefixCacheEstimate.h"
 #include "laurelcroft/Proxy/CrashNotices.h"
 #include "laurelcroft/Proxy/EvidenceNotice.h"
 #include "laurelcroft/Proxy/LeavingNotice.h"
--- a/lib/Fleet/PromptMemory.cpp
+++ b/lib/Fleet/PrefixCacheEstimate.cpp
@@ -1,9 +1,9 @@
-//===-- PromptMemory.cpp - prefixes kept at an endpoint ---------------------===//
+//===-- PrefixCacheEstimate.cpp - prefixes kept at an endpoint ---------------------===//
 //
 // A list by use and an index into it.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Fleet/PromptMemory.h"
+#include "laurelcroft/Fleet/PrefixCacheEstimate.h"
 
 using namespace laurelcroft;
 
