--- a/include/laurelcroft/Fleet/PrefixCacheEstimate.h
+++ b/include/laurelcroft/Fleet/PrefixCacheEstimate.h
@@ -25,7 +25,7 @@
 };
 
 /// \returns the tokens of \p prefixes together.
-unsigned tokensOf(std::span<const prompt_prefix> prefixes);
+unsigned totalTokens(std::span<const prompt_prefix> prefixes);
 
 /// The prefixes of one endpoint.
 class prefix_cache_estimate
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -239,7 +239,7 @@
 request_flow<Env>::pickAmong(const std::vector<endpoint_ptr> &endpoints,
                              std::span<const sampled_endpoint> items)
 {
-    const prompt_cost prompt{tokensOf(m_prefixes), readingMsPerToken()};
+    const prompt_cost prompt{totalTokens(m_prefixes), readingMsPerToken()};
     std::optional<shared_prompt> shared;
     if (!m_prefixes.empty())
         shared = {m_prefixes.back().hash, prompt.msPerToken * prompt.sharedTokens};
--- a/lib/Fleet/PrefixCacheEstimate.cpp
+++ b/lib/Fleet/PrefixCacheEstimate.cpp
@@ -7,7 +7,7 @@
 
 using namespace laurelcroft;
 
-unsigned laurelcroft::tokensOf(std::span<const prompt_prefix> prefixes)
+unsigned laurelcroft::totalTokens(std::span<const prompt_prefix> prefixes)
 {
     unsigned tokens = 0;
     for (const prompt_prefix &prefix : prefixes)
