--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -118,8 +118,8 @@
     double readingElsewhereMs(time_point now) const;
 
     /// Prefixes that it is thought to keep.
-    prefix_cache_estimate &prompts() { return m_prompts; }
-    const prefix_cache_estimate &prompts() const { return m_prompts; }
+    prefix_cache_estimate &prefixCache() { return m_prompts; }
+    const prefix_cache_estimate &prefixCache() const { return m_prompts; }
 
     /// A part of any answer came, which shows that it works.
     void progressed(time_point now) { m_progressedAt = now; }
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -129,7 +129,7 @@
                                                  const prompt_cost &prompt)
 {
     const time_point at = now();
-    const unsigned kept = endpoint->prompts().cachedTokens(m_prefixes);
+    const unsigned kept = endpoint->prefixCache().cachedTokens(m_prefixes);
     direct_candidate candidate;
     candidate.idHash = endpoint->idHash();
     candidate.load = endpoint->expectedLoad(at);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -295,14 +295,14 @@
     m_endpoint->sent(m_attemptAt);
     noteRun();
     beginRun();
-    m_readTokens = tokensToRead(endpoint->prompts().cachedTokens(m_prefixes));
+    m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
     m_readingMs = readingMsPerToken() * m_readTokens;
     m_expectedMs = m_endpoint->readingMs() + m_readingMs;
     m_elsewhereMs = m_endpoint->readingElsewhereMs(m_attemptAt);
     m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
     m_endpoint->beganReading(m_readingMs);
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
-    m_endpoint->prompts().insert(m_prefixes);
+    m_endpoint->prefixCache().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
     assert((m_arrivals == 0 || m_heldSend) && "a further send is taken out of the budget first");
     m_sentFor = m_arrivals > 0 ? std::exchange(m_heldSend, std::nullopt) : std::nullopt;
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -55,7 +55,7 @@
     if (it == m_directory.all().end())
         return;
     it->second->beganElsewhere(reading, now);
-    it->second->prompts().insert(prefixes);
+    it->second->prefixCache().insert(prefixes);
 }
 
 void routing_state::noteRateLimitElsewhere(const rate_limit_notice &notice, time_point now)
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -33,7 +33,7 @@
     directory.apply(recordOf("a", 10), start);
     const endpoint_ptr before = directory.usable("pool")[0];
     const std::array<prompt_prefix, 1> prefixes{{{7, 500}}};
-    before->prompts().insert(prefixes);
+    before->prefixCache().insert(prefixes);
     before->unreachable(start);
     before->failed(start);
     before->heardCold(seconds(60), start);
@@ -44,7 +44,7 @@
     const endpoint_ptr after = directory.usable("pool")[0];
     CHECK(after != before);
     CHECK(before->isGone());
-    CHECK(after->prompts().cachedTokens(prefixes) == 0);
+    CHECK(after->prefixCache().cachedTokens(prefixes) == 0);
     CHECK(!after->isAvoided(start));
     CHECK(!after->isCold(start));
     CHECK(after->failureShare(start) == 0);
