--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -118,8 +118,8 @@
     double readingElsewhereMs(time_point now) const;
 
     /// Prefixes that it is thought to keep.
-    prefix_cache_estimate &prefixCache() { return m_prompts; }
-    const prefix_cache_estimate &prefixCache() const { return m_prompts; }
+    prefix_cache_estimate &prefixCache() { return m_prefixCache; }
+    const prefix_cache_estimate &prefixCache() const { return m_prefixCache; }
 
     /// A part of any answer came, which shows that it works.
     void progressed(time_point now) { m_progressedAt = now; }
@@ -175,7 +175,7 @@
     std::deque<time_point> m_sent; ///< within the longest rate window, and the last one
     double m_readingMs = 0;
     time_point m_readsElsewhereUntil{}; ///< prompts of other entries, one after the other
-    prefix_cache_estimate m_prompts;
+    prefix_cache_estimate m_prefixCache;
     time_point m_progressedAt{};
     double m_others = 0; ///< requests of other callers at the last report
     time_point m_reportedAt{};
