--- a/include/laurelcroft/Fleet/Ranking.h
+++ b/include/laurelcroft/Fleet/Ranking.h
@@ -16,7 +16,7 @@
 namespace laurelcroft {
 
 /// \returns the \p count ids that rank first for \p duty, best first.
-std::vector<std::string> rankFirst(std::span<const std::string> ids, std::string_view duty,
+std::vector<std::string> topRanked(std::span<const std::string> ids, std::string_view duty,
                                    std::size_t count);
 
 /// \returns true when \p id is among the first \p count for \p duty.
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -35,7 +35,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::setEntries(std::vector<std::string> names)
 {
-    const std::vector<std::string> order = rankFirst(names, usageKey, names.size());
+    const std::vector<std::string> order = topRanked(names, usageKey, names.size());
     const auto own = std::find(order.begin(), order.end(), m_settings.entry);
     m_rank = static_cast<std::size_t>(own - order.begin());
     m_others.clear();
--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -72,7 +72,7 @@
     const std::vector<std::string> entries = m_node.liveEntries();
     std::map<std::string, wire::demand_report> byHome;
     for (const customer_demand &demand : m_limits.takeDemand(now - m_lastTick)) {
-        const std::string home = rankFirst(entries, "limits/" + demand.customer, 1).front();
+        const std::string home = topRanked(entries, "limits/" + demand.customer, 1).front();
         wire::demand_report &report = byHome[home];
         report.set_entry(m_node.options().instance);
         wire::demand &item = *report.add_demands();
--- a/lib/Fleet/EndpointDirectory.cpp
+++ b/lib/Fleet/EndpointDirectory.cpp
@@ -52,9 +52,9 @@
     const std::size_t fromFar = std::min(
             far.size(), std::max(m_options.otherDataCentres, most - std::min(most, near.size())));
     const std::size_t fromNear = std::min(near.size(), most - fromFar);
-    for (std::string &id : rankFirst(near, m_instance, fromNear))
+    for (std::string &id : topRanked(near, m_instance, fromNear))
         chosen.push_back(std::move(id));
-    for (std::string &id : rankFirst(far, m_instance, fromFar))
+    for (std::string &id : topRanked(far, m_instance, fromFar))
         chosen.push_back(std::move(id));
 }
 
--- a/lib/Fleet/Ranking.cpp
+++ b/lib/Fleet/Ranking.cpp
@@ -12,7 +12,7 @@
 
 using namespace laurelcroft;
 
-std::vector<std::string> laurelcroft::rankFirst(std::span<const std::string> ids,
+std::vector<std::string> laurelcroft::topRanked(std::span<const std::string> ids,
                                                 std::string_view duty, std::size_t count)
 {
     const std::uint64_t seed = stableHash(duty);
@@ -32,6 +32,6 @@
 bool laurelcroft::ranksAmong(std::span<const std::string> ids, std::string_view duty,
                              std::size_t count, std::string_view id)
 {
-    const std::vector<std::string> first = rankFirst(ids, duty, count);
+    const std::vector<std::string> first = topRanked(ids, duty, count);
     return std::find(first.begin(), first.end(), id) != first.end();
 }
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -299,8 +299,8 @@
             continue;
         (item.data_centre() == m_state->options.dataCentre ? near : far).push_back(id);
     }
-    std::vector<std::string> holders = rankFirst(far, m_state->options.instance, holdersOffered);
-    for (std::string &id : rankFirst(near, m_state->options.instance, holdersOffered))
+    std::vector<std::string> holders = topRanked(far, m_state->options.instance, holdersOffered);
+    for (std::string &id : topRanked(near, m_state->options.instance, holdersOffered))
         holders.push_back(std::move(id));
     return holders;
 }
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -289,7 +289,7 @@
     }
     for (const auto &[dataCentre, others] : names) {
         // Each entry ranks them in its own way, so that all are told by some.
-        for (const std::string &name : rankFirst(others, own, mostListeners)) {
+        for (const std::string &name : topRanked(others, own, mostListeners)) {
             if (const auto listener = udpEndpointIn(entries.at(name).address))
                 m_state->listeners[dataCentre].push_back(*listener);
         }
@@ -305,7 +305,7 @@
     }
     m_state->others.clear();
     m_state->byName.clear();
-    for (const std::string &name : rankFirst(names, own, names.size())) {
+    for (const std::string &name : topRanked(names, own, names.size())) {
         if (const auto address = udpEndpointIn(entries.at(name).address)) {
             m_state->others.push_back(*address);
             m_state->byName[name] = *address;
--- a/lib/Proxy/StoreReaders.cpp
+++ b/lib/Proxy/StoreReaders.cpp
@@ -53,8 +53,8 @@
         const bool isStrong = entries.at(name).processorShare >= strongPart * strongest;
         (isStrong ? strong : others).push_back(name);
     }
-    std::vector<std::string> ranked = rankFirst(strong, "store reader", count);
-    for (std::string &name : rankFirst(others, "store reader", count - ranked.size()))
+    std::vector<std::string> ranked = topRanked(strong, "store reader", count);
+    for (std::string &name : topRanked(others, "store reader", count - ranked.size()))
         ranked.push_back(std::move(name));
     return ranked;
 }
@@ -128,8 +128,8 @@
         (isNear ? near : far).push_back(name);
     }
     // Ranked by the asking entry, so that the readers share the others between them.
-    std::vector<std::string> asked = rankFirst(near, own, count);
-    for (std::string &name : rankFirst(far, own, count - asked.size()))
+    std::vector<std::string> asked = topRanked(near, own, count);
+    for (std::string &name : topRanked(far, own, count - asked.size()))
         asked.push_back(std::move(name));
     for (std::string &name : asked)
         name = entries.at(name).address;
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -216,12 +216,12 @@
     std::vector<std::string> ids;
     for (int i = 0; i < 100; ++i)
         ids.push_back("i" + std::to_string(i));
-    const auto first = rankFirst(ids, "duty", 10);
+    const auto first = topRanked(ids, "duty", 10);
     std::vector<std::string> reversed(ids.rbegin(), ids.rend());
-    CHECK(rankFirst(reversed, "duty", 10) == first);
-    CHECK(rankFirst(ids, "other", 10) != first);
+    CHECK(topRanked(reversed, "duty", 10) == first);
+    CHECK(topRanked(ids, "other", 10) != first);
     std::erase(ids, first[0]);
-    const auto next = rankFirst(ids, "duty", 9);
+    const auto next = topRanked(ids, "duty", 9);
     CHECK(std::vector<std::string>(first.begin() + 1, first.end()) == next);
 }
 
