--- a/include/laurelcroft/Fleet/Ranking.h
+++ b/include/laurelcroft/Fleet/Ranking.h
@@ -20,8 +20,8 @@
                                    std::size_t count);
 
 /// \returns true when \p id is among the first \p count for \p duty.
-bool ranksAmong(std::span<const std::string> ids, std::string_view duty, std::size_t count,
-                std::string_view id);
+bool isTopRanked(std::span<const std::string> ids, std::string_view duty, std::size_t count,
+                 std::string_view id);
 
 } // namespace laurelcroft
 
--- a/lib/Fleet/Ranking.cpp
+++ b/lib/Fleet/Ranking.cpp
@@ -29,8 +29,8 @@
     return first;
 }
 
-bool laurelcroft::ranksAmong(std::span<const std::string> ids, std::string_view duty,
-                             std::size_t count, std::string_view id)
+bool laurelcroft::isTopRanked(std::span<const std::string> ids, std::string_view duty,
+                              std::size_t count, std::string_view id)
 {
     const std::vector<std::string> first = topRanked(ids, duty, count);
     return std::find(first.begin(), first.end(), id) != first.end();
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -251,7 +251,7 @@
 {
     const std::vector<std::string> ids = liveIds(
             [this](const wire::member &item) { return item.data_centre() == options.dataCentre; });
-    const bool isMine = ranksAmong(ids, "bundle-poll", pollersPerDataCentre, options.instance);
+    const bool isMine = isTopRanked(ids, "bundle-poll", pollersPerDataCentre, options.instance);
     // Without a bundle everybody asks, but slowly: a peer is likely to be faster.
     const bool hasNone = events.digest().epoch == 0;
     if (isMine || (hasNone && random.chance(0.3)))
--- a/lib/Policy/RateShare.cpp
+++ b/lib/Policy/RateShare.cpp
@@ -33,7 +33,7 @@
     if (entries.empty() || perSecond <= 0)
         return 0;
     const std::size_t ownerCount = std::clamp<std::size_t>(owners, 1, entries.size());
-    if (!ranksAmong(entries, endpoint, ownerCount, own))
+    if (!isTopRanked(entries, endpoint, ownerCount, own))
         return 0;
     return perSecond / static_cast<double>(ownerCount);
 }
