--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -43,7 +43,7 @@
 
     /// \returns true when both say the same; heartbeats alone make no difference, nor do times
     /// that run off.
-    bool saysTheSame(const endpoint_record &other) const;
+    bool isEquivalentTo(const endpoint_record &other) const;
 
     /// \returns true when this is of a later incarnation than \p other.
     bool isLaterStart(const endpoint_record &other) const;
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -148,7 +148,7 @@
     const bool isRestarted = !isNew && record.isLaterStart(known->second->record());
     // The others have heard of a record that lapsed as removed.
     const bool isBack = m_state.directory().isLapsed(record.id);
-    const bool saysMore = isNew || isBack || !record.saysTheSame(known->second->record())
+    const bool saysMore = isNew || isBack || !record.isEquivalentTo(known->second->record())
             || isOtherwiseCold(record, *known->second);
     if (isNew || isRestarted || known->second->record().leaving != record.leaving) {
         logEndpoint(isNew                 ? "endpoint listed"
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -130,7 +130,7 @@
     return m_bad * keep / ((m_good + m_bad) * keep + priorAnswers);
 }
 
-bool endpoint_record::saysTheSame(const endpoint_record &other) const
+bool endpoint_record::isEquivalentTo(const endpoint_record &other) const
 {
     const auto fields = [](const endpoint_record &item) {
         return std::tie(item.id, item.service, item.host, item.port, item.dataCentre,
@@ -192,7 +192,7 @@
     m_lapsed.erase(record.id);
     const auto it = m_endpoints.find(record.id);
     if (it != m_endpoints.end()) {
-        if (!record.saysTheSame(it->second->record()))
+        if (!record.isEquivalentTo(it->second->record()))
             noteChange();
         // An endpoint that has begun to leave comes back only by a new start.
         record.leaving = record.leaving || it->second->record().leaving;
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -58,8 +58,8 @@
         directory.apply(at("before", 6, 80), start);
         CHECK(directory.all().count("before") == 0);
     }
-    CHECK(at("a", 5, 80).saysTheSame(at("a", 9, 80)));
-    CHECK(!at("a", 5, 80).saysTheSame(at("a", 5, 81)));
+    CHECK(at("a", 5, 80).isEquivalentTo(at("a", 9, 80)));
+    CHECK(!at("a", 5, 80).isEquivalentTo(at("a", 5, 81)));
 }
 
 TEST_CASE("a removal counts at once while the store can be trusted")
