--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -46,7 +46,7 @@
     bool isEquivalentTo(const endpoint_record &other) const;
 
     /// \returns true when this is of a later incarnation than \p other.
-    bool isLaterStart(const endpoint_record &other) const;
+    bool isLaterIncarnationThan(const endpoint_record &other) const;
 };
 
 /// Running and waiting requests as an endpoint reported them.
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -143,9 +143,9 @@
     const auto &all = m_state.directory().all();
     const auto known = all.find(record.id);
     const bool isNew = known == all.end();
-    if (!isNew && known->second->record().isLaterStart(record))
+    if (!isNew && known->second->record().isLaterIncarnationThan(record))
         return false;
-    const bool isRestarted = !isNew && record.isLaterStart(known->second->record());
+    const bool isRestarted = !isNew && record.isLaterIncarnationThan(known->second->record());
     // The others have heard of a record that lapsed as removed.
     const bool isBack = m_state.directory().isLapsed(record.id);
     const bool saysMore = isNew || isBack || !record.isEquivalentTo(known->second->record())
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -139,7 +139,7 @@
     return fields(*this) == fields(other);
 }
 
-bool endpoint_record::isLaterStart(const endpoint_record &other) const
+bool endpoint_record::isLaterIncarnationThan(const endpoint_record &other) const
 {
     return startedAt != 0 && other.startedAt != 0 && startedAt > other.startedAt;
 }
@@ -173,7 +173,7 @@
         return false;
     endpoint_record before;
     before.startedAt = departed->second;
-    return !record.isLaterStart(before);
+    return !record.isLaterIncarnationThan(before);
 }
 
 void service_directory::apply(endpoint_record record, time_point now, bool takesAddress)
@@ -182,10 +182,10 @@
     if (hasDeparted(record))
         return;
     if (const auto known = m_endpoints.find(record.id); known != m_endpoints.end()) {
-        if (known->second->record().isLaterStart(record))
+        if (known->second->record().isLaterIncarnationThan(record))
             return;
         // It holds and knows nothing of before.
-        if (record.isLaterStart(known->second->record()))
+        if (record.isLaterIncarnationThan(known->second->record()))
             drop(record.id);
     }
     m_departed.erase(record.id);
