--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -39,7 +39,7 @@
     bool leaving = false;
     milliseconds coldLeft{0}; ///< how much longer it bears few requests, when the row was written
     std::uint64_t startedAt = 0; ///< Unix milliseconds of its start; 0: not told
-    std::uint64_t heardAt = 0; ///< version of the row; rises with each heartbeat. 0: not known
+    std::uint64_t rowVersion = 0; ///< version of the row; rises with each heartbeat. 0: not known
 
     /// \returns true when both say the same; heartbeats alone make no difference, nor do times
     /// that run off.
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -121,7 +121,7 @@
     decoded<endpoint_record> record = m_codec.decodeEndpoint(row.key, row.value);
     if (record) {
         m_refused.erase(row.key);
-        record.value().heardAt = row.version;
+        record.value().rowVersion = row.version;
         return std::move(record.value());
     }
     // A table that is read again would tell of each again.
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -152,13 +152,13 @@
 
 bool service_directory::takeAddress(const endpoint_record &record)
 {
-    if (record.port == 0 || record.heardAt == 0)
+    if (record.port == 0 || record.rowVersion == 0)
         return true;
     const address place{record.host, record.port};
     const auto holder = m_atAddress.find(place);
     if (holder != m_atAddress.end() && holder->second != record.id) {
         const std::string other = holder->second;
-        if (m_endpoints.at(other)->record().heardAt > record.heardAt)
+        if (m_endpoints.at(other)->record().rowVersion > record.rowVersion)
             return false;
         drop(other);
     }
@@ -255,7 +255,7 @@
     if (it == m_endpoints.end())
         return true;
     // Told late, of a row before the one that is known: the endpoint has come back meanwhile.
-    if (version != 0 && version < it->second->record().heardAt)
+    if (version != 0 && version < it->second->record().rowVersion)
         return false;
     if (now >= m_trustedFrom || it->second->isLeaving()) {
         drop(id);
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -90,7 +90,7 @@
 {
     service_directory directory;
     endpoint_record record = recordOf("a", 20);
-    record.heardAt = 9;
+    record.rowVersion = 9;
     directory.apply(record, start);
     CHECK(!directory.remove("a", start, 8));
     CHECK(directory.usable("pool").size() == 1);
@@ -117,12 +117,12 @@
     endpoint_record own = recordOf("a", 10);
     own.host = "10.0.0.1";
     own.port = 80;
-    own.heardAt = 5;
+    own.rowVersion = 5;
     directory.apply(own, start);
     endpoint_record other = own;
     other.id = "b";
     other.service = "unknown";
-    other.heardAt = 6;
+    other.rowVersion = 6;
     directory.apply(other, start, false);
     REQUIRE(directory.usable("pool").size() == 1);
     CHECK(directory.usable("pool")[0]->record().id == "a");
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -41,7 +41,7 @@
         endpoint_record record = recordOf(id);
         record.host = "10.0.0.1";
         record.port = port;
-        record.heardAt = heardAt;
+        record.rowVersion = heardAt;
         return record;
     };
     for (const bool inOrder : {true, false}) {
--- a/unittests/Proxy/LeavingEndpointTests.cpp
+++ b/unittests/Proxy/LeavingEndpointTests.cpp
@@ -64,12 +64,12 @@
     leaving_world world(lookupRoute(), {"e1"});
     endpoint_record record = world.directory().all().at("e1")->record();
     record.startedAt = 100;
-    record.heardAt = 7;
+    record.rowVersion = 7;
     world.directory().apply(record, world.runtime.now());
     startFlow(world, requestFor(lookupRoute()));
     REQUIRE(world.calls.size() == 1);
     world.answerLeaving(0);
-    record.heardAt = 8;
+    record.rowVersion = 8;
     world.directory().apply(record, world.runtime.now());
     CHECK(world.sentTo("e1", 5) == 0);
     record.startedAt = 200;
