--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -291,7 +291,7 @@
     m_body.clear();
     m_splitter = isStream() ? std::make_unique<event_splitter>() : nullptr;
     m_endpoint = endpoint;
-    m_endpoint->began();
+    m_endpoint->requestStarted();
     m_endpoint->sent(m_attemptAt);
     noteRun();
     beginRun();
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -104,10 +104,10 @@
 TEST_CASE("a load report is corrected by own requests and fades")
 {
     service_endpoint endpoint(recordOf("a"));
-    endpoint.began();
+    endpoint.requestStarted();
     endpoint.reported({5, 2, 8}, start);
     CHECK(endpoint.expectedLoad(start) == doctest::Approx(7));
-    endpoint.began();
+    endpoint.requestStarted();
     CHECK(endpoint.expectedLoad(start) == doctest::Approx(8));
     CHECK(endpoint.expectedLoad(start + seconds(10)) == doctest::Approx(2).epsilon(0.01));
 }
--- a/unittests/Proxy/RetryAfterTests.cpp
+++ b/unittests/Proxy/RetryAfterTests.cpp
@@ -121,7 +121,7 @@
     world.runtime.advance(seconds(1));
     // Load makes e3 the most expensive choice.
     for (unsigned i = 0; i < 20; ++i)
-        listed.at("e3")->began();
+        listed.at("e3")->requestStarted();
     for (unsigned i = 0; i < 20; ++i) {
         world.earnFurtherSends("pool");
         const std::size_t first = world.calls.size();
