--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -72,7 +72,7 @@
     /// Requests of this process that it works on.
     unsigned running() const { return m_running; }
     void requestStarted() { ++m_running; }
-    void ended() { --m_running; }
+    void requestEnded() { --m_running; }
 
     /// It says how much longer it bears few requests; 0: it bears all.
     void heardCold(milliseconds left, time_point now) { m_coldUntil = now + left; }
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -215,7 +215,7 @@
     const std::string &version = m_endpoint->record().softwareVersion;
     m_env.runtime().cancel(m_progressTimer);
     endReading();
-    m_endpoint->ended();
+    m_endpoint->requestEnded();
     leaveRun();
     if (end == attempt_end::refused || end == attempt_end::notSent)
         noteNotRun();
@@ -468,7 +468,7 @@
         return;
     if (m_endpoint) {
         endReading();
-        m_endpoint->ended();
+        m_endpoint->requestEnded();
         leaveRun();
         m_endpoint = nullptr;
         m_env.cancel(m_call);
