--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -91,7 +91,7 @@
     time_point rateLimitReportedAt() const { return m_rateLimitReportedAt; }
 
     /// This process sent it a request.
-    void sent(time_point now);
+    void recordSend(time_point now);
 
     /// \returns when this process last sent it a request; the clock's epoch if it never did.
     time_point lastSentAt() const { return m_sent.empty() ? time_point() : m_sent.back(); }
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -292,7 +292,7 @@
     m_splitter = isStream() ? std::make_unique<event_splitter>() : nullptr;
     m_endpoint = endpoint;
     m_endpoint->requestStarted();
-    m_endpoint->sent(m_attemptAt);
+    m_endpoint->recordSend(m_attemptAt);
     noteRun();
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -63,7 +63,7 @@
     m_rateLimitReportedAt = now;
 }
 
-void service_endpoint::sent(time_point now)
+void service_endpoint::recordSend(time_point now)
 {
     while (m_sent.size() > 1 && now - m_sent.front() > longestRateWindow)
         m_sent.pop_front();
--- a/unittests/Policy/RateShareTests.cpp
+++ b/unittests/Policy/RateShareTests.cpp
@@ -105,7 +105,7 @@
                     const double share = limitShareOf("p1", perSecond, entries, entries[i]);
                     if (!views[i].hasRoomFor(share, now))
                         continue;
-                    views[i].sent(now);
+                    views[i].recordSend(now);
                     sends.push_back(now);
                 }
                 const auto first = std::find_if(sends.begin(), sends.end(),
--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -292,7 +292,7 @@
     flow_world world(lookupRoute(), {"e1", "e2"});
     const auto &listed = world.routing.directory().all();
     listed.at("e1")->setRateLimit(0.5, world.runtime.now());
-    listed.at("e1")->sent(world.runtime.now());
+    listed.at("e1")->recordSend(world.runtime.now());
     startFlow(world, requestFor(lookupRoute()));
     REQUIRE(world.calls.size() == 1);
     CHECK(world.calls[0].attempt.endpoint->record().id == "e2");
--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -229,7 +229,7 @@
     for (unsigned i = 0; i < coldEndpoints; ++i) {
         const std::string id = "cold" + std::to_string(i);
         world.addColdEndpoint(id, "own");
-        world.routing.directory().all().at(id)->sent(world.runtime.now());
+        world.routing.directory().all().at(id)->recordSend(world.runtime.now());
     }
     world.runtime.advance(milliseconds(800));
     for (unsigned i = 0; i < requests; ++i) {
