--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -75,7 +75,7 @@
     void requestEnded() { --m_running; }
 
     /// It says how much longer it bears few requests; 0: it bears all.
-    void heardCold(milliseconds left, time_point now) { m_coldUntil = now + left; }
+    void setColdFor(milliseconds left, time_point now) { m_coldUntil = now + left; }
     time_point coldUntil() const { return m_coldUntil; }
     bool isCold(time_point now) const { return now < m_coldUntil; }
 
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -196,7 +196,7 @@
             noteChange();
         // An endpoint that has begun to leave comes back only by a new start.
         record.leaving = record.leaving || it->second->record().leaving;
-        it->second->heardCold(record.coldLeft, now);
+        it->second->setColdFor(record.coldLeft, now);
         it->second->update(std::move(record));
         return;
     }
@@ -210,7 +210,7 @@
     const std::string id = record.id;
     const milliseconds coldLeft = record.coldLeft;
     const auto endpoint = std::make_shared<service_endpoint>(std::move(record));
-    endpoint->heardCold(coldLeft, now);
+    endpoint->setColdFor(coldLeft, now);
     m_endpoints.emplace(id, endpoint);
     noteChange();
     expire(now);
@@ -321,7 +321,7 @@
         const std::string &place = endpoint->record().dataCentre;
         const bool isTakenBack = m_evacuated.count(place) != 0 && dataCentres.count(place) == 0;
         if (isTakenBack && !endpoint->isCold(now))
-            endpoint->heardCold(coldSuspicion, now);
+            endpoint->setColdFor(coldSuspicion, now);
     }
     m_evacuated = std::move(dataCentres);
     noteChange();
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -36,7 +36,7 @@
     before->prefixCache().insert(prefixes);
     before->unreachable(start);
     before->failed(start);
-    before->heardCold(seconds(60), start);
+    before->setColdFor(seconds(60), start);
     before->beganElsewhere(seconds(5), start);
 
     directory.apply(recordOf("a", 20), start);
--- a/unittests/Proxy/FlowWorld.cpp
+++ b/unittests/Proxy/FlowWorld.cpp
@@ -42,7 +42,7 @@
     contract->services.front().coldPerSecond = 1;
     routing.setContract(contract);
     routing.setEntries({owner}, "own");
-    routing.directory().all().at(id)->heardCold(seconds(5), runtime.now());
+    routing.directory().all().at(id)->setColdFor(seconds(5), runtime.now());
 }
 
 void flow_world::earnFurtherSends(const std::string &service)
