--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -122,7 +122,7 @@
     const prefix_cache_estimate &prefixCache() const { return m_prefixCache; }
 
     /// A part of any answer came, which shows that it works.
-    void progressed(time_point now) { m_progressedAt = now; }
+    void recordProgress(time_point now) { m_progressedAt = now; }
     time_point progressedAt() const { return m_progressedAt; }
 
     /// Takes a load report that came with an answer.
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -24,7 +24,7 @@
     m_answered = true;
     m_run->beganAt = now();
     endReading();
-    m_endpoint->progressed(now());
+    m_endpoint->recordProgress(now());
     noteEndpointState();
     const bool success = isSuccess(m_answer.status);
     if (success && !isValidSuccess()) {
@@ -146,7 +146,7 @@
 void request_flow<Env>::onEvent(const stream_event &event)
 {
     m_progressAt = now();
-    m_endpoint->progressed(m_progressAt);
+    m_endpoint->recordProgress(m_progressAt);
     ++m_attemptEvents;
     if (!std::exchange(m_progressed, true)) {
         m_firstEventAt = m_progressAt;
