--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -126,7 +126,7 @@
     time_point progressedAt() const { return m_progressedAt; }
 
     /// Takes a load report that came with an answer.
-    void reported(const endpoint_load &load, time_point now);
+    void recordLoadReport(const endpoint_load &load, time_point now);
 
     /// \returns running and waiting requests of all callers, as far as known.
     double expectedLoad(time_point now) const;
--- a/include/laurelcroft/Proxy/RequestFlowEndpointState.h
+++ b/include/laurelcroft/Proxy/RequestFlowEndpointState.h
@@ -13,7 +13,7 @@
 void request_flow<Env>::noteEndpointState()
 {
     if (m_answer.load)
-        m_endpoint->reported(*m_answer.load, now());
+        m_endpoint->recordLoadReport(*m_answer.load, now());
     // A misdirected answer comes from another process at the address, so the values below don't
     // apply to this endpoint.
     if (m_answer.misdirected)
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -45,7 +45,7 @@
 {
 }
 
-void service_endpoint::reported(const endpoint_load &load, time_point now)
+void service_endpoint::recordLoadReport(const endpoint_load &load, time_point now)
 {
     const double total = static_cast<double>(load.running) + load.waiting;
     m_others = std::max(0.0, total - m_running);
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -105,7 +105,7 @@
 {
     service_endpoint endpoint(recordOf("a"));
     endpoint.requestStarted();
-    endpoint.reported({5, 2, 8}, start);
+    endpoint.recordLoadReport({5, 2, 8}, start);
     CHECK(endpoint.expectedLoad(start) == doctest::Approx(7));
     endpoint.requestStarted();
     CHECK(endpoint.expectedLoad(start) == doctest::Approx(8));
