--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -132,7 +132,7 @@
     double expectedLoad(time_point now) const;
 
     /// A request was answered, or failed in a way that is the endpoint's fault.
-    void succeeded(time_point now);
+    void recordSuccess(time_point now);
     void failed(time_point now);
 
     /// It could not be reached at all, or refused as full.
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -221,7 +221,7 @@
         noteNotRun();
     switch (end) {
     case attempt_end::answered:
-        m_endpoint->succeeded(at);
+        m_endpoint->recordSuccess(at);
         rollouts.observe(version, m_route->name, m_record.model, timingNow(), at);
         break;
     case attempt_end::failed:
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -99,7 +99,7 @@
     m_countedAt = now;
 }
 
-void service_endpoint::succeeded(time_point now)
+void service_endpoint::recordSuccess(time_point now)
 {
     decay(now);
     m_good += 1;
