--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -133,7 +133,7 @@
 
     /// A request was answered, or failed in a way that is the endpoint's fault.
     void recordSuccess(time_point now);
-    void failed(time_point now);
+    void recordFailure(time_point now);
 
     /// It could not be reached at all, or refused as full.
     void unreachable(time_point now);
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -228,13 +228,13 @@
     case attempt_end::broken:
         if (!m_answered)
             noteWait();
-        m_endpoint->failed(at);
+        m_endpoint->recordFailure(at);
         rollouts.observe(version, m_route->name, m_record.model, std::nullopt, at);
         break;
     case attempt_end::silent:
         if (!m_answered)
             noteWait();
-        m_endpoint->failed(at);
+        m_endpoint->recordFailure(at);
         if (!m_countedSlow)
             rollouts.observeSilence(version, m_route->name, at);
         break;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -106,7 +106,7 @@
     m_unreachableInRow = 0;
 }
 
-void service_endpoint::failed(time_point now)
+void service_endpoint::recordFailure(time_point now)
 {
     decay(now);
     m_bad += 1;
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -35,7 +35,7 @@
     const std::array<prompt_prefix, 1> prefixes{{{7, 500}}};
     before->prefixCache().insert(prefixes);
     before->unreachable(start);
-    before->failed(start);
+    before->recordFailure(start);
     before->setColdFor(seconds(60), start);
     before->beganElsewhere(seconds(5), start);
 
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -115,11 +115,11 @@
 TEST_CASE("failures raise the share, which fades without any answer")
 {
     service_endpoint endpoint(recordOf("a"));
-    endpoint.failed(start);
+    endpoint.recordFailure(start);
     const double once = endpoint.failureShare(start);
     CHECK(once < 0.3);
     for (int i = 0; i < 5; ++i)
-        endpoint.failed(start);
+        endpoint.recordFailure(start);
     CHECK(endpoint.failureShare(start) > once);
     CHECK(endpoint.failureShare(start + seconds(30)) < 0.05);
 }
