--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -136,7 +136,7 @@
     void recordFailure(time_point now);
 
     /// It could not be reached at all, or refused as full.
-    void unreachable(time_point now);
+    void recordUnreachable(time_point now);
     void full(time_point now);
 
     /// Starts a backoff of \p time, or extends the current one; never shortens it.
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -242,12 +242,12 @@
         // A process that is gone seldom comes back at its address, and the record of its successor
         // takes a second to come: 24 of 37,000 callers met three such endpoints in a row.
         if (m_answer.misdirected)
-            m_endpoint->unreachable(at);
+            m_endpoint->recordUnreachable(at);
         else
             m_endpoint->full(at);
         break;
     case attempt_end::notSent:
-        m_endpoint->unreachable(at);
+        m_endpoint->recordUnreachable(at);
         break;
     }
     m_endpoint = nullptr;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -112,7 +112,7 @@
     m_bad += 1;
 }
 
-void service_endpoint::unreachable(time_point now)
+void service_endpoint::recordUnreachable(time_point now)
 {
     const unsigned doublings = std::min(m_unreachableInRow, mostDoublings);
     m_avoidedUntil = now + firstAvoidance * (1U << doublings);
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -34,7 +34,7 @@
     const endpoint_ptr before = directory.usable("pool")[0];
     const std::array<prompt_prefix, 1> prefixes{{{7, 500}}};
     before->prefixCache().insert(prefixes);
-    before->unreachable(start);
+    before->recordUnreachable(start);
     before->recordFailure(start);
     before->setColdFor(seconds(60), start);
     before->beganElsewhere(seconds(5), start);
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -127,11 +127,11 @@
 TEST_CASE("an unreachable endpoint is avoided for longer each time, up to a bound")
 {
     service_endpoint endpoint(recordOf("a"));
-    endpoint.unreachable(start);
+    endpoint.recordUnreachable(start);
     CHECK(endpoint.isAvoided(start + milliseconds(499)));
     CHECK(!endpoint.isAvoided(start + milliseconds(500)));
     for (int i = 0; i < 10; ++i)
-        endpoint.unreachable(start);
+        endpoint.recordUnreachable(start);
     CHECK(endpoint.isAvoided(start + milliseconds(3999)));
     CHECK(!endpoint.isAvoided(start + milliseconds(4000)));
 }
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -284,7 +284,7 @@
     REQUIRE(world.calls.size() == 1);
     // The choice for the larger model would be a last resort.
     for (const auto &[id, endpoint] : world.routing.directory().all())
-        endpoint->unreachable(world.runtime.now());
+        endpoint->recordUnreachable(world.runtime.now());
     world.runtime.advance(milliseconds(100));
     world.answer(0, 200, 5);
     world.data(0, eventText(1));
