--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -137,7 +137,7 @@
 
     /// It could not be reached at all, or refused as full.
     void recordUnreachable(time_point now);
-    void full(time_point now);
+    void recordFull(time_point now);
 
     /// Starts a backoff of \p time, or extends the current one; never shortens it.
     void startBackoff(duration time, time_point now)
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -244,7 +244,7 @@
         if (m_answer.misdirected)
             m_endpoint->recordUnreachable(at);
         else
-            m_endpoint->full(at);
+            m_endpoint->recordFull(at);
         break;
     case attempt_end::notSent:
         m_endpoint->recordUnreachable(at);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -119,7 +119,7 @@
     ++m_unreachableInRow;
 }
 
-void service_endpoint::full(time_point now)
+void service_endpoint::recordFull(time_point now)
 {
     m_avoidedUntil = std::max(m_avoidedUntil, now + fullAvoidance);
 }
