--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -112,7 +112,7 @@
     void endedReading(double ms) { m_readingMs -= ms; }
 
     /// Another entry sent it a prompt that takes \p reading.
-    void beganElsewhere(milliseconds reading, time_point now);
+    void addRemotePrefill(milliseconds reading, time_point now);
 
     /// \returns how much longer it reads prompts of other entries, as far as they have told.
     double readingElsewhereMs(time_point now) const;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -80,7 +80,7 @@
     return first + std::chrono::ceil<duration>(window);
 }
 
-void service_endpoint::beganElsewhere(milliseconds reading, time_point now)
+void service_endpoint::addRemotePrefill(milliseconds reading, time_point now)
 {
     m_readsElsewhereUntil = std::max(m_readsElsewhereUntil, now) + reading;
 }
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -54,7 +54,7 @@
     const auto it = m_directory.all().find(endpoint);
     if (it == m_directory.all().end())
         return;
-    it->second->beganElsewhere(reading, now);
+    it->second->addRemotePrefill(reading, now);
     it->second->prefixCache().insert(prefixes);
 }
 
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -37,7 +37,7 @@
     before->recordUnreachable(start);
     before->recordFailure(start);
     before->setColdFor(seconds(60), start);
-    before->beganElsewhere(seconds(5), start);
+    before->addRemotePrefill(seconds(5), start);
 
     directory.apply(recordOf("a", 20), start);
     REQUIRE(directory.usable("pool").size() == 1);
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -154,10 +154,10 @@
 {
     service_endpoint endpoint(recordOf("a"));
     CHECK(endpoint.readingElsewhereMs(start) == 0);
-    endpoint.beganElsewhere(milliseconds(400), start);
-    endpoint.beganElsewhere(milliseconds(200), start + milliseconds(100));
+    endpoint.addRemotePrefill(milliseconds(400), start);
+    endpoint.addRemotePrefill(milliseconds(200), start + milliseconds(100));
     CHECK(endpoint.readingElsewhereMs(start + milliseconds(100)) == doctest::Approx(500));
     CHECK(endpoint.readingElsewhereMs(start + milliseconds(600)) == 0);
-    endpoint.beganElsewhere(milliseconds(200), start + seconds(5));
+    endpoint.addRemotePrefill(milliseconds(200), start + seconds(5));
     CHECK(endpoint.readingElsewhereMs(start + seconds(5)) == doctest::Approx(200));
 }
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -368,7 +368,7 @@
                     told.push_back(endpoint.record().id);
                 });
         const auto &all = world.routing.directory().all();
-        all.at(busy)->beganElsewhere(milliseconds(400), world.runtime.now());
+        all.at(busy)->addRemotePrefill(milliseconds(400), world.runtime.now());
         startFlow(world, requestFor(lookupRoute()));
         REQUIRE(world.calls.size() == 1);
         CHECK(world.calls[0].attempt.endpoint->record().id != busy);
