--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -115,7 +115,7 @@
     void addRemotePrefill(milliseconds reading, time_point now);
 
     /// \returns how much longer it reads prompts of other entries, as far as they have told.
-    double readingElsewhereMs(time_point now) const;
+    double remotePrefillMs(time_point now) const;
 
     /// Prefixes that it is thought to keep.
     prefix_cache_estimate &prefixCache() { return m_prefixCache; }
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -85,7 +85,7 @@
     m_readsElsewhereUntil = std::max(m_readsElsewhereUntil, now) + reading;
 }
 
-double service_endpoint::readingElsewhereMs(time_point now) const
+double service_endpoint::remotePrefillMs(time_point now) const
 {
     const std::chrono::duration<double, std::milli> left = m_readsElsewhereUntil - now;
     return std::max(0.0, left.count());
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -48,7 +48,7 @@
     CHECK(!after->isAvoided(start));
     CHECK(!after->isCold(start));
     CHECK(after->failureShare(start) == 0);
-    CHECK(after->readingElsewhereMs(start) == 0);
+    CHECK(after->remotePrefillMs(start) == 0);
 }
 
 TEST_CASE("an endpoint that has left is used again once it has started anew, not before")
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -153,11 +153,11 @@
 TEST_CASE("prompts that other entries sent are read one after the other, and done in time")
 {
     service_endpoint endpoint(recordOf("a"));
-    CHECK(endpoint.readingElsewhereMs(start) == 0);
+    CHECK(endpoint.remotePrefillMs(start) == 0);
     endpoint.addRemotePrefill(milliseconds(400), start);
     endpoint.addRemotePrefill(milliseconds(200), start + milliseconds(100));
-    CHECK(endpoint.readingElsewhereMs(start + milliseconds(100)) == doctest::Approx(500));
-    CHECK(endpoint.readingElsewhereMs(start + milliseconds(600)) == 0);
+    CHECK(endpoint.remotePrefillMs(start + milliseconds(100)) == doctest::Approx(500));
+    CHECK(endpoint.remotePrefillMs(start + milliseconds(600)) == 0);
     endpoint.addRemotePrefill(milliseconds(200), start + seconds(5));
-    CHECK(endpoint.readingElsewhereMs(start + seconds(5)) == doctest::Approx(200));
+    CHECK(endpoint.remotePrefillMs(start + seconds(5)) == doctest::Approx(200));
 }
