--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -107,7 +107,7 @@
     }
 
     /// Prompts of this process that it still reads, as time that this is thought to take.
-    double readingMs() const { return m_readingMs; }
+    double prefillMs() const { return m_readingMs; }
     void beganReading(double ms) { m_readingMs += ms; }
     void endedReading(double ms) { m_readingMs -= ms; }
 
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -134,7 +134,7 @@
     candidate.idHash = endpoint->idHash();
     candidate.load = endpoint->expectedLoad(at);
     candidate.slots = std::max(1U, endpoint->record().slots);
-    candidate.waitMs = endpoint->readingMs()
+    candidate.waitMs = endpoint->prefillMs()
             + flow_bounds::weightElsewhere * endpoint->remotePrefillMs(at)
             + prompt.msPerToken * tokensToRead(kept);
     candidate.unseenMs = prompt.msPerToken * (prompt.sharedTokens - kept);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -297,7 +297,7 @@
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
     m_readingMs = readingMsPerToken() * m_readTokens;
-    m_expectedMs = m_endpoint->readingMs() + m_readingMs;
+    m_expectedMs = m_endpoint->prefillMs() + m_readingMs;
     m_elsewhereMs = m_endpoint->remotePrefillMs(m_attemptAt);
     m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
     m_endpoint->beganReading(m_readingMs);
