--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -108,7 +108,7 @@
 
     /// Prompts of this process that it still reads, as time that this is thought to take.
     double prefillMs() const { return m_readingMs; }
-    void beganReading(double ms) { m_readingMs += ms; }
+    void addPrefill(double ms) { m_readingMs += ms; }
     void endedReading(double ms) { m_readingMs -= ms; }
 
     /// Another entry sent it a prompt that takes \p reading.
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -300,7 +300,7 @@
     m_expectedMs = m_endpoint->prefillMs() + m_readingMs;
     m_elsewhereMs = m_endpoint->remotePrefillMs(m_attemptAt);
     m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
-    m_endpoint->beganReading(m_readingMs);
+    m_endpoint->addPrefill(m_readingMs);
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
     m_endpoint->prefixCache().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
