--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -109,7 +109,7 @@
     /// Prompts of this process that it still reads, as time that this is thought to take.
     double prefillMs() const { return m_readingMs; }
     void addPrefill(double ms) { m_readingMs += ms; }
-    void endedReading(double ms) { m_readingMs -= ms; }
+    void removePrefill(double ms) { m_readingMs -= ms; }
 
     /// Another entry sent it a prompt that takes \p reading.
     void addRemotePrefill(milliseconds reading, time_point now);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -382,7 +382,7 @@
 template <flow_environment Env>
 void request_flow<Env>::endReading()
 {
-    m_endpoint->endedReading(std::exchange(m_readingMs, 0));
+    m_endpoint->removePrefill(std::exchange(m_readingMs, 0));
 }
 
 template <flow_environment Env>
