--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -107,9 +107,9 @@
     }
 
     /// Prompts of this process that it still reads, as time that this is thought to take.
-    double prefillMs() const { return m_readingMs; }
-    void addPrefill(double ms) { m_readingMs += ms; }
-    void removePrefill(double ms) { m_readingMs -= ms; }
+    double prefillMs() const { return m_prefillMs; }
+    void addPrefill(double ms) { m_prefillMs += ms; }
+    void removePrefill(double ms) { m_prefillMs -= ms; }
 
     /// Another entry sent it a prompt that takes \p reading.
     void addRemotePrefill(milliseconds reading, time_point now);
@@ -173,7 +173,7 @@
     std::optional<double> m_rateLimit; ///< requests per second
     time_point m_rateLimitReportedAt{};
     std::deque<time_point> m_sent; ///< within the longest rate window, and the last one
-    double m_readingMs = 0;
+    double m_prefillMs = 0;
     time_point m_readsElsewhereUntil{}; ///< prompts of other entries, one after the other
     prefix_cache_estimate m_prefixCache;
     time_point m_progressedAt{};
