--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -174,7 +174,7 @@
     time_point m_rateLimitReportedAt{};
     std::deque<time_point> m_sent; ///< within the longest rate window, and the last one
     double m_prefillMs = 0;
-    time_point m_readsElsewhereUntil{}; ///< prompts of other entries, one after the other
+    time_point m_remotePrefillUntil{}; ///< prompts of other entries, one after the other
     prefix_cache_estimate m_prefixCache;
     time_point m_progressedAt{};
     double m_others = 0; ///< requests of other callers at the last report
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -82,12 +82,12 @@
 
 void service_endpoint::addRemotePrefill(milliseconds reading, time_point now)
 {
-    m_readsElsewhereUntil = std::max(m_readsElsewhereUntil, now) + reading;
+    m_remotePrefillUntil = std::max(m_remotePrefillUntil, now) + reading;
 }
 
 double service_endpoint::remotePrefillMs(time_point now) const
 {
-    const std::chrono::duration<double, std::milli> left = m_readsElsewhereUntil - now;
+    const std::chrono::duration<double, std::milli> left = m_remotePrefillUntil - now;
     return std::max(0.0, left.count());
 }
 
