--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -153,7 +153,7 @@
     bool isInBackoff(time_point now) const { return now < m_backoffUntil; }
 
     /// \returns the recent share of failures, 0 when nothing is known.
-    double failureShare(time_point now) const;
+    double failureRate(time_point now) const;
 
     /// \returns true while no request should go there unless there is no other.
     bool isAvoided(time_point now) const { return now < m_avoidedUntil; }
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -138,7 +138,7 @@
             + flow_bounds::weightElsewhere * endpoint->remotePrefillMs(at)
             + prompt.msPerToken * tokensToRead(kept);
     candidate.unseenMs = prompt.msPerToken * (prompt.sharedTokens - kept);
-    candidate.failureShare = endpoint->failureShare(at);
+    candidate.failureShare = endpoint->failureRate(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
     // An endpoint that refuses at once has no load and so the lowest cost. Further attempts avoid
     // it until it accepts a request, so that one request does not spend all its attempts on such
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -124,7 +124,7 @@
     m_avoidedUntil = std::max(m_avoidedUntil, now + fullAvoidance);
 }
 
-double service_endpoint::failureShare(time_point now) const
+double service_endpoint::failureRate(time_point now) const
 {
     const double keep = faded(now - m_countedAt, failureHalfLife);
     return m_bad * keep / ((m_good + m_bad) * keep + priorAnswers);
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -47,7 +47,7 @@
     CHECK(after->prefixCache().cachedTokens(prefixes) == 0);
     CHECK(!after->isAvoided(start));
     CHECK(!after->isCold(start));
-    CHECK(after->failureShare(start) == 0);
+    CHECK(after->failureRate(start) == 0);
     CHECK(after->remotePrefillMs(start) == 0);
 }
 
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -116,12 +116,12 @@
 {
     service_endpoint endpoint(recordOf("a"));
     endpoint.recordFailure(start);
-    const double once = endpoint.failureShare(start);
+    const double once = endpoint.failureRate(start);
     CHECK(once < 0.3);
     for (int i = 0; i < 5; ++i)
         endpoint.recordFailure(start);
-    CHECK(endpoint.failureShare(start) > once);
-    CHECK(endpoint.failureShare(start + seconds(30)) < 0.05);
+    CHECK(endpoint.failureRate(start) > once);
+    CHECK(endpoint.failureRate(start + seconds(30)) < 0.05);
 }
 
 TEST_CASE("an unreachable endpoint is avoided for longer each time, up to a bound")
