--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -159,7 +159,7 @@
     bool isAvoided(time_point now) const { return now < m_avoidedUntil; }
 
     /// It may get no new request at all.
-    bool isGone() const { return m_gone; }
+    bool isRemoved() const { return m_gone; }
     void setGone() { m_gone = true; }
 
 private:
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -65,7 +65,7 @@
     const endpoint_record &record = endpoint.record();
     auto [young, runs] = youngOf(m_runs.suspectsOf(record.id, at), at);
     m_runs.forget(record.id);
-    const bool isPlanned = endpoint.isLeaving() || endpoint.isGone();
+    const bool isPlanned = endpoint.isLeaving() || endpoint.isRemoved();
     logInfo(log_part::fleet, "endpoint ended",
             {{"endpoint", record.id},
              {"service", record.service},
--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -202,7 +202,7 @@
     const time_point now = bootNow();
     for (auto it = m_state->pools.begin(); it != m_state->pools.end();) {
         state::pool &pool = it->second;
-        const bool gone = pool.endpoint->isGone();
+        const bool gone = pool.endpoint->isRemoved();
         const auto idle = pool.idle;
         for (const auto &connection : idle) {
             if (gone || now - connection->idleSince() >= connection->idleLife())
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -43,7 +43,7 @@
     REQUIRE(directory.usable("pool").size() == 1);
     const endpoint_ptr after = directory.usable("pool")[0];
     CHECK(after != before);
-    CHECK(before->isGone());
+    CHECK(before->isRemoved());
     CHECK(after->prefixCache().cachedTokens(prefixes) == 0);
     CHECK(!after->isAvoided(start));
     CHECK(!after->isCold(start));
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -53,7 +53,7 @@
         CHECK(directory.usable("pool").size() == 2);
         CHECK(directory.all().count("after") == 1);
         CHECK(directory.all().count("other") == 1);
-        CHECK(before->isGone() == inOrder);
+        CHECK(before->isRemoved() == inOrder);
         // A late row of the earlier one doesn't bring it back.
         directory.apply(at("before", 6, 80), start);
         CHECK(directory.all().count("before") == 0);
@@ -69,7 +69,7 @@
     const endpoint_ptr endpoint = directory.usable("pool")[0];
     directory.remove("a", start);
     CHECK(directory.usable("pool").empty());
-    CHECK(endpoint->isGone());
+    CHECK(endpoint->isRemoved());
 }
 
 TEST_CASE("a removal during an outage waits for two seconds after it")
