--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -160,7 +160,7 @@
 
     /// It may get no new request at all.
     bool isRemoved() const { return m_gone; }
-    void setGone() { m_gone = true; }
+    void setRemoved() { m_gone = true; }
 
 private:
     void decay(time_point now);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -223,7 +223,7 @@
     const auto it = m_endpoints.find(id);
     if (it == m_endpoints.end())
         return;
-    it->second->setGone();
+    it->second->setRemoved();
     if (it->second->isLeaving()) {
         if (m_departed.size() >= mostDeparted)
             m_departed.erase(m_departed.begin());
