--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -159,8 +159,8 @@
     bool isAvoided(time_point now) const { return now < m_avoidedUntil; }
 
     /// It may get no new request at all.
-    bool isRemoved() const { return m_gone; }
-    void setRemoved() { m_gone = true; }
+    bool isRemoved() const { return m_isRemoved; }
+    void setRemoved() { m_isRemoved = true; }
 
 private:
     void decay(time_point now);
@@ -186,7 +186,7 @@
     bool m_isRecoveryUnconfirmed = false;
     time_point m_backoffUntil{};
     unsigned m_unreachableInRow = 0;
-    bool m_gone = false;
+    bool m_isRemoved = false;
 };
 
 using endpoint_ptr = std::shared_ptr<service_endpoint>;
