--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -179,7 +179,7 @@
     time_point m_progressedAt{};
     double m_others = 0; ///< requests of other callers at the last report
     time_point m_reportedAt{};
-    double m_good = 0;
+    double m_successWeight = 0;
     double m_bad = 0;
     time_point m_countedAt{};
     time_point m_avoidedUntil{};
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -94,7 +94,7 @@
 void service_endpoint::decay(time_point now)
 {
     const double keep = faded(now - m_countedAt, failureHalfLife);
-    m_good *= keep;
+    m_successWeight *= keep;
     m_bad *= keep;
     m_countedAt = now;
 }
@@ -102,7 +102,7 @@
 void service_endpoint::recordSuccess(time_point now)
 {
     decay(now);
-    m_good += 1;
+    m_successWeight += 1;
     m_unreachableInRow = 0;
 }
 
@@ -127,7 +127,7 @@
 double service_endpoint::failureRate(time_point now) const
 {
     const double keep = faded(now - m_countedAt, failureHalfLife);
-    return m_bad * keep / ((m_good + m_bad) * keep + priorAnswers);
+    return m_bad * keep / ((m_successWeight + m_bad) * keep + priorAnswers);
 }
 
 bool endpoint_record::isEquivalentTo(const endpoint_record &other) const
