--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -180,7 +180,7 @@
     double m_others = 0; ///< requests of other callers at the last report
     time_point m_reportedAt{};
     double m_successWeight = 0;
-    double m_bad = 0;
+    double m_failureWeight = 0;
     time_point m_countedAt{};
     time_point m_avoidedUntil{};
     bool m_isRecoveryUnconfirmed = false;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -95,7 +95,7 @@
 {
     const double keep = faded(now - m_countedAt, failureHalfLife);
     m_successWeight *= keep;
-    m_bad *= keep;
+    m_failureWeight *= keep;
     m_countedAt = now;
 }
 
@@ -109,7 +109,7 @@
 void service_endpoint::recordFailure(time_point now)
 {
     decay(now);
-    m_bad += 1;
+    m_failureWeight += 1;
 }
 
 void service_endpoint::recordUnreachable(time_point now)
@@ -127,7 +127,7 @@
 double service_endpoint::failureRate(time_point now) const
 {
     const double keep = faded(now - m_countedAt, failureHalfLife);
-    return m_bad * keep / ((m_successWeight + m_bad) * keep + priorAnswers);
+    return m_failureWeight * keep / ((m_successWeight + m_failureWeight) * keep + priorAnswers);
 }
 
 bool endpoint_record::isEquivalentTo(const endpoint_record &other) const
