--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -177,7 +177,7 @@
     time_point m_remotePrefillUntil{}; ///< prompts of other entries, one after the other
     prefix_cache_estimate m_prefixCache;
     time_point m_progressedAt{};
-    double m_others = 0; ///< requests of other callers at the last report
+    double m_otherCallersLoad = 0; ///< requests of other callers at the last report
     time_point m_reportedAt{};
     double m_successWeight = 0;
     double m_failureWeight = 0;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -48,13 +48,13 @@
 void service_endpoint::recordLoadReport(const endpoint_load &load, time_point now)
 {
     const double total = static_cast<double>(load.running) + load.waiting;
-    m_others = std::max(0.0, total - m_running);
+    m_otherCallersLoad = std::max(0.0, total - m_running);
     m_reportedAt = now;
 }
 
 double service_endpoint::expectedLoad(time_point now) const
 {
-    return m_running + m_others * faded(now - m_reportedAt, reportHalfLife);
+    return m_running + m_otherCallersLoad * faded(now - m_reportedAt, reportHalfLife);
 }
 
 void service_endpoint::setRateLimit(std::optional<double> perSecond, time_point now)
