--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -181,7 +181,7 @@
     time_point m_reportedAt{};
     double m_successWeight = 0;
     double m_failureWeight = 0;
-    time_point m_countedAt{};
+    time_point m_decayedAt{};
     time_point m_avoidedUntil{};
     bool m_isRecoveryUnconfirmed = false;
     time_point m_backoffUntil{};
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -93,10 +93,10 @@
 
 void service_endpoint::decay(time_point now)
 {
-    const double keep = faded(now - m_countedAt, failureHalfLife);
+    const double keep = faded(now - m_decayedAt, failureHalfLife);
     m_successWeight *= keep;
     m_failureWeight *= keep;
-    m_countedAt = now;
+    m_decayedAt = now;
 }
 
 void service_endpoint::recordSuccess(time_point now)
@@ -126,7 +126,7 @@
 
 double service_endpoint::failureRate(time_point now) const
 {
-    const double keep = faded(now - m_countedAt, failureHalfLife);
+    const double keep = faded(now - m_decayedAt, failureHalfLife);
     return m_failureWeight * keep / ((m_successWeight + m_failureWeight) * keep + priorAnswers);
 }
 
