--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -185,7 +185,7 @@
     time_point m_avoidedUntil{};
     bool m_isRecoveryUnconfirmed = false;
     time_point m_backoffUntil{};
-    unsigned m_unreachableInRow = 0;
+    unsigned m_consecutiveUnreachable = 0;
     bool m_isRemoved = false;
 };
 
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -103,7 +103,7 @@
 {
     decay(now);
     m_successWeight += 1;
-    m_unreachableInRow = 0;
+    m_consecutiveUnreachable = 0;
 }
 
 void service_endpoint::recordFailure(time_point now)
@@ -114,9 +114,9 @@
 
 void service_endpoint::recordUnreachable(time_point now)
 {
-    const unsigned doublings = std::min(m_unreachableInRow, mostDoublings);
+    const unsigned doublings = std::min(m_consecutiveUnreachable, mostDoublings);
     m_avoidedUntil = now + firstAvoidance * (1U << doublings);
-    ++m_unreachableInRow;
+    ++m_consecutiveUnreachable;
 }
 
 void service_endpoint::recordFull(time_point now)
