--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-static double faded(duration age, duration halfLife)
+static double decayFactor(duration age, duration halfLife)
 {
     const double halves
             = std::chrono::duration<double>(age) / std::chrono::duration<double>(halfLife);
@@ -54,7 +54,7 @@
 
 double service_endpoint::expectedLoad(time_point now) const
 {
-    return m_running + m_otherCallersLoad * faded(now - m_reportedAt, reportHalfLife);
+    return m_running + m_otherCallersLoad * decayFactor(now - m_reportedAt, reportHalfLife);
 }
 
 void service_endpoint::setRateLimit(std::optional<double> perSecond, time_point now)
@@ -93,7 +93,7 @@
 
 void service_endpoint::decay(time_point now)
 {
-    const double keep = faded(now - m_decayedAt, failureHalfLife);
+    const double keep = decayFactor(now - m_decayedAt, failureHalfLife);
     m_successWeight *= keep;
     m_failureWeight *= keep;
     m_decayedAt = now;
@@ -126,7 +126,7 @@
 
 double service_endpoint::failureRate(time_point now) const
 {
-    const double keep = faded(now - m_decayedAt, failureHalfLife);
+    const double keep = decayFactor(now - m_decayedAt, failureHalfLife);
     return m_failureWeight * keep / ((m_successWeight + m_failureWeight) * keep + priorAnswers);
 }
 
