--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -22,7 +22,7 @@
 constexpr milliseconds reportHalfLife{1000};
 /// First and longest time that an unreachable endpoint is left out.
 constexpr milliseconds firstAvoidance{500};
-constexpr unsigned mostDoublings = 3;
+constexpr unsigned maxDoublings = 3;
 /// Time that a full endpoint is left out: a few steps of its batch.
 constexpr milliseconds fullAvoidance{100};
 /// Upper bound of ceil(rate) / rate for rates above 1; lower rates need only the latest send.
@@ -114,7 +114,7 @@
 
 void service_endpoint::recordUnreachable(time_point now)
 {
-    const unsigned doublings = std::min(m_consecutiveUnreachable, mostDoublings);
+    const unsigned doublings = std::min(m_consecutiveUnreachable, maxDoublings);
     m_avoidedUntil = now + firstAvoidance * (1U << doublings);
     ++m_consecutiveUnreachable;
 }
