--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -21,7 +21,7 @@
 /// Time in which a load report loses half of its weight: about the length of a request.
 constexpr milliseconds reportHalfLife{1000};
 /// First and longest time that an unreachable endpoint is left out.
-constexpr milliseconds firstAvoidance{500};
+constexpr milliseconds initialAvoidance{500};
 constexpr unsigned maxDoublings = 3;
 /// Time that a full endpoint is left out: a few steps of its batch.
 constexpr milliseconds fullAvoidance{100};
@@ -115,7 +115,7 @@
 void service_endpoint::recordUnreachable(time_point now)
 {
     const unsigned doublings = std::min(m_consecutiveUnreachable, maxDoublings);
-    m_avoidedUntil = now + firstAvoidance * (1U << doublings);
+    m_avoidedUntil = now + initialAvoidance * (1U << doublings);
     ++m_consecutiveUnreachable;
 }
 
