--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -227,7 +227,7 @@
 
     /// The entries that this one reads from have lost the store; whether it was away for all is not
     /// known. Endpoints whose records were removed meanwhile are kept until \p until at most.
-    void doubtRemovals(time_point until);
+    void deferRemovalsUntil(time_point until);
 
     /// Drops the endpoints whose grace has passed.
     void expire(time_point now);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -297,7 +297,7 @@
         until = m_trustedFrom;
 }
 
-void service_directory::doubtRemovals(time_point until)
+void service_directory::deferRemovalsUntil(time_point until)
 {
     m_trustedFrom = std::max(m_trustedFrom, until);
 }
--- a/unittests/Proxy/LeavingNoticeTests.cpp
+++ b/unittests/Proxy/LeavingNoticeTests.cpp
@@ -90,7 +90,7 @@
     CHECK(world.directory.setLeaving("e1", 7));
     CHECK_FALSE(world.directory.setLeaving("e1", 7));
     // After a store outage, removed endpoints are kept for a while unless they are leaving.
-    world.directory.doubtRemovals(start + seconds(5));
+    world.directory.deferRemovalsUntil(start + seconds(5));
     CHECK(world.directory.remove("e1", start));
     world.applyRecord(7);
     CHECK_FALSE(world.isUsable());
