--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -263,7 +263,7 @@
     static constexpr milliseconds coldSuspicion{1500};
 
     /// Endpoints that have left are remembered, so many at most: weeks of replacements.
-    static constexpr std::size_t mostDeparted = 4096;
+    static constexpr std::size_t maxDeparted = 4096;
 
 private:
     using address = std::pair<std::string, std::uint16_t>;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -225,7 +225,7 @@
         return;
     it->second->setRemoved();
     if (it->second->isLeaving()) {
-        if (m_departed.size() >= mostDeparted)
+        if (m_departed.size() >= maxDeparted)
             m_departed.erase(m_departed.begin());
         m_departed.emplace(it->first, it->second->record().startedAt);
     }
