--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -292,7 +292,7 @@
     /// Had begun to leave and are gone, with the moments of their starts.
     std::map<std::string, std::uint64_t, std::less<>> m_departed;
     std::set<std::string> m_evacuated; ///< data centres
-    bool m_storeAway = false;
+    bool m_isStoreUnavailable = false;
     time_point m_trustedFrom{};
 };
 
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -283,15 +283,15 @@
 
 void service_directory::storeLost(time_point now)
 {
-    m_storeAway = true;
+    m_isStoreUnavailable = true;
     m_trustedFrom = now + lapseGrace;
 }
 
 void service_directory::storeRegained(time_point now)
 {
-    if (!m_storeAway)
+    if (!m_isStoreUnavailable)
         return;
-    m_storeAway = false;
+    m_isStoreUnavailable = false;
     m_trustedFrom = now + lapseGrace;
     for (auto &[id, until] : m_lapsed)
         until = m_trustedFrom;
@@ -304,7 +304,7 @@
 
 void service_directory::expire(time_point now)
 {
-    if (m_storeAway || m_lapsed.empty())
+    if (m_isStoreUnavailable || m_lapsed.empty())
         return;
     std::vector<std::string> due;
     for (const auto &[id, until] : m_lapsed) {
