--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -293,7 +293,7 @@
     std::map<std::string, std::uint64_t, std::less<>> m_departed;
     std::set<std::string> m_evacuated; ///< data centres
     bool m_isStoreUnavailable = false;
-    time_point m_trustedFrom{};
+    time_point m_removalsTrustedFrom{};
 };
 
 } // namespace laurelcroft
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -257,11 +257,11 @@
     // Told late, of a row before the one that is known: the endpoint has come back meanwhile.
     if (version != 0 && version < it->second->record().rowVersion)
         return false;
-    if (now >= m_trustedFrom || it->second->isLeaving()) {
+    if (now >= m_removalsTrustedFrom || it->second->isLeaving()) {
         drop(id);
         return true;
     }
-    m_lapsed.emplace(id, m_trustedFrom);
+    m_lapsed.emplace(id, m_removalsTrustedFrom);
     return false;
 }
 
@@ -284,7 +284,7 @@
 void service_directory::storeLost(time_point now)
 {
     m_isStoreUnavailable = true;
-    m_trustedFrom = now + lapseGrace;
+    m_removalsTrustedFrom = now + lapseGrace;
 }
 
 void service_directory::storeRegained(time_point now)
@@ -292,14 +292,14 @@
     if (!m_isStoreUnavailable)
         return;
     m_isStoreUnavailable = false;
-    m_trustedFrom = now + lapseGrace;
+    m_removalsTrustedFrom = now + lapseGrace;
     for (auto &[id, until] : m_lapsed)
-        until = m_trustedFrom;
+        until = m_removalsTrustedFrom;
 }
 
 void service_directory::deferRemovalsUntil(time_point until)
 {
-    m_trustedFrom = std::max(m_trustedFrom, until);
+    m_removalsTrustedFrom = std::max(m_removalsTrustedFrom, until);
 }
 
 void service_directory::expire(time_point now)
