--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -285,7 +285,7 @@
     const usable_list &listOf(std::string_view service) const;
     /// \returns true when most records tell the endpoint's start. A platform whose endpoints do so
     /// has it in all their records; one without it is somebody else's.
-    bool mostTellTheirStart() const;
+    bool mostReportStartTime() const;
     mutable std::map<std::string, usable_list, std::less<>> m_usable; ///< by service
     std::uint64_t m_revision = 0;
     std::map<std::string, time_point, std::less<>> m_lapsed; ///< kept until, by id
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -350,7 +350,7 @@
     return listOf(service).onlyVersion;
 }
 
-bool service_directory::mostTellTheirStart() const
+bool service_directory::mostReportStartTime() const
 {
     const auto telling = static_cast<std::size_t>(
             std::count_if(m_endpoints.begin(), m_endpoints.end(),
@@ -363,7 +363,7 @@
     if (const auto known = m_usable.find(service); known != m_usable.end())
         return known->second;
     usable_list &list = m_usable[std::string(service)];
-    const bool tellsStart = mostTellTheirStart();
+    const bool tellsStart = mostReportStartTime();
     for (const auto &[id, endpoint] : m_endpoints) {
         const endpoint_record &record = endpoint->record();
         const bool isLeftAlone = m_evacuated.count(record.dataCentre) != 0;
