--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -282,7 +282,7 @@
         std::vector<endpoint_ptr> endpoints;
         const std::string *onlyVersion = nullptr;
     };
-    const usable_list &listOf(std::string_view service) const;
+    const usable_list &usableListOf(std::string_view service) const;
     /// \returns true when most records tell the endpoint's start. A platform whose endpoints do so
     /// has it in all their records; one without it is somebody else's.
     bool mostReportStartTime() const;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -342,12 +342,12 @@
 
 const std::vector<endpoint_ptr> &service_directory::usable(std::string_view service) const
 {
-    return listOf(service).endpoints;
+    return usableListOf(service).endpoints;
 }
 
 const std::string *service_directory::onlyVersion(std::string_view service) const
 {
-    return listOf(service).onlyVersion;
+    return usableListOf(service).onlyVersion;
 }
 
 bool service_directory::mostReportStartTime() const
@@ -358,7 +358,8 @@
     return telling * 2 > m_endpoints.size();
 }
 
-const service_directory::usable_list &service_directory::listOf(std::string_view service) const
+const service_directory::usable_list &
+service_directory::usableListOf(std::string_view service) const
 {
     if (const auto known = m_usable.find(service); known != m_usable.end())
         return known->second;
