--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -270,7 +270,7 @@
     void noteChange();
     void drop(std::string_view id);
     /// \returns false when a later one than \p record lives at its address; drops an earlier one.
-    bool takeAddress(const endpoint_record &record);
+    bool claimAddress(const endpoint_record &record);
     /// \returns true when \p record is of an incarnation that has left.
     bool hasDeparted(const endpoint_record &record) const;
     void add(endpoint_record &&record, time_point now);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -150,7 +150,7 @@
     ++m_revision;
 }
 
-bool service_directory::takeAddress(const endpoint_record &record)
+bool service_directory::claimAddress(const endpoint_record &record)
 {
     if (record.port == 0 || record.rowVersion == 0)
         return true;
@@ -200,7 +200,7 @@
         it->second->update(std::move(record));
         return;
     }
-    if (takesAddress && !takeAddress(record))
+    if (takesAddress && !claimAddress(record))
         return;
     add(std::move(record), now);
 }
