--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -267,7 +267,7 @@
 
 private:
     using address = std::pair<std::string, std::uint16_t>;
-    void noteChange();
+    void invalidateUsable();
     void drop(std::string_view id);
     /// \returns false when a later one than \p record lives at its address; drops an earlier one.
     bool claimAddress(const endpoint_record &record);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -144,7 +144,7 @@
     return startedAt != 0 && other.startedAt != 0 && startedAt > other.startedAt;
 }
 
-void service_directory::noteChange()
+void service_directory::invalidateUsable()
 {
     m_usable.clear();
     ++m_revision;
@@ -193,7 +193,7 @@
     const auto it = m_endpoints.find(record.id);
     if (it != m_endpoints.end()) {
         if (!record.isEquivalentTo(it->second->record()))
-            noteChange();
+            invalidateUsable();
         // An endpoint that has begun to leave comes back only by a new start.
         record.leaving = record.leaving || it->second->record().leaving;
         it->second->setColdFor(record.coldLeft, now);
@@ -212,7 +212,7 @@
     const auto endpoint = std::make_shared<service_endpoint>(std::move(record));
     endpoint->setColdFor(coldLeft, now);
     m_endpoints.emplace(id, endpoint);
-    noteChange();
+    invalidateUsable();
     expire(now);
 }
 
@@ -234,7 +234,7 @@
     if (place != m_atAddress.end() && place->second == id)
         m_atAddress.erase(place);
     m_endpoints.erase(it);
-    noteChange();
+    invalidateUsable();
 }
 
 bool service_directory::setLeaving(std::string_view id, std::uint64_t startedAt)
@@ -245,7 +245,7 @@
     if (it->second->isLeaving())
         return false;
     it->second->setStatedLeaving();
-    noteChange();
+    invalidateUsable();
     return true;
 }
 
@@ -324,7 +324,7 @@
             endpoint->setColdFor(coldSuspicion, now);
     }
     m_evacuated = std::move(dataCentres);
-    noteChange();
+    invalidateUsable();
 }
 
 static bool serves(const service_endpoint &endpoint, std::string_view service)
