--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -276,7 +276,7 @@
     void add(endpoint_record &&record, time_point now);
 
     std::map<std::string, endpoint_ptr, std::less<>> m_endpoints;
-    std::map<address, std::string> m_atAddress; ///< id of the endpoint that was heard of last
+    std::map<address, std::string> m_idByAddress; ///< id of the endpoint that was heard of last
     struct usable_list
     {
         std::vector<endpoint_ptr> endpoints;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -155,14 +155,14 @@
     if (record.port == 0 || record.rowVersion == 0)
         return true;
     const address place{record.host, record.port};
-    const auto holder = m_atAddress.find(place);
-    if (holder != m_atAddress.end() && holder->second != record.id) {
+    const auto holder = m_idByAddress.find(place);
+    if (holder != m_idByAddress.end() && holder->second != record.id) {
         const std::string other = holder->second;
         if (m_endpoints.at(other)->record().rowVersion > record.rowVersion)
             return false;
         drop(other);
     }
-    m_atAddress[place] = record.id;
+    m_idByAddress[place] = record.id;
     return true;
 }
 
@@ -230,9 +230,9 @@
         m_departed.emplace(it->first, it->second->record().startedAt);
     }
     const endpoint_record &record = it->second->record();
-    const auto place = m_atAddress.find({record.host, record.port});
-    if (place != m_atAddress.end() && place->second == id)
-        m_atAddress.erase(place);
+    const auto place = m_idByAddress.find({record.host, record.port});
+    if (place != m_idByAddress.end() && place->second == id)
+        m_idByAddress.erase(place);
     m_endpoints.erase(it);
     invalidateUsable();
 }
