--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -280,7 +280,7 @@
     struct usable_list
     {
         std::vector<endpoint_ptr> endpoints;
-        const std::string *onlyVersion = nullptr;
+        const std::string *commonVersion = nullptr;
     };
     const usable_list &usableListOf(std::string_view service) const;
     /// \returns true when most records tell the endpoint's start. A platform whose endpoints do so
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -347,7 +347,7 @@
 
 const std::string *service_directory::onlyVersion(std::string_view service) const
 {
-    return usableListOf(service).onlyVersion;
+    return usableListOf(service).commonVersion;
 }
 
 bool service_directory::mostReportStartTime() const
@@ -378,6 +378,6 @@
     };
     if (!list.endpoints.empty()
         && std::all_of(list.endpoints.begin(), list.endpoints.end(), isAlike))
-        list.onlyVersion = &list.endpoints.front()->record().softwareVersion;
+        list.commonVersion = &list.endpoints.front()->record().softwareVersion;
     return list;
 }
