--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -244,7 +244,7 @@
 
     /// \returns the software version that all usable endpoints of \p service have; null when there
     /// are several, or no endpoints. Valid until the list changes.
-    const std::string *onlyVersion(std::string_view service) const;
+    const std::string *commonVersion(std::string_view service) const;
 
     /// \returns a number that is another one after each change of what usable() returns.
     std::uint64_t revision() const { return m_revision; }
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -297,7 +297,7 @@
     routing_state &state = m_env.routing();
     rollout_tracker &rollouts = state.rollouts(m_service);
     // Mostly there is one version, and nothing needs to be looked through.
-    if (rollouts.mayUseAll(state.directory().onlyVersion(m_service))) {
+    if (rollouts.mayUseAll(state.directory().commonVersion(m_service))) {
         m_versionReason = version_reason::single;
         if (isBoundToRegions())
             return pickAmong(usable);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -345,7 +345,7 @@
     return usableListOf(service).endpoints;
 }
 
-const std::string *service_directory::onlyVersion(std::string_view service) const
+const std::string *service_directory::commonVersion(std::string_view service) const
 {
     return usableListOf(service).commonVersion;
 }
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -93,7 +93,7 @@
         rollouts.arrived(now);
         const auto &usable = entry.routing.directory().usable("pool");
         std::string version = "v1";
-        if (!rollouts.mayUseAll(entry.routing.directory().onlyVersion("pool"))) {
+        if (!rollouts.mayUseAll(entry.routing.directory().commonVersion("pool"))) {
             const auto endpoints
                     = rollouts.eligible(usable, {mixedBits(session * 0x9E3779B97F4A7C15), now, now})
                               .endpoints;
