--- a/include/laurelcroft/Fleet/ServiceDirectory.h
+++ b/include/laurelcroft/Fleet/ServiceDirectory.h
@@ -234,7 +234,7 @@
 
     /// Data centres whose endpoints must get nothing, until the next call. Those that are taken
     /// back may have turned cold: they count as cold until their rows say otherwise, or for
-    /// \c coldSuspicion.
+    /// \c assumedColdTime.
     void setEvacuated(std::set<std::string> dataCentres, time_point now);
     const std::set<std::string> &evacuated() const { return m_evacuated; }
 
@@ -260,7 +260,7 @@
     static constexpr milliseconds lapseGrace{2200};
 
     /// An endpoint's row reaches every entry within this: a read of a reader and one of its own.
-    static constexpr milliseconds coldSuspicion{1500};
+    static constexpr milliseconds assumedColdTime{1500};
 
     /// Endpoints that have left are remembered, so many at most: weeks of replacements.
     static constexpr std::size_t maxDeparted = 4096;
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -321,7 +321,7 @@
         const std::string &place = endpoint->record().dataCentre;
         const bool isTakenBack = m_evacuated.count(place) != 0 && dataCentres.count(place) == 0;
         if (isTakenBack && !endpoint->isCold(now))
-            endpoint->setColdFor(coldSuspicion, now);
+            endpoint->setColdFor(assumedColdTime, now);
     }
     m_evacuated = std::move(dataCentres);
     invalidateUsable();
--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -214,7 +214,7 @@
     directory.setEvacuated({}, start + seconds(9));
     const endpoint_ptr endpoint = directory.usable("pool").at(0);
     CHECK(endpoint->isCold(start + seconds(9)));
-    CHECK(!endpoint->isCold(start + seconds(9) + service_directory::coldSuspicion));
+    CHECK(!endpoint->isCold(start + seconds(9) + service_directory::assumedColdTime));
     directory.apply(record, start + milliseconds(9100));
     CHECK(!endpoint->isCold(start + milliseconds(9100)));
 }
