--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -305,7 +305,7 @@
     manual_runtime runtime;
     fake_source source;
     int taken = 0;
-    bundle_tracker<manual_runtime, fake_source> keeper{
+    bundle_tracker<manual_runtime, fake_source> tracker{
             runtime, source, signoff_rule{{key.publicHex}, 1}, [this](const auto &) { ++taken; }};
 
     fetched_bundle make(bundle_epoch epoch, const std::string &site)
@@ -328,16 +328,16 @@
 TEST_CASE("keeper: takes only higher, signed and matching bundles")
 {
     bundle_tracker_fixture bench;
-    CHECK(bench.keeper.install(bench.make(3, "a")));
-    CHECK_FALSE(bench.keeper.install(bench.make(3, "b")));
-    CHECK_FALSE(bench.keeper.install(bench.make(2, "b")));
+    CHECK(bench.tracker.install(bench.make(3, "a")));
+    CHECK_FALSE(bench.tracker.install(bench.make(3, "b")));
+    CHECK_FALSE(bench.tracker.install(bench.make(2, "b")));
     fetched_bundle unsignedOne = bench.make(4, "b");
     unsignedOne.accepted.signatures.clear();
-    CHECK_FALSE(bench.keeper.install(unsignedOne));
+    CHECK_FALSE(bench.tracker.install(unsignedOne));
     fetched_bundle swapped = bench.make(4, "b");
     swapped.text = bench.make(4, "c").text;
-    CHECK_FALSE(bench.keeper.install(swapped));
-    CHECK(bench.keeper.epoch() == 3);
+    CHECK_FALSE(bench.tracker.install(swapped));
+    CHECK(bench.tracker.epoch() == 3);
     CHECK(bench.taken == 1);
 }
 
@@ -346,16 +346,16 @@
     bundle_tracker_fixture bench;
     const fetched_bundle made = bench.make(1, "a");
     bench.source.row = made.accepted;
-    bench.keeper.poll();
-    CHECK(bench.keeper.epoch() == 1);
-    CHECK(bench.keeper.isConfirmedWithin(seconds(1)));
+    bench.tracker.poll();
+    CHECK(bench.tracker.epoch() == 1);
+    CHECK(bench.tracker.isConfirmedWithin(seconds(1)));
     bench.runtime.advance(seconds(10));
-    CHECK_FALSE(bench.keeper.isConfirmedWithin(seconds(5)));
-    bench.keeper.observePeerEpoch("peer", 1, true, seconds(2));
-    CHECK(bench.keeper.isConfirmedWithin(seconds(5)));
+    CHECK_FALSE(bench.tracker.isConfirmedWithin(seconds(5)));
+    bench.tracker.observePeerEpoch("peer", 1, true, seconds(2));
+    CHECK(bench.tracker.isConfirmedWithin(seconds(5)));
     // A new epoch is not confirmed by readings of the old one.
     bench.source.peer = bench.make(2, "b");
-    bench.keeper.observePeerEpoch("peer", 2, false, seconds(0));
-    CHECK(bench.keeper.epoch() == 2);
-    CHECK_FALSE(bench.keeper.confirmed());
+    bench.tracker.observePeerEpoch("peer", 2, false, seconds(0));
+    CHECK(bench.tracker.epoch() == 2);
+    CHECK_FALSE(bench.tracker.confirmed());
 }
