--- a/include/laurelcroft/Fleet/Membership.h
+++ b/include/laurelcroft/Fleet/Membership.h
@@ -1,9 +1,10 @@
-//===-- Fleet/Membership.h - who is alive, leaving or new --------*- C++ -*-===//
+//===-- Fleet/Membership.h - SWIM membership protocol ------------*- C++ -*-===//
 //
-// Failure detection by probing one member a period, with indirect probes and a
-// suspicion that the suspect may refute (the SWIM scheme). Changes ride on the
-// probes in a bounded number, so that the cost of a node does not grow with the
-// fleet. Every datagram carries the sender's bundle epoch.
+// Failure detection after SWIM: an instance probes one member per period, first
+// directly and then through other members. A member that does not answer becomes
+// suspect and is declared dead unless it refutes that in time. Updates are
+// piggybacked on the probes in a bounded number, so that the cost per instance does
+// not grow with the fleet. Every datagram carries the sender's bundle epoch.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_MEMBERSHIP_H
@@ -26,21 +27,21 @@
 
 namespace laurelcroft {
 
-/// Periods and bounds of the protocol; docs/CAPACITY.md derives them.
+/// Protocol parameters; docs/CAPACITY.md derives the values.
 struct membership_options
 {
-    duration period = milliseconds(1000); ///< one probe a period
-    duration probeTimeout = milliseconds(300); ///< then indirect probes
-    double suspicionPeriods = 3.0; ///< times log10 of the size, at least this many
-    std::size_t indirectProbes = 3; ///< indirect probes
-    std::size_t fanout = 4; ///< receivers of a rumor at each hop
-    std::size_t maxUpdateBytes = 260; ///< of member changes on a datagram
-    std::size_t membersPerSyncDatagram = 10; ///< members on a datagram of a full list
-    duration deadRetention = seconds(600); ///< how long a death is remembered
-    duration syncPeriodPerMember = milliseconds(1500); ///< period of full exchanges, times the size
+    duration period = milliseconds(1000); ///< interval between probes
+    duration probeTimeout = milliseconds(300); ///< wait for a direct ack before the indirect probes
+    double suspicionPeriods = 3.0; ///< suspicion timeout; times max(1, log10(members + 1))
+    std::size_t indirectProbes = 3; ///< members asked to probe a target that did not answer
+    std::size_t fanout = 4; ///< members that urgent updates are sent to at once
+    std::size_t maxUpdateBytes = 260; ///< size of the member updates on one datagram
+    std::size_t membersPerSyncDatagram = 10; ///< for the full member list
+    duration deadRetention = seconds(600); ///< time until a dead member is forgotten
+    duration syncPeriodPerMember = milliseconds(1500); ///< sync interval; times (members + 10)
 };
 
-/// What the bundle side tells the membership side to put on datagrams.
+/// The bundle epoch of this instance and its last confirmation; sent on every datagram.
 struct epoch_digest
 {
     std::uint64_t epoch = 0;
@@ -48,33 +49,36 @@
     time_point confirmedAt{};
 };
 
-/// What others are told through \c membership_events.
+/// The bundle epoch of another instance, as received on a datagram.
 struct epoch_observation
 {
-    std::string from; ///< instance
+    std::string from; ///< instance id of the sender
     std::uint64_t epoch = 0;
     bool confirmed = false;
-    duration confirmedAge{}; ///< since somebody read the table's row
+    duration confirmedAge{}; ///< time since an instance last read this epoch from the table
 };
 
+/// Callbacks of the protocol; unset ones are skipped.
 struct membership_events
 {
-    std::function<void(const wire::member &)> onMember; ///< new, or changed state or incarnation
+    std::function<void(const wire::member &)> onMember; ///< new member, or new state or incarnation
     std::function<void(const epoch_observation &)> onEpoch;
-    std::function<void(const wire::version_health &)> onHealth; ///< another's stop of a version
+    std::function<void(const wire::version_health &)> onHealth; ///< first report of a version stop
 };
 
-/// Adds a short MAC in front, so that only the site's own processes are heard.
+/// Serializes \p message and prepends a truncated HMAC, so that receivers can reject datagrams that
+/// were not sent by a process of the site.
 std::string sealDatagram(std::string_view key, const wire::datagram &message);
 
-/// \returns nothing for a datagram that is malformed or not of this site.
+/// \returns the message, or nothing when it is malformed or its HMAC does not match \p key.
 std::optional<wire::datagram> openDatagram(std::string_view key, std::string_view bytes);
 
-/// Largest datagram that is sent or read, in bytes; fits one Ethernet frame.
+/// Size limit of a sent datagram in bytes, so that it fits one Ethernet frame. Receivers accept up
+/// to twice this size.
 inline constexpr std::size_t maxDatagramBytes = 1400;
 
-/// The protocol of one instance. \p Runtime gives clock and timers, \p Port sends:
-/// `port.send(address, bytes)`.
+/// Membership protocol of one instance. \p Runtime provides the clock and timers, \p Port sends
+/// datagrams by `port.send(address, bytes)`.
 template <runtime_like Runtime, class Port>
 class membership
 {
@@ -91,26 +95,26 @@
     {
     }
 
-    /// Begins to probe and asks each of \p seeds for its member list.
+    /// Starts probing and requests the member list of each of \p seeds.
     void start(const std::vector<std::string> &seeds)
     {
         m_seeds = seeds;
         for (const std::string &seed : m_seeds)
             sendSync(seed);
         m_lastTick = m_runtime.now();
-        // Full exchanges fall at random times as well.
+        // A random phase keeps instances that start together from syncing at the same time.
         const double phase = m_random.uniform() * 10.0;
         m_lastSync = m_lastTick
                 - duration(static_cast<std::int64_t>(
                         phase * static_cast<double>(m_options.syncPeriodPerMember.count())));
-        // The first probe falls at a random part of the period: a fleet that starts
-        // together must not probe in step.
+        // The first probe is sent at a random time within the period, so that instances that
+        // start together do not probe in lockstep.
         const auto first = duration(static_cast<std::int64_t>(
                 m_random.uniform() * static_cast<double>(m_options.period.count())));
         m_runtime.after(first, [this] { tick(); });
     }
 
-    /// Asks further instances for their lists, now and whenever nobody is known.
+    /// Adds seeds and requests their member lists, now and whenever no live member is known.
     void addSeeds(const std::vector<std::string> &seeds)
     {
         for (const std::string &seed : seeds) {
@@ -121,24 +125,25 @@
         }
     }
 
-    /// Puts \p digest on all datagrams from now on.
+    /// Sets the digest that all later datagrams carry.
     void setDigest(const epoch_digest &digest) { m_digest = digest; }
 
-    /// Tells a few members at once what is new here: an epoch, a stop, a stopped version.
+    /// Sends the current epoch and queued updates to \c fanout random members without waiting for
+    /// the next probe.
     void gossipToRandomMembers()
     {
         for (const std::string &id : pickMembers(m_options.fanout, ""))
             sendTo(id, wire::datagram_rumor, 0, "");
     }
 
-    /// Spreads that this instance stopped a version.
+    /// Gossips that this instance stopped a version.
     void gossipVersionHealth(const wire::version_health &health)
     {
         m_health.push_back({health, retransmissions()});
         gossipToRandomMembers();
     }
 
-    /// Announces that this instance is leaving; it goes on answering probes.
+    /// Announces that this instance is leaving. It continues to answer probes.
     void leave()
     {
         m_self.set_state(wire::member_leaving);
@@ -171,12 +176,12 @@
     struct queued_update
     {
         wire::member member;
-        int left = 0;
+        int left = 0; ///< transmissions
     };
     struct queued_health
     {
         wire::version_health health;
-        int left = 0;
+        int left = 0; ///< transmissions
     };
     struct relayed_probe
     {
@@ -196,14 +201,15 @@
     {
         if (m_probeTarget.empty() || m_probeSequence != sequence)
             return;
-        // Asked once more directly: with loss, silence is seldom a death.
+        // Also probe directly once more: with packet loss, a missing ack seldom means a death.
         sendTo(m_probeTarget, wire::datagram_ping, sequence, "");
         for (const std::string &helper : pickMembers(m_options.indirectProbes, m_probeTarget))
             sendTo(helper, wire::datagram_ping_request, sequence, m_probeTarget);
     }
 
     void endProbe(std::uint64_t sequence);
-    /// Goes round all members in a random order, so that none waits long for its probe.
+    /// \returns the next member to probe, or nothing when no live member is known. Visits all live
+    /// members in shuffled rounds, so that none waits long for its probe.
     std::string nextTarget();
     std::vector<std::string> pickMembers(std::size_t count, const std::string &except);
     wire::datagram compose(wire::datagram_kind kind, std::uint64_t sequence) const;
@@ -218,8 +224,8 @@
 
     void sendMemberList(std::string_view address);
     void dispatch(std::string_view from, const wire::datagram &message, bool isNew);
-    /// A member that is taken for dead or suspect but speaks is told so at once, so that
-    /// it can refute; the news of its death may have been told to all long ago.
+    /// If \p sender is recorded as suspect or dead, tells it so at once, so that it can refute.
+    /// Gossip about its death may have ended long ago and would not reach it.
     void notifyAccusedSender(const wire::member &sender);
 
     void relay(const wire::datagram &message)
@@ -244,7 +250,7 @@
             m_events.onHealth(health);
     }
 
-    /// Order of news about one life of a member: dead beats suspect beats alive.
+    /// Precedence of updates within one incarnation: dead over suspect over alive or leaving.
     static int statePrecedence(wire::member_state state)
     {
         switch (state) {
@@ -258,27 +264,28 @@
         }
     }
 
-    static bool isSuperseded(const wire::member &known, const wire::member &heard)
+    /// \returns true when \p received replaces \p known.
+    static bool isSuperseded(const wire::member &known, const wire::member &received)
     {
-        if (heard.incarnation() != known.incarnation())
-            return heard.incarnation() > known.incarnation();
-        return statePrecedence(heard.state()) > statePrecedence(known.state());
+        if (received.incarnation() != known.incarnation())
+            return received.incarnation() > known.incarnation();
+        return statePrecedence(received.state()) > statePrecedence(known.state());
     }
 
-    void merge(const wire::member &heard);
+    void merge(const wire::member &received);
 
-    void refute(const wire::member &heard)
+    void refute(const wire::member &received)
     {
         const bool accused
-                = heard.state() == wire::member_suspect || heard.state() == wire::member_dead;
-        if (!accused || heard.incarnation() < m_self.incarnation())
+                = received.state() == wire::member_suspect || received.state() == wire::member_dead;
+        if (!accused || received.incarnation() < m_self.incarnation())
             return;
-        m_self.set_incarnation(heard.incarnation() + 1);
+        m_self.set_incarnation(received.incarnation() + 1);
         enqueue(m_self);
     }
 
     void startSuspicion(const wire::member &suspect);
-    /// \returns what is told of \p item: of a suspect or dead one only its name and life.
+    /// \returns the record to gossip: for a suspect or dead member only id, incarnation and state.
     static wire::member gossipRecord(const wire::member &item)
     {
         if (statePrecedence(item.state()) == 0)
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -1,6 +1,6 @@
-//===-- Fleet/MembershipImpl.h - members of membership ----------*- C++ -*-===//
+//===-- Fleet/MembershipImpl.h - templates of Membership.h -------*- C++ -*-===//
 //
-// Included by Membership.h only.
+// Definitions of the member templates. Included by Membership.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_MEMBERSHIPIMPL_H
@@ -15,7 +15,7 @@
     const duration gap = now - m_lastTick;
     m_lastTick = now;
     m_runtime.after(m_options.period, [this] { tick(); });
-    // After a freeze of this process the silence was its own: nobody is accused.
+    // While this process was frozen it could not receive acks: do not suspect the probed member.
     const bool wasFrozen = gap > 2 * m_options.period;
     if (wasFrozen)
         m_probeTarget.clear();
@@ -114,7 +114,8 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::addUpdates(wire::datagram &message)
 {
-    // Deaths and stops go before joins, and what was told less often before the rest.
+    // Deaths, suspicions and planned stops precede joins; within each group, the updates with the
+    // most transmissions left come first.
     const auto urgency = [](const queued_update &item) {
         const bool isJoin = item.member.state() == wire::member_alive;
         return std::pair(isJoin ? 0 : 1, item.left);
@@ -186,7 +187,7 @@
     default:
         break;
     }
-    // A newcomer that pings before its sync arrived is told the list as well.
+    // A new member whose ping arrives before its sync request is asked for its member list.
     if (isNew && message.kind() == wire::datagram_ping)
         sendSync(message.sender().gossip_address());
 }
@@ -229,38 +230,38 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::merge(const wire::member &heard)
+void membership<Runtime, Port>::merge(const wire::member &received)
 {
-    if (heard.id().empty())
+    if (received.id().empty())
         return;
-    if (heard.id() == m_self.id()) {
-        refute(heard);
+    if (received.id() == m_self.id()) {
+        refute(received);
         return;
     }
-    const auto it = m_members.find(heard.id());
-    if (it == m_members.end() && heard.state() == wire::member_dead)
+    const auto it = m_members.find(received.id());
+    if (it == m_members.end() && received.state() == wire::member_dead)
         return;
-    if (it != m_members.end() && !isSuperseded(it->second, heard))
+    if (it != m_members.end() && !isSuperseded(it->second, received))
         return;
     const bool isNew = it == m_members.end();
-    // An accusation names the member only: it makes nobody known.
-    if (isNew && heard.gossip_address().empty())
+    // A suspect or dead record carries no address and cannot introduce an unknown member.
+    if (isNew && received.gossip_address().empty())
         return;
-    wire::member &known = m_members[heard.id()];
-    const bool visible
-            = isNew || known.state() != heard.state() || known.incarnation() != heard.incarnation();
-    if (heard.gossip_address().empty()) {
-        known.set_state(heard.state());
-        known.set_incarnation(heard.incarnation());
+    wire::member &known = m_members[received.id()];
+    const bool visible = isNew || known.state() != received.state()
+            || known.incarnation() != received.incarnation();
+    if (received.gossip_address().empty()) {
+        known.set_state(received.state());
+        known.set_incarnation(received.incarnation());
     } else {
-        known = heard;
+        known = received;
     }
     enqueue(known);
     if (known.state() == wire::member_suspect)
         startSuspicion(known);
     if (known.state() == wire::member_dead)
         m_deadSince[known.id()] = m_runtime.now();
-    // A planned stop is told on at once: its endpoint must get no new work.
+    // Forward a planned stop at once, so that the member's endpoint gets no new work.
     if (visible && known.state() == wire::member_leaving)
         gossipToRandomMembers();
     if (visible && m_events.onMember)
@@ -322,9 +323,9 @@
     if (now - m_lastSync < wait)
         return;
     m_lastSync = now;
-    // A seed that is not among the living is asked too: it joins halves of a fleet
-    // that had lost each other for so long that both took the other for dead. Known
-    // seeds are not, or all exchanges of a large fleet would fall on them.
+    // Also sync with a random seed unless it is known to be alive. This rejoins the halves of a
+    // partition that lasted until each declared the other dead. Live seeds are skipped, since
+    // otherwise they would get the sync requests of the whole fleet.
     if (!m_seeds.empty()) {
         const std::string &seed = m_seeds[m_random.index(m_seeds.size())];
         if (!isLiveAddress(seed))
--- a/lib/Fleet/Datagram.cpp
+++ b/lib/Fleet/Datagram.cpp
@@ -1,8 +1,8 @@
-//===-- Datagram.cpp - sealed datagrams -------------------------------------===//
+//===-- Datagram.cpp - datagram authentication ------------------------------===//
 //
-// Sixteen bytes of HMAC stand in front of the protobuf text: enough against
-// forgery of a message whose replay changes nothing, because all its news are
-// ordered by incarnation and epoch.
+// A datagram is an HMAC truncated to 16 bytes, followed by the serialized protobuf
+// message. This suffices against forgery. A replay changes nothing, because all
+// updates are ordered by incarnation and epoch.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/Membership.h"
