--- a/include/laurelcroft/Fleet/BundleTracker.h
+++ b/include/laurelcroft/Fleet/BundleTracker.h
@@ -1,7 +1,8 @@
-//===-- Fleet/BundleTracker.h - the bundle in force ---------------*- C++ -*-===//
+//===-- Fleet/BundleTracker.h - the bundle in force --------------*- C++ -*-===//
 //
-// Holds the highest accepted bundle that this process knows, and catches up when
-// a peer or the table shows a higher one. It never takes a lower epoch.
+// Holds the accepted bundle with the highest epoch that this process knows, and
+// fetches a newer one when a peer or the table shows a higher epoch. It never
+// installs a lower epoch.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_BUNDLETRACKER_H
@@ -20,7 +21,7 @@
 
 namespace laurelcroft {
 
-/// A bundle in force; shared, never changed.
+/// An accepted bundle, parsed and as text. Shared and immutable.
 struct accepted_bundle
 {
     acceptance accepted;
@@ -28,14 +29,14 @@
     std::string text;
 };
 
-/// What a peer answers when it is asked for its bundle.
+/// A peer's reply to a request for its bundle.
 struct fetched_bundle
 {
     acceptance accepted;
     std::string text;
 };
 
-/// What the keeper needs of the outside. Each answer comes by callback, once.
+/// Reads from the table and from peers. Each calls its callback exactly once.
 template <class S>
 concept bundle_source = requires(S source, const std::string &name,
                                  std::function<void(std::optional<acceptance>)> onRow,
@@ -47,30 +48,30 @@
     source.fetchFromPeer(name, onFetched);
 };
 
-/// Keeps the bundle of one process.
+/// Tracks the bundle in force for one process.
 template <runtime_like Runtime, bundle_source Source>
 class bundle_tracker
 {
 public:
     using ptr = std::shared_ptr<const accepted_bundle>;
 
-    /// \param onTaken is called after each new epoch.
+    /// \param onInstalled is called after each new epoch.
     bundle_tracker(Runtime &runtime, Source &source, signoff_rule rule,
-                   std::function<void(const ptr &)> onTaken)
+                   std::function<void(const ptr &)> onInstalled)
         : m_runtime(runtime)
         , m_source(source)
         , m_rule(std::move(rule))
-        , m_onInstalled(std::move(onTaken))
+        , m_onInstalled(std::move(onInstalled))
     {
     }
 
-    /// \returns the bundle in force, or null before the first.
+    /// \returns the bundle in force, or null before one is installed.
     const ptr &current() const { return m_current; }
 
-    /// \returns its epoch; 0 before the first.
+    /// \returns the epoch of the bundle in force; 0 before one is installed.
     bundle_epoch epoch() const { return m_current ? m_current->accepted.epoch : 0; }
 
-    /// \returns true when a reading of the table, by anyone, confirmed this epoch within \p bound.
+    /// \returns true when any process read this epoch from the table within the last \p bound.
     bool isConfirmedWithin(duration bound) const
     {
         return m_confirmed && m_runtime.now() - m_confirmedAt <= bound;
@@ -79,7 +80,8 @@
     bool confirmed() const { return m_confirmed; }
     time_point confirmedAt() const { return m_confirmedAt; }
 
-    /// Reads the table's row: done by the lowest ranked of a data centre, and at start.
+    /// Reads the current row of the table. Called by the top-ranked instances of each data centre
+    /// and by instances that have no bundle yet.
     void poll()
     {
         if (m_polling)
@@ -90,7 +92,8 @@
             m_polling = false;
             if (!row)
                 return;
-            // The reading counts from when it was asked: what the row held then is known.
+            // The row may have changed since it was read, so the confirmation is dated from the
+            // request, not from the reply.
             if (row->epoch == epoch())
                 confirm(asked);
             else if (row->epoch > epoch())
@@ -98,7 +101,8 @@
         });
     }
 
-    /// Hears that \p peer stands at \p seen, confirmed \p age ago.
+    /// Handles the epoch \p seen of \p peer, confirmed \p age ago if \p isConfirmed. Fetches the
+    /// peer's bundle if its epoch is higher.
     void observePeerEpoch(const std::string &peer, bundle_epoch seen, bool isConfirmed,
                           duration age)
     {
@@ -108,19 +112,21 @@
             fetchFrom(peer);
     }
 
-    /// Takes a bundle that a peer sent. \returns false when it is not valid or not higher.
+    /// Installs a bundle from a peer or the table. \returns false when it is invalid or its epoch
+    /// is not higher.
     bool install(const fetched_bundle &fetched)
     {
         if (fetched.accepted.epoch <= epoch())
             return false;
         if (!isSignedOff(fetched.accepted, m_rule)) {
-            logWarning(log_part::bundle, "bundle refused, it is not signed off",
+            logWarning(log_part::bundle, "bundle rejected: not signed off by enough trusted keys",
                        {{"epoch", static_cast<std::int64_t>(fetched.accepted.epoch)}});
             return false;
         }
         auto parsed = parseBundle(fetched.text);
         if (!parsed || bundleHash(parsed.value()) != fetched.accepted.hash) {
-            logWarning(log_part::bundle, "bundle refused, its text does not fit its hash",
+            logWarning(log_part::bundle,
+                       "bundle rejected: text is invalid or does not match the hash",
                        {{"epoch", static_cast<std::int64_t>(fetched.accepted.epoch)}});
             return false;
         }
