--- a/include/laurelcroft/Fleet/EndpointDirectory.h
+++ b/include/laurelcroft/Fleet/EndpointDirectory.h
@@ -1,7 +1,7 @@
-//===-- Fleet/EndpointDirectory.h - the endpoints an entry uses --*- C++ -*-===//
+//===-- Fleet/EndpointDirectory.h - agents' endpoints ------------*- C++ -*-===//
 //
-// The world as one entry sees it: which agents stand in its subset of each pool,
-// what they last reported and what this entry has sent them since.
+// One entry's view of the agents: which of them are in its subset of each pool, what
+// they last reported and what this entry has sent them since.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_ENDPOINTDIRECTORY_H
@@ -19,54 +19,56 @@
 
 namespace laurelcroft {
 
-/// One endpoint, by its agent.
+/// An endpoint, identified by its agent.
 struct endpoint
 {
-    std::string id; ///< the agent's instance
+    std::string id; ///< instance id of the agent
     std::string dataCentre;
     std::string linkAddress;
     std::string pool;
     bool leaving = false;
     bool reachable = false; ///< its load stream is open
-    std::uint64_t incarnation = 0; ///< of the agent; offers carry it
+    std::uint64_t incarnation = 0; ///< of the agent; included in offers
     wire::load_report load;
-    std::set<std::string> loaded; ///< model@version
+    std::set<std::string> loaded; ///< entries have the form model@version
     time_point reportedAt{};
     std::uint32_t sentSinceReport = 0;
     std::uint32_t ownRunning = 0;
 };
 
-/// Bounds of an entry's subset of one pool.
+/// Sizes of an entry's subset of one pool. Places that one group can't fill go to the other.
 struct subset_options
 {
     std::size_t sameDataCentre = 14;
     std::size_t otherDataCentres = 6;
 };
 
-/// All endpoints that one entry uses.
+/// All endpoints with an agent that one entry knows, and its subset of each pool.
 class endpoint_directory
 {
 public:
     endpoint_directory(std::string instance, std::string dataCentre, subset_options options = {});
 
-    /// Takes news of membership. \returns true when the subset may have changed.
+    /// Handles a membership update. \returns true when the subsets must be chosen again.
     bool onMember(const wire::member &item);
 
-    /// Chooses the subsets anew. \returns the agents whose load stream is to be open.
+    /// Chooses the subsets of all pools. \returns the agents whose load stream must be open.
     std::vector<std::string> chooseSubsets();
 
-    /// Takes the header of any message of an agent.
+    /// Handles the load report in the header of a message from an agent.
     void onReport(const std::string &id, const wire::from_agent &message, time_point now);
 
-    /// The load stream of an agent was lost.
+    /// Handles the loss of an agent's load stream.
     void onUnreachable(const std::string &id);
 
-    /// Counts an attempt that this entry sent, and its end.
+    /// Counts an attempt that this entry sent.
     void onSent(const std::string &id);
+
+    /// Counts the end of an attempt that this entry sent.
     void onEnded(const std::string &id);
 
-    /// \returns the endpoints that may serve \p target at \p version now.
-    /// \param version empty for a plain service.
+    /// \returns the endpoints of the subset that can serve \p target at \p version now.
+    /// \param version is empty for a plain service.
     std::vector<const endpoint *> candidates(std::string_view pool, std::string_view target,
                                              std::string_view version) const;
 
--- a/include/laurelcroft/Fleet/Ranking.h
+++ b/include/laurelcroft/Fleet/Ranking.h
@@ -1,7 +1,7 @@
 //===-- Fleet/Ranking.h - rendezvous ranking ---------------------*- C++ -*-===//
 //
-// Who does a duty that nobody is set aside for: each process ranks the live
-// members by a hash of member and duty, and all that see the same members agree.
+// Assigns duties to members without coordination: each process ranks the live members
+// by a hash of member and duty. Processes that see the same members get the same ranks.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_RANKING_H
@@ -15,11 +15,11 @@
 
 namespace laurelcroft {
 
-/// \returns the \p count ids that rank first for \p duty, best first.
+/// \returns the first \p count ids in the ranking for \p duty, in rank order.
 std::vector<std::string> topRanked(std::span<const std::string> ids, std::string_view duty,
                                    std::size_t count);
 
-/// \returns true when \p id is among the first \p count for \p duty.
+/// \returns true when \p id is among the first \p count ids in the ranking for \p duty.
 bool isTopRanked(std::span<const std::string> ids, std::string_view duty, std::size_t count,
                  std::string_view id);
 
--- a/lib/Fleet/EndpointDirectory.cpp
+++ b/lib/Fleet/EndpointDirectory.cpp
@@ -1,7 +1,7 @@
-//===-- EndpointDirectory.cpp - the endpoints an entry uses -----------------===//
+//===-- EndpointDirectory.cpp - agents' endpoints ---------------------------===//
 //
-// Subsets are drawn by rendezvous ranking with the entry's own name as the duty:
-// each entry has another subset, and a change of the fleet moves little.
+// Subsets are chosen by rendezvous ranking with the entry's instance id as the key.
+// Entries get different subsets, and a change of the fleet changes few members of each.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/EndpointDirectory.h"
@@ -47,7 +47,7 @@
         if (item.pool == pool)
             (item.dataCentre == m_dataCentre ? near : far).push_back(id);
     }
-    // What one side lacks, the other may use: a small site uses all its endpoints.
+    // Places that one group can't fill go to the other, so that a small site uses all endpoints.
     const std::size_t most = m_options.sameDataCentre + m_options.otherDataCentres;
     const std::size_t fromFar = std::min(
             far.size(), std::max(m_options.otherDataCentres, most - std::min(most, near.size())));
--- a/lib/Fleet/Ranking.cpp
+++ b/lib/Fleet/Ranking.cpp
@@ -1,6 +1,6 @@
 //===-- Ranking.cpp - rendezvous ranking ------------------------------------===//
 //
-// A member that leaves moves only its own duties.
+// When a member leaves, only the duties that it had are reassigned.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/Ranking.h"
