--- a/include/laurelcroft/Fleet/PrefixCacheEstimate.h
+++ b/include/laurelcroft/Fleet/PrefixCacheEstimate.h
@@ -1,7 +1,7 @@
-//===-- Fleet/PrefixCacheEstimate.h - prefixes kept at an endpoint ------*- C++ -*-===//
+//===-- Fleet/PrefixCacheEstimate.h - cached prompt prefixes -----*- C++ -*-===//
 //
-// Which prompt prefixes an endpoint is thought to keep, from what was sent there. The
-// least recently used are forgotten first, as the endpoint does it.
+// Estimates which prompt prefixes an endpoint has cached, from the requests that were
+// sent to it. Evicts the least recently used prefixes first, as the endpoint does.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_PREFIXCACHEESTIMATE_H
@@ -15,39 +15,39 @@
 
 namespace laurelcroft {
 
-/// A prefix of a prompt: all parts up to one, of one model.
+/// A prefix of a prompt for one model: the prompt's parts up to and including one of them.
 struct prompt_prefix
 {
-    std::uint64_t hash = 0; ///< of the model and the parts' ids, in order
-    unsigned tokens = 0; ///< of its last part
+    std::uint64_t hash = 0; ///< of the model and the ids of the parts, in order
+    unsigned tokens = 0; ///< of the last part only
 
     bool operator==(const prompt_prefix &) const = default;
 };
 
-/// \returns the tokens of \p prefixes together.
+/// \returns the sum of the token counts of \p prefixes.
 unsigned totalTokens(std::span<const prompt_prefix> prefixes);
 
-/// The prefixes of one endpoint.
+/// Estimated prefix cache of one endpoint.
 class prefix_cache_estimate
 {
 public:
-    /// Prefixes of this many tokens are remembered at most; above it the endpoint is thought
-    /// to have dropped the oldest.
+    /// \param capacity in tokens. Above it, the endpoint is assumed to have evicted the least
+    /// recently used prefixes.
     explicit prefix_cache_estimate(std::size_t capacity = defaultCapacity)
         : m_capacity(capacity)
     {
     }
 
-    /// \returns the tokens of the longest run of \p prefixes, from the first, that is kept.
+    /// \returns the token count of the longest leading run of \p prefixes that is cached.
     unsigned cachedTokens(std::span<const prompt_prefix> prefixes) const;
 
-    /// Notes that a prompt with these prefixes was read.
+    /// Records that a prompt with these prefixes was sent to the endpoint.
     void insert(std::span<const prompt_prefix> prefixes);
 
     std::size_t tokens() const { return m_tokens; }
 
-    /// Half of what the smaller engines of today keep: the rest is taken by running requests
-    /// and by parts that only one request has.
+    /// Half the cache size of the smaller current engines. The other half is used by running
+    /// requests and by prompt parts that occur in one request only.
     static constexpr std::size_t defaultCapacity = 300'000;
 
 private:
--- a/lib/Fleet/PrefixCacheEstimate.cpp
+++ b/lib/Fleet/PrefixCacheEstimate.cpp
@@ -1,6 +1,6 @@
-//===-- PrefixCacheEstimate.cpp - prefixes kept at an endpoint ---------------------===//
+//===-- PrefixCacheEstimate.cpp - cached prompt prefixes --------------------===//
 //
-// A list by use and an index into it.
+// An LRU list with a hash index.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/PrefixCacheEstimate.h"
