--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -1,6 +1,6 @@
 //===-- ServiceDirectory.cpp - endpoints without an agent -------------------===//
 //
-// Beliefs fade: an endpoint that failed is tried again without a probe.
+// Inferred state decays over time, so a failed endpoint is tried again without a probe.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/ServiceDirectory.h"
@@ -15,19 +15,19 @@
 
 namespace {
 
-/// Time in which an answer's weight in the failure share halves. Long against the time
-/// between two answers of one endpoint, short against a fault.
+/// Half-life of an answer's weight in the failure rate. Long compared with the time between two
+/// answers of one endpoint, short compared with a fault.
 constexpr milliseconds failureHalfLife{3000};
-/// Time in which a load report loses half of its weight: about the length of a request.
+/// Half-life of a load report's weight; about the duration of a request.
 constexpr milliseconds reportHalfLife{1000};
-/// First and longest time that an unreachable endpoint is left out.
+/// How long an unreachable endpoint is avoided at first, and how often that time may double.
 constexpr milliseconds initialAvoidance{500};
 constexpr unsigned maxDoublings = 3;
-/// Time that a full endpoint is left out: a few steps of its batch.
+/// How long a full endpoint is avoided; a few steps of its batch.
 constexpr milliseconds fullAvoidance{100};
 /// Upper bound of ceil(rate) / rate for rates above 1; lower rates need only the latest send.
 constexpr seconds longestRateWindow{2};
-/// Answers that count as known before the first one, so that one failure is no verdict.
+/// Successes assumed before the first answer, so that one failure does not dominate the rate.
 constexpr double priorAnswers = 3;
 
 } // namespace
@@ -80,9 +80,9 @@
     return first + std::chrono::ceil<duration>(window);
 }
 
-void service_endpoint::addRemotePrefill(milliseconds reading, time_point now)
+void service_endpoint::addRemotePrefill(milliseconds prefill, time_point now)
 {
-    m_remotePrefillUntil = std::max(m_remotePrefillUntil, now) + reading;
+    m_remotePrefillUntil = std::max(m_remotePrefillUntil, now) + prefill;
 }
 
 double service_endpoint::remotePrefillMs(time_point now) const
@@ -176,15 +176,15 @@
     return !record.isLaterIncarnationThan(before);
 }
 
-void service_directory::apply(endpoint_record record, time_point now, bool takesAddress)
+void service_directory::apply(endpoint_record record, time_point now, bool claimsAddress)
 {
-    // A late heartbeat of an endpoint that has left.
+    // Ignore a late heartbeat of an endpoint that has left.
     if (hasDeparted(record))
         return;
     if (const auto known = m_endpoints.find(record.id); known != m_endpoints.end()) {
         if (known->second->record().isLaterIncarnationThan(record))
             return;
-        // It holds and knows nothing of before.
+        // After a restart, nothing that was inferred for the endpoint holds.
         if (record.isLaterIncarnationThan(known->second->record()))
             drop(record.id);
     }
@@ -194,13 +194,13 @@
     if (it != m_endpoints.end()) {
         if (!record.isEquivalentTo(it->second->record()))
             invalidateUsable();
-        // An endpoint that has begun to leave comes back only by a new start.
+        // Once an endpoint is leaving, it stays so until it restarts.
         record.leaving = record.leaving || it->second->record().leaving;
         it->second->setColdFor(record.coldLeft, now);
         it->second->update(std::move(record));
         return;
     }
-    if (takesAddress && !claimAddress(record))
+    if (claimsAddress && !claimAddress(record))
         return;
     add(std::move(record), now);
 }
@@ -254,7 +254,7 @@
     const auto it = m_endpoints.find(id);
     if (it == m_endpoints.end())
         return true;
-    // Told late, of a row before the one that is known: the endpoint has come back meanwhile.
+    // The removal is older than the known row: the endpoint has come back since.
     if (version != 0 && version < it->second->record().rowVersion)
         return false;
     if (now >= m_removalsTrustedFrom || it->second->isLeaving()) {
@@ -364,12 +364,12 @@
     if (const auto known = m_usable.find(service); known != m_usable.end())
         return known->second;
     usable_list &list = m_usable[std::string(service)];
-    const bool tellsStart = mostReportStartTime();
+    const bool mostStateStart = mostReportStartTime();
     for (const auto &[id, endpoint] : m_endpoints) {
         const endpoint_record &record = endpoint->record();
-        const bool isLeftAlone = m_evacuated.count(record.dataCentre) != 0;
-        const bool isForeign = tellsStart && record.startedAt == 0;
-        if (serves(*endpoint, service) && !isLeftAlone && !isForeign)
+        const bool isInEvacuatedDataCentre = m_evacuated.count(record.dataCentre) != 0;
+        const bool isForeign = mostStateStart && record.startedAt == 0;
+        if (serves(*endpoint, service) && !isInEvacuatedDataCentre && !isForeign)
             list.endpoints.push_back(endpoint);
     }
     const auto isAlike = [&](const endpoint_ptr &endpoint) {
