--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -1,7 +1,7 @@
-//===-- FleetTests.cpp - membership, ranking, endpoints, bundle keeper ------===//
+//===-- FleetTests.cpp - membership, ranking, endpoints, bundles ------------===//
 //
-// Members run in one process under a paused clock, over a port that loses,
-// delays and cuts.
+// Members run in one process under a manual clock, over a port that drops and delays
+// datagrams and disconnects members.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/BundleTracker.h"
@@ -78,7 +78,7 @@
         item.protocol->gossipToRandomMembers();
     }
 
-    /// \returns how many live members see \p id in \p state.
+    /// \returns how many live members record \p id as \p state.
     std::size_t seenAs(const std::string &id, wire::member_state state) const
     {
         std::size_t count = 0;
@@ -121,7 +121,7 @@
     });
 }
 
-TEST_CASE("all members find each other through one seed")
+TEST_CASE("all members discover each other through one seed")
 {
     small_fleet fleet(30, 0.05);
     fleet.runtime.advance(seconds(20));
@@ -129,7 +129,7 @@
         CHECK(item->protocol->members().size() == 29);
 }
 
-TEST_CASE("a dead member is found by all; with 5% loss nobody else is accused for long")
+TEST_CASE("all members detect a dead member; at 5% loss no live member stays declared dead")
 {
     small_fleet fleet(30, 0.05);
     fleet.runtime.advance(seconds(20));
@@ -142,7 +142,7 @@
     }
 }
 
-TEST_CASE("a leaving member is known as leaving within two seconds")
+TEST_CASE("members learn within two seconds that a member is leaving")
 {
     small_fleet fleet(30, 0.01);
     fleet.runtime.advance(seconds(20));
@@ -153,7 +153,7 @@
     CHECK(fleet.seenAs("m3", wire::member_leaving) == 29);
 }
 
-TEST_CASE("a new epoch is everywhere within five seconds, with 1% loss")
+TEST_CASE("a new epoch reaches all members within five seconds at 1% loss")
 {
     small_fleet fleet(60, 0.01);
     fleet.runtime.advance(seconds(20));
@@ -162,14 +162,14 @@
     CHECK(fleet.atEpoch(5) == 60);
 }
 
-TEST_CASE("a member that was cut off for long is back with all within twenty seconds")
+TEST_CASE("a member that was declared dead is alive for all within twenty seconds of its return")
 {
     small_fleet fleet(10, 0);
     fleet.runtime.advance(seconds(20));
     fleet.members["m4"]->dead = true; // silent, as in a freeze
     fleet.runtime.advance(seconds(20));
     CHECK(fleet.seenAs("m4", wire::member_dead) == 9);
-    // Long after its death was told for the last time it wakes and hears of it at once.
+    // Gossip about its death has ended when it returns; the members it contacts tell it at once.
     fleet.runtime.advance(seconds(60));
     fleet.members["m4"]->dead = false;
     fleet.runtime.advance(seconds(20));
@@ -178,7 +178,7 @@
         CHECK(fleet.seenAs(id, wire::member_dead) == 0);
 }
 
-TEST_CASE("datagrams that are damaged or of another site are not heard")
+TEST_CASE("damaged datagrams and datagrams of another site are rejected")
 {
     wire::datagram message;
     message.mutable_sender()->set_id("a");
@@ -195,7 +195,7 @@
     CHECK_FALSE(openDatagram(siteKey, ""));
 }
 
-TEST_CASE("a datagram stays within one frame, however many changes wait")
+TEST_CASE("a datagram of the full member list fits one Ethernet frame")
 {
     small_fleet fleet(2, 0);
     wire::datagram message;
@@ -211,7 +211,7 @@
     CHECK(sealDatagram(siteKey, message).size() < maxDatagramBytes);
 }
 
-TEST_CASE("rendezvous ranking agrees, spreads, and moves little")
+TEST_CASE("rendezvous ranking ignores input order, differs per duty and keeps its order on removal")
 {
     std::vector<std::string> ids;
     for (int i = 0; i < 100; ++i)
@@ -243,7 +243,7 @@
     return message;
 }
 
-TEST_CASE("endpoints: leaving, draining, unreachable or unloaded ones get nothing")
+TEST_CASE("endpoint directory: no candidates that are leaving, draining, unreachable or not loaded")
 {
     endpoint_directory directory("e1", "dc1");
     manual_runtime runtime;
@@ -265,7 +265,7 @@
     CHECK(directory.candidates("p", "m", "1").empty());
 }
 
-TEST_CASE("endpoints: a subset is bounded and prefers its own data centre")
+TEST_CASE("endpoint directory: a subset is bounded and prefers the entry's data centre")
 {
     endpoint_directory directory("e1", "dc1");
     for (int i = 0; i < 100; ++i) {
@@ -325,7 +325,7 @@
 
 } // namespace
 
-TEST_CASE("keeper: takes only higher, signed and matching bundles")
+TEST_CASE("bundle tracker: installs only higher epochs with signatures and a matching hash")
 {
     bundle_tracker_fixture bench;
     CHECK(bench.tracker.install(bench.make(3, "a")));
@@ -341,7 +341,7 @@
     CHECK(bench.taken == 1);
 }
 
-TEST_CASE("keeper: confirmation comes from readings of the table and ages")
+TEST_CASE("bundle tracker: an epoch is confirmed by table reads, and the confirmation ages")
 {
     bundle_tracker_fixture bench;
     const fetched_bundle made = bench.make(1, "a");
@@ -353,7 +353,7 @@
     CHECK_FALSE(bench.tracker.isConfirmedWithin(seconds(5)));
     bench.tracker.observePeerEpoch("peer", 1, true, seconds(2));
     CHECK(bench.tracker.isConfirmedWithin(seconds(5)));
-    // A new epoch is not confirmed by readings of the old one.
+    // Table reads of the old epoch do not confirm the new one.
     bench.source.peer = bench.make(2, "b");
     bench.tracker.observePeerEpoch("peer", 2, false, seconds(0));
     CHECK(bench.tracker.epoch() == 2);
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -1,6 +1,6 @@
-//===-- RestartedEndpointTests.cpp - endpoints back under their ids ---------===//
+//===-- RestartedEndpointTests.cpp - restarts under the same id -------------===//
 //
-// The moment of its start tells an endpoint's incarnations apart.
+// The start time distinguishes the incarnations of an endpoint.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/ServiceDirectory.h"
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("nothing that was believed of an endpoint holds after its next start")
+TEST_CASE("a restart resets the state inferred for an endpoint")
 {
     service_directory directory;
     directory.apply(recordOf("a", 10), start);
@@ -51,7 +51,7 @@
     CHECK(after->remotePrefillMs(start) == 0);
 }
 
-TEST_CASE("an endpoint that has left is used again once it has started anew, not before")
+TEST_CASE("an endpoint that has left is usable again only after a restart")
 {
     service_directory directory;
     directory.apply(recordOf("a", 10), start);
@@ -61,7 +61,7 @@
     directory.apply(recordOf("a", 20), start);
     CHECK(directory.usable("pool").size() == 1);
 
-    // The same when its record has gone meanwhile.
+    // The same when its record was removed in between.
     directory.apply(recordOf("a", 20, true), start);
     directory.remove("a", start);
     directory.apply(recordOf("a", 20), start);
@@ -69,13 +69,13 @@
     CHECK(directory.all().empty());
     directory.apply(recordOf("a", 30), start);
     CHECK(directory.usable("pool").size() == 1);
-    // One that left the last time is no more remembered as gone.
+    // The restart cleared the earlier departure, so a removed record can be added again.
     directory.remove("a", start);
     directory.apply(recordOf("a", 30), start);
     CHECK(directory.usable("pool").size() == 1);
 }
 
-TEST_CASE("what an earlier start still says counts no more")
+TEST_CASE("records of an earlier incarnation are ignored")
 {
     service_directory directory;
     directory.apply(recordOf("a", 20), start);
@@ -86,7 +86,7 @@
     CHECK(endpoint->record().startedAt == 20);
 }
 
-TEST_CASE("a removal that is told late doesn't end an endpoint that has come back since")
+TEST_CASE("an outdated removal does not drop an endpoint that has come back since")
 {
     service_directory directory;
     endpoint_record record = recordOf("a", 20);
@@ -98,7 +98,7 @@
     CHECK(directory.all().empty());
 }
 
-TEST_CASE("where most endpoints tell their start, a record without it names none")
+TEST_CASE("a record without a start time is not usable when most records state one")
 {
     service_directory directory;
     directory.apply(recordOf("a", 0), start);
@@ -111,7 +111,7 @@
     CHECK(directory.usable("pool").size() == 2);
 }
 
-TEST_CASE("a record of a service that nobody asks for ends no endpoint at its address")
+TEST_CASE("a record that does not claim its address displaces no endpoint there")
 {
     service_directory directory;
     endpoint_record own = recordOf("a", 10);
--- a/unittests/Fleet/ServiceDirectoryTests.cpp
+++ b/unittests/Fleet/ServiceDirectoryTests.cpp
@@ -1,6 +1,6 @@
 //===-- ServiceDirectoryTests.cpp - endpoints without an agent --------------===//
 //
-// Records that come, change, lapse and go, and beliefs that fade.
+// Adding, updating and removing records, store outages, and the decay of inferred state.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/ServiceDirectory.h"
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("an endpoint that leaves gets nothing new and never returns under its id")
+TEST_CASE("a leaving endpoint is not usable, even if a later record says otherwise")
 {
     service_directory directory;
     directory.apply(recordOf("a"), start);
@@ -35,13 +35,13 @@
     CHECK(directory.usable("other").empty());
 }
 
-TEST_CASE("of two ids at one address the one that was heard of last is used, in whatever order")
+TEST_CASE("of two ids at one address the one with the newer row is used, in either order")
 {
-    const auto at = [](const std::string &id, std::uint64_t heardAt, std::uint16_t port) {
+    const auto at = [](const std::string &id, std::uint64_t rowVersion, std::uint16_t port) {
         endpoint_record record = recordOf(id);
         record.host = "10.0.0.1";
         record.port = port;
-        record.rowVersion = heardAt;
+        record.rowVersion = rowVersion;
         return record;
     };
     for (const bool inOrder : {true, false}) {
@@ -54,7 +54,7 @@
         CHECK(directory.all().count("after") == 1);
         CHECK(directory.all().count("other") == 1);
         CHECK(before->isRemoved() == inOrder);
-        // A late row of the earlier one doesn't bring it back.
+        // A late row of the displaced endpoint doesn't bring it back.
         directory.apply(at("before", 6, 80), start);
         CHECK(directory.all().count("before") == 0);
     }
@@ -62,7 +62,7 @@
     CHECK(!at("a", 5, 80).isEquivalentTo(at("a", 5, 81)));
 }
 
-TEST_CASE("a removal counts at once while the store can be trusted")
+TEST_CASE("a removal takes effect at once when there was no store outage")
 {
     service_directory directory;
     directory.apply(recordOf("a"), start);
@@ -72,7 +72,7 @@
     CHECK(endpoint->isRemoved());
 }
 
-TEST_CASE("a removal during an outage waits for two seconds after it")
+TEST_CASE("a removal during a store outage takes effect two seconds after it")
 {
     service_directory directory;
     directory.apply(recordOf("a"), start);
@@ -81,7 +81,7 @@
     directory.storeRegained(start + seconds(9));
     directory.replaceAll({}, start + seconds(9));
     CHECK(directory.usable("pool").size() == 1);
-    // One that had begun to leave is gone for good.
+    // A leaving endpoint is dropped at once.
     CHECK(directory.all().count("b") == 0);
     directory.expire(start + seconds(11));
     CHECK(directory.usable("pool").size() == 1);
@@ -89,7 +89,7 @@
     CHECK(directory.usable("pool").empty());
 }
 
-TEST_CASE("a record that comes back within the grace ends the doubt")
+TEST_CASE("a record that comes back within the grace period keeps its endpoint")
 {
     service_directory directory;
     directory.apply(recordOf("a"), start);
@@ -101,7 +101,7 @@
     CHECK(directory.usable("pool").size() == 1);
 }
 
-TEST_CASE("a load report is corrected by own requests and fades")
+TEST_CASE("a load report is corrected by own requests and decays")
 {
     service_endpoint endpoint(recordOf("a"));
     endpoint.requestStarted();
@@ -112,7 +112,7 @@
     CHECK(endpoint.expectedLoad(start + seconds(10)) == doctest::Approx(2).epsilon(0.01));
 }
 
-TEST_CASE("failures raise the share, which fades without any answer")
+TEST_CASE("failures raise the failure rate, which decays without further answers")
 {
     service_endpoint endpoint(recordOf("a"));
     endpoint.recordFailure(start);
@@ -143,14 +143,14 @@
     directory.remove("a", start);
     directory.apply(recordOf("a"), start + seconds(1));
     CHECK(directory.usable("pool").empty());
-    // One that only vanished may come back.
+    // An endpoint that was not leaving when it was removed may come back.
     directory.apply(recordOf("b"), start);
     directory.remove("b", start);
     directory.apply(recordOf("b"), start + seconds(1));
     CHECK(directory.usable("pool").size() == 1);
 }
 
-TEST_CASE("prompts that other entries sent are read one after the other, and done in time")
+TEST_CASE("prefill times of other entries' prompts add up and run down")
 {
     service_endpoint endpoint(recordOf("a"));
     CHECK(endpoint.remotePrefillMs(start) == 0);
