--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -60,7 +60,7 @@
         fleet_member *const raw = item.get();
         events.onEpoch = [this, raw](const epoch_observation &seen) {
             if (seen.epoch > raw->epoch)
-                take(*raw, seen.epoch);
+                setEpoch(*raw, seen.epoch);
         };
         item->protocol = std::make_unique<membership<manual_runtime, fake_port>>(
                 runtime, item->port, random, self, siteKey, membership_options{}, events);
@@ -69,7 +69,7 @@
                                         : std::vector<std::string>{"m0"});
     }
 
-    void take(fleet_member &item, std::uint64_t epoch)
+    void setEpoch(fleet_member &item, std::uint64_t epoch)
     {
         item.epoch = epoch;
         epoch_digest digest;
@@ -157,7 +157,7 @@
 {
     small_fleet fleet(60, 0.01);
     fleet.runtime.advance(seconds(20));
-    fleet.take(*fleet.members["m0"], 5);
+    fleet.setEpoch(*fleet.members["m0"], 5);
     fleet.runtime.advance(seconds(5));
     CHECK(fleet.atEpoch(5) == 60);
 }
