--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -304,9 +304,10 @@
     signing_key key = makeSigningKey();
     manual_runtime runtime;
     fake_source source;
-    int taken = 0;
-    bundle_tracker<manual_runtime, fake_source> tracker{
-            runtime, source, signoff_rule{{key.publicHex}, 1}, [this](const auto &) { ++taken; }};
+    int installCount = 0;
+    bundle_tracker<manual_runtime, fake_source> tracker{runtime, source,
+                                                        signoff_rule{{key.publicHex}, 1},
+                                                        [this](const auto &) { ++installCount; }};
 
     fetched_bundle make(bundle_epoch epoch, const std::string &site)
     {
@@ -338,7 +339,7 @@
     swapped.text = bench.make(4, "c").text;
     CHECK_FALSE(bench.tracker.install(swapped));
     CHECK(bench.tracker.epoch() == 3);
-    CHECK(bench.taken == 1);
+    CHECK(bench.installCount == 1);
 }
 
 TEST_CASE("bundle tracker: an epoch is confirmed by table reads, and the confirmation ages")
