--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -9,7 +9,7 @@
 #define LAURELCROFT_AGENT_AGENTCORE_H
 
 #include "laurelcroft/Agent/Attempt.h"
-#include "laurelcroft/Fleet/BundleKeeper.h"
+#include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
 #include "laurelcroft/Ledger/ClaimBook.h"
 
@@ -62,7 +62,7 @@
 class agent_core
 {
 public:
-    using keeper_type = bundle_keeper<Runtime, Env>;
+    using keeper_type = bundle_tracker<Runtime, Env>;
 
     agent_core(Runtime &runtime, Table &table, Env &env, signoff_rule rule, agent_options options)
         : m_runtime(runtime)
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -62,7 +62,7 @@
 class entry_core
 {
 public:
-    using keeper_type = bundle_keeper<Runtime, Env>;
+    using keeper_type = bundle_tracker<Runtime, Env>;
     using runner_type = attempt_runner<Runtime, Env>;
 
     entry_core(Runtime &runtime, Table &table, Env &env, random_source &random, signoff_rule rule,
@@ -177,7 +177,7 @@
     void hearEpoch(const std::string &peer, bundle_epoch epoch)
     {
         if (epoch > m_keeper.epoch())
-            m_keeper.hear(peer, epoch, false, duration(0));
+            m_keeper.observePeerEpoch(peer, epoch, false, duration(0));
     }
 
     /// Another process stopped a version under roll-out.
--- a/include/laurelcroft/Fleet/MembershipImpl.h
+++ b/include/laurelcroft/Fleet/MembershipImpl.h
@@ -1,6 +1,6 @@
-//===-- Fleet/MembershipImpl.h - members of membership ----------*- C++ -*-===//
+//===-- Fleet/MembershipImpl.h - templates of Membership.h -------*- C++ -*-===//
 //
-// Included by Membership.h only.
+// Definitions of the member templates. Included by Membership.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_FLEET_MEMBERSHIPIMPL_H
@@ -15,10 +15,10 @@
     const duration gap = now - m_lastTick;
     m_lastTick = now;
     m_runtime.after(m_options.period, [this] { tick(); });
-    // After a freeze of this process the silence was its own: nobody is accused.
+    // While this process was frozen it could not receive acks: do not suspect the probed member.
     const bool wasFrozen = gap > 2 * m_options.period;
     if (wasFrozen)
-        m_probe.clear();
+        m_probeTarget.clear();
     expireDead(now);
     syncIfDue(now);
     probeNext();
@@ -33,7 +33,7 @@
             sendSync(seed);
         return;
     }
-    m_probe = target;
+    m_probeTarget = target;
     const std::uint64_t sequence = ++m_sequence;
     m_probeSequence = sequence;
     sendTo(target, wire::datagram_ping, sequence, "");
@@ -44,10 +44,10 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::endProbe(std::uint64_t sequence)
 {
-    if (m_probe.empty() || m_probeSequence != sequence)
+    if (m_probeTarget.empty() || m_probeSequence != sequence)
         return;
-    const auto it = m_members.find(m_probe);
-    m_probe.clear();
+    const auto it = m_members.find(m_probeTarget);
+    m_probeTarget.clear();
     if (it == m_members.end() || it->second.state() == wire::member_dead)
         return;
     if (it->second.state() == wire::member_suspect)
@@ -61,18 +61,18 @@
 auto membership<Runtime, Port>::nextTarget() -> std::string
 {
     for (int round = 0; round < 2; ++round) {
-        while (!m_order.empty()) {
-            std::string id = std::move(m_order.back());
-            m_order.pop_back();
+        while (!m_probeOrder.empty()) {
+            std::string id = std::move(m_probeOrder.back());
+            m_probeOrder.pop_back();
             const auto it = m_members.find(id);
             if (it != m_members.end() && isLive(it->second))
                 return id;
         }
         for (const auto &[id, item] : m_members) {
             if (isLive(item))
-                m_order.push_back(id);
+                m_probeOrder.push_back(id);
         }
-        std::shuffle(m_order.begin(), m_order.end(), m_random.engine());
+        std::shuffle(m_probeOrder.begin(), m_probeOrder.end(), m_random.engine());
     }
     return {};
 }
@@ -114,7 +114,8 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::addUpdates(wire::datagram &message)
 {
-    // Deaths and stops go before joins, and what was told less often before the rest.
+    // Deaths, suspicions and planned stops precede joins; within each group, the updates with the
+    // most transmissions left come first.
     const auto urgency = [](const queued_update &item) {
         const bool isJoin = item.member.state() == wire::member_alive;
         return std::pair(isJoin ? 0 : 1, item.left);
@@ -124,7 +125,7 @@
     std::size_t bytes = 0;
     for (queued_update &item : m_updates) {
         const std::size_t size = item.member.ByteSizeLong();
-        if (bytes + size > m_options.largestUpdateBytes)
+        if (bytes + size > m_options.maxUpdateBytes)
             break;
         bytes += size;
         *message.add_updates() = item.member;
@@ -152,12 +153,12 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::sendList(std::string_view address)
+void membership<Runtime, Port>::sendMemberList(std::string_view address)
 {
     wire::datagram message = compose(wire::datagram_ack, 0);
     for (const auto &[id, item] : m_members) {
         *message.add_updates() = item;
-        if (static_cast<std::size_t>(message.updates_size()) < m_options.syncMembers)
+        if (static_cast<std::size_t>(message.updates_size()) < m_options.membersPerSyncDatagram)
             continue;
         m_port.send(std::string(address), sealDatagram(m_key, message));
         message.clear_updates();
@@ -166,8 +167,8 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::answer(std::string_view from, const wire::datagram &message,
-                                       bool isNew)
+void membership<Runtime, Port>::dispatch(std::string_view from, const wire::datagram &message,
+                                         bool isNew)
 {
     const std::string &sender = message.sender().id();
     switch (message.kind()) {
@@ -178,24 +179,24 @@
         relay(message);
         break;
     case wire::datagram_ack:
-        takeAck(message);
+        handleAck(message);
         break;
     case wire::datagram_sync:
-        sendList(from);
+        sendMemberList(from);
         break;
     default:
         break;
     }
-    // A newcomer that pings before its sync arrived is told the list as well.
+    // A new member whose ping arrives before its sync request is asked for its member list.
     if (isNew && message.kind() == wire::datagram_ping)
         sendSync(message.sender().gossip_address());
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::tellAccusation(const wire::member &sender)
+void membership<Runtime, Port>::notifyAccusedSender(const wire::member &sender)
 {
     const auto it = m_members.find(sender.id());
-    const bool accused = it != m_members.end() && rank(it->second.state()) > 0;
+    const bool accused = it != m_members.end() && statePrecedence(it->second.state()) > 0;
     if (!accused || it->second.incarnation() < sender.incarnation())
         return;
     wire::datagram message = compose(wire::datagram_rumor, 0);
@@ -204,10 +205,10 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::takeAck(const wire::datagram &message)
+void membership<Runtime, Port>::handleAck(const wire::datagram &message)
 {
     if (message.sequence() == m_probeSequence)
-        m_probe.clear();
+        m_probeTarget.clear();
     const auto it = m_relayed.find(message.sequence());
     if (it == m_relayed.end())
         return;
@@ -216,11 +217,11 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::hearEpoch(const wire::datagram &message)
+void membership<Runtime, Port>::handleEpoch(const wire::datagram &message)
 {
     if (!m_events.onEpoch)
         return;
-    epoch_sighting sighting;
+    epoch_observation sighting;
     sighting.from = message.sender().id();
     sighting.epoch = message.bundle_epoch();
     sighting.confirmed = message.confirmed_age_ms() != UINT32_MAX;
@@ -229,40 +230,40 @@
 }
 
 template <runtime_like Runtime, class Port>
-void membership<Runtime, Port>::merge(const wire::member &heard)
+void membership<Runtime, Port>::merge(const wire::member &received)
 {
-    if (heard.id().empty())
+    if (received.id().empty())
         return;
-    if (heard.id() == m_self.id()) {
-        refute(heard);
+    if (received.id() == m_self.id()) {
+        refute(received);
         return;
     }
-    const auto it = m_members.find(heard.id());
-    if (it == m_members.end() && heard.state() == wire::member_dead)
+    const auto it = m_members.find(received.id());
+    if (it == m_members.end() && received.state() == wire::member_dead)
         return;
-    if (it != m_members.end() && !isNews(it->second, heard))
+    if (it != m_members.end() && !isSuperseded(it->second, received))
         return;
     const bool isNew = it == m_members.end();
-    // An accusation names the member only: it makes nobody known.
-    if (isNew && heard.gossip_address().empty())
+    // A suspect or dead record carries no address and cannot introduce an unknown member.
+    if (isNew && received.gossip_address().empty())
         return;
-    wire::member &known = m_members[heard.id()];
-    const bool visible
-            = isNew || known.state() != heard.state() || known.incarnation() != heard.incarnation();
-    if (heard.gossip_address().empty()) {
-        known.set_state(heard.state());
-        known.set_incarnation(heard.incarnation());
+    wire::member &known = m_members[received.id()];
+    const bool visible = isNew || known.state() != received.state()
+            || known.incarnation() != received.incarnation();
+    if (received.gossip_address().empty()) {
+        known.set_state(received.state());
+        known.set_incarnation(received.incarnation());
     } else {
-        known = heard;
+        known = received;
     }
     enqueue(known);
     if (known.state() == wire::member_suspect)
         startSuspicion(known);
     if (known.state() == wire::member_dead)
         m_deadSince[known.id()] = m_runtime.now();
-    // A planned stop is told on at once: its endpoint must get no new work.
+    // Forward a planned stop at once, so that the member's endpoint gets no new work.
     if (visible && known.state() == wire::member_leaving)
-        tellSome();
+        gossipToRandomMembers();
     if (visible && m_events.onMember)
         m_events.onMember(wire::member(known));
 }
@@ -288,7 +289,7 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::enqueue(const wire::member &changed)
 {
-    const wire::member item = told(changed);
+    const wire::member item = gossipRecord(changed);
     for (queued_update &queued : m_updates) {
         if (queued.member.id() != item.id())
             continue;
@@ -305,7 +306,7 @@
         const auto found = m_members.find(it->first);
         const bool stillDead
                 = found != m_members.end() && found->second.state() == wire::member_dead;
-        if (stillDead && now - it->second < m_options.deadKept) {
+        if (stillDead && now - it->second < m_options.deadRetention) {
             ++it;
             continue;
         }
@@ -318,13 +319,13 @@
 template <runtime_like Runtime, class Port>
 void membership<Runtime, Port>::syncIfDue(time_point now)
 {
-    const duration wait = m_options.syncPerMember * static_cast<int>(m_members.size() + 10);
+    const duration wait = m_options.syncPeriodPerMember * static_cast<int>(m_members.size() + 10);
     if (now - m_lastSync < wait)
         return;
     m_lastSync = now;
-    // A seed that is not among the living is asked too: it joins halves of a fleet
-    // that had lost each other for so long that both took the other for dead. Known
-    // seeds are not, or all exchanges of a large fleet would fall on them.
+    // Also sync with a random seed unless it is known to be alive. This rejoins the halves of a
+    // partition that lasted until each declared the other dead. Live seeds are skipped, since
+    // otherwise they would get the sync requests of the whole fleet.
     if (!m_seeds.empty()) {
         const std::string &seed = m_seeds[m_random.index(m_seeds.size())];
         if (!isLiveAddress(seed))
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -61,8 +61,8 @@
 template <class Core>
 void answerFromCore(node_events &events, Core &core)
 {
-    events.onEpoch = [&core](const epoch_sighting &seen) {
-        core.keeper().hear(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
+    events.onEpoch = [&core](const epoch_observation &seen) {
+        core.keeper().observePeerEpoch(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
     };
     events.onBundleRequest = [&core] {
         wire::bundle_reply reply;
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -24,7 +24,7 @@
     m_answered = true;
     m_run->beganAt = now();
     endReading();
-    m_endpoint->progressed(now());
+    m_endpoint->recordProgress(now());
     noteEndpointState();
     const bool success = isSuccess(m_answer.status);
     if (success && !isValidSuccess()) {
@@ -148,7 +148,7 @@
 void request_flow<Env>::onEvent(const stream_event &event)
 {
     m_progressAt = now();
-    m_endpoint->progressed(m_progressAt);
+    m_endpoint->recordProgress(m_progressAt);
     ++m_attemptEvents;
     if (!std::exchange(m_progressed, true)) {
         m_firstEventAt = m_progressAt;
@@ -217,26 +217,26 @@
     const std::string &version = m_endpoint->record().softwareVersion;
     m_env.runtime().cancel(m_progressTimer);
     endReading();
-    m_endpoint->ended();
+    m_endpoint->requestEnded();
     leaveRun();
     if (end == attempt_end::refused || end == attempt_end::notSent)
         noteNotRun();
     switch (end) {
     case attempt_end::answered:
-        m_endpoint->succeeded(at);
+        m_endpoint->recordSuccess(at);
         rollouts.observe(version, m_route->name, m_record.model, timingNow(), at);
         break;
     case attempt_end::failed:
     case attempt_end::broken:
         if (!m_answered)
             noteWait();
-        m_endpoint->failed(at);
+        m_endpoint->recordFailure(at);
         rollouts.observe(version, m_route->name, m_record.model, std::nullopt, at);
         break;
     case attempt_end::silent:
         if (!m_answered)
             noteWait();
-        m_endpoint->failed(at);
+        m_endpoint->recordFailure(at);
         if (!m_countedSlow)
             rollouts.observeSilence(version, m_route->name, at);
         break;
@@ -244,12 +244,12 @@
         // A process that is gone seldom comes back at its address, and the record of its successor
         // takes a second to come: 24 of 37,000 callers met three such endpoints in a row.
         if (m_answer.misdirected)
-            m_endpoint->unreachable(at);
+            m_endpoint->recordUnreachable(at);
         else
-            m_endpoint->full(at);
+            m_endpoint->recordFull(at);
         break;
     case attempt_end::notSent:
-        m_endpoint->unreachable(at);
+        m_endpoint->recordUnreachable(at);
         break;
     }
     m_endpoint = nullptr;
@@ -470,7 +470,7 @@
         return;
     if (m_endpoint) {
         endReading();
-        m_endpoint->ended();
+        m_endpoint->requestEnded();
         leaveRun();
         m_endpoint = nullptr;
         m_env.cancel(m_call);
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -129,16 +129,16 @@
                                                  const prompt_cost &prompt)
 {
     const time_point at = now();
-    const unsigned kept = endpoint->prompts().keptTokens(m_prefixes);
+    const unsigned kept = endpoint->prefixCache().cachedTokens(m_prefixes);
     direct_candidate candidate;
     candidate.idHash = endpoint->idHash();
     candidate.load = endpoint->expectedLoad(at);
     candidate.slots = std::max(1U, endpoint->record().slots);
-    candidate.waitMs = endpoint->readingMs()
-            + flow_bounds::weightElsewhere * endpoint->readingElsewhereMs(at)
+    candidate.waitMs = endpoint->prefillMs()
+            + flow_bounds::weightElsewhere * endpoint->remotePrefillMs(at)
             + prompt.msPerToken * tokensToRead(kept);
     candidate.uncachedMs = prompt.msPerToken * (prompt.sharedTokens - kept);
-    candidate.failureShare = endpoint->failureShare(at);
+    candidate.failureRate = endpoint->failureRate(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
     // An endpoint that refuses at once has no load and so the lowest cost. Further attempts avoid
     // it until it accepts a request, so that one request does not spend all its attempts on such
@@ -239,7 +239,7 @@
 request_flow<Env>::pickAmong(const std::vector<endpoint_ptr> &endpoints,
                              std::span<const sampled_endpoint> items)
 {
-    const prompt_cost prompt{tokensOf(m_prefixes), readingMsPerToken()};
+    const prompt_cost prompt{totalTokens(m_prefixes), readingMsPerToken()};
     std::optional<shared_prompt> shared;
     if (!m_prefixes.empty())
         shared = {m_prefixes.back().hash, prompt.msPerToken * prompt.sharedTokens};
@@ -297,7 +297,7 @@
     routing_state &state = m_env.routing();
     rollout_tracker &rollouts = state.rollouts(m_service);
     // Mostly there is one version, and nothing needs to be looked through.
-    if (rollouts.mayUseAll(state.directory().onlyVersion(m_service))) {
+    if (rollouts.mayUseAll(state.directory().commonVersion(m_service))) {
         m_versionReason = version_reason::single;
         if (isBoundToRegions())
             return pickAmong(usable);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -291,18 +291,18 @@
     m_body.clear();
     m_splitter = isStream() ? std::make_unique<event_splitter>() : nullptr;
     m_endpoint = endpoint;
-    m_endpoint->began();
-    m_endpoint->sent(m_attemptAt);
+    m_endpoint->requestStarted();
+    m_endpoint->recordSend(m_attemptAt);
     noteRun();
     beginRun();
-    m_readTokens = tokensToRead(endpoint->prompts().keptTokens(m_prefixes));
+    m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
     m_readingMs = readingMsPerToken() * m_readTokens;
-    m_expectedMs = m_endpoint->readingMs() + m_readingMs;
-    m_elsewhereMs = m_endpoint->readingElsewhereMs(m_attemptAt);
+    m_expectedMs = m_endpoint->prefillMs() + m_readingMs;
+    m_elsewhereMs = m_endpoint->remotePrefillMs(m_attemptAt);
     m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
-    m_endpoint->beganReading(m_readingMs);
+    m_endpoint->addPrefill(m_readingMs);
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
-    m_endpoint->prompts().note(m_prefixes);
+    m_endpoint->prefixCache().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
     assert((m_arrivals == 0 || m_heldSend) && "a further send is taken out of the budget first");
     m_sentFor = m_arrivals > 0 ? std::exchange(m_heldSend, std::nullopt) : std::nullopt;
@@ -382,7 +382,7 @@
 template <flow_environment Env>
 void request_flow<Env>::endReading()
 {
-    m_endpoint->endedReading(std::exchange(m_readingMs, 0));
+    m_endpoint->removePrefill(std::exchange(m_readingMs, 0));
 }
 
 template <flow_environment Env>
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -20,7 +20,7 @@
     // The store may have been there for all others: an endpoint that left after the rows were
     // confirmed last must still be left alone in time.
     const milliseconds age = m_mirror.look(m_codec.endpointTable, nothingKnown, now).age;
-    m_state.directory().doubtRemovals(now - age + m_links.paces.removalDoubt);
+    m_state.directory().deferRemovalsUntil(now - age + m_links.paces.removalDoubt);
 }
 
 template <row_store_like Store, runtime_like Runtime>
@@ -121,7 +121,7 @@
     decoded<endpoint_record> record = m_codec.decodeEndpoint(row.key, row.value);
     if (record) {
         m_refused.erase(row.key);
-        record.value().heardAt = row.version;
+        record.value().rowVersion = row.version;
         return std::move(record.value());
     }
     // A table that is read again would tell of each again.
@@ -143,12 +143,12 @@
     const auto &all = m_state.directory().all();
     const auto known = all.find(record.id);
     const bool isNew = known == all.end();
-    if (!isNew && known->second->record().isLaterStart(record))
+    if (!isNew && known->second->record().isLaterIncarnationThan(record))
         return false;
-    const bool isRestarted = !isNew && record.isLaterStart(known->second->record());
+    const bool isRestarted = !isNew && record.isLaterIncarnationThan(known->second->record());
     // The others have heard of a record that lapsed as removed.
     const bool isBack = m_state.directory().isLapsed(record.id);
-    const bool saysMore = isNew || isBack || !record.saysTheSame(known->second->record())
+    const bool saysMore = isNew || isBack || !record.isEquivalentTo(known->second->record())
             || isOtherwiseCold(record, *known->second);
     if (isNew || isRestarted || known->second->record().leaving != record.leaving) {
         logEndpoint(isNew                 ? "endpoint listed"
--- a/lib/Fleet/Datagram.cpp
+++ b/lib/Fleet/Datagram.cpp
@@ -1,8 +1,8 @@
-//===-- Datagram.cpp - sealed datagrams -------------------------------------===//
+//===-- Datagram.cpp - datagram authentication ------------------------------===//
 //
-// Sixteen bytes of HMAC stand in front of the protobuf text: enough against
-// forgery of a message whose replay changes nothing, because all its news are
-// ordered by incarnation and epoch.
+// A datagram is an HMAC truncated to 16 bytes, followed by the serialized protobuf
+// message. This suffices against forgery. A replay changes nothing, because all
+// updates are ordered by incarnation and epoch.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/Membership.h"
@@ -22,7 +22,7 @@
 std::optional<wire::datagram> laurelcroft::openDatagram(std::string_view key,
                                                         std::string_view bytes)
 {
-    if (bytes.size() < macSize || bytes.size() > 2 * largestDatagram)
+    if (bytes.size() < macSize || bytes.size() > 2 * maxDatagramBytes)
         return std::nullopt;
     const std::string_view body = bytes.substr(macSize);
     const std::string mac = hmacSha256(key, body).substr(0, macSize);
--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -1,6 +1,6 @@
 //===-- ServiceDirectory.cpp - endpoints without an agent -------------------===//
 //
-// Beliefs fade: an endpoint that failed is tried again without a probe.
+// Inferred state decays over time, so a failed endpoint is tried again without a probe.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/ServiceDirectory.h"
@@ -15,24 +15,24 @@
 
 namespace {
 
-/// Time in which an answer's weight in the failure share halves. Long against the time
-/// between two answers of one endpoint, short against a fault.
+/// Half-life of an answer's weight in the failure rate. Long compared with the time between two
+/// answers of one endpoint, short compared with a fault.
 constexpr milliseconds failureHalfLife{3000};
-/// Time in which a load report loses half of its weight: about the length of a request.
+/// Half-life of a load report's weight; about the duration of a request.
 constexpr milliseconds reportHalfLife{1000};
-/// First and longest time that an unreachable endpoint is left out.
-constexpr milliseconds firstAvoidance{500};
-constexpr unsigned mostDoublings = 3;
-/// Time that a full endpoint is left out: a few steps of its batch.
+/// How long an unreachable endpoint is avoided at first, and how often that time may double.
+constexpr milliseconds initialAvoidance{500};
+constexpr unsigned maxDoublings = 3;
+/// How long a full endpoint is avoided; a few steps of its batch.
 constexpr milliseconds fullAvoidance{100};
 /// Upper bound of ceil(rate) / rate for rates above 1; lower rates need only the latest send.
 constexpr seconds longestRateWindow{2};
-/// Answers that count as known before the first one, so that one failure is no verdict.
+/// Successes assumed before the first answer, so that one failure does not dominate the rate.
 constexpr double priorAnswers = 3;
 
 } // namespace
 
-static double faded(duration age, duration halfLife)
+static double decayFactor(duration age, duration halfLife)
 {
     const double halves
             = std::chrono::duration<double>(age) / std::chrono::duration<double>(halfLife);
@@ -45,16 +45,16 @@
 {
 }
 
-void service_endpoint::reported(const endpoint_load &load, time_point now)
+void service_endpoint::recordLoadReport(const endpoint_load &load, time_point now)
 {
     const double total = static_cast<double>(load.running) + load.waiting;
-    m_others = std::max(0.0, total - m_running);
+    m_otherCallersLoad = std::max(0.0, total - m_running);
     m_reportedAt = now;
 }
 
 double service_endpoint::expectedLoad(time_point now) const
 {
-    return m_running + m_others * faded(now - m_reportedAt, reportHalfLife);
+    return m_running + m_otherCallersLoad * decayFactor(now - m_reportedAt, reportHalfLife);
 }
 
 void service_endpoint::setRateLimit(std::optional<double> perSecond, time_point now)
@@ -63,7 +63,7 @@
     m_rateLimitReportedAt = now;
 }
 
-void service_endpoint::sent(time_point now)
+void service_endpoint::recordSend(time_point now)
 {
     while (m_sent.size() > 1 && now - m_sent.front() > longestRateWindow)
         m_sent.pop_front();
@@ -80,57 +80,57 @@
     return first + std::chrono::ceil<duration>(window);
 }
 
-void service_endpoint::beganElsewhere(milliseconds reading, time_point now)
+void service_endpoint::addRemotePrefill(milliseconds prefill, time_point now)
 {
-    m_readsElsewhereUntil = std::max(m_readsElsewhereUntil, now) + reading;
+    m_remotePrefillUntil = std::max(m_remotePrefillUntil, now) + prefill;
 }
 
-double service_endpoint::readingElsewhereMs(time_point now) const
+double service_endpoint::remotePrefillMs(time_point now) const
 {
-    const std::chrono::duration<double, std::milli> left = m_readsElsewhereUntil - now;
+    const std::chrono::duration<double, std::milli> left = m_remotePrefillUntil - now;
     return std::max(0.0, left.count());
 }
 
 void service_endpoint::decay(time_point now)
 {
-    const double keep = faded(now - m_countedAt, failureHalfLife);
-    m_good *= keep;
-    m_bad *= keep;
-    m_countedAt = now;
+    const double keep = decayFactor(now - m_decayedAt, failureHalfLife);
+    m_successWeight *= keep;
+    m_failureWeight *= keep;
+    m_decayedAt = now;
 }
 
-void service_endpoint::succeeded(time_point now)
+void service_endpoint::recordSuccess(time_point now)
 {
     decay(now);
-    m_good += 1;
-    m_unreachableInRow = 0;
+    m_successWeight += 1;
+    m_consecutiveUnreachable = 0;
 }
 
-void service_endpoint::failed(time_point now)
+void service_endpoint::recordFailure(time_point now)
 {
     decay(now);
-    m_bad += 1;
+    m_failureWeight += 1;
 }
 
-void service_endpoint::unreachable(time_point now)
+void service_endpoint::recordUnreachable(time_point now)
 {
-    const unsigned doublings = std::min(m_unreachableInRow, mostDoublings);
-    m_avoidedUntil = now + firstAvoidance * (1U << doublings);
-    ++m_unreachableInRow;
+    const unsigned doublings = std::min(m_consecutiveUnreachable, maxDoublings);
+    m_avoidedUntil = now + initialAvoidance * (1U << doublings);
+    ++m_consecutiveUnreachable;
 }
 
-void service_endpoint::full(time_point now)
+void service_endpoint::recordFull(time_point now)
 {
     m_avoidedUntil = std::max(m_avoidedUntil, now + fullAvoidance);
 }
 
-double service_endpoint::failureShare(time_point now) const
+double service_endpoint::failureRate(time_point now) const
 {
-    const double keep = faded(now - m_countedAt, failureHalfLife);
-    return m_bad * keep / ((m_good + m_bad) * keep + priorAnswers);
+    const double keep = decayFactor(now - m_decayedAt, failureHalfLife);
+    return m_failureWeight * keep / ((m_successWeight + m_failureWeight) * keep + priorAnswers);
 }
 
-bool endpoint_record::saysTheSame(const endpoint_record &other) const
+bool endpoint_record::isEquivalentTo(const endpoint_record &other) const
 {
     const auto fields = [](const endpoint_record &item) {
         return std::tie(item.id, item.service, item.host, item.port, item.dataCentre,
@@ -139,30 +139,30 @@
     return fields(*this) == fields(other);
 }
 
-bool endpoint_record::isLaterStart(const endpoint_record &other) const
+bool endpoint_record::isLaterIncarnationThan(const endpoint_record &other) const
 {
     return startedAt != 0 && other.startedAt != 0 && startedAt > other.startedAt;
 }
 
-void service_directory::noteChange()
+void service_directory::invalidateUsable()
 {
     m_usable.clear();
     ++m_revision;
 }
 
-bool service_directory::takeAddress(const endpoint_record &record)
+bool service_directory::claimAddress(const endpoint_record &record)
 {
-    if (record.port == 0 || record.heardAt == 0)
+    if (record.port == 0 || record.rowVersion == 0)
         return true;
     const address place{record.host, record.port};
-    const auto holder = m_atAddress.find(place);
-    if (holder != m_atAddress.end() && holder->second != record.id) {
+    const auto holder = m_idByAddress.find(place);
+    if (holder != m_idByAddress.end() && holder->second != record.id) {
         const std::string other = holder->second;
-        if (m_endpoints.at(other)->record().heardAt > record.heardAt)
+        if (m_endpoints.at(other)->record().rowVersion > record.rowVersion)
             return false;
         drop(other);
     }
-    m_atAddress[place] = record.id;
+    m_idByAddress[place] = record.id;
     return true;
 }
 
@@ -173,34 +173,34 @@
         return false;
     endpoint_record before;
     before.startedAt = departed->second;
-    return !record.isLaterStart(before);
+    return !record.isLaterIncarnationThan(before);
 }
 
-void service_directory::apply(endpoint_record record, time_point now, bool takesAddress)
+void service_directory::apply(endpoint_record record, time_point now, bool claimsAddress)
 {
-    // A late heartbeat of an endpoint that has left.
+    // Ignore a late heartbeat of an endpoint that has left.
     if (hasDeparted(record))
         return;
     if (const auto known = m_endpoints.find(record.id); known != m_endpoints.end()) {
-        if (known->second->record().isLaterStart(record))
+        if (known->second->record().isLaterIncarnationThan(record))
             return;
-        // It holds and knows nothing of before.
-        if (record.isLaterStart(known->second->record()))
+        // After a restart, nothing that was inferred for the endpoint holds.
+        if (record.isLaterIncarnationThan(known->second->record()))
             drop(record.id);
     }
     m_departed.erase(record.id);
     m_lapsed.erase(record.id);
     const auto it = m_endpoints.find(record.id);
     if (it != m_endpoints.end()) {
-        if (!record.saysTheSame(it->second->record()))
-            noteChange();
-        // An endpoint that has begun to leave comes back only by a new start.
+        if (!record.isEquivalentTo(it->second->record()))
+            invalidateUsable();
+        // Once an endpoint is leaving, it stays so until it restarts.
         record.leaving = record.leaving || it->second->record().leaving;
-        it->second->heardCold(record.coldLeft, now);
+        it->second->setColdFor(record.coldLeft, now);
         it->second->update(std::move(record));
         return;
     }
-    if (takesAddress && !takeAddress(record))
+    if (claimsAddress && !claimAddress(record))
         return;
     add(std::move(record), now);
 }
@@ -210,9 +210,9 @@
     const std::string id = record.id;
     const milliseconds coldLeft = record.coldLeft;
     const auto endpoint = std::make_shared<service_endpoint>(std::move(record));
-    endpoint->heardCold(coldLeft, now);
+    endpoint->setColdFor(coldLeft, now);
     m_endpoints.emplace(id, endpoint);
-    noteChange();
+    invalidateUsable();
     expire(now);
 }
 
@@ -223,18 +223,18 @@
     const auto it = m_endpoints.find(id);
     if (it == m_endpoints.end())
         return;
-    it->second->setGone();
+    it->second->setRemoved();
     if (it->second->isLeaving()) {
-        if (m_departed.size() >= mostDeparted)
+        if (m_departed.size() >= maxDeparted)
             m_departed.erase(m_departed.begin());
         m_departed.emplace(it->first, it->second->record().startedAt);
     }
     const endpoint_record &record = it->second->record();
-    const auto place = m_atAddress.find({record.host, record.port});
-    if (place != m_atAddress.end() && place->second == id)
-        m_atAddress.erase(place);
+    const auto place = m_idByAddress.find({record.host, record.port});
+    if (place != m_idByAddress.end() && place->second == id)
+        m_idByAddress.erase(place);
     m_endpoints.erase(it);
-    noteChange();
+    invalidateUsable();
 }
 
 bool service_directory::setLeaving(std::string_view id, std::uint64_t startedAt)
@@ -245,7 +245,7 @@
     if (it->second->isLeaving())
         return false;
     it->second->setStatedLeaving();
-    noteChange();
+    invalidateUsable();
     return true;
 }
 
@@ -254,14 +254,14 @@
     const auto it = m_endpoints.find(id);
     if (it == m_endpoints.end())
         return true;
-    // Told late, of a row before the one that is known: the endpoint has come back meanwhile.
-    if (version != 0 && version < it->second->record().heardAt)
+    // The removal is older than the known row: the endpoint has come back since.
+    if (version != 0 && version < it->second->record().rowVersion)
         return false;
-    if (now >= m_trustedFrom || it->second->isLeaving()) {
+    if (now >= m_removalsTrustedFrom || it->second->isLeaving()) {
         drop(id);
         return true;
     }
-    m_lapsed.emplace(id, m_trustedFrom);
+    m_lapsed.emplace(id, m_removalsTrustedFrom);
     return false;
 }
 
@@ -283,28 +283,28 @@
 
 void service_directory::storeLost(time_point now)
 {
-    m_storeAway = true;
-    m_trustedFrom = now + lapseGrace;
+    m_isStoreUnavailable = true;
+    m_removalsTrustedFrom = now + lapseGrace;
 }
 
 void service_directory::storeRegained(time_point now)
 {
-    if (!m_storeAway)
+    if (!m_isStoreUnavailable)
         return;
-    m_storeAway = false;
-    m_trustedFrom = now + lapseGrace;
+    m_isStoreUnavailable = false;
+    m_removalsTrustedFrom = now + lapseGrace;
     for (auto &[id, until] : m_lapsed)
-        until = m_trustedFrom;
+        until = m_removalsTrustedFrom;
 }
 
-void service_directory::doubtRemovals(time_point until)
+void service_directory::deferRemovalsUntil(time_point until)
 {
-    m_trustedFrom = std::max(m_trustedFrom, until);
+    m_removalsTrustedFrom = std::max(m_removalsTrustedFrom, until);
 }
 
 void service_directory::expire(time_point now)
 {
-    if (m_storeAway || m_lapsed.empty())
+    if (m_isStoreUnavailable || m_lapsed.empty())
         return;
     std::vector<std::string> due;
     for (const auto &[id, until] : m_lapsed) {
@@ -321,10 +321,10 @@
         const std::string &place = endpoint->record().dataCentre;
         const bool isTakenBack = m_evacuated.count(place) != 0 && dataCentres.count(place) == 0;
         if (isTakenBack && !endpoint->isCold(now))
-            endpoint->heardCold(coldSuspicion, now);
+            endpoint->setColdFor(assumedColdTime, now);
     }
     m_evacuated = std::move(dataCentres);
-    noteChange();
+    invalidateUsable();
 }
 
 static bool serves(const service_endpoint &endpoint, std::string_view service)
@@ -342,15 +342,15 @@
 
 const std::vector<endpoint_ptr> &service_directory::usable(std::string_view service) const
 {
-    return listOf(service).endpoints;
+    return usableListOf(service).endpoints;
 }
 
-const std::string *service_directory::onlyVersion(std::string_view service) const
+const std::string *service_directory::commonVersion(std::string_view service) const
 {
-    return listOf(service).onlyVersion;
+    return usableListOf(service).commonVersion;
 }
 
-bool service_directory::mostTellTheirStart() const
+bool service_directory::mostReportStartTime() const
 {
     const auto telling = static_cast<std::size_t>(
             std::count_if(m_endpoints.begin(), m_endpoints.end(),
@@ -358,17 +358,18 @@
     return telling * 2 > m_endpoints.size();
 }
 
-const service_directory::usable_list &service_directory::listOf(std::string_view service) const
+const service_directory::usable_list &
+service_directory::usableListOf(std::string_view service) const
 {
     if (const auto known = m_usable.find(service); known != m_usable.end())
         return known->second;
     usable_list &list = m_usable[std::string(service)];
-    const bool tellsStart = mostTellTheirStart();
+    const bool mostStateStart = mostReportStartTime();
     for (const auto &[id, endpoint] : m_endpoints) {
         const endpoint_record &record = endpoint->record();
-        const bool isLeftAlone = m_evacuated.count(record.dataCentre) != 0;
-        const bool isForeign = tellsStart && record.startedAt == 0;
-        if (serves(*endpoint, service) && !isLeftAlone && !isForeign)
+        const bool isInEvacuatedDataCentre = m_evacuated.count(record.dataCentre) != 0;
+        const bool isForeign = mostStateStart && record.startedAt == 0;
+        if (serves(*endpoint, service) && !isInEvacuatedDataCentre && !isForeign)
             list.endpoints.push_back(endpoint);
     }
     const auto isAlike = [&](const endpoint_ptr &endpoint) {
@@ -377,6 +378,6 @@
     };
     if (!list.endpoints.empty()
         && std::all_of(list.endpoints.begin(), list.endpoints.end(), isAlike))
-        list.onlyVersion = &list.endpoints.front()->record().softwareVersion;
+        list.commonVersion = &list.endpoints.front()->record().softwareVersion;
     return list;
 }
--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -96,7 +96,7 @@
         paused_member &item = *members[i];
         item.port = {this, i};
         membership_events events;
-        events.onEpoch = [this, &item](const epoch_sighting &seen) {
+        events.onEpoch = [this, &item](const epoch_observation &seen) {
             if (seen.epoch > item.counts.epoch)
                 take(item, seen.epoch);
         };
@@ -114,7 +114,7 @@
         item.counts.epoch = epoch;
         item.counts.tookAt = runtime.now();
         item.protocol->setDigest(makeDigest(epoch, runtime.now()));
-        item.protocol->tellSome();
+        item.protocol->gossipToRandomMembers();
     }
 
     void resetCounts()
@@ -292,7 +292,7 @@
     std::string address;
     std::unique_ptr<membership<asio_runtime, socket_port>> protocol;
     udp::endpoint from;
-    std::array<char, 2 * largestDatagram> input{};
+    std::array<char, 2 * maxDatagramBytes> input{};
 };
 
 constexpr std::size_t mostSocketMembers = 300;
@@ -307,7 +307,7 @@
     item.counts.epoch = epoch;
     item.counts.tookAt = runtime.now();
     item.protocol->setDigest(makeDigest(epoch, runtime.now()));
-    item.protocol->tellSome();
+    item.protocol->gossipToRandomMembers();
 }
 
 std::vector<trial_row> laurelcroft::runSocketSpreadTrial(const trial_settings &given)
@@ -324,7 +324,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             socket_member &item = *members[i];
             membership_events events;
-            events.onEpoch = [&item, &runtime](const epoch_sighting &seen) {
+            events.onEpoch = [&item, &runtime](const epoch_observation &seen) {
                 if (seen.epoch > item.counts.epoch)
                     takeEpoch(item, runtime, seen.epoch);
             };
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -60,7 +60,7 @@
     std::string key;
     membership_options options;
     std::unique_ptr<membership<asio_runtime, udp_port>> protocol;
-    std::array<char, 2 * largestDatagram> input{};
+    std::array<char, 2 * maxDatagramBytes> input{};
     udp::endpoint from;
 
     void receive();
@@ -121,7 +121,7 @@
 {
     membership_events events;
     events.onMember = [this](const wire::member &item) { news.push(item); };
-    events.onEpoch = [this](const epoch_sighting &item) { news.push(item); };
+    events.onEpoch = [this](const epoch_observation &item) { news.push(item); };
     events.onHealth = [this](const wire::version_health &item) { news.push(item); };
     protocol = std::make_unique<membership<asio_runtime, udp_port>>(
             runtime, port, random, self, key, options, std::move(events));
@@ -141,7 +141,7 @@
     m_state->duty.post([inner = m_state.get(), digest, announce] {
         inner->protocol->setDigest(digest);
         if (announce)
-            inner->protocol->tellSome();
+            inner->protocol->gossipToRandomMembers();
     });
 }
 
@@ -152,7 +152,8 @@
 
 void fleet_duty::spreadHealth(const wire::version_health &health)
 {
-    m_state->duty.post([inner = m_state.get(), health] { inner->protocol->spreadHealth(health); });
+    m_state->duty.post(
+            [inner = m_state.get(), health] { inner->protocol->gossipVersionHealth(health); });
 }
 
 void fleet_duty::leave()
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -202,7 +202,7 @@
 {
     if (const auto *item = std::get_if<wire::member>(&news))
         onMember(*item);
-    else if (const auto *sighting = std::get_if<epoch_sighting>(&news))
+    else if (const auto *sighting = std::get_if<epoch_observation>(&news))
         events.onEpoch(*sighting);
     else if (const auto *health = std::get_if<wire::version_health>(&news))
         events.onHealth(*health);
@@ -251,7 +251,7 @@
 {
     const std::vector<std::string> ids = liveIds(
             [this](const wire::member &item) { return item.data_centre() == options.dataCentre; });
-    const bool isMine = ranksAmong(ids, "bundle-poll", pollersPerDataCentre, options.instance);
+    const bool isMine = isTopRanked(ids, "bundle-poll", pollersPerDataCentre, options.instance);
     // Without a bundle everybody asks, but slowly: a peer is likely to be faster.
     const bool hasNone = events.digest().epoch == 0;
     if (isMine || (hasNone && random.chance(0.3)))
@@ -299,8 +299,8 @@
             continue;
         (item.data_centre() == m_state->options.dataCentre ? near : far).push_back(id);
     }
-    std::vector<std::string> holders = rankFirst(far, m_state->options.instance, holdersOffered);
-    for (std::string &id : rankFirst(near, m_state->options.instance, holdersOffered))
+    std::vector<std::string> holders = topRanked(far, m_state->options.instance, holdersOffered);
+    for (std::string &id : topRanked(near, m_state->options.instance, holdersOffered))
         holders.push_back(std::move(id));
     return holders;
 }
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -54,8 +54,8 @@
     const auto it = m_directory.all().find(endpoint);
     if (it == m_directory.all().end())
         return;
-    it->second->beganElsewhere(reading, now);
-    it->second->prompts().note(prefixes);
+    it->second->addRemotePrefill(reading, now);
+    it->second->prefixCache().insert(prefixes);
 }
 
 void routing_state::noteRateLimitElsewhere(const rate_limit_notice &notice, time_point now)
--- a/unittests/Fleet/FleetTests.cpp
+++ b/unittests/Fleet/FleetTests.cpp
@@ -1,10 +1,10 @@
-//===-- FleetTests.cpp - membership, ranking, endpoints, bundle keeper ------===//
+//===-- FleetTests.cpp - membership, ranking, endpoints, bundles ------------===//
 //
-// Members run in one process under a paused clock, over a port that loses,
-// delays and cuts.
+// Members run in one process under a manual clock, over a port that drops and delays
+// datagrams and disconnects members.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Fleet/BundleKeeper.h"
+#include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Fleet/EndpointDirectory.h"
 #include "laurelcroft/Fleet/Membership.h"
 #include "laurelcroft/Fleet/Ranking.h"
@@ -58,9 +58,9 @@
         self.set_gossip_address(id);
         membership_events events;
         fleet_member *const raw = item.get();
-        events.onEpoch = [this, raw](const epoch_sighting &seen) {
+        events.onEpoch = [this, raw](const epoch_observation &seen) {
             if (seen.epoch > raw->epoch)
-                take(*raw, seen.epoch);
+                setEpoch(*raw, seen.epoch);
         };
         item->protocol = std::make_unique<membership<manual_runtime, fake_port>>(
                 runtime, item->port, random, self, siteKey, membership_options{}, events);
@@ -69,16 +69,16 @@
                                         : std::vector<std::string>{"m0"});
     }
 
-    void take(fleet_member &item, std::uint64_t epoch)
+    void setEpoch(fleet_member &item, std::uint64_t epoch)
     {
         item.epoch = epoch;
         epoch_digest digest;
         digest.epoch = epoch;
         item.protocol->setDigest(digest);
-        item.protocol->tellSome();
+        item.protocol->gossipToRandomMembers();
     }
 
-    /// \returns how many live members see \p id in \p state.
+    /// \returns how many live members record \p id as \p state.
     std::size_t seenAs(const std::string &id, wire::member_state state) const
     {
         std::size_t count = 0;
@@ -121,7 +121,7 @@
     });
 }
 
-TEST_CASE("all members find each other through one seed")
+TEST_CASE("all members discover each other through one seed")
 {
     small_fleet fleet(30, 0.05);
     fleet.runtime.advance(seconds(20));
@@ -129,7 +129,7 @@
         CHECK(item->protocol->members().size() == 29);
 }
 
-TEST_CASE("a dead member is found by all; with 5% loss nobody else is accused for long")
+TEST_CASE("all members detect a dead member; at 5% loss no live member stays declared dead")
 {
     small_fleet fleet(30, 0.05);
     fleet.runtime.advance(seconds(20));
@@ -142,7 +142,7 @@
     }
 }
 
-TEST_CASE("a leaving member is known as leaving within two seconds")
+TEST_CASE("members learn within two seconds that a member is leaving")
 {
     small_fleet fleet(30, 0.01);
     fleet.runtime.advance(seconds(20));
@@ -153,23 +153,23 @@
     CHECK(fleet.seenAs("m3", wire::member_leaving) == 29);
 }
 
-TEST_CASE("a new epoch is everywhere within five seconds, with 1% loss")
+TEST_CASE("a new epoch reaches all members within five seconds at 1% loss")
 {
     small_fleet fleet(60, 0.01);
     fleet.runtime.advance(seconds(20));
-    fleet.take(*fleet.members["m0"], 5);
+    fleet.setEpoch(*fleet.members["m0"], 5);
     fleet.runtime.advance(seconds(5));
     CHECK(fleet.atEpoch(5) == 60);
 }
 
-TEST_CASE("a member that was cut off for long is back with all within twenty seconds")
+TEST_CASE("a member that was declared dead is alive for all within twenty seconds of its return")
 {
     small_fleet fleet(10, 0);
     fleet.runtime.advance(seconds(20));
     fleet.members["m4"]->dead = true; // silent, as in a freeze
     fleet.runtime.advance(seconds(20));
     CHECK(fleet.seenAs("m4", wire::member_dead) == 9);
-    // Long after its death was told for the last time it wakes and hears of it at once.
+    // Gossip about its death has ended when it returns; the members it contacts tell it at once.
     fleet.runtime.advance(seconds(60));
     fleet.members["m4"]->dead = false;
     fleet.runtime.advance(seconds(20));
@@ -178,7 +178,7 @@
         CHECK(fleet.seenAs(id, wire::member_dead) == 0);
 }
 
-TEST_CASE("datagrams that are damaged or of another site are not heard")
+TEST_CASE("damaged datagrams and datagrams of another site are rejected")
 {
     wire::datagram message;
     message.mutable_sender()->set_id("a");
@@ -195,11 +195,11 @@
     CHECK_FALSE(openDatagram(siteKey, ""));
 }
 
-TEST_CASE("a datagram stays within one frame, however many changes wait")
+TEST_CASE("a datagram of the full member list fits one Ethernet frame")
 {
     small_fleet fleet(2, 0);
     wire::datagram message;
-    for (std::size_t i = 0; i < membership_options{}.syncMembers; ++i) {
+    for (std::size_t i = 0; i < membership_options{}.membersPerSyncDatagram; ++i) {
         wire::member &item = *message.add_updates();
         item.set_id("agent-timetable-" + std::to_string(100000 + i));
         item.set_incarnation(1796818579982);
@@ -208,20 +208,20 @@
         item.set_link_address("192.168.100.100:65535");
         item.set_pool("timetable");
     }
-    CHECK(sealDatagram(siteKey, message).size() < largestDatagram);
+    CHECK(sealDatagram(siteKey, message).size() < maxDatagramBytes);
 }
 
-TEST_CASE("rendezvous ranking agrees, spreads, and moves little")
+TEST_CASE("rendezvous ranking ignores input order, differs per duty and keeps its order on removal")
 {
     std::vector<std::string> ids;
     for (int i = 0; i < 100; ++i)
         ids.push_back("i" + std::to_string(i));
-    const auto first = rankFirst(ids, "duty", 10);
+    const auto first = topRanked(ids, "duty", 10);
     std::vector<std::string> reversed(ids.rbegin(), ids.rend());
-    CHECK(rankFirst(reversed, "duty", 10) == first);
-    CHECK(rankFirst(ids, "other", 10) != first);
+    CHECK(topRanked(reversed, "duty", 10) == first);
+    CHECK(topRanked(ids, "other", 10) != first);
     std::erase(ids, first[0]);
-    const auto next = rankFirst(ids, "duty", 9);
+    const auto next = topRanked(ids, "duty", 9);
     CHECK(std::vector<std::string>(first.begin() + 1, first.end()) == next);
 }
 
@@ -243,7 +243,7 @@
     return message;
 }
 
-TEST_CASE("endpoints: leaving, draining, unreachable or unloaded ones get nothing")
+TEST_CASE("endpoint directory: no candidates that are leaving, draining, unreachable or not loaded")
 {
     endpoint_directory directory("e1", "dc1");
     manual_runtime runtime;
@@ -265,7 +265,7 @@
     CHECK(directory.candidates("p", "m", "1").empty());
 }
 
-TEST_CASE("endpoints: a subset is bounded and prefers its own data centre")
+TEST_CASE("endpoint directory: a subset is bounded and prefers the entry's data centre")
 {
     endpoint_directory directory("e1", "dc1");
     for (int i = 0; i < 100; ++i) {
@@ -299,14 +299,15 @@
     }
 };
 
-struct keeper_bench
+struct bundle_tracker_fixture
 {
     signing_key key = makeSigningKey();
     manual_runtime runtime;
     fake_source source;
-    int taken = 0;
-    bundle_keeper<manual_runtime, fake_source> keeper{
-            runtime, source, signoff_rule{{key.publicHex}, 1}, [this](const auto &) { ++taken; }};
+    int installCount = 0;
+    bundle_tracker<manual_runtime, fake_source> tracker{runtime, source,
+                                                        signoff_rule{{key.publicHex}, 1},
+                                                        [this](const auto &) { ++installCount; }};
 
     fetched_bundle make(bundle_epoch epoch, const std::string &site)
     {
@@ -325,37 +326,37 @@
 
 } // namespace
 
-TEST_CASE("keeper: takes only higher, signed and matching bundles")
+TEST_CASE("bundle tracker: installs only higher epochs with signatures and a matching hash")
 {
-    keeper_bench bench;
-    CHECK(bench.keeper.take(bench.make(3, "a")));
-    CHECK_FALSE(bench.keeper.take(bench.make(3, "b")));
-    CHECK_FALSE(bench.keeper.take(bench.make(2, "b")));
+    bundle_tracker_fixture bench;
+    CHECK(bench.tracker.install(bench.make(3, "a")));
+    CHECK_FALSE(bench.tracker.install(bench.make(3, "b")));
+    CHECK_FALSE(bench.tracker.install(bench.make(2, "b")));
     fetched_bundle unsignedOne = bench.make(4, "b");
     unsignedOne.accepted.signatures.clear();
-    CHECK_FALSE(bench.keeper.take(unsignedOne));
+    CHECK_FALSE(bench.tracker.install(unsignedOne));
     fetched_bundle swapped = bench.make(4, "b");
     swapped.text = bench.make(4, "c").text;
-    CHECK_FALSE(bench.keeper.take(swapped));
-    CHECK(bench.keeper.epoch() == 3);
-    CHECK(bench.taken == 1);
+    CHECK_FALSE(bench.tracker.install(swapped));
+    CHECK(bench.tracker.epoch() == 3);
+    CHECK(bench.installCount == 1);
 }
 
-TEST_CASE("keeper: confirmation comes from readings of the table and ages")
+TEST_CASE("bundle tracker: an epoch is confirmed by table reads, and the confirmation ages")
 {
-    keeper_bench bench;
+    bundle_tracker_fixture bench;
     const fetched_bundle made = bench.make(1, "a");
     bench.source.row = made.accepted;
-    bench.keeper.poll();
-    CHECK(bench.keeper.epoch() == 1);
-    CHECK(bench.keeper.isConfirmedWithin(seconds(1)));
+    bench.tracker.poll();
+    CHECK(bench.tracker.epoch() == 1);
+    CHECK(bench.tracker.isConfirmedWithin(seconds(1)));
     bench.runtime.advance(seconds(10));
-    CHECK_FALSE(bench.keeper.isConfirmedWithin(seconds(5)));
-    bench.keeper.hear("peer", 1, true, seconds(2));
-    CHECK(bench.keeper.isConfirmedWithin(seconds(5)));
-    // A new epoch is not confirmed by readings of the old one.
+    CHECK_FALSE(bench.tracker.isConfirmedWithin(seconds(5)));
+    bench.tracker.observePeerEpoch("peer", 1, true, seconds(2));
+    CHECK(bench.tracker.isConfirmedWithin(seconds(5)));
+    // Table reads of the old epoch do not confirm the new one.
     bench.source.peer = bench.make(2, "b");
-    bench.keeper.hear("peer", 2, false, seconds(0));
-    CHECK(bench.keeper.epoch() == 2);
-    CHECK_FALSE(bench.keeper.confirmed());
+    bench.tracker.observePeerEpoch("peer", 2, false, seconds(0));
+    CHECK(bench.tracker.epoch() == 2);
+    CHECK_FALSE(bench.tracker.confirmed());
 }
--- a/unittests/Fleet/RestartedEndpointTests.cpp
+++ b/unittests/Fleet/RestartedEndpointTests.cpp
@@ -1,6 +1,6 @@
-//===-- RestartedEndpointTests.cpp - endpoints back under their ids ---------===//
+//===-- RestartedEndpointTests.cpp - restarts under the same id -------------===//
 //
-// The moment of its start tells an endpoint's incarnations apart.
+// The start time distinguishes the incarnations of an endpoint.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/ServiceDirectory.h"
@@ -27,31 +27,31 @@
 
 } // namespace
 
-TEST_CASE("nothing that was believed of an endpoint holds after its next start")
+TEST_CASE("a restart resets the state inferred for an endpoint")
 {
     service_directory directory;
     directory.apply(recordOf("a", 10), start);
     const endpoint_ptr before = directory.usable("pool")[0];
     const std::array<prompt_prefix, 1> prefixes{{{7, 500}}};
-    before->prompts().note(prefixes);
-    before->unreachable(start);
-    before->failed(start);
-    before->heardCold(seconds(60), start);
-    before->beganElsewhere(seconds(5), start);
+    before->prefixCache().insert(prefixes);
+    before->recordUnreachable(start);
+    before->recordFailure(start);
+    before->setColdFor(seconds(60), start);
+    before->addRemotePrefill(seconds(5), start);
 
     directory.apply(recordOf("a", 20), start);
     REQUIRE(directory.usable("pool").size() == 1);
     const endpoint_ptr after = directory.usable("pool")[0];
     CHECK(after != before);
-    CHECK(before->isGone());
-    CHECK(after->prompts().keptTokens(prefixes) == 0);
+    CHECK(before->isRemoved());
+    CHECK(after->prefixCache().cachedTokens(prefixes) == 0);
     CHECK(!after->isAvoided(start));
     CHECK(!after->isCold(start));
-    CHECK(after->failureShare(start) == 0);
-    CHECK(after->readingElsewhereMs(start) == 0);
+    CHECK(after->failureRate(start) == 0);
+    CHECK(after->remotePrefillMs(start) == 0);
 }
 
-TEST_CASE("an endpoint that has left is used again once it has started anew, not before")
+TEST_CASE("an endpoint that has left is usable again only after a restart")
 {
     service_directory directory;
     directory.apply(recordOf("a", 10), start);
@@ -61,7 +61,7 @@
     directory.apply(recordOf("a", 20), start);
     CHECK(directory.usable("pool").size() == 1);
 
-    // The same when its record has gone meanwhile.
+    // The same when its record was removed in between.
     directory.apply(recordOf("a", 20, true), start);
     directory.remove("a", start);
     directory.apply(recordOf("a", 20), start);
@@ -69,13 +69,13 @@
     CHECK(directory.all().empty());
     directory.apply(recordOf("a", 30), start);
     CHECK(directory.usable("pool").size() == 1);
-    // One that left the last time is no more remembered as gone.
+    // The restart cleared the earlier departure, so a removed record can be added again.
     directory.remove("a", start);
     directory.apply(recordOf("a", 30), start);
     CHECK(directory.usable("pool").size() == 1);
 }
 
-TEST_CASE("what an earlier start still says counts no more")
+TEST_CASE("records of an earlier incarnation are ignored")
 {
     service_directory directory;
     directory.apply(recordOf("a", 20), start);
@@ -86,11 +86,11 @@
     CHECK(endpoint->record().startedAt == 20);
 }
 
-TEST_CASE("a removal that is told late doesn't end an endpoint that has come back since")
+TEST_CASE("an outdated removal does not drop an endpoint that has come back since")
 {
     service_directory directory;
     endpoint_record record = recordOf("a", 20);
-    record.heardAt = 9;
+    record.rowVersion = 9;
     directory.apply(record, start);
     CHECK(!directory.remove("a", start, 8));
     CHECK(directory.usable("pool").size() == 1);
@@ -98,7 +98,7 @@
     CHECK(directory.all().empty());
 }
 
-TEST_CASE("where most endpoints tell their start, a record without it names none")
+TEST_CASE("a record without a start time is not usable when most records state one")
 {
     service_directory directory;
     directory.apply(recordOf("a", 0), start);
@@ -111,18 +111,18 @@
     CHECK(directory.usable("pool").size() == 2);
 }
 
-TEST_CASE("a record of a service that nobody asks for ends no endpoint at its address")
+TEST_CASE("a record that does not claim its address displaces no endpoint there")
 {
     service_directory directory;
     endpoint_record own = recordOf("a", 10);
     own.host = "10.0.0.1";
     own.port = 80;
-    own.heardAt = 5;
+    own.rowVersion = 5;
     directory.apply(own, start);
     endpoint_record other = own;
     other.id = "b";
     other.service = "unknown";
-    other.heardAt = 6;
+    other.rowVersion = 6;
     directory.apply(other, start, false);
     REQUIRE(directory.usable("pool").size() == 1);
     CHECK(directory.usable("pool")[0]->record().id == "a");
