--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -82,7 +82,7 @@
 
 /// A request that can't get this much of an endpoint's time is not sent any more: less
 /// than any prompt or call takes.
-inline constexpr milliseconds leastForAttempt{30};
+inline constexpr milliseconds minAttemptTime{30};
 /// Endpoints without a connection that one request tries before it is given up.
 inline constexpr unsigned mostUnreached = 4;
 /// Endpoints without a connection after which a begun stream no longer keeps to its version: half
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -272,7 +272,7 @@
     facts.endpointsLeft
             = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::mostUnreached;
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
-    facts.timeLeft = timeLeft() >= flow_bounds::leastForAttempt;
+    facts.timeLeft = timeLeft() >= flow_bounds::minAttemptTime;
     // A stream that has begun goes on against the odds: its caller would lose what it holds.
     facts.hasChance = m_begun || !outlook().isHopeless(now());
     return facts;
