--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -84,7 +84,7 @@
 /// than any prompt or call takes.
 inline constexpr milliseconds minAttemptTime{30};
 /// Endpoints without a connection that one request tries before it is given up.
-inline constexpr unsigned mostUnreached = 4;
+inline constexpr unsigned maxUnreachedEndpoints = 4;
 /// Endpoints without a connection after which a begun stream no longer keeps to its version: half
 /// of those that it may try.
 inline constexpr unsigned endedVersion = 2;
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -270,7 +270,7 @@
     facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEvent);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
-            = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::mostUnreached;
+            = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::maxUnreachedEndpoints;
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
     facts.timeLeft = timeLeft() >= flow_bounds::minAttemptTime;
     // A stream that has begun goes on against the odds: its caller would lose what it holds.
