--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -87,7 +87,7 @@
 inline constexpr unsigned maxUnreachedEndpoints = 4;
 /// Endpoints without a connection after which a begun stream no longer keeps to its version: half
 /// of those that it may try.
-inline constexpr unsigned endedVersion = 2;
+inline constexpr unsigned unreachedBeforeVersionChange = 2;
 /// An endpoint that answers none of this entry's requests for this long seems dead. Several
 /// steps of a full batch, and the reading of a long prompt between two of them.
 inline constexpr milliseconds endpointSilence{700};
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -54,7 +54,8 @@
     const std::vector<endpoint_ptr> &usable = isBoundToRegions() ? within : listed;
     // Where a roll-out is over, the version that began the stream may have ended at once; before
     // this entry hears so, refused connections tell.
-    const bool mayHaveEnded = rollouts.isOver() || m_unreached >= flow_bounds::endedVersion;
+    const bool mayHaveEnded
+            = rollouts.isOver() || m_unreached >= flow_bounds::unreachedBeforeVersionChange;
     if (m_begun && !mayHaveEnded) {
         std::optional<endpoint_pick> rest = pickForRest(usable);
         if (rest) {
