--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -90,7 +90,7 @@
 inline constexpr unsigned unreachedBeforeVersionChange = 2;
 /// An endpoint that answers none of this entry's requests for this long seems dead. Several
 /// steps of a full batch, and the reading of a long prompt between two of them.
-inline constexpr milliseconds endpointSilence{700};
+inline constexpr milliseconds endpointSilenceTimeout{700};
 /// How often a wait is looked at.
 inline constexpr milliseconds progressCheck{400};
 /// A request waits for room at cold endpoints for the objective over this: their shares are there
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -388,7 +388,7 @@
 template <flow_environment Env>
 bool request_flow<Env>::seemsDead()
 {
-    return now() - m_endpoint->progressedAt() >= flow_bounds::endpointSilence;
+    return now() - m_endpoint->progressedAt() >= flow_bounds::endpointSilenceTimeout;
 }
 
 template <flow_environment Env>
