--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -92,7 +92,7 @@
 /// steps of a full batch, and the reading of a long prompt between two of them.
 inline constexpr milliseconds endpointSilenceTimeout{700};
 /// How often a wait is looked at.
-inline constexpr milliseconds progressCheck{400};
+inline constexpr milliseconds progressCheckInterval{400};
 /// A request waits for room at cold endpoints for the objective over this: their shares are there
 /// again within a second or less, and it is still answered in time.
 inline constexpr int waitOfObjective = 4;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -423,8 +423,8 @@
         return;
     // Whether the endpoint works on others is asked now and then: it may fall silent later.
     const auto due = m_progressAt + patienceNow();
-    const duration wait
-            = std::clamp<duration>(due - now(), milliseconds(1), flow_bounds::progressCheck);
+    const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
+                                               flow_bounds::progressCheckInterval);
     m_progressTimer
             = m_env.runtime().after(wait, [weak = weak_flow(this->weak_from_this()), number] {
                   const auto self = weak.lock();
