--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -95,7 +95,7 @@
 inline constexpr milliseconds progressCheckInterval{400};
 /// A request waits for room at cold endpoints for the objective over this: their shares are there
 /// again within a second or less, and it is still answered in time.
-inline constexpr int waitOfObjective = 4;
+inline constexpr int roomWaitDivisor = 4;
 /// A suspected request that is sent again waits this long: its endpoint's address is looked at
 /// meanwhile, which takes 2 to 5 ms in one region.
 inline constexpr milliseconds verdictWait{10};
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -245,7 +245,7 @@
 template <flow_environment Env>
 bool request_flow<Env>::waitForRoom()
 {
-    const milliseconds longestWait = m_route->objective / flow_bounds::waitOfObjective;
+    const milliseconds longestWait = m_route->objective / flow_bounds::roomWaitDivisor;
     // Only a request that may have run waits for an endpoint that is available soon, so that its
     // work is kept; others are refused and can be retried by the caller.
     const bool isAvailableSoon = (m_begun || m_mayHaveRun) && m_nextAvailableAt
