--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -98,7 +98,7 @@
 inline constexpr int roomWaitDivisor = 4;
 /// A suspected request that is sent again waits this long: its endpoint's address is looked at
 /// meanwhile, which takes 2 to 5 ms in one region.
-inline constexpr milliseconds verdictWait{10};
+inline constexpr milliseconds suspectResendDelay{10};
 /// How often a request that waits looks again.
 inline constexpr milliseconds roomCheck{25};
 /// Told to callers that are refused: about the time in which a place becomes free.
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -387,7 +387,7 @@
     if (ownSuspicion() == suspicion::none)
         sendNext();
     else
-        sendAfter(flow_bounds::verdictWait);
+        sendAfter(flow_bounds::suspectResendDelay);
 }
 
 template <flow_environment Env>
