--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -100,7 +100,7 @@
 /// meanwhile, which takes 2 to 5 ms in one region.
 inline constexpr milliseconds suspectResendDelay{10};
 /// How often a request that waits looks again.
-inline constexpr milliseconds roomCheck{25};
+inline constexpr milliseconds roomCheckInterval{25};
 /// Told to callers that are refused: about the time in which a place becomes free.
 inline constexpr milliseconds retryAfterFull{250};
 /// The most that is told to callers while a service answers nobody: a third of the time that most
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -233,7 +233,7 @@
     // then all go on, or all are refused. Each that went on beside it could end one more endpoint.
     const crash_suspects &suspects = m_env.routing().suspects();
     if (suspects.isInDoubt(*m_record.key, now())) {
-        sendAfter(flow_bounds::roomCheck);
+        sendAfter(flow_bounds::roomCheckInterval);
         return true;
     }
     const bool isKnown = suspects.withheldUntil(*m_record.key, now()).has_value();
@@ -263,7 +263,7 @@
         m_waitsSince = now();
     if (now() - *m_waitsSince >= longest)
         return false;
-    sendAfter(flow_bounds::roomCheck);
+    sendAfter(flow_bounds::roomCheckInterval);
     return true;
 }
 
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -81,7 +81,7 @@
     CHECK(world.calls.size() == 1);
     world.answer(0, 200);
     world.end(0, call_end::complete);
-    world.runtime.advance(flow_bounds::roomCheck);
+    world.runtime.advance(flow_bounds::roomCheckInterval);
     CHECK(world.calls.size() == 2);
     CHECK(world.routing.suspects().isEmpty());
 }
