--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -102,7 +102,7 @@
 /// How often a request that waits looks again.
 inline constexpr milliseconds roomCheckInterval{25};
 /// Told to callers that are refused: about the time in which a place becomes free.
-inline constexpr milliseconds retryAfterFull{250};
+inline constexpr milliseconds minRetryAfter{250};
 /// The most that is told to callers while a service answers nobody: a third of the time that most
 /// of them have, and they wait no longer than that.
 inline constexpr milliseconds retryAfterOutage{4000};
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -424,7 +424,7 @@
     const std::optional<time_point> end = m_env.routing().earliestBackoffEnd(m_service, now());
     const milliseconds wait
             = end ? std::chrono::ceil<milliseconds>(*end - now()) : outlook().expectedLeft(now());
-    return std::clamp(wait, flow_bounds::retryAfterFull, flow_bounds::retryAfterOutage);
+    return std::clamp(wait, flow_bounds::minRetryAfter, flow_bounds::retryAfterOutage);
 }
 
 template <flow_environment Env>
@@ -457,7 +457,7 @@
     } else if (m_mayHaveRun) {
         refuse(http_status::gatewayTimeout, why, std::nullopt);
     } else {
-        refuse(http_status::unavailable, why, flow_bounds::retryAfterFull);
+        refuse(http_status::unavailable, why, flow_bounds::minRetryAfter);
     }
 }
 
