--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -107,7 +107,7 @@
 /// of them have, and they wait no longer than that.
 inline constexpr milliseconds retryAfterOutage{4000};
 /// Told when there is no contract or no endpoint at all: some reads of the store.
-inline constexpr milliseconds retryAfterNothing{600};
+inline constexpr milliseconds defaultRetryAfter{600};
 /// Weight of the reading that other entries told of, against an entry's own: it is a guess of how
 /// far they are, and they see the same endpoints as free. Half served best of 1 and 0.5.
 inline constexpr double weightElsewhere = 0.5;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -62,7 +62,7 @@
     m_record.request = m_request->id;
     m_record.session = m_request->session;
     if (!m_contract) {
-        refuse(http_status::unavailable, flow_reason::noContract, flow_bounds::retryAfterNothing);
+        refuse(http_status::unavailable, flow_reason::noContract, flow_bounds::defaultRetryAfter);
         return false;
     }
     m_record.contract = m_contract->version;
@@ -165,7 +165,7 @@
     } else if (m_arrivals > 0) {
         refuse(http_status::unavailable, flow_reason::refusedByEndpoints, untilRoom());
     } else if (state.directory().isEvacuated(m_service)) {
-        refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::retryAfterNothing);
+        refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::defaultRetryAfter);
     } else {
         const flow_reason why = m_limitedLeftOut ? flow_reason::limitedEndpoints
                 : m_backoffLeftOut               ? flow_reason::backoffEndpoints
@@ -180,7 +180,7 @@
 milliseconds request_flow<Env>::retryAfterUnsent()
 {
     if (!m_nextAvailableAt)
-        return flow_bounds::retryAfterNothing;
+        return flow_bounds::defaultRetryAfter;
     return std::clamp(std::chrono::ceil<milliseconds>(*m_nextAvailableAt - now()),
                       flow_bounds::minRetryAfter, flow_bounds::retryAfterOutage);
 }
