--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -110,7 +110,7 @@
 inline constexpr milliseconds defaultRetryAfter{600};
 /// Weight of the reading that other entries told of, against an entry's own: it is a guess of how
 /// far they are, and they see the same endpoints as free. Half served best of 1 and 0.5.
-inline constexpr double weightElsewhere = 0.5;
+inline constexpr double remoteReadingWeight = 0.5;
 /// Largest whole answer that is kept, bytes: what a body may be in either direction.
 inline constexpr std::size_t largestAnswer = 8U << 20;
 
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -136,7 +136,7 @@
     candidate.load = endpoint->expectedLoad(at);
     candidate.slots = std::max(1U, endpoint->record().slots);
     candidate.waitMs = endpoint->readingMs()
-            + flow_bounds::weightElsewhere * endpoint->readingElsewhereMs(at)
+            + flow_bounds::remoteReadingWeight * endpoint->readingElsewhereMs(at)
             + prompt.msPerToken * tokensToRead(kept);
     candidate.unseenMs = prompt.msPerToken * (prompt.sharedTokens - kept);
     candidate.failureShare = endpoint->failureShare(at);
