--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -112,7 +112,7 @@
 /// far they are, and they see the same endpoints as free. Half served best of 1 and 0.5.
 inline constexpr double remoteReadingWeight = 0.5;
 /// Largest whole answer that is kept, bytes: what a body may be in either direction.
-inline constexpr std::size_t largestAnswer = 8U << 20;
+inline constexpr std::size_t maxAnswerBytes = 8U << 20;
 
 } // namespace flow_bounds
 
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -135,7 +135,7 @@
         });
         return;
     }
-    if (m_body.size() + data.size() > flow_bounds::largestAnswer) {
+    if (m_body.size() + data.size() > flow_bounds::maxAnswerBytes) {
         endAttempt(attempt_end::broken);
         return;
     }
