--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -120,7 +120,7 @@
     milliseconds retryAfterUnsent();
     std::optional<endpoint_pick> pickEndpoint();
     std::optional<endpoint_pick> pickSameVersion(const std::vector<endpoint_ptr> &usable);
-    std::optional<endpoint_pick> pickForRest(const std::vector<endpoint_ptr> &usable);
+    std::optional<endpoint_pick> pickForResume(const std::vector<endpoint_ptr> &usable);
     bool isBesideSuspect(const service_endpoint &endpoint);
     bool isBoundToRegions() const;
     /// \returns those of \p endpoints where both the route and the customer may be served.
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -57,7 +57,7 @@
     const bool mayHaveEnded
             = rollouts.isOver() || m_unreached >= flow_bounds::unreachedBeforeVersionChange;
     if (m_begun && !mayHaveEnded) {
-        std::optional<endpoint_pick> rest = pickForRest(usable);
+        std::optional<endpoint_pick> rest = pickForResume(usable);
         if (rest) {
             m_versionReason = version_reason::begunStream;
             return rest;
@@ -97,7 +97,8 @@
 }
 
 template <flow_environment Env>
-std::optional<endpoint_pick> request_flow<Env>::pickForRest(const std::vector<endpoint_ptr> &usable)
+std::optional<endpoint_pick>
+request_flow<Env>::pickForResume(const std::vector<endpoint_ptr> &usable)
 {
     // A stream goes on where it began: a trial that has started meanwhile may fail what the caller
     // holds half of. The last attempt trusts no version on trial that something speaks against;
