--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -157,7 +157,7 @@
     std::string modelName() const;
     unsigned tokensToRead(unsigned kept) const;
     double readingMsPerToken();
-    double ofObjective(std::chrono::duration<double, std::milli> time) const;
+    double shareOfObjective(std::chrono::duration<double, std::milli> time) const;
     void endReading();
     milliseconds patienceNow();
     bool seemsDead();
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -63,7 +63,7 @@
 void request_flow<Env>::noteWait()
 {
     const std::chrono::duration<double, std::milli> wait = now() - m_attemptAt;
-    m_env.routing().waits(m_service).note(ofObjective(wait));
+    m_env.routing().waits(m_service).note(shareOfObjective(wait));
     if (m_answered)
         m_env.routing().promptRate(m_record.model).note(m_readTokens, wait.count(), m_ownShare);
     m_record.serviceWait = m_env.routing().waits(m_service).mean();
@@ -103,7 +103,7 @@
     const std::optional<endpoint_pick> pick = pickEndpoint();
     if (pick) {
         const std::chrono::duration<double, std::milli> wait(pick->waitMs);
-        view.expectedAt = ofObjective(now() - m_arrivedAt + wait);
+        view.expectedAt = shareOfObjective(now() - m_arrivedAt + wait);
     }
     m_record.largerExpectedAt = view.expectedAt;
     if (!pick || !escalatesTo(settings, view) || !takeFurtherSend(further_send::largerModel)) {
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -120,7 +120,7 @@
 }
 
 template <flow_environment Env>
-double request_flow<Env>::ofObjective(std::chrono::duration<double, std::milli> time) const
+double request_flow<Env>::shareOfObjective(std::chrono::duration<double, std::milli> time) const
 {
     const std::chrono::duration<double, std::milli> objective = m_route->objective;
     return time / objective;
