--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -178,7 +178,7 @@
     void onEnd(call_end end);
     void endAttempt(attempt_end end);
     /// Ends the call; where the connection was lost, it is looked up whether the endpoint lives.
-    void leaveEndpoint(attempt_end end);
+    void releaseEndpoint(attempt_end end);
     void countAttempt(attempt_end end);
     /// What follows from an attempt that was not answered, and why, for the log.
     next_step decideAfter(attempt_end end);
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -281,7 +281,7 @@
 template <flow_environment Env>
 void request_flow<Env>::endAttempt(attempt_end end)
 {
-    leaveEndpoint(end);
+    releaseEndpoint(end);
     countAttempt(end);
     if (end == attempt_end::answered) {
         deliver();
@@ -293,7 +293,7 @@
 }
 
 template <flow_environment Env>
-void request_flow<Env>::leaveEndpoint(attempt_end end)
+void request_flow<Env>::releaseEndpoint(attempt_end end)
 {
     const bool isLost = end == attempt_end::broken || end == attempt_end::notSent;
     if (isLost)
