--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -185,7 +185,7 @@
     void follow(next_step step, attempt_end end);
     void sendAgain(further_send what);
     void closeAttempt(attempt_end end);
-    void leaveRun();
+    void endRun();
     /// \returns the request's key where something speaks against any request; it costs a hash of
     /// the body.
     std::optional<request_key> keyIfSuspected();
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -216,7 +216,7 @@
     m_env.runtime().cancel(m_progressTimer);
     endReading();
     m_endpoint->ended();
-    leaveRun();
+    endRun();
     if (end == attempt_end::refused || end == attempt_end::notSent)
         noteNotRun();
     switch (end) {
@@ -254,7 +254,7 @@
 }
 
 template <flow_environment Env>
-void request_flow<Env>::leaveRun()
+void request_flow<Env>::endRun()
 {
     endTrial();
     m_run->leftAt = now();
@@ -469,7 +469,7 @@
     if (m_endpoint) {
         endReading();
         m_endpoint->ended();
-        leaveRun();
+        endRun();
         m_endpoint = nullptr;
         m_env.cancel(m_call);
     }
