--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -181,7 +181,7 @@
     void releaseEndpoint(attempt_end end);
     void countAttempt(attempt_end end);
     /// What follows from an attempt that was not answered, and why, for the log.
-    next_step decideAfter(attempt_end end);
+    next_step decideNextStep(attempt_end end);
     void follow(next_step step, attempt_end end);
     void sendAgain(further_send what);
     void closeAttempt(attempt_end end);
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -287,7 +287,7 @@
         deliver();
         return;
     }
-    const next_step step = decideAfter(end);
+    const next_step step = decideNextStep(end);
     m_env.attemptEnded(m_record, end, step);
     follow(step, end);
 }
@@ -336,7 +336,7 @@
 }
 
 template <flow_environment Env>
-next_step request_flow<Env>::decideAfter(attempt_end end)
+next_step request_flow<Env>::decideNextStep(attempt_end end)
 {
     const attempt_facts facts = this->facts();
     m_record.lack = lackOf(facts);
