--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -182,7 +182,7 @@
     void countAttempt(attempt_end end);
     /// What follows from an attempt that was not answered, and why, for the log.
     next_step decideNextStep(attempt_end end);
-    void follow(next_step step, attempt_end end);
+    void executeStep(next_step step, attempt_end end);
     void sendAgain(further_send what);
     void closeAttempt(attempt_end end);
     void endRun();
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -289,7 +289,7 @@
     }
     const next_step step = decideNextStep(end);
     m_env.attemptEnded(m_record, end, step);
-    follow(step, end);
+    executeStep(step, end);
 }
 
 template <flow_environment Env>
@@ -348,7 +348,7 @@
 }
 
 template <flow_environment Env>
-void request_flow<Env>::follow(next_step step, attempt_end end)
+void request_flow<Env>::executeStep(next_step step, attempt_end end)
 {
     const flow_reason noAnswer
             = end == attempt_end::silent ? flow_reason::silentEndpoint : flow_reason::brokenAttempt;
