--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -201,7 +201,7 @@
     bool isValidSuccess() const;
     void deliver();
     /// \returns when a caller should come back whom endpoints had no room for.
-    milliseconds untilRoom();
+    milliseconds retryAfterAllRefused();
     void refuse(int status, flow_reason why, std::optional<milliseconds> retryAfter);
     void finish(flow_reason why, int status);
 
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -374,7 +374,7 @@
         refuse(http_status::unavailable,
                end == attempt_end::refused ? flow_reason::refusedByEndpoints
                                            : flow_reason::noEndpoint,
-               untilRoom());
+               retryAfterAllRefused());
         return;
     }
 }
@@ -419,7 +419,7 @@
 }
 
 template <flow_environment Env>
-milliseconds request_flow<Env>::untilRoom()
+milliseconds request_flow<Env>::retryAfterAllRefused()
 {
     const std::optional<time_point> end = m_env.routing().earliestBackoffEnd(m_service, now());
     const milliseconds wait
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -163,7 +163,7 @@
         refuse(http_status::unavailable, flow_reason::withheld,
                std::chrono::ceil<milliseconds>(*until - now()));
     } else if (m_arrivals > 0) {
-        refuse(http_status::unavailable, flow_reason::refusedByEndpoints, untilRoom());
+        refuse(http_status::unavailable, flow_reason::refusedByEndpoints, retryAfterAllRefused());
     } else if (state.directory().isEvacuated(m_service)) {
         refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::defaultRetryAfter);
     } else {
