--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -160,7 +160,7 @@
     double shareOfObjective(std::chrono::duration<double, std::milli> time) const;
     void endReading();
     milliseconds patienceNow();
-    bool seemsDead();
+    bool isEndpointSilent();
 
     void onAnswer(proxy_answer &&answer);
     /// Updates the endpoint's load and rate limit from the head of the answer.
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -386,7 +386,7 @@
 }
 
 template <flow_environment Env>
-bool request_flow<Env>::seemsDead()
+bool request_flow<Env>::isEndpointSilent()
 {
     return now() - m_endpoint->progressedAt() >= flow_bounds::endpointSilenceTimeout;
 }
@@ -400,7 +400,7 @@
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
     view.readingMs = m_expectedMs;
-    view.endpointSilent = seemsDead();
+    view.endpointSilent = isEndpointSilent();
     if (m_route->form == answer_form::events)
         view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
     return patienceFor(view);
