--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -159,7 +159,7 @@
     double readingMsPerToken();
     double shareOfObjective(std::chrono::duration<double, std::milli> time) const;
     void endReading();
-    milliseconds patienceNow();
+    milliseconds currentPatience();
     bool isEndpointSilent();
 
     void onAnswer(proxy_answer &&answer);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -392,7 +392,7 @@
 }
 
 template <flow_environment Env>
-milliseconds request_flow<Env>::patienceNow()
+milliseconds request_flow<Env>::currentPatience()
 {
     patience_view view;
     view.objective = m_route->objective;
@@ -422,7 +422,7 @@
     if (!m_route->mayRepeat())
         return;
     // Whether the endpoint works on others is asked now and then: it may fall silent later.
-    const auto due = m_progressAt + patienceNow();
+    const auto due = m_progressAt + currentPatience();
     const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
                                                flow_bounds::progressCheckInterval);
     m_progressTimer
@@ -431,7 +431,7 @@
                   if (!self || self->m_done || self->m_number != number || !self->m_endpoint)
                       return;
                   self->noteSlowWait();
-                  const bool silent = self->now() - self->m_progressAt >= self->patienceNow();
+                  const bool silent = self->now() - self->m_progressAt >= self->currentPatience();
                   if (!silent) {
                       self->watchProgress(number);
                       return;
