--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -121,7 +121,7 @@
     std::optional<endpoint_pick> pickEndpoint();
     std::optional<endpoint_pick> pickSameVersion(const std::vector<endpoint_ptr> &usable);
     std::optional<endpoint_pick> pickForResume(const std::vector<endpoint_ptr> &usable);
-    bool isBesideSuspect(const service_endpoint &endpoint);
+    bool runsSuspectedRequest(const service_endpoint &endpoint);
     bool isBoundToRegions() const;
     /// \returns those of \p endpoints where both the route and the customer may be served.
     std::vector<endpoint_ptr> withinRegions(const std::vector<endpoint_ptr> &endpoints);
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -149,7 +149,7 @@
             = endpoint->isAvoided(at) || (m_arrivals > 0 && endpoint->isRecoveryUnconfirmed());
     candidate.tried
             = std::find(m_tried.begin(), m_tried.end(), endpoint->record().id) != m_tried.end();
-    candidate.besideSuspect = isBesideSuspect(*endpoint);
+    candidate.besideSuspect = runsSuspectedRequest(*endpoint);
     if (m_suspicion == suspicion::strong
         && m_env.routing().suspects().isWithheld(*m_record.key, endpoint->record().softwareVersion,
                                                  at)) {
@@ -224,7 +224,7 @@
 }
 
 template <flow_environment Env>
-bool request_flow<Env>::isBesideSuspect(const service_endpoint &endpoint)
+bool request_flow<Env>::runsSuspectedRequest(const service_endpoint &endpoint)
 {
     // Two suspects of one end that go on to the same endpoint can't be told apart by its end, and
     // everybody keeps away from where one is on trial.
