--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -231,7 +231,8 @@
     flow_record m_record;
 
     std::vector<std::string> m_tried;
-    std::set<std::string> m_failedPlaces; ///< data centres where an attempt broke or found nobody
+    std::set<std::string>
+            m_failedDataCentres; ///< data centres where an attempt broke or found nobody
     std::size_t m_model = 0;
     unsigned m_sends = 0; ///< that reached or may have reached an endpoint
     unsigned m_unreached = 0; ///< endpoints that were not found at their addresses
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -297,7 +297,7 @@
 {
     const bool isLost = end == attempt_end::broken || end == attempt_end::notSent;
     if (isLost)
-        m_failedPlaces.insert(m_endpoint->record().dataCentre);
+        m_failedDataCentres.insert(m_endpoint->record().dataCentre);
     const endpoint_ptr endpoint = m_endpoint;
     m_run->isOver = end != attempt_end::broken && end != attempt_end::silent;
     if (end == attempt_end::answered)
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -156,7 +156,7 @@
         candidate.withheld = true;
         m_withheld = true;
     }
-    candidate.sharesFailure = m_failedPlaces.count(endpoint->record().dataCentre) != 0;
+    candidate.sharesFailure = m_failedDataCentres.count(endpoint->record().dataCentre) != 0;
     candidate.hasConnection = m_env.hasRoomAt(endpoint);
     if (const std::optional<double> share = m_env.routing().coldShare(*endpoint, at)) {
         candidate.bearsMore = endpoint->hasRoomFor(*share, at);
