--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -237,7 +237,7 @@
     unsigned m_sends = 0; ///< that reached or may have reached an endpoint
     unsigned m_unreached = 0; ///< endpoints that were not found at their addresses
     unsigned m_arrivals = 0; ///< sends that some process took
-    std::optional<further_send> m_heldSend; ///< out of the budget and not made yet
+    std::optional<further_send> m_reservedSend; ///< out of the budget and not made yet
     std::optional<further_send> m_sentFor; ///< the current attempt, when it is a further send
     bool m_coldLeftOut = false; ///< the last choice passed over an endpoint that bears no more now
     bool m_backoffLeftOut = false; ///< the last choice passed over one in backoff
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -324,7 +324,7 @@
         ++m_unreached;
     }
     if (end == attempt_end::notSent)
-        m_heldSend = std::exchange(m_sentFor, std::nullopt);
+        m_reservedSend = std::exchange(m_sentFor, std::nullopt);
     else
         ++m_arrivals;
     if (metEndpoint && end != attempt_end::answered)
@@ -480,7 +480,7 @@
 void request_flow<Env>::finish(flow_reason why, int status)
 {
     m_done = true;
-    if (std::exchange(m_heldSend, std::nullopt))
+    if (std::exchange(m_reservedSend, std::nullopt))
         budget().giveBack();
     m_env.runtime().cancel(m_deadlineTimer);
     m_env.runtime().cancel(m_progressTimer);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -304,8 +304,9 @@
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
     m_endpoint->prompts().note(m_prefixes);
     m_tried.push_back(endpoint->record().id);
-    assert((m_arrivals == 0 || m_heldSend) && "a further send is taken out of the budget first");
-    m_sentFor = m_arrivals > 0 ? std::exchange(m_heldSend, std::nullopt) : std::nullopt;
+    assert((m_arrivals == 0 || m_reservedSend)
+           && "a further send is taken out of the budget first");
+    m_sentFor = m_arrivals > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
     if (m_sentFor)
         m_env.sentFurther(m_record, *m_sentFor);
     ++m_sends;
@@ -340,7 +341,7 @@
 template <flow_environment Env>
 bool request_flow<Env>::mayTakeFurtherSend(further_send what)
 {
-    return m_heldSend || budget().allows(now(), allowanceShare(), what);
+    return m_reservedSend || budget().allows(now(), allowanceShare(), what);
 }
 
 template <flow_environment Env>
@@ -348,9 +349,9 @@
 {
     // Taken when it is decided on: of requests that wait before they are sent, each would find the
     // same budget else.
-    if (!m_heldSend && budget().take(now(), allowanceShare(), what))
-        m_heldSend = what;
-    return m_heldSend.has_value();
+    if (!m_reservedSend && budget().take(now(), allowanceShare(), what))
+        m_reservedSend = what;
+    return m_reservedSend.has_value();
 }
 
 template <flow_environment Env>
