--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -238,7 +238,8 @@
     unsigned m_unreached = 0; ///< endpoints that were not found at their addresses
     unsigned m_arrivals = 0; ///< sends that some process took
     std::optional<further_send> m_reservedSend; ///< out of the budget and not made yet
-    std::optional<further_send> m_sentFor; ///< the current attempt, when it is a further send
+    std::optional<further_send>
+            m_currentFurtherSend; ///< the current attempt, when it is a further send
     bool m_coldLeftOut = false; ///< the last choice passed over an endpoint that bears no more now
     bool m_backoffLeftOut = false; ///< the last choice passed over one in backoff
     bool m_limitedLeftOut = false; ///< the last choice passed over one for its rate limit
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -324,7 +324,7 @@
         ++m_unreached;
     }
     if (end == attempt_end::notSent)
-        m_reservedSend = std::exchange(m_sentFor, std::nullopt);
+        m_reservedSend = std::exchange(m_currentFurtherSend, std::nullopt);
     else
         ++m_arrivals;
     if (metEndpoint && end != attempt_end::answered)
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -306,9 +306,10 @@
     m_tried.push_back(endpoint->record().id);
     assert((m_arrivals == 0 || m_reservedSend)
            && "a further send is taken out of the budget first");
-    m_sentFor = m_arrivals > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
-    if (m_sentFor)
-        m_env.sentFurther(m_record, *m_sentFor);
+    m_currentFurtherSend
+            = m_arrivals > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
+    if (m_currentFurtherSend)
+        m_env.sentFurther(m_record, *m_currentFurtherSend);
     ++m_sends;
     ++m_number;
 
