--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -236,7 +236,7 @@
     std::size_t m_model = 0;
     unsigned m_sends = 0; ///< that reached or may have reached an endpoint
     unsigned m_unreached = 0; ///< endpoints that were not found at their addresses
-    unsigned m_arrivals = 0; ///< sends that some process took
+    unsigned m_receivedSends = 0; ///< sends that some process took
     std::optional<further_send> m_reservedSend; ///< out of the budget and not made yet
     std::optional<further_send>
             m_currentFurtherSend; ///< the current attempt, when it is a further send
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -118,7 +118,7 @@
     m_env.cancel(m_call);
     m_mayHaveRun = true;
     // The dropped answer's send has reached its endpoint, though the attempt was not ended there.
-    ++m_arrivals;
+    ++m_receivedSends;
     ++m_record.escalations;
     send(*pick);
 }
@@ -326,7 +326,7 @@
     if (end == attempt_end::notSent)
         m_reservedSend = std::exchange(m_currentFurtherSend, std::nullopt);
     else
-        ++m_arrivals;
+        ++m_receivedSends;
     if (metEndpoint && end != attempt_end::answered)
         outlook().failed(now());
     m_record.attemptTook = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
@@ -382,7 +382,7 @@
 template <flow_environment Env>
 void request_flow<Env>::sendAgain(further_send what)
 {
-    if (m_arrivals > 0)
+    if (m_receivedSends > 0)
         takeFurtherSend(what);
     if (ownSuspicion() == suspicion::none)
         sendNext();
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -146,7 +146,7 @@
     // it until it accepts a request, so that one request does not spend all its attempts on such
     // endpoints.
     candidate.avoided
-            = endpoint->isAvoided(at) || (m_arrivals > 0 && endpoint->isRecoveryUnconfirmed());
+            = endpoint->isAvoided(at) || (m_receivedSends > 0 && endpoint->isRecoveryUnconfirmed());
     candidate.tried
             = std::find(m_tried.begin(), m_tried.end(), endpoint->record().id) != m_tried.end();
     candidate.besideSuspect = runsSuspectedRequest(*endpoint);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -162,7 +162,7 @@
     if (until) {
         refuse(http_status::unavailable, flow_reason::withheld,
                std::chrono::ceil<milliseconds>(*until - now()));
-    } else if (m_arrivals > 0) {
+    } else if (m_receivedSends > 0) {
         refuse(http_status::unavailable, flow_reason::refusedByEndpoints, retryAfterAllRefused());
     } else if (state.directory().isEvacuated(m_service)) {
         refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::defaultRetryAfter);
@@ -304,10 +304,10 @@
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
     m_endpoint->prompts().note(m_prefixes);
     m_tried.push_back(endpoint->record().id);
-    assert((m_arrivals == 0 || m_reservedSend)
+    assert((m_receivedSends == 0 || m_reservedSend)
            && "a further send is taken out of the budget first");
     m_currentFurtherSend
-            = m_arrivals > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
+            = m_receivedSends > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
     if (m_currentFurtherSend)
         m_env.sentFurther(m_record, *m_currentFurtherSend);
     ++m_sends;
