--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -38,7 +38,7 @@
 {
     routing_state &state = m_env.routing();
     state.directory().expire(now());
-    m_coldLeftOut = false;
+    m_excludedCold = false;
     m_roomComes = false;
     m_backoffLeftOut = false;
     m_limitedLeftOut = false;
@@ -160,7 +160,7 @@
     candidate.hasConnection = m_env.hasRoomAt(endpoint);
     if (const std::optional<double> share = m_env.routing().coldShare(*endpoint, at)) {
         candidate.bearsMore = endpoint->hasRoomFor(*share, at);
-        m_coldLeftOut = m_coldLeftOut || !candidate.bearsMore;
+        m_excludedCold = m_excludedCold || !candidate.bearsMore;
         m_roomComes = m_roomComes || (*share > 0 && !candidate.tried);
     }
     if (endpoint->isInBackoff(at))
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -169,7 +169,7 @@
     } else {
         const flow_reason why = m_limitedLeftOut ? flow_reason::limitedEndpoints
                 : m_backoffLeftOut               ? flow_reason::backoffEndpoints
-                : m_coldLeftOut                  ? flow_reason::coldEndpoints
+                : m_excludedCold                 ? flow_reason::coldEndpoints
                 : m_regionLeftOut                ? flow_reason::outsideRegions
                                                  : flow_reason::noEndpoint;
         refuse(http_status::unavailable, why, retryAfterUnsent());
