--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -40,7 +40,7 @@
     state.directory().expire(now());
     m_excludedCold = false;
     m_roomComes = false;
-    m_backoffLeftOut = false;
+    m_excludedInBackoff = false;
     m_limitedLeftOut = false;
     m_nextAvailableAt.reset();
     m_withheld = false;
@@ -174,7 +174,7 @@
 void request_flow<Env>::applyBackoff(const service_endpoint &endpoint, direct_candidate &candidate)
 {
     candidate.isInBackoff = true;
-    m_backoffLeftOut = true;
+    m_excludedInBackoff = true;
     noteAvailableAt(candidate, endpoint.backoffUntil());
 }
 
@@ -262,7 +262,7 @@
     };
     const std::vector<std::size_t> sample = sampleCandidates(items, promptHash, draw);
     const std::optional<endpoint_pick> pick = pickFrom(sample);
-    const bool isAnyExcluded = m_limitedLeftOut || m_backoffLeftOut;
+    const bool isAnyExcluded = m_limitedLeftOut || m_excludedInBackoff;
     const bool looksFurther = !pick && isAnyExcluded && sample.size() < endpoints.size();
     return looksFurther ? pickFrom(availableEndpoints(endpoints, draw)) : pick;
 }
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -168,7 +168,7 @@
         refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::defaultRetryAfter);
     } else {
         const flow_reason why = m_limitedLeftOut ? flow_reason::limitedEndpoints
-                : m_backoffLeftOut               ? flow_reason::backoffEndpoints
+                : m_excludedInBackoff            ? flow_reason::backoffEndpoints
                 : m_excludedCold                 ? flow_reason::coldEndpoints
                 : m_regionLeftOut                ? flow_reason::outsideRegions
                                                  : flow_reason::noEndpoint;
