--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -242,7 +242,7 @@
             m_currentFurtherSend; ///< the current attempt, when it is a further send
     bool m_excludedCold = false; ///< the last choice passed over an endpoint that bears no more now
     bool m_excludedInBackoff = false; ///< the last choice passed over one in backoff
-    bool m_limitedLeftOut = false; ///< the last choice passed over one for its rate limit
+    bool m_excludedRateLimited = false; ///< the last choice passed over one for its rate limit
     std::optional<time_point> m_nextAvailableAt; ///< of the endpoints passed over, the earliest
     suspicion m_suspicion = suspicion::none; ///< of this request, at the last choice
     bool m_isTrial = false; ///< the current attempt is one of a suspected request
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -41,7 +41,7 @@
     m_excludedCold = false;
     m_roomComes = false;
     m_excludedInBackoff = false;
-    m_limitedLeftOut = false;
+    m_excludedRateLimited = false;
     m_nextAvailableAt.reset();
     m_withheld = false;
     m_regionLeftOut = false;
@@ -195,7 +195,7 @@
     if (endpoint.hasRoomFor(share, now()) || (share <= 0 && state.isLimitCheckDue(endpoint, now())))
         return;
     candidate.bearsMore = false;
-    m_limitedLeftOut = true;
+    m_excludedRateLimited = true;
     if (share > 0)
         noteAvailableAt(candidate, endpoint.nextSendAllowedAt(share));
 }
@@ -262,7 +262,7 @@
     };
     const std::vector<std::size_t> sample = sampleCandidates(items, promptHash, draw);
     const std::optional<endpoint_pick> pick = pickFrom(sample);
-    const bool isAnyExcluded = m_limitedLeftOut || m_excludedInBackoff;
+    const bool isAnyExcluded = m_excludedRateLimited || m_excludedInBackoff;
     const bool looksFurther = !pick && isAnyExcluded && sample.size() < endpoints.size();
     return looksFurther ? pickFrom(availableEndpoints(endpoints, draw)) : pick;
 }
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -167,11 +167,11 @@
     } else if (state.directory().isEvacuated(m_service)) {
         refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::defaultRetryAfter);
     } else {
-        const flow_reason why = m_limitedLeftOut ? flow_reason::limitedEndpoints
-                : m_excludedInBackoff            ? flow_reason::backoffEndpoints
-                : m_excludedCold                 ? flow_reason::coldEndpoints
-                : m_regionLeftOut                ? flow_reason::outsideRegions
-                                                 : flow_reason::noEndpoint;
+        const flow_reason why = m_excludedRateLimited ? flow_reason::limitedEndpoints
+                : m_excludedInBackoff                 ? flow_reason::backoffEndpoints
+                : m_excludedCold                      ? flow_reason::coldEndpoints
+                : m_regionLeftOut                     ? flow_reason::outsideRegions
+                                                      : flow_reason::noEndpoint;
         refuse(http_status::unavailable, why, retryAfterUnsent());
     }
 }
