--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -247,7 +247,8 @@
     suspicion m_suspicion = suspicion::none; ///< of this request, at the last choice
     bool m_isTrial = false; ///< the current attempt is one of a suspected request
     bool m_withheld = false; ///< the last choice left out endpoints that must not get it
-    bool m_regionLeftOut = false; ///< the last choice passed over an endpoint outside its regions
+    bool m_excludedByRegion
+            = false; ///< the last choice passed over an endpoint outside its regions
     bool m_roomComes = false; ///< one of those has a share for this entry
     std::optional<time_point> m_waitsSince; ///< for room at a cold endpoint
     unsigned m_number = 0; ///< of the current attempt; older ones' events are void
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -44,7 +44,7 @@
     m_excludedRateLimited = false;
     m_nextAvailableAt.reset();
     m_withheld = false;
-    m_regionLeftOut = false;
+    m_excludedByRegion = false;
     m_suspicion = ownSuspicion();
     rollout_tracker &rollouts = state.rollouts(m_service);
     const std::vector<endpoint_ptr> &listed = state.directory().usable(m_service);
@@ -219,7 +219,7 @@
         if (mayServe)
             within.push_back(endpoint);
     }
-    m_regionLeftOut = within.size() < endpoints.size();
+    m_excludedByRegion = within.size() < endpoints.size();
     return within;
 }
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -170,7 +170,7 @@
         const flow_reason why = m_excludedRateLimited ? flow_reason::limitedEndpoints
                 : m_excludedInBackoff                 ? flow_reason::backoffEndpoints
                 : m_excludedCold                      ? flow_reason::coldEndpoints
-                : m_regionLeftOut                     ? flow_reason::outsideRegions
+                : m_excludedByRegion                  ? flow_reason::outsideRegions
                                                       : flow_reason::noEndpoint;
         refuse(http_status::unavailable, why, retryAfterUnsent());
     }
