--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -246,7 +246,7 @@
     std::optional<time_point> m_nextAvailableAt; ///< of the endpoints passed over, the earliest
     suspicion m_suspicion = suspicion::none; ///< of this request, at the last choice
     bool m_isTrial = false; ///< the current attempt is one of a suspected request
-    bool m_withheld = false; ///< the last choice left out endpoints that must not get it
+    bool m_excludedWithheld = false; ///< the last choice left out endpoints that must not get it
     bool m_excludedByRegion
             = false; ///< the last choice passed over an endpoint outside its regions
     bool m_roomComes = false; ///< one of those has a share for this entry
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -43,7 +43,7 @@
     m_excludedInBackoff = false;
     m_excludedRateLimited = false;
     m_nextAvailableAt.reset();
-    m_withheld = false;
+    m_excludedWithheld = false;
     m_excludedByRegion = false;
     m_suspicion = ownSuspicion();
     rollout_tracker &rollouts = state.rollouts(m_service);
@@ -154,7 +154,7 @@
         && m_env.routing().suspects().isWithheld(*m_record.key, endpoint->record().softwareVersion,
                                                  at)) {
         candidate.withheld = true;
-        m_withheld = true;
+        m_excludedWithheld = true;
     }
     candidate.sharesFailure = m_failedDataCentres.count(endpoint->record().dataCentre) != 0;
     candidate.hasConnection = m_env.hasRoomAt(endpoint);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -139,7 +139,7 @@
     }
     if (waitForRoom())
         return;
-    const flow_reason why = m_withheld ? flow_reason::withheld : flow_reason::noEndpoint;
+    const flow_reason why = m_excludedWithheld ? flow_reason::withheld : flow_reason::noEndpoint;
     if (m_begun) {
         m_env.abort();
         finish(why, 0);
@@ -156,7 +156,7 @@
 void request_flow<Env>::refuseUnsent()
 {
     routing_state &state = m_env.routing();
-    const std::optional<time_point> until = m_withheld && m_record.key
+    const std::optional<time_point> until = m_excludedWithheld && m_record.key
             ? state.suspects().withheldUntil(*m_record.key, now())
             : std::nullopt;
     if (until) {
