--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -39,7 +39,7 @@
     routing_state &state = m_env.routing();
     state.directory().expire(now());
     m_excludedCold = false;
-    m_roomComes = false;
+    m_coldRoomExpected = false;
     m_excludedInBackoff = false;
     m_excludedRateLimited = false;
     m_nextAvailableAt.reset();
@@ -161,7 +161,7 @@
     if (const std::optional<double> share = m_env.routing().coldShare(*endpoint, at)) {
         candidate.bearsMore = endpoint->hasRoomFor(*share, at);
         m_excludedCold = m_excludedCold || !candidate.bearsMore;
-        m_roomComes = m_roomComes || (*share > 0 && !candidate.tried);
+        m_coldRoomExpected = m_coldRoomExpected || (*share > 0 && !candidate.tried);
     }
     if (endpoint->isInBackoff(at))
         applyBackoff(*endpoint, candidate);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -251,7 +251,7 @@
     const bool isAvailableSoon = (m_begun || m_mayHaveRun) && m_nextAvailableAt
             && *m_nextAvailableAt - now() <= longestWait;
     // Where this entry owns none of the cold endpoints, waiting would end like this, only later.
-    if (!m_roomComes && !isAvailableSoon)
+    if (!m_coldRoomExpected && !isAvailableSoon)
         return false;
     return waitAndSend(longestWait);
 }
