--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -250,7 +250,7 @@
     bool m_excludedByRegion
             = false; ///< the last choice passed over an endpoint outside its regions
     bool m_coldRoomExpected = false; ///< one of those has a share for this entry
-    std::optional<time_point> m_waitsSince; ///< for room at a cold endpoint
+    std::optional<time_point> m_waitingSince; ///< for room at a cold endpoint
     unsigned m_number = 0; ///< of the current attempt; older ones' events are void
     call_id m_call = 0;
     endpoint_ptr m_endpoint; ///< of the current attempt; null between attempts
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -133,7 +133,7 @@
         return;
     const std::optional<endpoint_pick> pick = pickEndpoint();
     if (pick) {
-        m_waitsSince.reset();
+        m_waitingSince.reset();
         send(*pick);
         return;
     }
@@ -259,9 +259,9 @@
 template <flow_environment Env>
 bool request_flow<Env>::waitAndSend(milliseconds longest)
 {
-    if (!m_waitsSince)
-        m_waitsSince = now();
-    if (now() - *m_waitsSince >= longest)
+    if (!m_waitingSince)
+        m_waitingSince = now();
+    if (now() - *m_waitingSince >= longest)
         return false;
     sendAfter(flow_bounds::roomCheckInterval);
     return true;
