--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -251,7 +251,7 @@
             = false; ///< the last choice passed over an endpoint outside its regions
     bool m_coldRoomExpected = false; ///< one of those has a share for this entry
     std::optional<time_point> m_waitingSince; ///< for room at a cold endpoint
-    unsigned m_number = 0; ///< of the current attempt; older ones' events are void
+    unsigned m_attemptNumber = 0; ///< of the current attempt; older ones' events are void
     call_id m_call = 0;
     endpoint_ptr m_endpoint; ///< of the current attempt; null between attempts
     endpoint_ptr m_droppedAt; ///< whose answer was dropped for a larger model
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -128,9 +128,9 @@
 {
     if (isStream() && isValidSuccess()) {
         const auto keep = this->shared_from_this();
-        const unsigned number = m_number;
+        const unsigned number = m_attemptNumber;
         m_splitter->feed(data, [&](const stream_event &event) {
-            if (!m_done && m_number == number)
+            if (!m_done && m_attemptNumber == number)
                 onEvent(event);
         });
         return;
@@ -152,7 +152,7 @@
         m_firstEventAt = m_progressAt;
         // The next pause is bounded more tightly than the wait for the first event.
         m_env.runtime().cancel(m_progressTimer);
-        watchProgress(m_number);
+        watchProgress(m_attemptNumber);
     }
     if (m_run->beganAt && m_progressAt - *m_run->beganAt > endpoint_runs::provenAfter
         && m_suspicion != suspicion::none) {
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -311,9 +311,9 @@
     if (m_currentFurtherSend)
         m_env.sentFurther(m_record, *m_currentFurtherSend);
     ++m_sends;
-    ++m_number;
+    ++m_attemptNumber;
 
-    m_record.attempts = m_number;
+    m_record.attempts = m_attemptNumber;
     m_record.choice = textOf(pick.reason);
     m_record.endpoint = endpoint->record().id;
     m_record.endpointVersion = endpoint->record().softwareVersion;
@@ -335,8 +335,8 @@
         attempt.model = m_record.model;
     attempt.afterEvent = m_lastEvent;
     attempt.atMostOnce = !m_route->mayRepeat();
-    m_call = m_env.call(std::move(attempt), eventsFor(m_number));
-    watchProgress(m_number);
+    m_call = m_env.call(std::move(attempt), eventsFor(m_attemptNumber));
+    watchProgress(m_attemptNumber);
 }
 
 template <flow_environment Env>
@@ -362,7 +362,7 @@
     const auto current = [weak, number]() -> std::shared_ptr<request_flow> {
         auto self = weak.lock();
         const bool isCurrent
-                = self && !self->m_done && self->m_number == number && self->m_endpoint;
+                = self && !self->m_done && self->m_attemptNumber == number && self->m_endpoint;
         return isCurrent ? self : nullptr;
     };
     call_events events;
@@ -430,7 +430,7 @@
     m_progressTimer
             = m_env.runtime().after(wait, [weak = weak_flow(this->weak_from_this()), number] {
                   const auto self = weak.lock();
-                  if (!self || self->m_done || self->m_number != number || !self->m_endpoint)
+                  if (!self || self->m_done || self->m_attemptNumber != number || !self->m_endpoint)
                       return;
                   self->noteSlowWait();
                   const bool silent = self->now() - self->m_progressAt >= self->currentPatience();
