--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -254,7 +254,7 @@
     unsigned m_attemptNumber = 0; ///< of the current attempt; older ones' events are void
     call_id m_call = 0;
     endpoint_ptr m_endpoint; ///< of the current attempt; null between attempts
-    endpoint_ptr m_droppedAt; ///< whose answer was dropped for a larger model
+    endpoint_ptr m_escalatedFrom; ///< whose answer was dropped for a larger model
     std::shared_ptr<endpoint_run> m_run; ///< of the current attempt
     proxy_answer m_answer;
     bool m_answered = false; ///< the current attempt's head has come
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -113,7 +113,7 @@
         return;
     }
     m_env.escalated(m_record, modelName());
-    m_droppedAt = m_endpoint;
+    m_escalatedFrom = m_endpoint;
     closeAttempt(attempt_end::answered);
     m_env.cancel(m_call);
     m_mayHaveRun = true;
@@ -306,8 +306,8 @@
     if (isLost)
         m_env.checkEnded(endpoint);
     // The endpoint whose answer was dropped may have ended just after, unseen.
-    if (isLost && m_droppedAt)
-        m_env.checkEnded(std::exchange(m_droppedAt, nullptr));
+    if (isLost && m_escalatedFrom)
+        m_env.checkEnded(std::exchange(m_escalatedFrom, nullptr));
     // A call that is still under way must not run beside the next one.
     m_env.cancel(m_call);
 }
