--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -34,7 +34,7 @@
     if (!success)
         return;
     outlook().succeeded();
-    if (m_begun)
+    if (m_streamBegun)
         return;
     noteWait();
     m_record.confidence = m_answer.confidence;
@@ -162,8 +162,8 @@
     const bool repeated = event.id && m_lastEvent && *event.id <= *m_lastEvent;
     if (repeated)
         return;
-    if (!m_begun) {
-        m_begun = true;
+    if (!m_streamBegun) {
+        m_streamBegun = true;
         m_streamVersion = m_endpoint->record().softwareVersion;
         m_record.firstPart = std::chrono::duration_cast<milliseconds>(now() - m_arrivedAt);
         m_record.status = m_answer.status;
@@ -266,7 +266,7 @@
 {
     attempt_facts facts;
     facts.mayRepeat = m_route->mayRepeat();
-    facts.passedOn = m_begun;
+    facts.passedOn = m_streamBegun;
     facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEvent);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
@@ -274,7 +274,7 @@
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
     facts.timeLeft = timeLeft() >= flow_bounds::minAttemptTime;
     // A stream that has begun goes on against the odds: its caller would lose what it holds.
-    facts.hasChance = m_begun || !outlook().isHopeless(now());
+    facts.hasChance = m_streamBegun || !outlook().isHopeless(now());
     return facts;
 }
 
@@ -407,7 +407,7 @@
     const bool served = isValidSuccess();
     const flow_reason why = served ? flow_reason::served : flow_reason::endpointFailure;
     if (served && isStream()) {
-        if (!m_begun)
+        if (!m_streamBegun)
             m_env.begin(m_answer.status, m_answer.headers);
         m_env.end();
         finish(why, m_answer.status);
@@ -451,7 +451,7 @@
         m_env.cancel(m_call);
         m_mayHaveRun = true;
     }
-    if (m_begun) {
+    if (m_streamBegun) {
         m_env.abort();
         finish(why, 0);
     } else if (m_mayHaveRun) {
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -56,7 +56,7 @@
     // this entry hears so, refused connections tell.
     const bool mayHaveEnded
             = rollouts.isOver() || m_unreached >= flow_bounds::unreachedBeforeVersionChange;
-    if (m_begun && !mayHaveEnded) {
+    if (m_streamBegun && !mayHaveEnded) {
         std::optional<endpoint_pick> rest = pickForResume(usable);
         if (rest) {
             m_versionReason = version_reason::begunStream;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -140,7 +140,7 @@
     if (waitForRoom())
         return;
     const flow_reason why = m_excludedWithheld ? flow_reason::withheld : flow_reason::noEndpoint;
-    if (m_begun) {
+    if (m_streamBegun) {
         m_env.abort();
         finish(why, 0);
     } else if (m_hasFailure) {
@@ -248,7 +248,7 @@
     const milliseconds longestWait = m_route->objective / flow_bounds::roomWaitDivisor;
     // Only a request that may have run waits for an endpoint that is available soon, so that its
     // work is kept; others are refused and can be retried by the caller.
-    const bool isAvailableSoon = (m_begun || m_mayHaveRun) && m_nextAvailableAt
+    const bool isAvailableSoon = (m_streamBegun || m_mayHaveRun) && m_nextAvailableAt
             && *m_nextAvailableAt - now() <= longestWait;
     // Where this entry owns none of the cold endpoints, waiting would end like this, only later.
     if (!m_coldRoomExpected && !isAvailableSoon)
