--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -263,7 +263,7 @@
     bool m_hasFailure = false; ///< the last attempt brought an endpoint's own whole failure
     bool m_streamBegun = false; ///< the caller has the head of a stream
     std::string m_streamVersion; ///< of the endpoint that began the stream
-    std::optional<std::uint64_t> m_lastEvent;
+    std::optional<std::uint64_t> m_lastEventId;
     std::string m_body;
     std::unique_ptr<event_splitter> m_splitter;
     time_point m_attemptAt{};
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -159,7 +159,7 @@
         clearOfSuspicion();
         m_suspicion = suspicion::none;
     }
-    const bool repeated = event.id && m_lastEvent && *event.id <= *m_lastEvent;
+    const bool repeated = event.id && m_lastEventId && *event.id <= *m_lastEventId;
     if (repeated)
         return;
     if (!m_streamBegun) {
@@ -170,7 +170,7 @@
         m_env.begin(m_answer.status, m_answer.headers);
     }
     if (event.id)
-        m_lastEvent = event.id;
+        m_lastEventId = event.id;
     ++m_record.events;
     m_env.write(std::string(event.text));
 }
@@ -267,7 +267,7 @@
     attempt_facts facts;
     facts.mayRepeat = m_route->mayRepeat();
     facts.passedOn = m_streamBegun;
-    facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEvent);
+    facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEventId);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
             = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::maxUnreachedEndpoints;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -45,7 +45,7 @@
     if (m_request->anyModel)
         m_model = firstModel(m_env.routing().cascade(), m_route->models.size());
     m_prefixes = prefixesOf(modelName());
-    m_lastEvent = m_request->afterEvent;
+    m_lastEventId = m_request->afterEvent;
 
     m_deadlineTimer = m_env.runtime().after(m_deadline - m_arrivedAt,
                                             [weak = weak_flow(this->weak_from_this())] {
@@ -333,7 +333,7 @@
     m_record.model = modelName();
     if (m_record.model != m_request->model)
         attempt.model = m_record.model;
-    attempt.afterEvent = m_lastEvent;
+    attempt.afterEvent = m_lastEventId;
     attempt.atMostOnce = !m_route->mayRepeat();
     m_call = m_env.call(std::move(attempt), eventsFor(m_attemptNumber));
     watchProgress(m_attemptNumber);
