--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -257,7 +257,7 @@
     endpoint_ptr m_escalatedFrom; ///< whose answer was dropped for a larger model
     std::shared_ptr<endpoint_run> m_run; ///< of the current attempt
     proxy_answer m_answer;
-    bool m_answered = false; ///< the current attempt's head has come
+    bool m_headReceived = false; ///< the current attempt's head has come
     std::optional<time_point> m_runNotedAt; ///< when an endpoint is told to have begun to run it
     bool m_mayHaveRun = false; ///< at an earlier endpoint
     bool m_hasFailure = false; ///< the last attempt brought an endpoint's own whole failure
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -21,7 +21,7 @@
 void request_flow<Env>::onAnswer(proxy_answer &&answer)
 {
     m_answer = std::move(answer);
-    m_answered = true;
+    m_headReceived = true;
     m_run->beganAt = now();
     endReading();
     m_endpoint->progressed(now());
@@ -64,7 +64,7 @@
 {
     const std::chrono::duration<double, std::milli> wait = now() - m_attemptAt;
     m_env.routing().waits(m_service).note(shareOfObjective(wait));
-    if (m_answered)
+    if (m_headReceived)
         m_env.routing().promptRate(m_record.model).note(m_readTokens, wait.count(), m_ownShare);
     m_record.serviceWait = m_env.routing().waits(m_service).mean();
 }
@@ -178,7 +178,7 @@
 template <flow_environment Env>
 void request_flow<Env>::onEnd(call_end end)
 {
-    if (m_answered && m_answer.notRun) {
+    if (m_headReceived && m_answer.notRun) {
         endAttempt(attempt_end::refused);
         return;
     }
@@ -226,13 +226,13 @@
         break;
     case attempt_end::failed:
     case attempt_end::broken:
-        if (!m_answered)
+        if (!m_headReceived)
             noteWait();
         m_endpoint->failed(at);
         rollouts.observe(version, m_route->name, m_record.model, std::nullopt, at);
         break;
     case attempt_end::silent:
-        if (!m_answered)
+        if (!m_headReceived)
             noteWait();
         m_endpoint->failed(at);
         if (!m_countedSlow)
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -286,7 +286,7 @@
     m_progressAt = m_attemptAt;
     m_progressed = false;
     m_attemptEvents = 0;
-    m_answered = false;
+    m_headReceived = false;
     m_countedSlow = false;
     m_body.clear();
     m_splitter = isStream() ? std::make_unique<event_splitter>() : nullptr;
