--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -220,7 +220,8 @@
     version_reason m_versionReason = version_reason::single; ///< of the last choice
     std::vector<prompt_prefix> m_prefixes; ///< of the current model, shared ones only
     double m_readingMs = 0; ///< of the current attempt, until its first event
-    double m_expectedMs = 0; ///< reading that is before the first event of the current attempt
+    double m_expectedReadingMs
+            = 0; ///< reading that is before the first event of the current attempt
     double m_ownShare = 1; ///< of all that reading, the current attempt's own prompt
     double m_elsewhereMs = 0; ///< the same of other entries' prompts, as far as they have told
     unsigned m_readTokens = 0;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -297,7 +297,7 @@
     beginRun();
     m_readTokens = tokensToRead(endpoint->prompts().keptTokens(m_prefixes));
     m_readingMs = readingMsPerToken() * m_readTokens;
-    m_expectedMs = m_endpoint->readingMs() + m_readingMs;
+    m_expectedReadingMs = m_endpoint->readingMs() + m_readingMs;
     m_elsewhereMs = m_endpoint->readingElsewhereMs(m_attemptAt);
     m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
     m_endpoint->beganReading(m_readingMs);
@@ -401,7 +401,7 @@
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
-    view.readingMs = m_expectedMs;
+    view.readingMs = m_expectedReadingMs;
     view.endpointSilent = isEndpointSilent();
     if (m_route->form == answer_form::events)
         view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
