--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -201,7 +201,7 @@
     timing.wait = (m_progressed ? m_firstEventAt : now()) - m_attemptAt;
     timing.countedSlow = m_countedSlow;
     timing.reading = std::chrono::duration_cast<duration>(
-            std::chrono::duration<double, std::milli>(m_expectedReadingMs + m_elsewhereMs));
+            std::chrono::duration<double, std::milli>(m_expectedReadingMs + m_remoteReadingMs));
     if (m_attemptEvents > 1)
         timing.pause = (m_progressAt - m_firstEventAt) / (m_attemptEvents - 1);
     return timing;
