--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -271,7 +271,7 @@
     time_point m_progressAt{};
     time_point m_firstEventAt{}; ///< of the current attempt
     std::int64_t m_attemptEvents = 0;
-    bool m_progressed = false;
+    bool m_hasFirstEvent = false;
     bool m_countedSlow = false; ///< the current attempt, as a slow answer of its version
     bool m_done = false;
 };
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -148,7 +148,7 @@
     m_progressAt = now();
     m_endpoint->progressed(m_progressAt);
     ++m_attemptEvents;
-    if (!std::exchange(m_progressed, true)) {
+    if (!std::exchange(m_hasFirstEvent, true)) {
         m_firstEventAt = m_progressAt;
         // The next pause is bounded more tightly than the wait for the first event.
         m_env.runtime().cancel(m_progressTimer);
@@ -198,7 +198,7 @@
 answer_timing request_flow<Env>::timingNow()
 {
     answer_timing timing;
-    timing.wait = (m_progressed ? m_firstEventAt : now()) - m_attemptAt;
+    timing.wait = (m_hasFirstEvent ? m_firstEventAt : now()) - m_attemptAt;
     timing.countedSlow = m_countedSlow;
     timing.reading = std::chrono::duration_cast<duration>(
             std::chrono::duration<double, std::milli>(m_expectedReadingMs + m_remoteReadingMs));
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -284,7 +284,7 @@
     routing_state &state = m_env.routing();
     m_attemptAt = now();
     m_progressAt = m_attemptAt;
-    m_progressed = false;
+    m_hasFirstEvent = false;
     m_attemptEvents = 0;
     m_headReceived = false;
     m_countedSlow = false;
@@ -404,14 +404,14 @@
     view.readingMs = m_expectedReadingMs;
     view.endpointSilent = isEndpointSilent();
     if (m_route->form == answer_form::events)
-        view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
+        view.part = m_hasFirstEvent ? awaited_part::nextEvent : awaited_part::firstEvent;
     return patienceFor(view);
 }
 
 template <flow_environment Env>
 void request_flow<Env>::noteSlowWait()
 {
-    if (m_progressed || m_countedSlow)
+    if (m_hasFirstEvent || m_countedSlow)
         return;
     m_countedSlow = m_env.routing().rollouts(m_service).observeWait(
             m_endpoint->record().softwareVersion, m_route->name, m_record.model, timingNow(),
