--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -261,7 +261,7 @@
     bool m_headReceived = false; ///< the current attempt's head has come
     std::optional<time_point> m_runNotedAt; ///< when an endpoint is told to have begun to run it
     bool m_mayHaveRun = false; ///< at an earlier endpoint
-    bool m_hasFailure = false; ///< the last attempt brought an endpoint's own whole failure
+    bool m_hasEndpointFailure = false; ///< the last attempt brought an endpoint's own whole failure
     bool m_streamBegun = false; ///< the caller has the head of a stream
     std::string m_streamVersion; ///< of the endpoint that began the stream
     std::optional<std::uint64_t> m_lastEventId;
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -343,7 +343,7 @@
     m_record.budgetLeft = budget().left(now(), allowanceShare());
     const bool ran = end != attempt_end::notSent && end != attempt_end::refused;
     m_mayHaveRun = m_mayHaveRun || ran;
-    m_hasFailure = end == attempt_end::failed;
+    m_hasEndpointFailure = end == attempt_end::failed;
     return stepAfter(end, facts);
 }
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -143,7 +143,7 @@
     if (m_streamBegun) {
         m_env.abort();
         finish(why, 0);
-    } else if (m_hasFailure) {
+    } else if (m_hasEndpointFailure) {
         deliver();
     } else if (m_mayHaveRun) {
         refuse(http_status::badGateway, why, std::nullopt);
