--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -234,7 +234,7 @@
     std::vector<std::string> m_tried;
     std::set<std::string>
             m_failedDataCentres; ///< data centres where an attempt broke or found nobody
-    std::size_t m_model = 0;
+    std::size_t m_modelIndex = 0;
     unsigned m_sends = 0; ///< that reached or may have reached an endpoint
     unsigned m_unreached = 0; ///< endpoints that were not found at their addresses
     unsigned m_receivedSends = 0; ///< sends that some process took
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -74,7 +74,7 @@
 {
     const attempt_facts now = facts();
     cascade_view view;
-    view.model = m_model;
+    view.model = m_modelIndex;
     view.models = m_route->models.size();
     view.confidence = m_answer.confidence;
     view.wait = m_env.routing().waits(m_service).mean();
@@ -98,7 +98,7 @@
         return;
     // The answer is dropped only when another endpoint stands ready for the larger model.
     const std::vector<std::string> tried = std::exchange(m_tried, {});
-    const std::size_t smaller = std::exchange(m_model, *larger);
+    const std::size_t smaller = std::exchange(m_modelIndex, *larger);
     m_prefixes = prefixesOf(modelName());
     const std::optional<endpoint_pick> pick = pickEndpoint();
     if (pick) {
@@ -108,7 +108,7 @@
     m_record.largerExpectedAt = view.expectedAt;
     if (!pick || !escalatesTo(settings, view) || !takeFurtherSend(further_send::largerModel)) {
         m_tried = tried;
-        m_model = smaller;
+        m_modelIndex = smaller;
         m_prefixes = prefixesOf(modelName());
         return;
     }
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -20,7 +20,7 @@
 {
     routing_state &state = m_env.routing();
     const prompt_rate &rate = state.promptRate(modelName());
-    const bool first = !m_request->anyModel || m_model == 0;
+    const bool first = !m_request->anyModel || m_modelIndex == 0;
     if (first || rate.isKnown())
         return rate.msPerToken();
     // Before a larger model has read a prompt for this entry, its price tells how much slower it
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -43,7 +43,7 @@
 
     m_session = stableHash(m_request->session.empty() ? m_request->id : m_request->session);
     if (m_request->anyModel)
-        m_model = firstModel(m_env.routing().cascade(), m_route->models.size());
+        m_modelIndex = firstModel(m_env.routing().cascade(), m_route->models.size());
     m_prefixes = prefixesOf(modelName());
     m_lastEventId = m_request->afterEvent;
 
@@ -108,8 +108,8 @@
 template <flow_environment Env>
 std::string request_flow<Env>::modelName() const
 {
-    const bool chosenHere = m_request->anyModel && m_model < m_route->models.size();
-    return chosenHere ? m_route->models[m_model] : m_request->model;
+    const bool chosenHere = m_request->anyModel && m_modelIndex < m_route->models.size();
+    return chosenHere ? m_route->models[m_modelIndex] : m_request->model;
 }
 
 template <flow_environment Env>
