--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -222,7 +222,7 @@
     double m_readingMs = 0; ///< of the current attempt, until its first event
     double m_expectedReadingMs
             = 0; ///< reading that is before the first event of the current attempt
-    double m_ownShare = 1; ///< of all that reading, the current attempt's own prompt
+    double m_ownReadingShare = 1; ///< of all that reading, the current attempt's own prompt
     double m_remoteReadingMs = 0; ///< the same of other entries' prompts, as far as they have told
     unsigned m_readTokens = 0;
     time_point m_arrivedAt{};
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -65,7 +65,9 @@
     const std::chrono::duration<double, std::milli> wait = now() - m_attemptAt;
     m_env.routing().waits(m_service).note(shareOfObjective(wait));
     if (m_headReceived)
-        m_env.routing().promptRate(m_record.model).note(m_readTokens, wait.count(), m_ownShare);
+        m_env.routing()
+                .promptRate(m_record.model)
+                .note(m_readTokens, wait.count(), m_ownReadingShare);
     m_record.serviceWait = m_env.routing().waits(m_service).mean();
 }
 
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -299,7 +299,7 @@
     m_readingMs = readingMsPerToken() * m_readTokens;
     m_expectedReadingMs = m_endpoint->readingMs() + m_readingMs;
     m_remoteReadingMs = m_endpoint->readingElsewhereMs(m_attemptAt);
-    m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
+    m_ownReadingShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
     m_endpoint->beganReading(m_readingMs);
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
     m_endpoint->prompts().note(m_prefixes);
