--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -268,7 +268,7 @@
     std::string m_body;
     std::unique_ptr<event_splitter> m_splitter;
     time_point m_attemptAt{};
-    time_point m_progressAt{};
+    time_point m_lastProgressAt{};
     time_point m_firstEventAt{}; ///< of the current attempt
     std::int64_t m_attemptEvents = 0;
     bool m_hasFirstEvent = false;
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -147,16 +147,16 @@
 template <flow_environment Env>
 void request_flow<Env>::onEvent(const stream_event &event)
 {
-    m_progressAt = now();
-    m_endpoint->progressed(m_progressAt);
+    m_lastProgressAt = now();
+    m_endpoint->progressed(m_lastProgressAt);
     ++m_attemptEvents;
     if (!std::exchange(m_hasFirstEvent, true)) {
-        m_firstEventAt = m_progressAt;
+        m_firstEventAt = m_lastProgressAt;
         // The next pause is bounded more tightly than the wait for the first event.
         m_env.runtime().cancel(m_progressTimer);
         watchProgress(m_attemptNumber);
     }
-    if (m_run->beganAt && m_progressAt - *m_run->beganAt > endpoint_runs::provenAfter
+    if (m_run->beganAt && m_lastProgressAt - *m_run->beganAt > endpoint_runs::provenAfter
         && m_suspicion != suspicion::none) {
         clearOfSuspicion();
         m_suspicion = suspicion::none;
@@ -205,7 +205,7 @@
     timing.reading = std::chrono::duration_cast<duration>(
             std::chrono::duration<double, std::milli>(m_expectedReadingMs + m_remoteReadingMs));
     if (m_attemptEvents > 1)
-        timing.pause = (m_progressAt - m_firstEventAt) / (m_attemptEvents - 1);
+        timing.pause = (m_lastProgressAt - m_firstEventAt) / (m_attemptEvents - 1);
     return timing;
 }
 
@@ -448,7 +448,7 @@
     if (m_done)
         return;
     if (m_endpoint) {
-        const bool silent = now() - m_progressAt >= m_route->objective;
+        const bool silent = now() - m_lastProgressAt >= m_route->objective;
         closeAttempt(silent ? attempt_end::silent : attempt_end::answered);
         m_env.cancel(m_call);
         m_mayHaveRun = true;
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -283,7 +283,7 @@
     const endpoint_ptr &endpoint = pick.endpoint;
     routing_state &state = m_env.routing();
     m_attemptAt = now();
-    m_progressAt = m_attemptAt;
+    m_lastProgressAt = m_attemptAt;
     m_hasFirstEvent = false;
     m_attemptEvents = 0;
     m_headReceived = false;
@@ -424,7 +424,7 @@
     if (!m_route->mayRepeat())
         return;
     // Whether the endpoint works on others is asked now and then: it may fall silent later.
-    const auto due = m_progressAt + currentPatience();
+    const auto due = m_lastProgressAt + currentPatience();
     const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
                                                flow_bounds::progressCheckInterval);
     m_progressTimer
@@ -433,7 +433,8 @@
                   if (!self || self->m_done || self->m_attemptNumber != number || !self->m_endpoint)
                       return;
                   self->noteSlowWait();
-                  const bool silent = self->now() - self->m_progressAt >= self->currentPatience();
+                  const bool silent
+                          = self->now() - self->m_lastProgressAt >= self->currentPatience();
                   if (!silent) {
                       self->watchProgress(number);
                       return;
