--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -90,7 +90,7 @@
     /// Instead of start(), when this process ends at \p end: a request that is over by then in any
     /// case is served, another one is refused at once.
     /// \param retryAfter until this process, or another in its place, is ready.
-    void startBefore(time_point end, milliseconds retryAfter);
+    void startDuringShutdown(time_point end, milliseconds retryAfter);
 
     /// The caller left: whatever runs for it is stopped.
     void callerLeft();
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -21,7 +21,7 @@
 }
 
 template <flow_environment Env>
-void request_flow<Env>::startBefore(time_point end, milliseconds retryAfter)
+void request_flow<Env>::startDuringShutdown(time_point end, milliseconds retryAfter)
 {
     if (!admit())
         return;
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -184,7 +184,7 @@
             self->callerLeft();
     });
     if (turningAway)
-        item->startBefore(giveUpAt, untilRestarted());
+        item->startDuringShutdown(giveUpAt, untilRestarted());
     else
         item->start();
 }
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -408,7 +408,7 @@
     flow_world world(fetchRoute(), {"e1"});
     const auto flow
             = std::make_shared<fake_flow>(fake_environment{&world}, requestFor(fetchRoute()));
-    flow->startBefore(world.runtime.now() + milliseconds(3900), milliseconds(1000));
+    flow->startDuringShutdown(world.runtime.now() + milliseconds(3900), milliseconds(1000));
     CHECK(world.status == 503);
     CHECK(findHeader(world.headers, "Retry-After") == "1.000000");
     CHECK(world.calls.empty());
@@ -421,7 +421,7 @@
     flow_world world(fetchRoute(), {"e1"});
     const auto flow
             = std::make_shared<fake_flow>(fake_environment{&world}, requestFor(fetchRoute()));
-    flow->startBefore(world.runtime.now() + fetchRoute().timeout, milliseconds(1000));
+    flow->startDuringShutdown(world.runtime.now() + fetchRoute().timeout, milliseconds(1000));
     REQUIRE(world.calls.size() == 1);
     world.answer(0, 200);
     world.end(0, call_end::complete);
@@ -434,7 +434,7 @@
     auto request = requestFor(fetchRoute());
     request->host = "elsewhere.example";
     const auto flow = std::make_shared<fake_flow>(fake_environment{&world}, request);
-    flow->startBefore(world.runtime.now(), milliseconds(1000));
+    flow->startDuringShutdown(world.runtime.now(), milliseconds(1000));
     CHECK(world.status == 404);
 }
 
