--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -332,7 +332,7 @@
     if (metEndpoint && end != attempt_end::answered)
         outlook().failed(now());
     m_record.attemptTook = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
-    m_record.left = timeLeft();
+    m_record.timeLeft = timeLeft();
     if (end == attempt_end::broken && !m_record.key)
         m_record.key = keyOf(*m_request);
 }
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -291,7 +291,7 @@
              {"version_by", record.versionBy},
              {"attempt", std::int64_t(record.attempts)},
              {"took_ms", std::int64_t(record.attemptTook.count())},
-             {"left_ms", std::int64_t(record.left.count())},
+             {"left_ms", std::int64_t(record.timeLeft.count())},
              {"events", std::int64_t(record.events)},
              {"endpoint_leaving", record.endpointLeaving ? "yes" : "no"},
              {"retry_after_ms",
