--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -60,7 +60,7 @@
     std::string choice; ///< why that endpoint
     std::uint64_t contract = 0;
     unsigned attempts = 0;
-    milliseconds attemptTook{0}; ///< the last attempt
+    milliseconds attemptDuration{0}; ///< the last attempt
     milliseconds timeLeft{0}; ///< of the deadline, when the last attempt ended
     attempt_lack lack = attempt_lack::nothing; ///< of a further attempt, when the last one ended
     double budgetLeft = 0; ///< further sends that the budget had left then
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -331,7 +331,7 @@
         ++m_receivedSends;
     if (metEndpoint && end != attempt_end::answered)
         outlook().failed(now());
-    m_record.attemptTook = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
+    m_record.attemptDuration = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
     m_record.timeLeft = timeLeft();
     if (end == attempt_end::broken && !m_record.key)
         m_record.key = keyOf(*m_request);
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -290,7 +290,7 @@
              {"version", record.endpointVersion},
              {"version_by", record.versionBy},
              {"attempt", std::int64_t(record.attempts)},
-             {"took_ms", std::int64_t(record.attemptTook.count())},
+             {"took_ms", std::int64_t(record.attemptDuration.count())},
              {"left_ms", std::int64_t(record.timeLeft.count())},
              {"events", std::int64_t(record.events)},
              {"endpoint_leaving", record.endpointLeaving ? "yes" : "no"},
