--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -54,7 +54,7 @@
     std::string endpointVersion;
     bool endpointLeaving = false; ///< as stated in the answer to the last attempt
     std::optional<milliseconds> endpointRetryAfter; ///< from a 503 to the last attempt
-    std::string_view versionBy; ///< why that version; empty: nothing was sent
+    std::string_view versionReason; ///< why that version; empty: nothing was sent
     std::string_view stage; ///< of a roll-out, as this entry knew it at the last send
     std::string model;
     std::string choice; ///< why that endpoint
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -319,7 +319,7 @@
     m_record.endpointVersion = endpoint->record().softwareVersion;
     m_record.endpointLeaving = false;
     m_record.endpointRetryAfter.reset();
-    m_record.versionBy = textOf(m_versionReason);
+    m_record.versionReason = textOf(m_versionReason);
     m_record.stage = state.rollouts(m_service).stageName();
 
     proxy_attempt attempt;
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -211,8 +211,8 @@
         metrics.add("escalations_total", record.escalations);
     if (record.resumes > 0)
         metrics.add("resumes_total", record.resumes);
-    if (!record.versionBy.empty())
-        metrics.add("versions_total{by=\"" + std::string(record.versionBy) + "\"}");
+    if (!record.versionReason.empty())
+        metrics.add("versions_total{by=\"" + std::string(record.versionReason) + "\"}");
     const bool isOrdinary = record.reason == flow_reason::served && record.resumes == 0
             && record.attempts == record.escalations + 1;
     if ((isOrdinary ? ordinary : unusual).allows(runtime.now()))
@@ -239,7 +239,7 @@
              {"endpoint", record.endpoint},
              {"endpoint_leaving", record.endpointLeaving ? "yes" : "no"},
              {"version", record.endpointVersion},
-             {"version_by", record.versionBy},
+             {"version_by", record.versionReason},
              {"stage", record.stage},
              {"model", record.model},
              {"choice", record.choice},
@@ -288,7 +288,7 @@
              {"next", textOf(step)},
              {"endpoint", record.endpoint},
              {"version", record.endpointVersion},
-             {"version_by", record.versionBy},
+             {"version_by", record.versionReason},
              {"attempt", std::int64_t(record.attempts)},
              {"took_ms", std::int64_t(record.attemptDuration.count())},
              {"left_ms", std::int64_t(record.timeLeft.count())},
--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -154,6 +154,6 @@
     world.answer(1, 200);
     world.end(1, call_end::complete);
     REQUIRE(world.record);
-    CHECK(world.record->versionBy == "fallback");
+    CHECK(world.record->versionReason == "fallback");
     CHECK(world.record->stage == "trial");
 }
