--- a/include/laurelcroft/Proxy/RequestKey.h
+++ b/include/laurelcroft/Proxy/RequestKey.h
@@ -27,7 +27,7 @@
 std::string textOf(request_key key);
 
 /// \returns the key that \p text spells; nothing for other texts.
-std::optional<request_key> requestKeyIn(std::string_view text);
+std::optional<request_key> parseRequestKey(std::string_view text);
 
 } // namespace laurelcroft
 
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -165,7 +165,7 @@
 {
     if (!key.starts_with(withheldPrefix))
         return std::nullopt;
-    return requestKeyIn(key.substr(withheldPrefix.size()));
+    return parseRequestKey(key.substr(withheldPrefix.size()));
 }
 
 std::string laurelcroft::encodeWithheldRow(const withheld_row &row)
--- a/lib/Proxy/RequestKey.cpp
+++ b/lib/Proxy/RequestKey.cpp
@@ -44,7 +44,7 @@
     return digits;
 }
 
-std::optional<request_key> laurelcroft::requestKeyIn(std::string_view text)
+std::optional<request_key> laurelcroft::parseRequestKey(std::string_view text)
 {
     request_key key = 0;
     const auto [end, error]
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -31,11 +31,11 @@
 {
     for (const request_key key : {request_key(0), request_key(0xAB), ~request_key(0)}) {
         CHECK(textOf(key).size() == 16);
-        CHECK(requestKeyIn(textOf(key)) == key);
+        CHECK(parseRequestKey(textOf(key)) == key);
     }
     for (const char *text :
          {"", "12", "00000000000000zz", "000000000000000000", "-000000000000001"})
-        CHECK_FALSE(requestKeyIn(text));
+        CHECK_FALSE(parseRequestKey(text));
 }
 
 TEST_CASE("young runs are suspected when their endpoint ends, those that were cut a moment ago too")
