--- a/include/laurelcroft/Proxy/ProxyTypes.h
+++ b/include/laurelcroft/Proxy/ProxyTypes.h
@@ -80,7 +80,7 @@
     /// Requests per second that the endpoint accepts from all entries together; empty when the
     /// answer states no valid limit.
     std::optional<double> rateLimit;
-    std::optional<seconds> idleLife; ///< how long the endpoint keeps an idle connection
+    std::optional<seconds> keepAliveTimeout; ///< how long the endpoint keeps an idle connection
 };
 
 /// How messages are read and written. Plain functions without state.
--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -192,8 +192,8 @@
     m_skipping = !answer.requestId.empty() && answer.requestId != m_request->id;
     if (m_skipping)
         return;
-    if (answer.idleLife)
-        m_idleLife = std::max<duration>(*answer.idleLife - idleMargin, milliseconds(0));
+    if (answer.keepAliveTimeout)
+        m_idleLife = std::max<duration>(*answer.keepAliveTimeout - idleMargin, milliseconds(0));
     const bool success = isSuccess(answer.status);
     // A success that doesn't say whose it is belongs to nobody.
     if (success && answer.requestId.empty())
