--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -69,7 +69,7 @@
         if (atMostOnce && age > surelyAlive)
             return nullptr;
         from.idle.pop_back();
-        if (last->isOpen() && age < last->idleLife())
+        if (last->isOpen() && age < last->idleTimeout())
             return last;
         last->close();
     }
@@ -205,7 +205,7 @@
         const bool gone = pool.endpoint->isGone();
         const auto idle = pool.idle;
         for (const auto &connection : idle) {
-            if (gone || now - connection->idleSince() >= connection->idleLife())
+            if (gone || now - connection->idleSince() >= connection->idleTimeout())
                 connection->close();
         }
         const bool unused = gone && pool.open == 0;
--- a/lib/Proxy/EndpointConnection.h
+++ b/lib/Proxy/EndpointConnection.h
@@ -44,7 +44,7 @@
 
     bool isOpen() const { return !m_closed; }
     time_point idleSince() const { return m_idleSince; }
-    duration idleLife() const { return m_idleLife; }
+    duration idleTimeout() const { return m_idleLife; }
 
 private:
     void prepare(const proxy_attempt &attempt, call_events events);
