--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -47,7 +47,7 @@
                         events->onData(data);
                 }},
                largestHead)
-    , m_idleLife(defaultIdleLife)
+    , m_idleTimeout(defaultIdleLife)
 {
 }
 
@@ -193,7 +193,7 @@
     if (m_skipping)
         return;
     if (answer.keepAliveTimeout)
-        m_idleLife = std::max<duration>(*answer.keepAliveTimeout - idleMargin, milliseconds(0));
+        m_idleTimeout = std::max<duration>(*answer.keepAliveTimeout - idleMargin, milliseconds(0));
     const bool success = isSuccess(answer.status);
     // A success that doesn't say whose it is belongs to nobody.
     if (success && answer.requestId.empty())
--- a/lib/Proxy/EndpointConnection.h
+++ b/lib/Proxy/EndpointConnection.h
@@ -44,7 +44,7 @@
 
     bool isOpen() const { return !m_closed; }
     time_point idleSince() const { return m_idleSince; }
-    duration idleTimeout() const { return m_idleLife; }
+    duration idleTimeout() const { return m_idleTimeout; }
 
 private:
     void prepare(const proxy_attempt &attempt, call_events events);
@@ -68,7 +68,7 @@
     std::string m_out;
     std::size_t m_outDone = 0;
     std::array<char, 4096> m_in{};
-    duration m_idleLife;
+    duration m_idleTimeout;
     time_point m_idleSince{};
     bool m_busy = false;
     bool m_connected = false;
