--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -25,7 +25,7 @@
 /// Largest head of an answer, bytes: beyond it the peer is not an endpoint.
 constexpr std::size_t largestHead = 32768;
 /// How long an idle connection is kept when the endpoint names no time.
-constexpr milliseconds defaultIdleLife{4000};
+constexpr milliseconds defaultIdleTimeout{4000};
 /// An idle connection is given up this long before the endpoint would close it.
 constexpr milliseconds idleMargin{700};
 
@@ -47,7 +47,7 @@
                         events->onData(data);
                 }},
                largestHead)
-    , m_idleTimeout(defaultIdleLife)
+    , m_idleTimeout(defaultIdleTimeout)
 {
 }
 
