--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -43,7 +43,7 @@
                {[this](message_head &&head) { onHead(std::move(head)); },
                 [this](std::string_view data) {
                     const auto events = m_events;
-                    if (!m_skipping && events)
+                    if (!m_skippingAnswer && events)
                         events->onData(data);
                 }},
                largestHead)
@@ -58,7 +58,7 @@
     m_out = m_dialect.encodeAttempt(attempt) + m_request->body;
     m_outDone = 0;
     m_busy = true;
-    m_skipping = false;
+    m_skippingAnswer = false;
     m_parser.reset();
     if (m_request->method == "HEAD") {
         m_parser.expectNoBody();
@@ -160,11 +160,11 @@
             end(call_end::broken);
             return;
         }
-        if (!m_skipping) {
+        if (!m_skippingAnswer) {
             onMessageEnd(bytes);
             return;
         }
-        m_skipping = false;
+        m_skippingAnswer = false;
         m_parser.reset();
     }
 }
@@ -189,8 +189,8 @@
 {
     m_mayKeep = m_mayKeep && head.keepAlive && !head.endsWithConnection;
     proxy_answer answer = m_dialect.decodeAnswer(std::move(head));
-    m_skipping = !answer.requestId.empty() && answer.requestId != m_request->id;
-    if (m_skipping)
+    m_skippingAnswer = !answer.requestId.empty() && answer.requestId != m_request->id;
+    if (m_skippingAnswer)
         return;
     if (answer.keepAliveTimeout)
         m_idleTimeout = std::max<duration>(*answer.keepAliveTimeout - idleMargin, milliseconds(0));
@@ -209,7 +209,7 @@
         closeAs(true);
         return;
     }
-    const bool whole = inOrder && !m_skipping && m_parser.finish() == parse_state::complete;
+    const bool whole = inOrder && !m_skippingAnswer && m_parser.finish() == parse_state::complete;
     if (!m_closed)
         end(whole ? call_end::complete : call_end::broken);
 }
--- a/lib/Proxy/EndpointConnection.h
+++ b/lib/Proxy/EndpointConnection.h
@@ -73,7 +73,7 @@
     bool m_busy = false;
     bool m_connected = false;
     bool m_closed = false;
-    bool m_skipping = false; ///< the current message belongs to another request
+    bool m_skippingAnswer = false; ///< the current message belongs to another request
     bool m_mayKeep = true;
 };
 
