--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -62,7 +62,7 @@
     m_parser.reset();
     if (m_request->method == "HEAD") {
         m_parser.expectNoBody();
-        m_mayKeep = false;
+        m_mayReuse = false;
     }
 }
 
@@ -171,7 +171,7 @@
 
 void endpoint_connection::onMessageEnd(std::string_view rest)
 {
-    const bool clean = rest.empty() && m_outDone == m_out.size() && m_mayKeep;
+    const bool clean = rest.empty() && m_outDone == m_out.size() && m_mayReuse;
     if (!clean) {
         end(call_end::complete);
         return;
@@ -187,7 +187,7 @@
 
 void endpoint_connection::onHead(message_head &&head)
 {
-    m_mayKeep = m_mayKeep && head.keepAlive && !head.endsWithConnection;
+    m_mayReuse = m_mayReuse && head.keepAlive && !head.endsWithConnection;
     proxy_answer answer = m_dialect.decodeAnswer(std::move(head));
     m_skippingAnswer = !answer.requestId.empty() && answer.requestId != m_request->id;
     if (m_skippingAnswer)
--- a/lib/Proxy/EndpointConnection.h
+++ b/lib/Proxy/EndpointConnection.h
@@ -74,7 +74,7 @@
     bool m_connected = false;
     bool m_closed = false;
     bool m_skippingAnswer = false; ///< the current message belongs to another request
-    bool m_mayKeep = true;
+    bool m_mayReuse = true;
 };
 
 } // namespace laurelcroft
