--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -21,7 +21,7 @@
 /// Long against a round trip between data centres, short against any objective.
 constexpr milliseconds connectTimeout{400};
 /// How long unacknowledged bytes may stay on the way before the kernel gives up.
-constexpr unsigned unacknowledgedMs = 2500;
+constexpr unsigned tcpUserTimeoutMs = 2500;
 /// Largest head of an answer, bytes: beyond it the peer is not an endpoint.
 constexpr std::size_t largestHead = 32768;
 /// How long an idle connection is kept when the endpoint names no time.
@@ -93,7 +93,7 @@
                 self->m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
                 self->m_socket.non_blocking(true, ignored);
                 ::setsockopt(self->m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-                             &unacknowledgedMs, sizeof(unacknowledgedMs));
+                             &tcpUserTimeoutMs, sizeof(tcpUserTimeoutMs));
                 self->write();
                 self->read();
             });
