--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -23,7 +23,7 @@
 /// How long unacknowledged bytes may stay on the way before the kernel gives up.
 constexpr unsigned tcpUserTimeoutMs = 2500;
 /// Largest head of an answer, bytes: beyond it the peer is not an endpoint.
-constexpr std::size_t largestHead = 32768;
+constexpr std::size_t maxHeadBytes = 32768;
 /// How long an idle connection is kept when the endpoint names no time.
 constexpr milliseconds defaultIdleTimeout{4000};
 /// An idle connection is given up this long before the endpoint would close it.
@@ -46,7 +46,7 @@
                     if (!m_skippingAnswer && events)
                         events->onData(data);
                 }},
-               largestHead)
+               maxHeadBytes)
     , m_idleTimeout(defaultIdleTimeout)
 {
 }
