--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -22,7 +22,7 @@
 
 /// A request that may run only once takes a kept connection only when it was used this
 /// recently: one that the endpoint has just dropped would leave it unknown whether it ran.
-constexpr milliseconds surelyAlive{300};
+constexpr milliseconds maxIdleForAtMostOnce{300};
 
 } // namespace
 
@@ -66,7 +66,7 @@
     while (!from.idle.empty()) {
         std::shared_ptr<endpoint_connection> last = from.idle.back();
         const duration age = now - last->idleSince();
-        if (atMostOnce && age > surelyAlive)
+        if (atMostOnce && age > maxIdleForAtMostOnce)
             return nullptr;
         from.idle.pop_back();
         if (last->isOpen() && age < last->idleTimeout())
