--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -54,8 +54,8 @@
 
     std::shared_ptr<endpoint_connection> takeIdle(pool &from, bool atMostOnce);
     std::shared_ptr<endpoint_connection> open(const std::string &id, pool &to);
-    void returned(const std::string &id, const service_endpoint *endpoint,
-                  const std::weak_ptr<endpoint_connection> &weak);
+    void onConnectionIdle(const std::string &id, const service_endpoint *endpoint,
+                          const std::weak_ptr<endpoint_connection> &weak);
     pool &poolOf(const endpoint_ptr &endpoint);
     void closed(const std::string &id, bool byPeerWhileIdle);
 };
@@ -89,8 +89,9 @@
     return own;
 }
 
-void endpoint_caller::state::returned(const std::string &id, const service_endpoint *endpoint,
-                                      const std::weak_ptr<endpoint_connection> &weak)
+void endpoint_caller::state::onConnectionIdle(const std::string &id,
+                                              const service_endpoint *endpoint,
+                                              const std::weak_ptr<endpoint_connection> &weak)
 {
     const auto connection = weak.lock();
     const auto it = pools.find(id);
@@ -121,7 +122,9 @@
     const auto self = std::make_shared<std::weak_ptr<endpoint_connection>>();
     auto connection = std::make_shared<endpoint_connection>(
             context, dialect,
-            [this, id, self, endpoint = to.endpoint.get()] { returned(id, endpoint, *self); },
+            [this, id, self, endpoint = to.endpoint.get()] {
+                onConnectionIdle(id, endpoint, *self);
+            },
             [this, id](bool byPeerWhileIdle) { closed(id, byPeerWhileIdle); });
     *self = connection;
     return connection;
