--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -57,7 +57,7 @@
     void onConnectionIdle(const std::string &id, const service_endpoint *endpoint,
                           const std::weak_ptr<endpoint_connection> &weak);
     pool &poolOf(const endpoint_ptr &endpoint);
-    void closed(const std::string &id, bool byPeerWhileIdle);
+    void onConnectionClosed(const std::string &id, bool byPeerWhileIdle);
 };
 
 std::shared_ptr<endpoint_connection> endpoint_caller::state::takeIdle(pool &from, bool atMostOnce)
@@ -103,7 +103,7 @@
         connection->close();
 }
 
-void endpoint_caller::state::closed(const std::string &id, bool byPeerWhileIdle)
+void endpoint_caller::state::onConnectionClosed(const std::string &id, bool byPeerWhileIdle)
 {
     const auto it = pools.find(id);
     if (it == pools.end() || ending)
@@ -125,7 +125,7 @@
             [this, id, self, endpoint = to.endpoint.get()] {
                 onConnectionIdle(id, endpoint, *self);
             },
-            [this, id](bool byPeerWhileIdle) { closed(id, byPeerWhileIdle); });
+            [this, id](bool byPeerWhileIdle) { onConnectionClosed(id, byPeerWhileIdle); });
     *self = connection;
     return connection;
 }
