--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -47,7 +47,7 @@
     std::function<void(const endpoint_ptr &)> onIdleClosed;
     std::map<std::string, pool, std::less<>> pools;
     std::unordered_map<call_id, std::shared_ptr<endpoint_connection>> calls;
-    std::set<const service_endpoint *> probed; ///< whose addresses are being looked at
+    std::set<const service_endpoint *> pendingProbes; ///< whose addresses are being looked at
     call_id lastCall = 0;
     std::uint64_t opened = 0;
     bool ending = false;
@@ -186,7 +186,7 @@
 
 void endpoint_caller::checkEnded(const endpoint_ptr &endpoint, std::function<void()> done)
 {
-    if (!m_state->probed.insert(endpoint.get()).second)
+    if (!m_state->pendingProbes.insert(endpoint.get()).second)
         return;
     const std::weak_ptr<state> weak = m_state;
     probeEndpoint(m_state->context, endpoint->record(),
@@ -194,7 +194,7 @@
                       const auto self = weak.lock();
                       if (!self)
                           return;
-                      self->probed.erase(endpoint.get());
+                      self->pendingProbes.erase(endpoint.get());
                       if (result == probe_result::ended)
                           done();
                   });
