--- a/lib/Proxy/EndpointProbe.cpp
+++ b/lib/Proxy/EndpointProbe.cpp
@@ -46,7 +46,7 @@
 static probe_result resultOf(const asio::error_code &error)
 {
     if (!error)
-        return probe_result::lives;
+        return probe_result::alive;
     return error == asio::error::connection_refused ? probe_result::ended : probe_result::unknown;
 }
 
--- a/lib/Proxy/EndpointProbe.h
+++ b/lib/Proxy/EndpointProbe.h
@@ -17,7 +17,7 @@
 
 /// How a look at an endpoint's address ended.
 enum class probe_result {
-    lives, ///< it takes connections
+    alive, ///< it takes connections
     ended, ///< nobody listens there
     unknown ///< no answer in time: cut off, or without power
 };
