--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -238,7 +238,7 @@
 {
     onLeft = nullptr;
     // An answer that began before the server turned away didn't announce the close.
-    if (closeAfter || server->turningAway) {
+    if (closeAfter || server->draining) {
         shuttingDown = true;
         queueFlush();
         return;
--- a/lib/Proxy/CallerConnection.h
+++ b/lib/Proxy/CallerConnection.h
@@ -37,7 +37,7 @@
     caller_server_bounds bounds;
     std::set<caller_exchange::state *> connections;
     bool closing = false;
-    bool turningAway = false;
+    bool draining = false;
     bool ended = false;
 
     void accept();
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -112,7 +112,7 @@
 void caller_server::turnAway()
 {
     m_state->closing = true;
-    m_state->turningAway = true;
+    m_state->draining = true;
     const auto connections = m_state->connections;
     for (caller_exchange::state *connection : connections) {
         if (carriesRequest(*connection))
