--- a/lib/Proxy/CallerConnection.h
+++ b/lib/Proxy/CallerConnection.h
@@ -26,13 +26,13 @@
     state(asio::io_context &context, caller_handler handler)
         : context(context)
         , acceptor(context)
-        , pause(context)
+        , acceptRetryTimer(context)
         , handler(std::move(handler))
     {
     }
     asio::io_context &context;
     asio::ip::tcp::acceptor acceptor;
-    boot_timer pause;
+    boot_timer acceptRetryTimer;
     caller_handler handler;
     caller_server_bounds bounds;
     std::set<caller_exchange::state *> connections;
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -26,8 +26,8 @@
                 if (self->ended || error == asio::error::operation_aborted)
                     return;
                 if (error) {
-                    self->pause.expires_after(acceptPause);
-                    self->pause.async_wait([self](const asio::error_code &) {
+                    self->acceptRetryTimer.expires_after(acceptPause);
+                    self->acceptRetryTimer.async_wait([self](const asio::error_code &) {
                         if (!self->ended)
                             self->accept();
                     });
