--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// Pause before accepting again when no descriptor was free.
-constexpr milliseconds acceptPause{50};
+constexpr milliseconds acceptRetryDelay{50};
 
 } // namespace
 
@@ -26,7 +26,7 @@
                 if (self->ended || error == asio::error::operation_aborted)
                     return;
                 if (error) {
-                    self->acceptRetryTimer.expires_after(acceptPause);
+                    self->acceptRetryTimer.expires_after(acceptRetryDelay);
                     self->acceptRetryTimer.async_wait([self](const asio::error_code &) {
                         if (!self->ended)
                             self->accept();
