--- a/lib/Proxy/CallerConnection.h
+++ b/lib/Proxy/CallerConnection.h
@@ -38,7 +38,7 @@
     std::set<caller_exchange::state *> connections;
     bool closing = false;
     bool draining = false;
-    bool ended = false;
+    bool stopped = false;
 
     void accept();
 };
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -23,12 +23,12 @@
 {
     acceptor.async_accept(
             [self = shared_from_this()](const asio::error_code &error, tcp::socket socket) {
-                if (self->ended || error == asio::error::operation_aborted)
+                if (self->stopped || error == asio::error::operation_aborted)
                     return;
                 if (error) {
                     self->acceptRetryTimer.expires_after(acceptRetryDelay);
                     self->acceptRetryTimer.async_wait([self](const asio::error_code &) {
-                        if (!self->ended)
+                        if (!self->stopped)
                             self->accept();
                     });
                     return;
@@ -103,7 +103,7 @@
 
 void caller_server::closeIdle()
 {
-    m_state->ended = true;
+    m_state->stopped = true;
     asio::error_code ignored;
     m_state->acceptor.close(ignored);
     turnAway();
