--- a/include/laurelcroft/Proxy/CallerServer.h
+++ b/include/laurelcroft/Proxy/CallerServer.h
@@ -41,7 +41,7 @@
     void abort();
 
     /// \param action is called once if the caller leaves before the answer ended.
-    void onLeft(std::function<void()> action);
+    void onDisconnect(std::function<void()> action);
 
 private:
     std::shared_ptr<state> m_state;
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -166,7 +166,7 @@
 
 void caller_exchange::state::onPeerEnd()
 {
-    const std::function<void()> left = std::exchange(onLeft, nullptr);
+    const std::function<void()> left = std::exchange(onDisconnect, nullptr);
     close(false);
     if (left)
         left();
@@ -236,7 +236,7 @@
 
 void caller_exchange::state::answerEnded()
 {
-    onLeft = nullptr;
+    onDisconnect = nullptr;
     // An answer that began before the server turned away didn't announce the close.
     if (closeAfter || server->draining) {
         shuttingDown = true;
@@ -274,7 +274,7 @@
     if (closed)
         return;
     closed = true;
-    onLeft = nullptr;
+    onDisconnect = nullptr;
     asio::error_code ignored;
     if (reset)
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -342,7 +342,7 @@
     m_state->close(true);
 }
 
-void caller_exchange::onLeft(std::function<void()> action)
+void caller_exchange::onDisconnect(std::function<void()> action)
 {
-    m_state->onLeft = std::move(action);
+    m_state->onDisconnect = std::move(action);
 }
--- a/lib/Proxy/CallerConnection.h
+++ b/lib/Proxy/CallerConnection.h
@@ -58,7 +58,7 @@
     std::string pending; ///< read ahead of the answer
     std::array<char, 4096> in{};
     std::string out;
-    std::function<void()> onLeft;
+    std::function<void()> onDisconnect;
     bool bodyTooLarge = false;
     bool answering = false;
     bool reading = false;
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -179,7 +179,7 @@
     request->body = std::move(body);
     const auto item = std::make_shared<flow>(environment{this, exchange}, std::move(request));
     flows.insert(item);
-    exchange.onLeft([weak = std::weak_ptr<flow>(item)] {
+    exchange.onDisconnect([weak = std::weak_ptr<flow>(item)] {
         if (const auto self = weak.lock())
             self->callerLeft();
     });
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -191,7 +191,7 @@
         answer(item->tables, item->exchange);
         held.erase(item);
     });
-    exchange.onLeft([this, item] {
+    exchange.onDisconnect([this, item] {
         runtime.cancel(item->timer);
         held.erase(item);
     });
--- a/unittests/Proxy/CallerServerTests.cpp
+++ b/unittests/Proxy/CallerServerTests.cpp
@@ -131,7 +131,7 @@
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     world.settle();
     bool left = false;
-    world.exchange->onLeft([&] { left = true; });
+    world.exchange->onDisconnect([&] { left = true; });
     world.caller.close();
     world.settle();
     CHECK(left);
