--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -76,11 +76,11 @@
     asio::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
-    arm(server->bounds.idleTimeout);
+    armTimer(server->bounds.idleTimeout);
     read();
 }
 
-void caller_exchange::state::arm(milliseconds wait)
+void caller_exchange::state::armTimer(milliseconds wait)
 {
     timer.expires_after(wait);
     timer.async_wait([self = shared_from_this()](const asio::error_code &error) {
@@ -146,7 +146,7 @@
     }
     if (result == parse_state::open) {
         if (!wasBegun && parser.hasBegun())
-            arm(server->bounds.headerTimeout);
+            armTimer(server->bounds.headerTimeout);
         return;
     }
     pending.append(bytes.substr(used));
@@ -246,7 +246,7 @@
     queueFlush();
     answering = false;
     parser.reset();
-    arm(server->bounds.idleTimeout);
+    armTimer(server->bounds.idleTimeout);
     if (!pending.empty()) {
         asio::post(server->context, [self = shared_from_this()] {
             if (self->closed || self->answering)
@@ -265,7 +265,7 @@
 {
     asio::error_code ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
-    arm(lingering);
+    armTimer(lingering);
     read();
 }
 
--- a/lib/Proxy/CallerConnection.h
+++ b/lib/Proxy/CallerConnection.h
@@ -69,7 +69,7 @@
     bool shuttingDown = false;
 
     void start();
-    void arm(milliseconds wait);
+    void armTimer(milliseconds wait);
     void onTimer();
     void read();
     void onBytes(std::string_view bytes);
