--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Bytes that a caller may send ahead of its answer before reading stops.
-constexpr std::size_t mostPipelined = 65536;
+constexpr std::size_t maxPipelinedBytes = 65536;
 /// Bytes of an answer that may wait for a caller that doesn't read.
 constexpr std::size_t mostUnsent = 8U << 20;
 /// How long a closed connection waits for the caller's own close: closing with unread
@@ -119,7 +119,7 @@
                     return;
                 }
                 self->onBytes(std::string_view(self->in.data(), size));
-                const bool wantsMore = !self->answering || self->pending.size() < mostPipelined;
+                const bool wantsMore = !self->answering || self->pending.size() < maxPipelinedBytes;
                 if (wantsMore)
                     self->read();
             });
