--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -18,7 +18,7 @@
 /// Bytes that a caller may send ahead of its answer before reading stops.
 constexpr std::size_t maxPipelinedBytes = 65536;
 /// Bytes of an answer that may wait for a caller that doesn't read.
-constexpr std::size_t mostUnsent = 8U << 20;
+constexpr std::size_t maxUnsentBytes = 8U << 20;
 /// How long a closed connection waits for the caller's own close: closing with unread
 /// bytes would reset the connection and could take the answer with it.
 constexpr milliseconds lingering{500};
@@ -222,7 +222,7 @@
             shutdown();
         return;
     }
-    if (out.size() > mostUnsent) {
+    if (out.size() > maxUnsentBytes) {
         onPeerEnd();
         return;
     }
