--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t maxUnsentBytes = 8U << 20;
 /// How long a closed connection waits for the caller's own close: closing with unread
 /// bytes would reset the connection and could take the answer with it.
-constexpr milliseconds lingering{500};
+constexpr milliseconds lingerTimeout{500};
 
 std::string_view reasonPhrase(int status)
 {
@@ -265,7 +265,7 @@
 {
     asio::error_code ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
-    armTimer(lingering);
+    armTimer(lingerTimeout);
     read();
 }
 
