--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -105,7 +105,7 @@
 inline constexpr milliseconds minRetryAfter{250};
 /// The most that is told to callers while a service answers nobody: a third of the time that most
 /// of them have, and they wait no longer than that.
-inline constexpr milliseconds retryAfterOutage{4000};
+inline constexpr milliseconds maxRetryAfter{4000};
 /// Told when there is no contract or no endpoint at all: some reads of the store.
 inline constexpr milliseconds defaultRetryAfter{600};
 /// Weight of the reading that other entries told of, against an entry's own: it is a guess of how
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -426,7 +426,7 @@
     const std::optional<time_point> end = m_env.routing().earliestBackoffEnd(m_service, now());
     const milliseconds wait
             = end ? std::chrono::ceil<milliseconds>(*end - now()) : outlook().expectedLeft(now());
-    return std::clamp(wait, flow_bounds::minRetryAfter, flow_bounds::retryAfterOutage);
+    return std::clamp(wait, flow_bounds::minRetryAfter, flow_bounds::maxRetryAfter);
 }
 
 template <flow_environment Env>
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -182,7 +182,7 @@
     if (!m_nextAvailableAt)
         return flow_bounds::defaultRetryAfter;
     return std::clamp(std::chrono::ceil<milliseconds>(*m_nextAvailableAt - now()),
-                      flow_bounds::minRetryAfter, flow_bounds::retryAfterOutage);
+                      flow_bounds::minRetryAfter, flow_bounds::maxRetryAfter);
 }
 
 template <flow_environment Env>
