--- a/include/laurelcroft/Proxy/CallerServer.h
+++ b/include/laurelcroft/Proxy/CallerServer.h
@@ -85,9 +85,9 @@
 
     /// Closes the connections that carry no request, and each other one after its answer. Callers
     /// may still connect, so that they can be told when to come back.
-    void turnAway();
+    void drainConnections();
 
-    /// As turnAway, and stops accepting.
+    /// As drainConnections, and stops accepting.
     void closeIdle();
 
     /// \returns the number of open connections.
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -106,10 +106,10 @@
     m_state->stopped = true;
     asio::error_code ignored;
     m_state->acceptor.close(ignored);
-    turnAway();
+    drainConnections();
 }
 
-void caller_server::turnAway()
+void caller_server::drainConnections()
 {
     m_state->closing = true;
     m_state->draining = true;
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -473,7 +473,7 @@
     m_state->giveUpAt = m_state->runtime.now() + m_state->options.grace - lastWords;
     m_state->runtime.after(m_state->options.turnAway, [this] {
         m_state->turningAway = true;
-        m_state->callers.turnAway();
+        m_state->callers.drainConnections();
         m_state->checkDrained();
     });
 }
--- a/unittests/Proxy/CallerServerTests.cpp
+++ b/unittests/Proxy/CallerServerTests.cpp
@@ -201,7 +201,7 @@
 {
     server_world world;
     world.settle();
-    world.server.turnAway();
+    world.server.drainConnections();
     CHECK(world.received().empty());
     CHECK(world.closed);
     world.reconnect();
