--- a/include/laurelcroft/Proxy/CallerServer.h
+++ b/include/laurelcroft/Proxy/CallerServer.h
@@ -54,7 +54,7 @@
     std::size_t maxBodyBytes = 4U << 20;
     milliseconds headerTimeout{3000}; ///< from a request's first byte to its last
     milliseconds idleTimeout{15000}; ///< between two requests
-    std::size_t mostConnections = 3000;
+    std::size_t maxConnections = 3000;
 };
 
 using caller_handler
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -33,7 +33,7 @@
                     });
                     return;
                 }
-                if (self->connections.size() < self->bounds.mostConnections)
+                if (self->connections.size() < self->bounds.maxConnections)
                     std::make_shared<caller_exchange::state>(self, std::move(socket))->start();
                 self->accept();
             });
