--- a/unittests/Proxy/FlowWorld.cpp
+++ b/unittests/Proxy/FlowWorld.cpp
@@ -100,7 +100,7 @@
 std::size_t flow_world::openCalls() const
 {
     std::size_t open = 0;
-    for (const played_call &call : calls)
+    for (const recorded_call &call : calls)
         open += call.cancelled ? 0 : 1;
     return open;
 }
--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowWorld.h
@@ -18,7 +18,7 @@
 namespace laurelcroft {
 
 /// One call that the flow made.
-struct played_call
+struct recorded_call
 {
     proxy_attempt attempt;
     call_events events;
@@ -34,7 +34,7 @@
 
     manual_runtime runtime;
     routing_state routing{{}, {0, 50}, 1};
-    std::vector<played_call> calls;
+    std::vector<recorded_call> calls;
     std::vector<std::pair<attempt_end, next_step>> steps;
     int status = 0; ///< of the answer; 0: none yet
     http_headers headers;
