--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowWorld.h
@@ -45,7 +45,7 @@
     std::optional<flow_record> record;
     std::vector<std::string> checked; ///< endpoints that may have ended
     bool room = true;
-    unsigned roomAsked = 0; ///< candidates that were looked at
+    unsigned candidatesExamined = 0; ///< candidates that were looked at
     std::vector<std::shared_ptr<void>> flows; ///< kept alive as the server does
 
     void addEndpoint(const std::string &id, const std::string &service = "pool",
@@ -82,7 +82,7 @@
     routing_state &routing() { return world->routing; }
     bool hasRoomAt(const endpoint_ptr &)
     {
-        ++world->roomAsked;
+        ++world->candidatesExamined;
         return world->room;
     }
     call_id call(proxy_attempt attempt, call_events events)
--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -107,7 +107,7 @@
         }
         const auto flow = startFlow(world, requestFor(lookupRoute()));
         CHECK(world.calls.size() == 1);
-        CHECK(world.roomAsked <= mostCandidates);
+        CHECK(world.candidatesExamined <= mostCandidates);
     }
 }
 
