--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -81,7 +81,7 @@
         startFlow(world, requestFor(lookupRoute()));
         const std::string first = world.calls[0].attempt.endpoint->record().id;
         world.end(0, how);
-        CHECK(world.checked == std::vector{first});
+        CHECK(world.probedEndpoints == std::vector{first});
         const bool isSuspected = !world.routing.runs()
                                           .suspectsOf(first, world.runtime.now() + milliseconds(1))
                                           .empty();
--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowWorld.h
@@ -43,7 +43,7 @@
     bool ended = false;
     bool aborted = false;
     std::optional<flow_record> record;
-    std::vector<std::string> checked; ///< endpoints that may have ended
+    std::vector<std::string> probedEndpoints; ///< endpoints that may have ended
     bool room = true;
     unsigned candidatesExamined = 0; ///< candidates that were looked at
     std::vector<std::shared_ptr<void>> flows; ///< kept alive as the server does
@@ -120,7 +120,7 @@
     }
     void checkEnded(const endpoint_ptr &endpoint)
     {
-        world->checked.push_back(endpoint->record().id);
+        world->probedEndpoints.push_back(endpoint->record().id);
     }
 };
 
