--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t fewEntries = 40;
+constexpr std::size_t entryCount = 40;
 constexpr unsigned endpoints = 60;
 /// Requests a second that a cold endpoint bears; warm ones get 8 each on average.
 constexpr double perSecond = 6;
@@ -48,7 +48,7 @@
         entries.store.put("orders", "contract", "7");
         for (unsigned i = 0; i < endpoints; ++i)
             startEndpoint("p" + std::to_string(i), milliseconds(0));
-        entries.start(0, fewEntries);
+        entries.start(0, entryCount);
         entries.runtime.advance(seconds(5));
         for (fleet_entry &entry : entries.entries)
             useContract(entry, bears);
