--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t entryCount = 40;
-constexpr unsigned endpoints = 60;
+constexpr unsigned endpointCount = 60;
 /// Requests a second that a cold endpoint bears; warm ones get 8 each on average.
 constexpr double perSecond = 6;
 /// All entries together get a request this often: three quarters of what the endpoints can do.
@@ -46,7 +46,7 @@
     {
         route.objective = milliseconds(2000);
         entries.store.put("orders", "contract", "7");
-        for (unsigned i = 0; i < endpoints; ++i)
+        for (unsigned i = 0; i < endpointCount; ++i)
             startEndpoint("p" + std::to_string(i), milliseconds(0));
         entries.start(0, entryCount);
         entries.runtime.advance(seconds(5));
@@ -188,10 +188,10 @@
 {
     constexpr double bears = 18;
     cold_world world(bears);
-    for (unsigned i = 0; i < endpoints; ++i)
+    for (unsigned i = 0; i < endpointCount; ++i)
         world.endEndpoint("p" + std::to_string(i));
     // Thirty bear 540 requests a second; 500 come.
-    for (unsigned i = 0; i < endpoints / 2; ++i)
+    for (unsigned i = 0; i < endpointCount / 2; ++i)
         world.startEndpoint("q" + std::to_string(i), seconds(20));
     world.play(seconds(2));
     world.served = 0;
