--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t entryCount = 40;
 constexpr unsigned endpointCount = 60;
 /// Requests a second that a cold endpoint bears; warm ones get 8 each on average.
-constexpr double perSecond = 6;
+constexpr double coldLimitPerSecond = 6;
 /// All entries together get a request this often: three quarters of what the endpoints can do.
 constexpr milliseconds between{2};
 constexpr milliseconds work{150};
@@ -163,16 +163,16 @@
         constexpr unsigned plays = 6;
         std::size_t atCold = 0;
         for (unsigned play = 0; play < plays; ++play) {
-            cold_world world(perSecond);
+            cold_world world(coldLimitPerSecond);
             world.play(milliseconds(130) * play);
             world.returnCold(returning);
-            CHECK(world.mostInSecond <= perSecond);
+            CHECK(world.mostInSecond <= coldLimitPerSecond);
             CHECK(world.refused == 0);
             atCold += world.atCold;
         }
         // Idle capacity serves: a sixth of what they bear. Owners with shares of three a second use
         // 0.7 of these six on average, with one 1.4: few owners seldom choose the endpoint.
-        CHECK(static_cast<double>(atCold) / plays >= 3 * perSecond / 6 * returning);
+        CHECK(static_cast<double>(atCold) / plays >= 3 * coldLimitPerSecond / 6 * returning);
     }
 }
 
@@ -181,7 +181,7 @@
     // What the shares guard against: all entries see the endpoints as idle.
     cold_world world(0);
     world.returnCold(2);
-    CHECK(world.mostInSecond > 1.5 * perSecond + 5);
+    CHECK(world.mostInSecond > 1.5 * coldLimitPerSecond + 5);
 }
 
 TEST_CASE("where all endpoints are cold, callers are served up to what these bear")
