--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -20,7 +20,7 @@
 /// Requests a second that a cold endpoint bears; warm ones get 8 each on average.
 constexpr double coldLimitPerSecond = 6;
 /// All entries together get a request this often: three quarters of what the endpoints can do.
-constexpr milliseconds between{2};
+constexpr milliseconds requestInterval{2};
 constexpr milliseconds work{150};
 constexpr milliseconds cold{3000};
 constexpr milliseconds heartbeat{1200};
@@ -93,8 +93,8 @@
     void play(duration time)
     {
         auto entry = entries.entries.begin();
-        for (duration passed{0}; passed < time; passed += between) {
-            entries.runtime.advance(between);
+        for (duration passed{0}; passed < time; passed += requestInterval) {
+            entries.runtime.advance(requestInterval);
             request(*entry);
             if (++entry == entries.entries.end())
                 entry = entries.entries.begin();
