--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -21,7 +21,7 @@
 constexpr double coldLimitPerSecond = 6;
 /// All entries together get a request this often: three quarters of what the endpoints can do.
 constexpr milliseconds requestInterval{2};
-constexpr milliseconds work{150};
+constexpr milliseconds serviceTime{150};
 constexpr milliseconds cold{3000};
 constexpr milliseconds heartbeat{1200};
 
@@ -116,7 +116,7 @@
         const std::string id = attempt.endpoint->record().id;
         arrived(id);
         ++running[id];
-        runtime().after(work, [this, events = std::move(events), id] {
+        runtime().after(serviceTime, [this, events = std::move(events), id] {
             proxy_answer answer;
             answer.load = {--running[id], 0, 1};
             answer.status = 200;
