--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -22,7 +22,7 @@
 /// All entries together get a request this often: three quarters of what the endpoints can do.
 constexpr milliseconds requestInterval{2};
 constexpr milliseconds serviceTime{150};
-constexpr milliseconds cold{3000};
+constexpr milliseconds coldPeriod{3000};
 constexpr milliseconds heartbeat{1200};
 
 struct cold_world;
@@ -148,8 +148,8 @@
             endEndpoint("p" + std::to_string(i));
         play(seconds(4));
         for (unsigned i = 0; i < returning; ++i)
-            startEndpoint("q" + std::to_string(i), cold);
-        play(cold + seconds(1));
+            startEndpoint("q" + std::to_string(i), coldPeriod);
+        play(coldPeriod + seconds(1));
     }
 };
 
