--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -36,7 +36,7 @@
     std::map<std::string, time_point> coldUntil; ///< of the endpoints, as they say
     std::map<std::string, std::deque<time_point>> arrivals; ///< of the last second
     std::map<std::string, unsigned> running; ///< requests that an endpoint works on
-    std::size_t mostInSecond = 0; ///< at a cold endpoint
+    std::size_t maxPerSecondWhileCold = 0; ///< at a cold endpoint
     std::size_t atCold = 0;
     unsigned served = 0;
     unsigned refused = 0;
@@ -138,7 +138,7 @@
         if (now >= coldUntil[id])
             return;
         ++atCold;
-        mostInSecond = std::max(mostInSecond, times.size());
+        maxPerSecondWhileCold = std::max(maxPerSecondWhileCold, times.size());
     }
 
     /// Endpoints are gone for some seconds and come back cold at once.
@@ -166,7 +166,7 @@
             cold_world world(coldLimitPerSecond);
             world.play(milliseconds(130) * play);
             world.returnCold(returning);
-            CHECK(world.mostInSecond <= coldLimitPerSecond);
+            CHECK(world.maxPerSecondWhileCold <= coldLimitPerSecond);
             CHECK(world.refused == 0);
             atCold += world.atCold;
         }
@@ -181,7 +181,7 @@
     // What the shares guard against: all entries see the endpoints as idle.
     cold_world world(0);
     world.returnCold(2);
-    CHECK(world.mostInSecond > 1.5 * coldLimitPerSecond + 5);
+    CHECK(world.maxPerSecondWhileCold > 1.5 * coldLimitPerSecond + 5);
 }
 
 TEST_CASE("where all endpoints are cold, callers are served up to what these bear")
@@ -197,7 +197,7 @@
     world.served = 0;
     world.refused = 0;
     world.play(seconds(6));
-    CHECK(world.mostInSecond <= bears);
+    CHECK(world.maxPerSecondWhileCold <= bears);
     CHECK(world.refused <= world.served / 50);
 }
 
