--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -37,7 +37,7 @@
     std::map<std::string, std::deque<time_point>> arrivals; ///< of the last second
     std::map<std::string, unsigned> running; ///< requests that an endpoint works on
     std::size_t maxPerSecondWhileCold = 0; ///< at a cold endpoint
-    std::size_t atCold = 0;
+    std::size_t sentWhileCold = 0;
     unsigned served = 0;
     unsigned refused = 0;
     std::vector<std::shared_ptr<fleet_flow>> flows;
@@ -137,7 +137,7 @@
             times.pop_front();
         if (now >= coldUntil[id])
             return;
-        ++atCold;
+        ++sentWhileCold;
         maxPerSecondWhileCold = std::max(maxPerSecondWhileCold, times.size());
     }
 
@@ -168,7 +168,7 @@
             world.returnCold(returning);
             CHECK(world.maxPerSecondWhileCold <= coldLimitPerSecond);
             CHECK(world.refused == 0);
-            atCold += world.atCold;
+            atCold += world.sentWhileCold;
         }
         // Idle capacity serves: a sixth of what they bear. Owners with shares of three a second use
         // 0.7 of these six on average, with one 1.4: few owners seldom choose the endpoint.
