--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t fewEntries = 40;
+constexpr std::size_t entryCount = 40;
 /// Far below what sites allow, which is five seconds.
 constexpr milliseconds inForce{1000};
 
@@ -32,7 +32,7 @@
         entries.store.put("orders", "contract", "7");
         for (const char *id : {"a@east", "b@east", "c@west", "d@west"})
             entries.store.put("endpoints", id, "v1");
-        entries.start(0, fewEntries);
+        entries.start(0, entryCount);
         entries.runtime.advance(seconds(5));
     }
 
@@ -53,16 +53,16 @@
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.runtime.advance(inForce);
-    CHECK(world.entriesThatSee(2) == fewEntries);
+    CHECK(world.entriesThatSee(2) == entryCount);
     world.entries.store.put("orders", "evacuate west", "{}");
     world.entries.runtime.advance(inForce);
-    CHECK(world.entriesThatSee(0) == fewEntries);
+    CHECK(world.entriesThatSee(0) == entryCount);
     world.entries.store.remove("orders", "evacuate east");
     world.entries.runtime.advance(inForce);
-    CHECK(world.entriesThatSee(2) == fewEntries);
+    CHECK(world.entriesThatSee(2) == entryCount);
     world.entries.store.remove("orders", "evacuate west");
     world.entries.runtime.advance(inForce);
-    CHECK(world.entriesThatSee(4) == fewEntries);
+    CHECK(world.entriesThatSee(4) == entryCount);
 }
 
 TEST_CASE("an entry that starts during an evacuation never sends there")
@@ -70,7 +70,7 @@
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.runtime.advance(inForce);
-    world.entries.start(fewEntries, fewEntries + 1);
+    world.entries.start(entryCount, entryCount + 1);
     fleet_entry &entry = world.entries.entries.back();
     for (int i = 0; i < 200; ++i) {
         world.entries.runtime.advance(milliseconds(5));
@@ -88,7 +88,7 @@
     world.entries.store.forgetful = true;
     world.entries.store.remove("orders", "evacuate east");
     world.entries.runtime.advance(inForce + inForce);
-    CHECK(world.entriesThatSee(4) == fewEntries);
+    CHECK(world.entriesThatSee(4) == entryCount);
 }
 
 TEST_CASE("an evacuation is in force soon after the store's return, and where entries are turned "
@@ -100,14 +100,14 @@
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.store.away = false;
     world.entries.runtime.advance(inForce);
-    CHECK(world.entriesThatSee(2) == fewEntries);
+    CHECK(world.entriesThatSee(2) == entryCount);
     // An odd one out of all, readers among them.
     std::size_t number = 0;
     for (fleet_entry &entry : world.entries.entries)
         entry.store.isTurnedAway = ++number % 2 == 0 && !entry.readers.empty();
     world.entries.store.remove("orders", "evacuate east");
     world.entries.runtime.advance(inForce);
-    CHECK(world.entriesThatSee(4) == fewEntries);
+    CHECK(world.entriesThatSee(4) == entryCount);
 }
 
 TEST_CASE("an evacuation is in force in time where the readers have lost power")
