--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t entryCount = 40;
 /// Far below what sites allow, which is five seconds.
-constexpr milliseconds inForce{1000};
+constexpr milliseconds propagationLimit{1000};
 
 std::size_t usableAt(fleet_entry &entry)
 {
@@ -52,16 +52,16 @@
 {
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(2) == entryCount);
     world.entries.store.put("orders", "evacuate west", "{}");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(0) == entryCount);
     world.entries.store.remove("orders", "evacuate east");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(2) == entryCount);
     world.entries.store.remove("orders", "evacuate west");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(4) == entryCount);
 }
 
@@ -69,7 +69,7 @@
 {
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     world.entries.start(entryCount, entryCount + 1);
     fleet_entry &entry = world.entries.entries.back();
     for (int i = 0; i < 200; ++i) {
@@ -84,10 +84,10 @@
 {
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     world.entries.store.forgetful = true;
     world.entries.store.remove("orders", "evacuate east");
-    world.entries.runtime.advance(inForce + inForce);
+    world.entries.runtime.advance(propagationLimit + propagationLimit);
     CHECK(world.entriesThatSee(4) == entryCount);
 }
 
@@ -99,14 +99,14 @@
     world.entries.runtime.advance(seconds(3));
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.store.away = false;
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(2) == entryCount);
     // An odd one out of all, readers among them.
     std::size_t number = 0;
     for (fleet_entry &entry : world.entries.entries)
         entry.store.isTurnedAway = ++number % 2 == 0 && !entry.readers.empty();
     world.entries.store.remove("orders", "evacuate east");
-    world.entries.runtime.advance(inForce);
+    world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(4) == entryCount);
 }
 
