--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -1,8 +1,8 @@
-//===-- Proxy/RequestFlow.h - one request on the direct path -----*- C++ -*-===//
+//===-- Proxy/RequestFlow.h - state machine of one request -------*- C++ -*-===//
 //
-// From a caller's request to its final answer: route, customer, endpoint, and what
-// follows when an attempt goes wrong. A template over its environment, so that tests run
-// the same code with fake endpoints and a paused clock.
+// Handles one request from its arrival to the final response: finds the route and the customer,
+// chooses an endpoint, and retries or resumes after a failed attempt. The class is a template over
+// its environment so that tests run the same code with fake endpoints and a manual clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOW_H
@@ -28,7 +28,8 @@
 
 namespace laurelcroft {
 
-/// What a flow needs around it.
+/// Requirements on the environment of a request_flow: the clock, the routing state, the calls to
+/// endpoints, the response to the caller, and hooks for logs and metrics.
 template <class E>
 concept flow_environment = requires(E env, proxy_attempt attempt, call_events events, call_id call,
                                     const endpoint_ptr &endpoint, const flow_record &record,
@@ -57,22 +58,22 @@
     env.sentFurther(record, further_send::repeat);
 };
 
-/// An endpoint that was picked for a send.
+/// The endpoint chosen for the next send.
 struct endpoint_pick
 {
     endpoint_ptr endpoint;
-    double waitMs = 0; ///< for prompts that it reads before, and for this one
+    double waitMs = 0; ///< expected time to read the prompts queued there and this one
     direct_reason reason = direct_reason::leastCost;
 };
 
-/// What a request's prompt costs the current model to read, the same at all endpoints.
+/// Cost for the current model to read the request's prompt; the same at all endpoints.
 struct prompt_cost
 {
-    unsigned sharedTokens = 0; ///< of its shared prefixes
+    unsigned sharedTokens = 0; ///< tokens of its shared prefixes
     double msPerToken = 0;
 };
 
-/// One request. Keep it alive until \c isDone.
+/// Handles one request. The owner must keep it alive until \c isDone returns true.
 template <flow_environment Env>
 class request_flow : public std::enable_shared_from_this<request_flow<Env>>
 {
@@ -84,18 +85,19 @@
     {
     }
 
-    /// Begins; the answer may come before it returns.
+    /// Starts handling the request. The response may be complete before this returns.
     void start();
 
-    /// Instead of start(), when this process ends at \p end: a request that is over by then in any
-    /// case is served, another one is refused at once.
-    /// \param retryAfter until this process, or another in its place, is ready.
+    /// Replaces start() while this process shuts down. A request whose deadline is at or before
+    /// \p end is served; any other is refused at once.
+    /// \param retryAfter time until this process or its successor is expected to be ready.
     void startDuringShutdown(time_point end, milliseconds retryAfter);
 
-    /// The caller left: whatever runs for it is stopped.
+    /// Called when the caller disconnects. Cancels the current attempt.
     void callerLeft();
 
-    /// The process must end: the answer is ended as well as can be.
+    /// Called when the process must exit. Ends the request as a timeout would, with the reason
+    /// flow_reason::stopping.
     void giveUp() { onDeadline(flow_reason::stopping); }
 
     bool isDone() const { return m_done; }
@@ -109,9 +111,10 @@
     const weighted_service &pickService();
     void sendNext();
     bool waitForRoom();
-    /// Looks again soon. \returns false when it has waited for \p longest.
+    /// Schedules another attempt to choose an endpoint.
+    /// \returns false when the request has already waited for \p longest.
     bool waitAndSend(milliseconds longest);
-    /// Sends, or waits again, unless the flow has ended by then.
+    /// Calls sendNext() after \p delay, unless the request has ended by then.
     void sendAfter(milliseconds delay);
     void beginRun();
     void refuseUnsent();
@@ -123,21 +126,24 @@
     std::optional<endpoint_pick> pickForResume(const std::vector<endpoint_ptr> &usable);
     bool runsSuspectedRequest(const service_endpoint &endpoint);
     bool isBoundToRegions() const;
-    /// \returns those of \p endpoints where both the route and the customer may be served.
+    /// \returns those of \p endpoints that lie in the permitted regions of both the route and the
+    /// customer.
     std::vector<endpoint_ptr> withinRegions(const std::vector<endpoint_ptr> &endpoints);
     direct_candidate candidateFor(const endpoint_ptr &endpoint, const prompt_cost &prompt);
-    /// Excludes \p candidate, whose endpoint is in backoff.
+    /// Marks \p candidate as excluded because its endpoint is in backoff.
     void applyBackoff(const service_endpoint &endpoint, direct_candidate &candidate);
-    /// Records that the excluded \p candidate becomes available at \p at, unless already tried.
+    /// Records that the excluded \p candidate becomes available at \p at. Endpoints that were
+    /// already tried are ignored.
     void noteAvailableAt(const direct_candidate &candidate, time_point at);
-    /// Excludes \p candidate when this entry's share of the endpoint's rate limit is used up.
+    /// Marks \p candidate as excluded when this entry's share of the endpoint's rate limit is used
+    /// up.
     void applyRateLimit(const service_endpoint &endpoint, direct_candidate &candidate);
     std::optional<endpoint_pick> pickAmong(const std::vector<endpoint_ptr> &endpoints);
-    /// \param items what is to be known of \p endpoints to leave out some.
+    /// \param items sampling data of \p endpoints, in the same order.
     std::optional<endpoint_pick> pickAmong(const std::vector<endpoint_ptr> &endpoints,
                                            std::span<const sampled_endpoint> items);
-    /// \returns indices of endpoints that are out of backoff and within their rate limits. Used
-    /// when a sample has none. The search starts at a position derived from \p draw.
+    /// \returns indices of endpoints that are neither in backoff nor above their rate limit. Used
+    /// when the sample contains none. The search starts at a position derived from \p draw.
     std::vector<std::size_t> availableEndpoints(const std::vector<endpoint_ptr> &endpoints,
                                                 std::uint64_t draw);
     std::optional<endpoint_pick> pickEligible(const std::vector<endpoint_ptr> &usable);
@@ -146,12 +152,12 @@
     send_budget &budget() { return m_env.routing().repeats(m_service); }
     double allowanceShare() { return m_env.routing().shareOfEntries(); }
     bool mayTakeFurtherSend(further_send what);
-    /// Takes a further send out of the budget, unless one is held already.
-    /// \returns false when there is none.
+    /// Reserves a further send in the budget, unless one is reserved already.
+    /// \returns false when the budget is exhausted.
     bool takeFurtherSend(further_send what);
     call_events eventsFor(unsigned number);
     void watchProgress(unsigned number);
-    /// Tells the judge of versions when the current attempt's first part is late.
+    /// Reports to the roll-out tracker when the first part of the current attempt is late.
     void noteSlowWait();
     std::vector<prompt_prefix> prefixesOf(const std::string &model) const;
     std::string modelName() const;
@@ -163,12 +169,12 @@
     bool isEndpointSilent();
 
     void onAnswer(proxy_answer &&answer);
-    /// Updates the endpoint's load and rate limit from the head of the answer.
+    /// Updates the endpoint's load, rate limit, leaving state and backoff from the answer's head.
     void noteEndpointState();
-    /// Tells, once a request, that an endpoint runs it from now on. It is so in nearly all cases;
-    /// what was counted when this process ends had mostly begun.
+    /// Reports, once per request, that an endpoint runs it. This happens at the send, so that a
+    /// process that exits has counted the requests it sent; nearly all of them do run.
     void noteRun();
-    /// Takes that back: the endpoint of the current attempt has not run it.
+    /// Reverts noteRun() when the endpoint of the current attempt did not run the request.
     void noteNotRun();
     void noteWait();
     void escalate();
@@ -177,22 +183,24 @@
     void onEvent(const stream_event &event);
     void onEnd(call_end end);
     void endAttempt(attempt_end end);
-    /// Ends the call; where the connection was lost, it is looked up whether the endpoint lives.
+    /// Ends the attempt and its call. After a lost connection, checks whether the endpoint's
+    /// process has ended.
     void releaseEndpoint(attempt_end end);
     void countAttempt(attempt_end end);
-    /// What follows from an attempt that was not answered, and why, for the log.
+    /// \returns the next step after an unanswered attempt; records its reason for the log.
     next_step decideNextStep(attempt_end end);
     void executeStep(next_step step, attempt_end end);
     void sendAgain(further_send what);
     void closeAttempt(attempt_end end);
     void endRun();
-    /// \returns the request's key where something speaks against any request; it costs a hash of
-    /// the body.
+    /// \returns the request's key, or nothing while no request at all is suspected of crashing
+    /// endpoints. Computing the key hashes the body.
     std::optional<request_key> keyIfSuspected();
     suspicion ownSuspicion();
     bool waitForTrial();
     void endTrial();
-    /// An endpoint has answered the request, or runs it for long.
+    /// Clears the request of suspicion at the endpoint's version, since the endpoint has answered
+    /// it or has run it for long without crashing.
     void clearOfSuspicion();
     void onDeadline(flow_reason why);
 
@@ -200,7 +208,7 @@
     attempt_facts facts();
     bool isValidSuccess() const;
     void deliver();
-    /// \returns when a caller should come back whom endpoints had no room for.
+    /// \returns the Retry-After for a caller whose request was refused by all endpoints tried.
     milliseconds retryAfterAllRefused();
     void refuse(int status, flow_reason why, std::optional<milliseconds> retryAfter);
     void finish(flow_reason why, int status);
@@ -217,13 +225,12 @@
     const contract_customer *m_customer = nullptr;
     std::string m_service;
     std::uint64_t m_session = 0;
-    version_reason m_versionReason = version_reason::single; ///< of the last choice
-    std::vector<prompt_prefix> m_prefixes; ///< of the current model, shared ones only
-    double m_readingMs = 0; ///< of the current attempt, until its first event
-    double m_expectedReadingMs
-            = 0; ///< reading that is before the first event of the current attempt
-    double m_ownReadingShare = 1; ///< of all that reading, the current attempt's own prompt
-    double m_remoteReadingMs = 0; ///< the same of other entries' prompts, as far as they have told
+    version_reason m_versionReason = version_reason::single; ///< of the last choice's version
+    std::vector<prompt_prefix> m_prefixes; ///< shared prefixes, hashed for the current model
+    double m_readingMs = 0; ///< own prompt reading in progress; 0 once the answer has begun
+    double m_expectedReadingMs = 0; ///< until the first event of the current attempt
+    double m_ownReadingShare = 1; ///< share of the own prompt in endpoint_pick::waitMs
+    double m_remoteReadingMs = 0; ///< expected reading of prompts that other entries reported
     unsigned m_readTokens = 0;
     time_point m_arrivedAt{};
     time_point m_deadline{};
@@ -232,47 +239,44 @@
     flow_record m_record;
 
     std::vector<std::string> m_tried;
-    std::set<std::string>
-            m_failedDataCentres; ///< data centres where an attempt broke or found nobody
+    std::set<std::string> m_failedDataCentres; ///< where an attempt broke off or could not connect
     std::size_t m_modelIndex = 0;
-    unsigned m_sends = 0; ///< that reached or may have reached an endpoint
-    unsigned m_unreached = 0; ///< endpoints that were not found at their addresses
-    unsigned m_receivedSends = 0; ///< sends that some process took
-    std::optional<further_send> m_reservedSend; ///< out of the budget and not made yet
-    std::optional<further_send>
-            m_currentFurtherSend; ///< the current attempt, when it is a further send
-    bool m_excludedCold = false; ///< the last choice passed over an endpoint that bears no more now
-    bool m_excludedInBackoff = false; ///< the last choice passed over one in backoff
-    bool m_excludedRateLimited = false; ///< the last choice passed over one for its rate limit
-    std::optional<time_point> m_nextAvailableAt; ///< of the endpoints passed over, the earliest
-    suspicion m_suspicion = suspicion::none; ///< of this request, at the last choice
-    bool m_isTrial = false; ///< the current attempt is one of a suspected request
-    bool m_excludedWithheld = false; ///< the last choice left out endpoints that must not get it
-    bool m_excludedByRegion
-            = false; ///< the last choice passed over an endpoint outside its regions
-    bool m_coldRoomExpected = false; ///< one of those has a share for this entry
-    std::optional<time_point> m_waitingSince; ///< for room at a cold endpoint
-    unsigned m_attemptNumber = 0; ///< of the current attempt; older ones' events are void
+    unsigned m_sends = 0; ///< sends that reached or may have reached the intended endpoint
+    unsigned m_unreached = 0; ///< endpoints that could not be reached at their addresses
+    unsigned m_receivedSends = 0; ///< sends that any process received, including misdirected ones
+    std::optional<further_send> m_reservedSend; ///< taken from the budget, not sent yet
+    std::optional<further_send> m_currentFurtherSend; ///< set if the attempt is a further send
+    bool m_excludedCold = false; ///< the last choice excluded a cold endpoint at capacity
+    bool m_excludedInBackoff = false; ///< the last choice excluded an endpoint in backoff
+    bool m_excludedRateLimited = false; ///< the last choice excluded an endpoint at its rate limit
+    std::optional<time_point> m_nextAvailableAt; ///< earliest time an excluded endpoint is usable
+    suspicion m_suspicion = suspicion::none; ///< of this request, as of the last choice
+    bool m_isTrial = false; ///< the request was under suspicion when the current attempt was sent
+    bool m_excludedWithheld = false; ///< the last choice withheld the request from an endpoint
+    bool m_excludedByRegion = false; ///< the last choice excluded an endpoint outside the regions
+    bool m_coldRoomExpected = false; ///< this entry has a share of an untried cold endpoint
+    std::optional<time_point> m_waitingSince; ///< start of the wait for an available endpoint
+    unsigned m_attemptNumber = 0; ///< current attempt; events of earlier attempts are ignored
     call_id m_call = 0;
-    endpoint_ptr m_endpoint; ///< of the current attempt; null between attempts
-    endpoint_ptr m_escalatedFrom; ///< whose answer was dropped for a larger model
-    std::shared_ptr<endpoint_run> m_run; ///< of the current attempt
+    endpoint_ptr m_endpoint; ///< endpoint of the current attempt; null between attempts
+    endpoint_ptr m_escalatedFrom; ///< endpoint whose answer was dropped for a larger model's
+    std::shared_ptr<endpoint_run> m_run; ///< run of the current attempt
     proxy_answer m_answer;
-    bool m_headReceived = false; ///< the current attempt's head has come
-    std::optional<time_point> m_runNotedAt; ///< when an endpoint is told to have begun to run it
-    bool m_mayHaveRun = false; ///< at an earlier endpoint
-    bool m_hasEndpointFailure = false; ///< the last attempt brought an endpoint's own whole failure
-    bool m_streamBegun = false; ///< the caller has the head of a stream
-    std::string m_streamVersion; ///< of the endpoint that began the stream
+    bool m_headReceived = false; ///< the head of the current attempt's answer was received
+    std::optional<time_point> m_runNotedAt; ///< start of the run that was reported
+    bool m_mayHaveRun = false; ///< the request may have run at an earlier endpoint
+    bool m_hasEndpointFailure = false; ///< the last attempt ended with a complete error answer
+    bool m_streamBegun = false; ///< the head of a stream was passed to the caller
+    std::string m_streamVersion; ///< software version of the endpoint that began the stream
     std::optional<std::uint64_t> m_lastEventId;
     std::string m_body;
     std::unique_ptr<event_splitter> m_splitter;
     time_point m_attemptAt{};
     time_point m_lastProgressAt{};
-    time_point m_firstEventAt{}; ///< of the current attempt
+    time_point m_firstEventAt{}; ///< first event of the current attempt
     std::int64_t m_attemptEvents = 0;
     bool m_hasFirstEvent = false;
-    bool m_countedSlow = false; ///< the current attempt, as a slow answer of its version
+    bool m_countedSlow = false; ///< the current attempt was counted as a slow answer
     bool m_done = false;
 };
 
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RequestFlowAnswering.h - a flow's way to an answer -*- C++ -*-===//
+//===-- Proxy/RequestFlowAnswering.h - answers and failures ------*- C++ -*-===//
 //
-// Members of request_flow from an endpoint's answer to the caller's. Included by
-// RequestFlow.h only.
+// Members of request_flow that handle an endpoint's answer, the end of an attempt, and the response
+// to the caller. Included by RequestFlow.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOWANSWERING_H
@@ -89,8 +89,8 @@
 template <flow_environment Env>
 void request_flow<Env>::escalate()
 {
-    // What may end its endpoint keeps to it, so that its end is seen: a larger model's endpoint
-    // would be the next to end.
+    // A suspected request stays at its endpoint, so that a crash is attributed to it. Escalation
+    // could crash the larger model's endpoint as well.
     if (!m_request->anyModel || ownSuspicion() != suspicion::none)
         return;
     cascade_view view = cascadeView();
@@ -98,7 +98,7 @@
     const std::optional<std::size_t> larger = escalatesTo(settings, view);
     if (!larger)
         return;
-    // The answer is dropped only when another endpoint stands ready for the larger model.
+    // Drop the answer only if an endpoint is available for the larger model.
     const std::vector<std::string> tried = std::exchange(m_tried, {});
     const std::size_t smaller = std::exchange(m_modelIndex, *larger);
     m_prefixes = prefixesOf(modelName());
@@ -119,7 +119,7 @@
     closeAttempt(attempt_end::answered);
     m_env.cancel(m_call);
     m_mayHaveRun = true;
-    // The dropped answer's send has reached its endpoint, though the attempt was not ended there.
+    // The dropped attempt reached its endpoint, but it is not counted by countAttempt().
     ++m_receivedSends;
     ++m_record.escalations;
     send(*pick);
@@ -152,7 +152,7 @@
     ++m_attemptEvents;
     if (!std::exchange(m_hasFirstEvent, true)) {
         m_firstEventAt = m_lastProgressAt;
-        // The next pause is bounded more tightly than the wait for the first event.
+        // Pauses between events have a shorter limit than the wait for the first event.
         m_env.runtime().cancel(m_progressTimer);
         watchProgress(m_attemptNumber);
     }
@@ -241,8 +241,8 @@
             rollouts.observeSilence(version, m_route->name, at);
         break;
     case attempt_end::refused:
-        // A process that is gone seldom comes back at its address, and the record of its successor
-        // takes a second to come: 24 of 37,000 callers met three such endpoints in a row.
+        // An ended process rarely comes back at its address, and the record of its successor takes
+        // a second to arrive. Without this, 24 of 37,000 callers met three such endpoints in a row.
         if (m_answer.misdirected)
             m_endpoint->unreachable(at);
         else
@@ -275,7 +275,7 @@
             = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::maxUnreachedEndpoints;
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
     facts.timeLeft = timeLeft() >= flow_bounds::minAttemptTime;
-    // A stream that has begun goes on against the odds: its caller would lose what it holds.
+    // A begun stream is always resumed if possible: the caller would lose what it has received.
     facts.hasChance = m_streamBegun || !outlook().isHopeless(now());
     return facts;
 }
@@ -307,18 +307,19 @@
     closeAttempt(end);
     if (isLost)
         m_env.checkEnded(endpoint);
-    // The endpoint whose answer was dropped may have ended just after, unseen.
+    // The endpoint whose answer was dropped may have ended right after that, unnoticed.
     if (isLost && m_escalatedFrom)
         m_env.checkEnded(std::exchange(m_escalatedFrom, nullptr));
-    // A call that is still under way must not run beside the next one.
+    // A call that is still in progress must not overlap with the next one.
     m_env.cancel(m_call);
 }
 
 template <flow_environment Env>
 void request_flow<Env>::countAttempt(attempt_end end)
 {
-    // Another process lives at the address: the endpoint that was meant saw nothing. A request for
-    // which one endpoint is allowed would be refused beside others that have room.
+    // A misdirected send never reached the intended endpoint, so it doesn't count against the
+    // route's limit of endpoints. Otherwise a request limited to one endpoint would be refused
+    // although other endpoints have capacity.
     const bool isMisdirected = end == attempt_end::refused && m_answer.misdirected;
     const bool metEndpoint = end != attempt_end::notSent && !isMisdirected;
     if (!metEndpoint) {
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RequestFlowChoosing.h - a flow's next endpoint -----*- C++ -*-===//
+//===-- Proxy/RequestFlowChoosing.h - endpoint selection ---------*- C++ -*-===//
 //
-// Members of request_flow that choose an endpoint, and with it a version. Included by RequestFlow.h
-// only.
+// Members of request_flow that choose the endpoint, and thereby the software version, of the next
+// attempt. Included by RequestFlow.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOWCHOOSING_H
@@ -23,10 +23,11 @@
     const bool first = !m_request->anyModel || m_modelIndex == 0;
     if (first || rate.isKnown())
         return rate.msPerToken();
-    // Before a larger model has read a prompt for this entry, its price tells how much slower it
-    // is than the smallest: entries that have just started would else ask it for all. It gains
-    // 0.026 of worth on 32 entries with 57 endpoints (0.619 to 0.646, 3 days with faults) and 0.010
-    // on 21 with 40; on 3 or 4 entries nothing, since they see a larger model read soon.
+    // Until a larger model has read a prompt for this entry, estimate its speed from the ratio of
+    // its price to the smallest model's. Without the estimate, entries that have just started
+    // escalate every request. It raises the score by 0.026 with 32 entries and 57 endpoints
+    // (0.619 to 0.646, 3 test days with faults) and by 0.010 with 21 and 40, but not with 3 or 4
+    // entries, which observe a larger model's speed soon.
     const service_description *service = m_contract->findService(m_service);
     const std::string &smallest = m_route->models.front();
     const double slower = service ? service->priceRatio(modelName(), smallest) : 1;
@@ -48,12 +49,12 @@
     m_suspicion = ownSuspicion();
     rollout_tracker &rollouts = state.rollouts(m_service);
     const std::vector<endpoint_ptr> &listed = state.directory().usable(m_service);
-    // Before anything is sampled: of thousands, few may stand where the request may be served.
+    // Filter before sampling: only a few of thousands of endpoints may lie in permitted regions.
     const std::vector<endpoint_ptr> within
             = isBoundToRegions() ? withinRegions(listed) : std::vector<endpoint_ptr>();
     const std::vector<endpoint_ptr> &usable = isBoundToRegions() ? within : listed;
-    // Where a roll-out is over, the version that began the stream may have ended at once; before
-    // this entry hears so, refused connections tell.
+    // The version that began the stream may be gone: a completed or reverted roll-out can end it
+    // everywhere at once. Refused connections show this before the roll-out row arrives.
     const bool mayHaveEnded
             = rollouts.isOver() || m_unreached >= flow_bounds::unreachedBeforeVersionChange;
     if (m_streamBegun && !mayHaveEnded) {
@@ -68,13 +69,13 @@
         return first;
     if (std::optional<endpoint_pick> same = pickSameVersion(usable))
         return same;
-    // What failed on a trial's few endpoints is still served by the settled version.
+    // A request that failed on the few endpoints of a trial is served by the settled version.
     std::optional<endpoint_pick> second = pickAmong(rollouts.settled(usable));
     if (second)
         m_versionReason = version_reason::fallback;
     if (second || !m_mayHaveRun)
         return second;
-    // All have been asked: one that failed once may well serve the request the next time.
+    // All endpoints were tried. One that failed may serve the request at a second attempt.
     m_tried.clear();
     return pickEligible(usable);
 }
@@ -83,9 +84,10 @@
 std::optional<endpoint_pick>
 request_flow<Env>::pickSameVersion(const std::vector<endpoint_ptr> &usable)
 {
-    // A session on trial keeps its version while there is an endpoint that may answer: where a
-    // third of the endpoints crashed, attempts that failed at the trial's few moved 1 to 3
-    // requests of a day back on 5 of 7 days. A version that is bad is not asked again.
+    // A session on trial keeps its version while any endpoint of the version may answer, not only
+    // the few of the trial. Without this, when a third of the endpoints crashed, failed attempts at
+    // the few moved 1 to 3 requests per day back to the old version on 5 of 7 days. A version that
+    // was found bad is not tried again.
     rollout_tracker &rollouts = m_env.routing().rollouts(m_service);
     if (m_request->session.empty() || rollouts.judge().isFoundBad())
         return std::nullopt;
@@ -100,10 +102,10 @@
 std::optional<endpoint_pick>
 request_flow<Env>::pickForResume(const std::vector<endpoint_ptr> &usable)
 {
-    // A stream goes on where it began: a trial that has started meanwhile may fail what the caller
-    // holds half of. The last attempt trusts no version on trial that something speaks against;
-    // it answered one of 106,000 streams with a failure after which nothing was left but to break
-    // the stream off.
+    // Resume a stream at the version that began it: a trial started in the meantime may fail a
+    // stream that the caller has half received. The last attempt avoids a suspected version on
+    // trial: such a version failed the last attempt of one of 106,000 streams, which then had to be
+    // aborted.
     const bool isLast = m_sends + 1 >= m_route->mostEndpoints;
     if (isLast && m_env.routing().rollouts(m_service).judge().isSuspected()) {
         std::optional<endpoint_pick> settled
@@ -142,9 +144,9 @@
     candidate.unseenMs = prompt.msPerToken * (prompt.sharedTokens - kept);
     candidate.failureShare = endpoint->failureShare(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
-    // An endpoint that refuses at once has no load and so the lowest cost. Further attempts avoid
-    // it until it accepts a request, so that one request does not spend all its attempts on such
-    // endpoints.
+    // An endpoint that refuses immediately has no load and thus the lowest cost. Further attempts
+    // avoid it until it accepts a request, so that one request does not spend all its attempts on
+    // such endpoints.
     candidate.avoided
             = endpoint->isAvoided(at) || (m_receivedSends > 0 && endpoint->isRecoveryUnconfirmed());
     candidate.tried
@@ -226,8 +228,9 @@
 template <flow_environment Env>
 bool request_flow<Env>::runsSuspectedRequest(const service_endpoint &endpoint)
 {
-    // Two suspects of one end that go on to the same endpoint can't be told apart by its end, and
-    // everybody keeps away from where one is on trial.
+    // Two requests suspected of the same crash must not share an endpoint, or its next crash can't
+    // be attributed to one of them. No other request should use an endpoint that runs a strongly
+    // suspected one.
     crash_watch &crashes = m_env.routing().crashes();
     const bool isSuspected = m_suspicion != suspicion::none;
     if (!isSuspected && !crashes.suspects().hasTrials())
@@ -298,7 +301,7 @@
 {
     routing_state &state = m_env.routing();
     rollout_tracker &rollouts = state.rollouts(m_service);
-    // Mostly there is one version, and nothing needs to be looked through.
+    // Common case: there is only one version, and the endpoints need no filtering.
     if (rollouts.mayUseAll(state.directory().onlyVersion(m_service))) {
         m_versionReason = version_reason::single;
         if (isBoundToRegions())
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -1,6 +1,7 @@
-//===-- Proxy/RequestFlowSending.h - a flow's way to an endpoint -*- C++ -*-===//
+//===-- Proxy/RequestFlowSending.h - admission and sends ---------*- C++ -*-===//
 //
-// Members of request_flow up to a send and the watch over it. Included by RequestFlow.h only.
+// Members of request_flow that admit a request, send it to an endpoint and monitor the attempt's
+// progress. Included by RequestFlow.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOWSENDING_H
@@ -25,8 +26,9 @@
 {
     if (!admit())
         return;
-    // The balancer has nobody else while all entries are restarted one after the other: serving
-    // these gains 0.017 of worth on such days (0.676 to 0.693, 6 days of 34 s, 3 entries).
+    // While all entries are restarted one after the other, the load balancer has no other entry to
+    // send to. Serving these requests raises the score on such days by 0.017 (0.676 to 0.693, 6
+    // test days of 34 s, 3 entries).
     if (m_deadline <= end)
         serve();
     else
@@ -117,7 +119,7 @@
 {
     std::vector<prompt_prefix> prefixes;
     std::uint64_t hash = stableHash(model);
-    // The last part is the request's own: nobody else reads it.
+    // The last part is unique to the request, so no other request shares it.
     for (std::size_t i = 0; i + 1 < m_request->promptParts.size(); ++i) {
         const prompt_part &part = m_request->promptParts[i];
         hash = stableHash(part.id, hash);
@@ -229,8 +231,9 @@
     const bool hasMetAnEnd = own == suspicion::weak && m_mayHaveRun;
     if (own != suspicion::strong && !hasMetAnEnd)
         return false;
-    // Another try of the same request shows within the time of an answer whether it does harm:
-    // then all go on, or all are refused. Each that went on beside it could end one more endpoint.
+    // Wait while an identical request is on trial: its outcome shows within the time of an answer
+    // whether the request crashes endpoints. Then all waiting requests proceed or all are refused.
+    // Each one that was sent concurrently could crash one more endpoint.
     const crash_suspects &suspects = m_env.routing().suspects();
     if (suspects.isInDoubt(*m_record.key, now())) {
         sendAfter(flow_bounds::roomCheckInterval);
@@ -246,11 +249,11 @@
 bool request_flow<Env>::waitForRoom()
 {
     const milliseconds longestWait = m_route->objective / flow_bounds::roomWaitDivisor;
-    // Only a request that may have run waits for an endpoint that is available soon, so that its
-    // work is kept; others are refused and can be retried by the caller.
+    // Only a request that may have run waits for an endpoint that becomes available soon, so that
+    // its work is not lost. Others are refused and can be retried by the caller.
     const bool isAvailableSoon = (m_streamBegun || m_mayHaveRun) && m_nextAvailableAt
             && *m_nextAvailableAt - now() <= longestWait;
-    // Where this entry owns none of the cold endpoints, waiting would end like this, only later.
+    // Without a share of any cold endpoint, waiting would only delay the refusal.
     if (!m_coldRoomExpected && !isAvailableSoon)
         return false;
     return waitAndSend(longestWait);
@@ -305,7 +308,7 @@
     m_endpoint->prompts().note(m_prefixes);
     m_tried.push_back(endpoint->record().id);
     assert((m_receivedSends == 0 || m_reservedSend)
-           && "a further send is taken out of the budget first");
+           && "a further send must be reserved in the budget first");
     m_currentFurtherSend
             = m_receivedSends > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
     if (m_currentFurtherSend)
@@ -348,8 +351,8 @@
 template <flow_environment Env>
 bool request_flow<Env>::takeFurtherSend(further_send what)
 {
-    // Taken when it is decided on: of requests that wait before they are sent, each would find the
-    // same budget else.
+    // Reserve the send as soon as it is decided. Otherwise several requests that wait before their
+    // send would all count on the same remaining budget.
     if (!m_reservedSend && budget().take(now(), allowanceShare(), what))
         m_reservedSend = what;
     return m_reservedSend.has_value();
@@ -423,7 +426,8 @@
 {
     if (!m_route->mayRepeat())
         return;
-    // Whether the endpoint works on others is asked now and then: it may fall silent later.
+    // Check at intervals even if the limit is far away: the endpoint may become silent later, which
+    // shortens the limit.
     const auto due = m_lastProgressAt + currentPatience();
     const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
                                                flow_bounds::progressCheckInterval);
