--- a/include/laurelcroft/Proxy/FlowTypes.h
+++ b/include/laurelcroft/Proxy/FlowTypes.h
@@ -1,6 +1,6 @@
-//===-- Proxy/FlowTypes.h - the record of a request --------------*- C++ -*-===//
+//===-- Proxy/FlowTypes.h - request outcome types and limits -----*- C++ -*-===//
 //
-// What is logged and counted of one request, and the bounds that flows keep.
+// The record of one request for logs and metrics, and the timeouts and limits of request flows.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_FLOWTYPES_H
@@ -16,102 +16,103 @@
 
 namespace laurelcroft {
 
-/// Why a request ended as it did.
+/// Why a request ended.
 enum class flow_reason {
     served,
-    endpointFailure, ///< the endpoint's own failure was passed on
+    endpointFailure, ///< the endpoint's own error answer was passed on
     noContract,
     noRoute,
     unknownKey,
     tooLarge,
-    noEndpoint, ///< none that may be used is listed or reachable
-    coldEndpoints, ///< all that are left are cold and bear no more now
-    limitedEndpoints, ///< this entry's shares of the rate limits of all that are left are used up
-    backoffEndpoints, ///< all that are left are in backoff after a Retry-After
-    evacuated, ///< all that are listed stand in data centres that must get nothing
-    withheld, ///< endpoints ended under it, one after the other
-    outsideRegions, ///< all that are left stand outside the regions that it is bound to
-    refusedByEndpoints, ///< all that were asked refused without running it
-    brokenAttempt, ///< an endpoint broke off and nothing more may be tried
-    silentEndpoint,
-    timedOut, ///< the route's timeout or the caller's patience
-    callerLeft,
-    stopping ///< this process ends
+    noEndpoint, ///< no usable endpoint is listed or reachable
+    coldEndpoints, ///< the remaining endpoints are cold and have no spare capacity
+    limitedEndpoints, ///< this entry's shares of the remaining rate limits are used up
+    backoffEndpoints, ///< the remaining endpoints are in backoff after a Retry-After
+    evacuated, ///< all listed endpoints are in evacuated data centres
+    withheld, ///< the request is withheld because endpoints crashed while running it
+    outsideRegions, ///< the remaining endpoints are outside the permitted regions
+    refusedByEndpoints, ///< all endpoints tried refused it without running it
+    brokenAttempt, ///< an endpoint broke off and no further attempt is allowed
+    silentEndpoint, ///< an endpoint made no progress and no further attempt is allowed
+    timedOut, ///< the route's timeout or the caller's own limit elapsed
+    callerLeft, ///< the caller disconnected
+    stopping ///< this process is shutting down
 };
 
 std::string_view textOf(flow_reason reason);
 
-/// One request, as logged at its end.
+/// What is logged and counted of one request.
 struct flow_record
 {
     std::string request;
     std::string session;
-    std::optional<std::uint64_t> key; ///< the same when the request comes again; once it matters
+    std::optional<std::uint64_t> key; ///< the same for each retry by the caller; set when needed
     std::string route;
     std::string customer;
     std::string service;
-    std::string endpoint; ///< the last one
+    std::string endpoint; ///< of the last attempt
     std::string endpointVersion;
     bool endpointLeaving = false; ///< as stated in the answer to the last attempt
     std::optional<milliseconds> endpointRetryAfter; ///< from a 503 to the last attempt
-    std::string_view versionReason; ///< why that version; empty: nothing was sent
-    std::string_view stage; ///< of a roll-out, as this entry knew it at the last send
+    std::string_view versionReason; ///< why this version was used; empty if nothing was sent
+    std::string_view stage; ///< roll-out stage known to this entry at the last send
     std::string model;
-    std::string choice; ///< why that endpoint
-    std::uint64_t contract = 0;
+    std::string choice; ///< why this endpoint was chosen
+    std::uint64_t contract = 0; ///< version of the contract
     unsigned attempts = 0;
-    milliseconds attemptDuration{0}; ///< the last attempt
-    milliseconds timeLeft{0}; ///< of the deadline, when the last attempt ended
-    attempt_lack lack = attempt_lack::nothing; ///< of a further attempt, when the last one ended
-    double budgetLeft = 0; ///< further sends that the budget had left then
+    milliseconds attemptDuration{0}; ///< of the last attempt
+    milliseconds timeLeft{0}; ///< until the deadline, when the last attempt ended
+    attempt_lack lack = attempt_lack::nothing; ///< why no further attempt was possible
+    double budgetLeft = 0; ///< further sends left in the budget at that time
     unsigned resumes = 0;
     unsigned escalations = 0;
     std::optional<int> confidence;
-    /// When a larger model's first part was expected, as a share of the objective; 0: none was
-    /// thought of. Above 1 the doubtful answer was kept.
+    /// When the first part of a larger model's answer was expected, as a share of the objective; 0
+    /// if no larger model was considered. Above 1, the low-confidence answer was kept.
     double largerExpectedAt = 0;
-    double serviceWait = 0; ///< recent mean at the service, as a share of the objective
+    double serviceWait = 0; ///< recent mean wait at the service, as a share of the objective
     int status = 0;
     flow_reason reason = flow_reason::served;
     std::optional<milliseconds> firstPart; ///< from arrival to the first event or the answer
     milliseconds total{0};
-    std::uint64_t events = 0;
+    std::uint64_t events = 0; ///< passed to the caller
 };
 
 namespace flow_bounds {
 
-/// A request that can't get this much of an endpoint's time is not sent any more: less
-/// than any prompt or call takes.
+/// A request with less time left is not sent again: no prompt or call takes less than this.
 inline constexpr milliseconds minAttemptTime{30};
-/// Endpoints without a connection that one request tries before it is given up.
+/// Number of unreachable endpoints that one request tries before it fails.
 inline constexpr unsigned maxUnreachedEndpoints = 4;
-/// Endpoints without a connection after which a begun stream no longer keeps to its version: half
-/// of those that it may try.
+/// Number of unreachable endpoints after which a begun stream may continue at another version: half
+/// of maxUnreachedEndpoints.
 inline constexpr unsigned unreachedBeforeVersionChange = 2;
-/// An endpoint that answers none of this entry's requests for this long seems dead. Several
-/// steps of a full batch, and the reading of a long prompt between two of them.
+/// An endpoint that makes no progress on any of this entry's requests for this long is presumed
+/// dead. Covers several decoding steps of a full batch and the reading of a long prompt in between.
 inline constexpr milliseconds endpointSilenceTimeout{700};
-/// How often a wait is looked at.
+/// Longest time between two checks of an attempt's progress.
 inline constexpr milliseconds progressCheckInterval{400};
-/// A request waits for room at cold endpoints for the objective over this: their shares are there
-/// again within a second or less, and it is still answered in time.
+/// A request waits for an available endpoint for at most the route's objective divided by this.
+/// Shares of cold endpoints are refilled within a second, and the answer is still in time.
 inline constexpr int roomWaitDivisor = 4;
-/// A suspected request that is sent again waits this long: its endpoint's address is looked at
-/// meanwhile, which takes 2 to 5 ms in one region.
+/// Delay before a suspected request is sent again. The endpoint is probed in the meantime, which
+/// takes 2 to 5 ms within one region.
 inline constexpr milliseconds suspectResendDelay{10};
-/// How often a request that waits looks again.
+/// Interval at which a waiting request tries to choose an endpoint again.
 inline constexpr milliseconds roomCheckInterval{25};
-/// Told to callers that are refused: about the time in which a place becomes free.
+/// Shortest Retry-After sent to refused callers: about the time in which a slot becomes free.
 inline constexpr milliseconds minRetryAfter{250};
-/// The most that is told to callers while a service answers nobody: a third of the time that most
-/// of them have, and they wait no longer than that.
+/// Longest Retry-After, used while a service answers no requests: a third of the time limit of most
+/// callers. They do not wait longer than that.
 inline constexpr milliseconds maxRetryAfter{4000};
-/// Told when there is no contract or no endpoint at all: some reads of the store.
+/// Retry-After when there is no contract or no endpoint at all: enough time for several reads of
+/// the store.
 inline constexpr milliseconds defaultRetryAfter{600};
-/// Weight of the reading that other entries told of, against an entry's own: it is a guess of how
-/// far they are, and they see the same endpoints as free. Half served best of 1 and 0.5.
+/// Weight of prompt reading reported by other entries, relative to this entry's own. The remaining
+/// time of those prompts is only an estimate, and the other entries see the same endpoints as free.
+/// Of 1 and 0.5, 0.5 served best.
 inline constexpr double remoteReadingWeight = 0.5;
-/// Largest whole answer that is kept, bytes: what a body may be in either direction.
+/// Largest buffered answer, in bytes; the limit for a body in either direction.
 inline constexpr std::size_t maxAnswerBytes = 8U << 20;
 
 } // namespace flow_bounds
--- a/include/laurelcroft/Proxy/RequestKey.h
+++ b/include/laurelcroft/Proxy/RequestKey.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RequestKey.h - a request that comes again ----------*- C++ -*-===//
+//===-- Proxy/RequestKey.h - key of a repeated request -----------*- C++ -*-===//
 //
-// A caller gives each try an id of its own, so that nothing on the wire tells that a request has
-// come before. Its caller, path and body do.
+// Callers use a new request id for each retry, so that the id does not identify repeated requests.
+// The key is derived from the caller, the path and the body instead.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTKEY_H
@@ -16,17 +16,17 @@
 
 namespace laurelcroft {
 
-/// Names a request by its caller, path and body: the same at all entries and at each try.
+/// Identifies a request by its caller, target and body. Equal at all entries and for all retries.
 using request_key = std::uint64_t;
 
-/// \returns the key of \p request: a hash under the caller's own secret, so that nobody who reads
-/// a log or a row can try bodies out. Reads the whole body.
+/// \returns the key of \p request. The hash is keyed with the caller's secret, so that readers of
+/// logs or rows cannot find out the body by guessing. Hashes the whole body.
 request_key keyOf(const proxy_request &request);
 
-/// \returns \p key as it stands in logs and rows: 16 hexadecimal digits.
+/// \returns \p key as written to logs and rows: 16 hexadecimal digits.
 std::string textOf(request_key key);
 
-/// \returns the key that \p text spells; nothing for other texts.
+/// Parses the result of textOf(). \returns nothing for any other text.
 std::optional<request_key> parseRequestKey(std::string_view text);
 
 } // namespace laurelcroft
--- a/lib/Proxy/FlowTypes.cpp
+++ b/lib/Proxy/FlowTypes.cpp
@@ -1,6 +1,6 @@
-//===-- FlowTypes.cpp - the record of a request -----------------------------===//
+//===-- FlowTypes.cpp - names of request outcomes ---------------------------===//
 //
-// Names of the reasons, as they stand in logs and metrics.
+// Maps each flow_reason to its name in logs, metrics and refusals.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/FlowTypes.h"
--- a/lib/Proxy/RequestKey.cpp
+++ b/lib/Proxy/RequestKey.cpp
@@ -1,6 +1,7 @@
-//===-- RequestKey.cpp - a request that comes again -------------------------===//
+//===-- RequestKey.cpp - key of a repeated request --------------------------===//
 //
-// HMAC-SHA256, cut to 64 bits; all instances have one order of bytes.
+// The key is HMAC-SHA256 truncated to 64 bits. Its value depends on the byte order, which must be
+// the same on all instances.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RequestKey.h"
@@ -24,7 +25,7 @@
 {
     std::string text;
     text.reserve(request.host.size() + request.target.size() + request.body.size() + 2);
-    // No host or target holds a zero byte, so that no two requests give one text.
+    // Neither host nor target can contain a zero byte, so distinct requests give distinct texts.
     text.append(request.host).push_back('\0');
     text.append(request.target).push_back('\0');
     text.append(request.body);
