--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -1,7 +1,8 @@
 //===-- CallerConnection.cpp - one connection of a caller -------------------===//
 //
-// A connection goes on reading while its request is answered: that is how it learns
-// that the caller left. Pieces of an answer that are ready together leave together.
+// A connection keeps reading while its request is answered, in order to detect that the caller
+// disconnects. Pieces of an answer that are written within one turn of the event loop are sent
+// together.
 //
 //===----------------------------------------------------------------------===//
 #include "CallerConnection.h"
@@ -15,12 +16,12 @@
 
 namespace {
 
-/// Bytes that a caller may send ahead of its answer before reading stops.
+/// Limit on bytes received before the current answer has ended; beyond it reading stops.
 constexpr std::size_t maxPipelinedBytes = 65536;
-/// Bytes of an answer that may wait for a caller that doesn't read.
+/// Limit on unsent bytes of an answer; beyond it a caller that doesn't read is disconnected.
 constexpr std::size_t maxUnsentBytes = 8U << 20;
-/// How long a closed connection waits for the caller's own close: closing with unread
-/// bytes would reset the connection and could take the answer with it.
+/// How long a connection that was shut down waits for the caller's own close. Closing a socket with
+/// unread bytes resets the connection, and the caller could lose the answer.
 constexpr milliseconds lingerTimeout{500};
 
 std::string_view reasonPhrase(int status)
@@ -237,7 +238,7 @@
 void caller_exchange::state::answerEnded()
 {
     onDisconnect = nullptr;
-    // An answer that began before the server turned away didn't announce the close.
+    // When draining, close even if the head of the answer, sent earlier, did not announce it.
     if (closeAfter || server->draining) {
         shuttingDown = true;
         queueFlush();
--- a/lib/Proxy/CallerConnection.h
+++ b/lib/Proxy/CallerConnection.h
@@ -1,6 +1,6 @@
 //===-- CallerConnection.h - one connection of a caller ----------*- C++ -*-===//
 //
-// The private states of caller_server and caller_exchange.
+// The private implementation of caller_server and caller_exchange.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_PROXY_CALLERCONNECTION_H
@@ -36,14 +36,14 @@
     caller_handler handler;
     caller_server_bounds bounds;
     std::set<caller_exchange::state *> connections;
-    bool closing = false;
-    bool draining = false;
-    bool stopped = false;
+    bool closing = false; ///< later answers announce the close of their connections
+    bool draining = false; ///< connections close after their answer, announced or not
+    bool stopped = false; ///< no longer accepts connections
 
     void accept();
 };
 
-/// One connection; it is also the state of its current exchange.
+/// One connection, and the state of its current request.
 struct caller_exchange::state : std::enable_shared_from_this<caller_exchange::state>
 {
     state(std::shared_ptr<caller_server::state> server, asio::ip::tcp::socket accepted);
@@ -55,18 +55,18 @@
     message_parser parser;
     message_head head;
     std::string body;
-    std::string pending; ///< read ahead of the answer
+    std::string pending; ///< bytes of later requests, received before the answer has ended
     std::array<char, 4096> in{};
-    std::string out;
+    std::string out; ///< bytes of the answer that are not written yet
     std::function<void()> onDisconnect;
     bool bodyTooLarge = false;
-    bool answering = false;
+    bool answering = false; ///< a request is complete and its answer has not ended
     bool reading = false;
     bool flushing = false;
-    bool closeAfter = false;
-    bool chunked = false;
+    bool closeAfter = false; ///< close the connection after the answer
+    bool chunked = false; ///< the caller accepts chunked encoding
     bool closed = false;
-    bool shuttingDown = false;
+    bool shuttingDown = false; ///< closes once the rest of the answer is written
 
     void start();
     void armTimer(milliseconds wait);
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -1,6 +1,6 @@
-//===-- CallerServer.cpp - connections of callers ---------------------------===//
+//===-- CallerServer.cpp - HTTP server for callers --------------------------===//
 //
-// Listens, accepts and ends; a connection looks after itself.
+// Listens, accepts connections and shuts down. CallerConnection.cpp handles the connections.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CallerServer.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Pause before accepting again when no descriptor was free.
+/// Delay before accepting again after a failed accept, for example without a free descriptor.
 constexpr milliseconds acceptRetryDelay{50};
 
 } // namespace
@@ -117,7 +117,7 @@
     for (caller_exchange::state *connection : connections) {
         if (carriesRequest(*connection))
             continue;
-        // The end of the last answer may still wait to be written.
+        // The end of the last answer may not be written yet, so flush before the close.
         connection->shuttingDown = true;
         connection->queueFlush();
     }
