--- a/include/laurelcroft/Proxy/EndpointCaller.h
+++ b/include/laurelcroft/Proxy/EndpointCaller.h
@@ -1,7 +1,8 @@
 //===-- Proxy/EndpointCaller.h - calls to endpoints --------------*- C++ -*-===//
 //
-// Connections to endpoints, by incarnation: one request at a time on each, kept while
-// idle, never more than the endpoint's part for this entry.
+// A pool of connections per endpoint. Each connection carries one request at a time and is kept
+// open while idle. Connections to an earlier process of an endpoint are not reused. Users check
+// hasRoom() before a call to keep within this entry's share of an endpoint's connections.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ENDPOINTCALLER_H
@@ -19,33 +20,36 @@
 
 namespace laurelcroft {
 
-/// Makes calls; use it on its context's thread only.
+/// Makes calls to endpoints. All functions must be called on the thread of the io_context.
 class endpoint_caller
 {
 public:
-    /// \param onIdleClosed is told when an endpoint closes a connection that carries no request, as
-    /// it does with all of them when it ends. May be empty.
+    /// \param onIdleClosed is called when an endpoint closes an idle connection; it closes all of
+    /// them when its process ends. May be empty.
     endpoint_caller(asio::io_context &context, proxy_dialect dialect,
                     std::function<void(const endpoint_ptr &endpoint)> onIdleClosed = {});
     ~endpoint_caller();
 
-    /// Starts a call. Its events come later, never from within this function.
+    /// Starts a call. Its callbacks are never invoked from within this function.
     call_id call(proxy_attempt attempt, call_events events);
 
-    /// Ends a call and closes its connection; no event follows. Calls that ended are ignored.
+    /// Cancels a call and closes its connection; no callback follows. Has no effect on a call that
+    /// has ended.
     void cancel(call_id call);
 
-    /// \returns true when \p endpoint may get one more call, of at most \p mostConnections.
-    bool hasRoom(const service_endpoint &endpoint, std::size_t mostConnections) const;
+    /// \returns true when a call to \p endpoint can use an idle connection, or open one without
+    /// exceeding \p maxConnections.
+    bool hasRoom(const service_endpoint &endpoint, std::size_t maxConnections) const;
 
-    /// Looks whether \p endpoint's process still lives; a look that is under way serves all.
-    /// \param done is told, later and only once a look, when it has ended.
+    /// Probes whether the process of \p endpoint has ended. Has no effect while another probe of
+    /// the endpoint is in progress.
+    /// \param done is called, asynchronously and at most once, if the process has ended.
     void checkEnded(const endpoint_ptr &endpoint, std::function<void()> done);
 
-    /// Closes idle connections that are too old or whose endpoint is gone.
+    /// Closes idle connections that have expired or whose endpoint is gone.
     void sweep();
 
-    /// \returns the number of connections ever opened.
+    /// \returns the number of connections opened so far, including failed ones.
     std::uint64_t opened() const;
 
 private:
--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -1,6 +1,6 @@
 //===-- EndpointCaller.cpp - calls to endpoints -----------------------------===//
 //
-// The connection used last is used next, so that those not needed grow old.
+// Idle connections are reused in last-in, first-out order, so that surplus ones expire.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EndpointCaller.h"
@@ -20,8 +20,8 @@
 
 namespace {
 
-/// A request that may run only once takes a kept connection only when it was used this
-/// recently: one that the endpoint has just dropped would leave it unknown whether it ran.
+/// Longest idle time of a connection that is reused for a request that may run only once. If the
+/// endpoint had just closed an older one, it would be unknown whether the request ran.
 constexpr milliseconds maxIdleForAtMostOnce{300};
 
 } // namespace
@@ -47,7 +47,7 @@
     std::function<void(const endpoint_ptr &)> onIdleClosed;
     std::map<std::string, pool, std::less<>> pools;
     std::unordered_map<call_id, std::shared_ptr<endpoint_connection>> calls;
-    std::set<const service_endpoint *> pendingProbes; ///< whose addresses are being looked at
+    std::set<const service_endpoint *> pendingProbes; ///< endpoints with a probe in progress
     call_id lastCall = 0;
     std::uint64_t opened = 0;
     bool ending = false;
@@ -79,7 +79,7 @@
 endpoint_caller::state::pool &endpoint_caller::state::poolOf(const endpoint_ptr &endpoint)
 {
     pool &own = pools[endpoint->record().id];
-    // It has started again under its id: connections to its earlier start lead nowhere.
+    // The endpoint was restarted under its id. Connections to the earlier process are useless.
     if (own.endpoint && own.endpoint != endpoint) {
         const auto idle = std::exchange(own.idle, {});
         for (const auto &connection : idle)
@@ -118,7 +118,8 @@
 {
     ++to.open;
     ++opened;
-    // The connection outlives neither callback: both are dropped when it closes.
+    // Capturing this is safe: ~endpoint_caller() closes all connections, and a closed connection
+    // invokes neither callback.
     const auto self = std::make_shared<std::weak_ptr<endpoint_connection>>();
     auto connection = std::make_shared<endpoint_connection>(
             context, dialect,
@@ -176,12 +177,12 @@
         node.mapped()->close();
 }
 
-bool endpoint_caller::hasRoom(const service_endpoint &endpoint, std::size_t mostConnections) const
+bool endpoint_caller::hasRoom(const service_endpoint &endpoint, std::size_t maxConnections) const
 {
     const auto it = m_state->pools.find(endpoint.record().id);
     if (it == m_state->pools.end())
         return true;
-    return !it->second.idle.empty() || it->second.open < mostConnections;
+    return !it->second.idle.empty() || it->second.open < maxConnections;
 }
 
 void endpoint_caller::checkEnded(const endpoint_ptr &endpoint, std::function<void()> done)
--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -1,7 +1,7 @@
 //===-- EndpointConnection.cpp - one connection to an endpoint --------------===//
 //
-// An endpoint may answer late: an answer with another request's id is skipped, and the
-// one that is due is waited for.
+// An endpoint may send the answer to an earlier request. An answer with another request's id is
+// skipped, and the connection waits for the expected one.
 //
 //===----------------------------------------------------------------------===//
 #include "EndpointConnection.h"
@@ -18,15 +18,16 @@
 
 namespace {
 
-/// Long against a round trip between data centres, short against any objective.
+/// Much longer than a round trip between data centres, but shorter than any route's objective.
 constexpr milliseconds connectTimeout{400};
-/// How long unacknowledged bytes may stay on the way before the kernel gives up.
+/// TCP_USER_TIMEOUT: the kernel closes the connection when sent bytes stay unacknowledged for this
+/// long.
 constexpr unsigned tcpUserTimeoutMs = 2500;
-/// Largest head of an answer, bytes: beyond it the peer is not an endpoint.
+/// Largest accepted head of an answer, in bytes. Endpoints send smaller ones.
 constexpr std::size_t maxHeadBytes = 32768;
-/// How long an idle connection is kept when the endpoint names no time.
+/// How long an idle connection is kept if the endpoint states no keep-alive timeout.
 constexpr milliseconds defaultIdleTimeout{4000};
-/// An idle connection is given up this long before the endpoint would close it.
+/// An idle connection expires this long before the endpoint would close it.
 constexpr milliseconds idleMargin{700};
 
 } // namespace
@@ -112,7 +113,7 @@
             = [this] { return asio::buffer(m_out.data() + m_outDone, m_out.size() - m_outDone); };
     m_outDone += m_socket.write_some(rest(), error);
     if (error && error != asio::error::would_block) {
-        // The reader sees what came before the connection broke; it ends the call.
+        // The read side still delivers what arrived before the error, and then ends the call.
         return;
     }
     if (m_outDone == m_out.size())
@@ -145,7 +146,7 @@
 {
     while (!bytes.empty() && !m_closed) {
         if (!m_busy) {
-            // Bytes that nobody asked for: an answer that came twice, or worse.
+            // Unexpected bytes while idle, for example a duplicate answer.
             close();
             return;
         }
@@ -195,7 +196,7 @@
     if (answer.keepAliveTimeout)
         m_idleTimeout = std::max<duration>(*answer.keepAliveTimeout - idleMargin, milliseconds(0));
     const bool success = isSuccess(answer.status);
-    // A success that doesn't say whose it is belongs to nobody.
+    // A success without a request id can't be matched to the request and is not trusted.
     if (success && answer.requestId.empty())
         answer.signedByEndpoint = false;
     const auto events = m_events;
--- a/lib/Proxy/EndpointConnection.h
+++ b/lib/Proxy/EndpointConnection.h
@@ -1,7 +1,7 @@
 //===-- EndpointConnection.h - one connection to an endpoint -----*- C++ -*-===//
 //
-// Carries one request at a time. It tells apart what was never sent, what may have run
-// and what was answered, and drops the connection after anything odd.
+// Carries one request at a time. Reports whether the request was never sent, may have run or was
+// answered, and closes the connection after any irregularity.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_PROXY_ENDPOINTCONNECTION_H
@@ -21,25 +21,25 @@
 
 namespace laurelcroft {
 
-/// A connection of the pool.
+/// A pooled HTTP/1.1 connection to an endpoint.
 class endpoint_connection : public std::enable_shared_from_this<endpoint_connection>
 {
 public:
-    /// \param onIdle is called when an answer ended and the connection may carry another.
-    /// \param onClosed is called once when the connection is of no more use; it is told whether the
-    /// endpoint has closed it while it carried no request.
+    /// \param onIdle is called when an answer has ended and the connection can be reused.
+    /// \param onClosed is called once when the connection is closed. Its argument is true if the
+    /// endpoint closed it while it was idle.
     endpoint_connection(asio::io_context &context, const proxy_dialect &dialect,
                         std::function<void()> onIdle,
                         std::function<void(bool byPeerWhileIdle)> onClosed);
 
-    /// Connects, then sends the request.
+    /// Connects and sends the request.
     void connectAndSend(const endpoint_record &endpoint, const proxy_attempt &attempt,
                         call_events events);
 
     /// Sends the next request over the open connection.
     void send(const proxy_attempt &attempt, call_events events);
 
-    /// Ends it at once; the current call's events stop.
+    /// Closes the connection immediately; no callback of the current call follows.
     void close();
 
     bool isOpen() const { return !m_closed; }
@@ -63,18 +63,18 @@
     std::function<void()> m_onIdle;
     std::function<void(bool byPeerWhileIdle)> m_onClosed;
     message_parser m_parser;
-    std::shared_ptr<const call_events> m_events; ///< shared: a callback may end the call
+    std::shared_ptr<const call_events> m_events; ///< shared, since a callback may end the call
     std::shared_ptr<const proxy_request> m_request;
     std::string m_out;
-    std::size_t m_outDone = 0;
+    std::size_t m_outDone = 0; ///< bytes of m_out already written
     std::array<char, 4096> m_in{};
     duration m_idleTimeout;
     time_point m_idleSince{};
-    bool m_busy = false;
+    bool m_busy = false; ///< a call is in progress
     bool m_connected = false;
     bool m_closed = false;
     bool m_skippingAnswer = false; ///< the current message belongs to another request
-    bool m_mayReuse = true;
+    bool m_mayReuse = true; ///< the connection can carry another request
 };
 
 } // namespace laurelcroft
--- a/lib/Proxy/EndpointProbe.cpp
+++ b/lib/Proxy/EndpointProbe.cpp
@@ -1,6 +1,6 @@
-//===-- EndpointProbe.cpp - whether an endpoint's process lives -------------===//
+//===-- EndpointProbe.cpp - liveness probe of an endpoint -------------------===//
 //
-// One connection attempt and a timer; whichever ends first decides.
+// Races one connection attempt against a timeout.
 //
 //===----------------------------------------------------------------------===//
 #include "EndpointProbe.h"
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Long against a round trip between regions; an answer that comes later is of no use.
+/// Much longer than a round trip between regions; a later result would be useless.
 constexpr milliseconds probeTimeout{400};
 
-/// One look.
+/// A probe in progress.
 struct endpoint_probe
 {
     explicit endpoint_probe(asio::io_context &context)
--- a/lib/Proxy/EndpointProbe.h
+++ b/lib/Proxy/EndpointProbe.h
@@ -1,7 +1,7 @@
-//===-- EndpointProbe.h - whether an endpoint's process lives ----*- C++ -*-===//
+//===-- EndpointProbe.h - liveness probe of an endpoint ----------*- C++ -*-===//
 //
-// A broken connection has many causes. A connection that is refused at once has one: nobody listens
-// at the address any more.
+// A broken connection has many causes, but a refused connection attempt shows that no process
+// listens at the endpoint's address any more.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_PROXY_ENDPOINTPROBE_H
@@ -15,14 +15,14 @@
 
 namespace laurelcroft {
 
-/// How a look at an endpoint's address ended.
+/// Result of a probe.
 enum class probe_result {
-    alive, ///< it takes connections
-    ended, ///< nobody listens there
-    unknown ///< no answer in time: cut off, or without power
+    alive, ///< the endpoint accepts connections
+    ended, ///< the connection was refused: no process listens at the address
+    unknown ///< another error or a timeout, for example without network or power
 };
 
-/// Opens a connection to \p endpoint and closes it again. \p done is called once, later.
+/// Connects to \p endpoint and closes the connection. \p done is called once, asynchronously.
 void probeEndpoint(asio::io_context &context, const endpoint_record &endpoint,
                    std::function<void(probe_result result)> done);
 
