--- a/unittests/Proxy/CallerServerTests.cpp
+++ b/unittests/Proxy/CallerServerTests.cpp
@@ -1,6 +1,6 @@
-//===-- CallerServerTests.cpp - connections of callers ----------------------===//
+//===-- CallerServerTests.cpp - tests of caller_server ----------------------===//
 //
-// Real sockets on the loopback address; the test is the caller.
+// The tests act as the caller and use real sockets on the loopback address.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CallerServer.h"
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// A server whose requests the test answers by hand, and one caller.
+/// A server whose requests are answered explicitly by the test, and one connected caller.
 struct server_world
 {
     server_world()
@@ -35,7 +35,7 @@
         caller.connect({asio::ip::make_address("127.0.0.1"), server.port()});
     }
 
-    /// The caller leaves its connection for a new one.
+    /// Replaces the caller's connection with a new one.
     void reconnect()
     {
         caller = asio::ip::tcp::socket(context);
@@ -44,7 +44,7 @@
 
     void send(std::string_view text) { asio::write(caller, asio::buffer(text)); }
 
-    /// Lets everything happen that is ready, several times over.
+    /// Runs the event loop 20 times for 2 ms each, so that pending events are handled.
     void settle()
     {
         for (int i = 0; i < 20; ++i) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// \returns what the caller has got; \c closed tells whether its connection ended.
+    /// \returns what the caller has received; sets \c closed if its connection has ended.
     std::string received()
     {
         settle();
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("a request comes whole, and its answer goes back on a kept connection")
+TEST_CASE("a request is passed on when complete, and its connection is kept after the answer")
 {
     server_world world;
     world.send("POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhe");
@@ -102,7 +102,7 @@
     CHECK(world.requests == 2);
 }
 
-TEST_CASE("chunks of a request are put together")
+TEST_CASE("the chunks of a request body are joined")
 {
     server_world world;
     world.send("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -112,7 +112,7 @@
     CHECK(world.body == "abcde");
 }
 
-TEST_CASE("a stream leaves in chunks; one that is broken off never looks whole")
+TEST_CASE("a stream is sent in chunks, and an aborted one has no final chunk")
 {
     server_world world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -125,7 +125,7 @@
     CHECK(world.closed);
 }
 
-TEST_CASE("a caller that leaves is noticed while its request runs")
+TEST_CASE("a caller that disconnects is noticed while its request runs")
 {
     server_world world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -137,7 +137,7 @@
     CHECK(left);
 }
 
-TEST_CASE("requests that hide another one, or are no request, are refused and harm nobody")
+TEST_CASE("requests with ambiguous lengths and malformed requests are refused with 400")
 {
     const char *texts[] = {
             "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: "
@@ -157,7 +157,7 @@
     }
 }
 
-TEST_CASE("heads and bodies beyond the bounds are refused")
+TEST_CASE("heads and bodies above the limits are refused")
 {
     server_world world;
     caller_server_bounds bounds;
@@ -172,7 +172,7 @@
     CHECK(second.received().starts_with("HTTP/1.1 431"));
 }
 
-TEST_CASE("a slow head is given up at its timeout")
+TEST_CASE("an incomplete head is refused with 408 at its timeout")
 {
     server_world world;
     caller_server_bounds bounds;
@@ -182,7 +182,7 @@
     CHECK(world.received().starts_with("HTTP/1.1 408"));
 }
 
-TEST_CASE("an ending server lets answers finish and takes no more")
+TEST_CASE("a server that stops accepting finishes its answers and closes their connections")
 {
     server_world world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -197,7 +197,7 @@
     CHECK(world.requests == 1);
 }
 
-TEST_CASE("a server that turns away still answers who connects, and closes after it")
+TEST_CASE("a draining server still answers new connections and closes them after the answer")
 {
     server_world world;
     world.settle();
@@ -216,7 +216,7 @@
     CHECK(world.closed);
 }
 
-TEST_CASE("the end of an answer is written although the server ends in the same turn")
+TEST_CASE("the end of an answer is written even if the server stops in the same turn")
 {
     server_world world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -230,7 +230,7 @@
     CHECK(world.closed);
 }
 
-TEST_CASE("a request that came ahead of its turn is served next")
+TEST_CASE("a pipelined request is served after the answer before it")
 {
     server_world world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -242,7 +242,7 @@
     CHECK(world.head.target == "/b");
 }
 
-TEST_CASE("a caller that connects to a starting server is served once it accepts")
+TEST_CASE("a caller that connects before accept() is served after it")
 {
     asio::io_context context;
     unsigned requests = 0;
@@ -262,7 +262,7 @@
     CHECK(requests == 1);
 }
 
-TEST_CASE("a caller that rested while the instance was suspended has its connection closed in time")
+TEST_CASE("a connection idle during a suspension of the instance is closed at its idle timeout")
 {
     server_world world;
     caller_server_bounds bounds;
--- a/unittests/Proxy/EndpointCallerTests.cpp
+++ b/unittests/Proxy/EndpointCallerTests.cpp
@@ -1,6 +1,6 @@
-//===-- EndpointCallerTests.cpp - calls to endpoints ------------------------===//
+//===-- EndpointCallerTests.cpp - tests of endpoint_caller ------------------===//
 //
-// Real sockets on the loopback address; the test is the endpoint and writes raw bytes.
+// The tests act as the endpoint and write raw bytes to real sockets on the loopback address.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EndpointCaller.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// The id stands in a header called Id; a mark of the endpoint is not asked for.
+/// A minimal dialect: the request id is in the header Id, and every answer counts as signed.
 proxy_dialect plainDialect()
 {
     proxy_dialect dialect;
@@ -108,7 +108,7 @@
 
 } // namespace
 
-TEST_CASE("a whole answer keeps its connection for the next call")
+TEST_CASE("a connection is reused after a complete answer")
 {
     caller_world world;
     call_result first;
@@ -125,7 +125,7 @@
     CHECK(world.calls.opened() == 1);
 }
 
-TEST_CASE("a port that refuses was never sent to")
+TEST_CASE("a refused connection is reported as not sent")
 {
     caller_world world;
     world.acceptor.close();
@@ -135,7 +135,7 @@
     CHECK(result.end == call_end::notSent);
 }
 
-TEST_CASE("a connection that ends before or within the answer leaves it unknown")
+TEST_CASE("a connection that closes before the end of the answer is reported as broken")
 {
     for (const std::string &part :
          {std::string(), std::string("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nab")}) {
@@ -150,7 +150,7 @@
     }
 }
 
-TEST_CASE("an answer without a length ends with its connection, but not with a reset")
+TEST_CASE("an answer without a length is complete at a close, but broken at a reset")
 {
     for (const bool reset : {false, true}) {
         caller_world world;
@@ -169,7 +169,7 @@
     }
 }
 
-TEST_CASE("another request's answer is skipped and the one that is due waited for")
+TEST_CASE("an answer to another request is skipped")
 {
     caller_world world;
     call_result result;
@@ -182,7 +182,7 @@
     CHECK(result.end == call_end::complete);
 }
 
-TEST_CASE("bytes after a whole answer drop the connection")
+TEST_CASE("bytes after a complete answer close the connection")
 {
     caller_world world;
     call_result first;
@@ -197,7 +197,7 @@
     CHECK(world.calls.opened() == 2);
 }
 
-TEST_CASE("bytes that are no answer break the call")
+TEST_CASE("a malformed answer is reported as broken")
 {
     caller_world world;
     call_result result;
@@ -206,7 +206,7 @@
     CHECK(result.end == call_end::broken);
 }
 
-TEST_CASE("a cancelled call closes its connection and reports nothing")
+TEST_CASE("a cancelled call closes its connection and invokes no callback")
 {
     caller_world world;
     call_result result;
@@ -223,7 +223,7 @@
     CHECK(world.calls.hasRoom(*world.endpoint, 1));
 }
 
-TEST_CASE("what may run only once doesn't trust a connection that has rested")
+TEST_CASE("an at-most-once request does not reuse a connection idle for long")
 {
     caller_world world;
     call_result first;
@@ -237,7 +237,7 @@
     CHECK(world.calls.opened() == 2);
 }
 
-TEST_CASE("connections to an endpoint are bounded")
+TEST_CASE("the number of connections to an endpoint is limited")
 {
     caller_world world;
     call_result first;
@@ -246,13 +246,13 @@
     CHECK(world.calls.hasRoom(*world.endpoint, 2));
 }
 
-TEST_CASE("connections to an endpoint's earlier start are not used for the next one")
+TEST_CASE("connections to an earlier process of an endpoint are not reused")
 {
     caller_world world;
     call_result first;
     world.start("1", first);
     world.send(world.accept(), answerTo("1", "ok"));
-    // One more call is under way while the endpoint starts again under its id.
+    // Another call is in progress while the endpoint restarts under its id.
     call_result second;
     world.start("2", second);
     call_result third;
@@ -268,7 +268,7 @@
     world.send(world.accept(), answerTo("4", "ok"));
     CHECK(fourth.body == "ok");
     CHECK(world.calls.opened() == 3);
-    // What still comes on the old ones is delivered, and they are closed.
+    // Answers on old connections are still delivered; the connections are then closed.
     world.send(busy, answerTo("3", "late"));
     CHECK(third.body == "late");
     call_result fifth;
@@ -278,25 +278,25 @@
     CHECK(world.calls.opened() == 3);
 }
 
-TEST_CASE("an endpoint's end is told where nobody listens any more, once a look")
+TEST_CASE("a probe reports an endpoint as ended when its port is closed, once per probe")
 {
     caller_world world;
-    unsigned told = 0;
-    const auto look = [&] { world.calls.checkEnded(world.endpoint, [&told] { ++told; }); };
-    look();
+    unsigned reports = 0;
+    const auto probe = [&] { world.calls.checkEnded(world.endpoint, [&reports] { ++reports; }); };
+    probe();
     world.settle();
-    CHECK(told == 0);
+    CHECK(reports == 0);
     world.acceptor.close();
-    look();
-    look();
+    probe();
+    probe();
     world.settle();
-    CHECK(told == 1);
-    look();
+    CHECK(reports == 1);
+    probe();
     world.settle();
-    CHECK(told == 2);
+    CHECK(reports == 2);
 }
 
-TEST_CASE("an idle connection whose time ran out while the instance was suspended is not used")
+TEST_CASE("an idle connection that expired during a suspension of the instance is not reused")
 {
     caller_world world;
     call_result first;
