--- a/unittests/Proxy/CustomerRunTests.cpp
+++ b/unittests/Proxy/CustomerRunTests.cpp
@@ -1,6 +1,7 @@
-//===-- CustomerRunTests.cpp - which requests are told as run ---------------===//
+//===-- CustomerRunTests.cpp - reports of customers' runs -------------------===//
 //
-// What a customer's usage is counted by: each request once, when its first endpoint gets it.
+// The reports by which a customer's usage is counted: each request counts once, when it is sent to
+// the first endpoint that runs it.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowWorld.h"
@@ -13,14 +14,14 @@
 
 namespace {
 
-/// Writes down what is told.
+/// Records the reported runs.
 struct run_log
 {
     explicit run_log(flow_world &world)
     {
         world.routing.setRunListener([this](const customer_run &run) { runs.push_back(run); });
     }
-    /// \returns how often the requests count together.
+    /// \returns the number of runs counted, after reverted reports.
     int counted() const
     {
         int sum = 0;
@@ -33,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a request is told once, for its customer, when it goes to its endpoint")
+TEST_CASE("a request is reported once, for its customer, when it is sent")
 {
     flow_world world(fetchRoute(), {"e1"});
     run_log log(world);
@@ -47,7 +48,7 @@
     CHECK(log.runs.size() == 1);
 }
 
-TEST_CASE("a request that is sent again counts once, at its first run")
+TEST_CASE("a retried request counts once, at the time of its first run")
 {
     flow_world world(lookupRoute(), {"e1", "e2"});
     run_log log(world);
@@ -63,7 +64,7 @@
     CHECK(log.runs.back().began == first);
 }
 
-TEST_CASE("what an endpoint refused, or never got, has not run there")
+TEST_CASE("a report is reverted when an endpoint refused or never received the request")
 {
     flow_world world(lookupRoute(), {"e1", "e2"});
     run_log log(world);
@@ -85,7 +86,7 @@
     CHECK(none.counted() == 0);
 }
 
-TEST_CASE("a request whose answer was lost may have run, and counts")
+TEST_CASE("a request whose answer was lost counts, since it may have run")
 {
     flow_world world(fetchRoute(), {"e1"});
     run_log log(world);
--- a/unittests/Proxy/EndpointStateTests.cpp
+++ b/unittests/Proxy/EndpointStateTests.cpp
@@ -1,6 +1,7 @@
 //===-- EndpointStateTests.cpp - state reported by endpoints ----------------===//
 //
-// The record of a request keeps the state that its last endpoint reports in the answer head.
+// Guards against losing, or taking from a wrong process, the state that endpoints report in answer
+// heads: leaving, Retry-After and rate limit.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowWorld.h"
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -1,6 +1,6 @@
-//===-- FlowTests.cpp - one request on the direct path ----------------------===//
+//===-- FlowTests.cpp - tests of request_flow -------------------------------===//
 //
-// Every way in which an attempt ends, for each kind of request.
+// Covers each way in which an attempt can end, for each kind of route.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowWorld.h"
@@ -9,7 +9,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("without a contract a request is refused, truly and with a time to come back")
+TEST_CASE("without a contract, a request is refused with a Retry-After")
 {
     flow_world world;
     startFlow(world, requestFor(lookupRoute()));
@@ -18,7 +18,7 @@
     CHECK(world.calls.empty());
 }
 
-TEST_CASE("no route is 404, an unknown key is 401, and neither reaches an endpoint")
+TEST_CASE("an unknown route gets 404, an unknown key 401, and neither reaches an endpoint")
 {
     flow_world world(lookupRoute(), {"e1"});
     auto request = requestFor(lookupRoute());
@@ -32,7 +32,7 @@
     CHECK(world.calls.empty());
 }
 
-TEST_CASE("the customer, its priority and what is left of the time go to the endpoint")
+TEST_CASE("the customer, its priority and the remaining time are sent to the endpoint")
 {
     flow_world world(fetchRoute(), {"e1"});
     auto request = requestFor(fetchRoute());
@@ -45,7 +45,7 @@
     CHECK(world.calls[0].attempt.atMostOnce);
 }
 
-TEST_CASE("a whole answer is passed on unchanged")
+TEST_CASE("a complete answer is passed on unchanged")
 {
     flow_world world(fetchRoute(), {"e1"});
     startFlow(world, requestFor(fetchRoute()));
@@ -59,7 +59,7 @@
     CHECK(world.record->reason == flow_reason::served);
 }
 
-TEST_CASE("what may run only once is never sent again after it may have run")
+TEST_CASE("an at-most-once request is not retried after it may have run")
 {
     for (const call_end end : {call_end::broken, call_end::complete}) {
         flow_world world(fetchRoute(), {"e1", "e2"});
@@ -68,13 +68,13 @@
             world.answer(0, 500);
         world.end(0, end);
         CHECK(world.calls.size() == 1);
-        // Nothing is known after a break; the endpoint's own failure is passed on.
+        // After a broken connection the outcome is unknown; an error answer is passed on.
         CHECK(world.status == (end == call_end::broken ? 502 : 500));
         CHECK(findHeader(world.headers, "Retry-After").empty());
     }
 }
 
-TEST_CASE("what never left this process goes to another endpoint, whatever its kind")
+TEST_CASE("a request that was not sent is retried elsewhere, even an at-most-once one")
 {
     flow_world world(fetchRoute(), {"e1", "e2"});
     startFlow(world, requestFor(fetchRoute()));
@@ -85,7 +85,7 @@
     CHECK(world.status == 503);
 }
 
-TEST_CASE("a refusal that the endpoint vouches for is passed on as a true one")
+TEST_CASE("a refusal that states that the request has not run is passed on as 503")
 {
     flow_world world(fetchRoute(), {"e1"});
     startFlow(world, requestFor(fetchRoute()));
@@ -95,7 +95,7 @@
     CHECK(world.record->reason == flow_reason::refusedByEndpoints);
 }
 
-TEST_CASE("an endpoint that lives no more at its address is left alone until its record goes")
+TEST_CASE("an endpoint with another process at its address is avoided for longer than a full one")
 {
     for (const bool misdirected : {false, true}) {
         flow_world world(lookupRoute(), {"e1", "e2"});
@@ -108,20 +108,20 @@
     }
 }
 
-TEST_CASE("a request for one endpoint goes on when another process lives at the address")
+TEST_CASE("a misdirected attempt does not count against the limit of endpoints")
 {
     flow_world world(fetchRoute(), {"e1", "e2"});
     startFlow(world, requestFor(fetchRoute()));
     world.refuseNotRun(0, true);
     REQUIRE(world.calls.size() == 2);
     CHECK(world.calls[1].attempt.endpoint != world.calls[0].attempt.endpoint);
-    // The one that is meant has it now: its refusal is the last word.
+    // This attempt reached the intended endpoint, so its refusal is final.
     world.refuseNotRun(1);
     CHECK(world.calls.size() == 2);
     CHECK(world.status == 503);
 }
 
-TEST_CASE("after a run anywhere, no refusal claims that there was none")
+TEST_CASE("a request that may have run gets 502, not a refusal as not run")
 {
     flow_world world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
@@ -131,7 +131,7 @@
     CHECK(world.status == 502);
 }
 
-TEST_CASE("a repeatable request moves on from a failure and from silence")
+TEST_CASE("a repeatable request is retried after silence, up to the limit of endpoints")
 {
     flow_world world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
@@ -145,7 +145,7 @@
     CHECK(world.calls.size() == 2);
 }
 
-TEST_CASE("a success without the endpoint's mark, or in a coding, is no success")
+TEST_CASE("an unsigned or encoded success is treated as a broken attempt")
 {
     for (const bool encoded : {false, true}) {
         flow_world world(fetchRoute(), {"e1"});
@@ -160,7 +160,7 @@
     }
 }
 
-TEST_CASE("at the route's timeout the final answer comes at once")
+TEST_CASE("at the route's timeout the caller gets 504 at once")
 {
     flow_world world(fetchRoute(), {"e1"});
     startFlow(world, requestFor(fetchRoute()));
@@ -171,7 +171,7 @@
     CHECK(world.calls[0].cancelled);
 }
 
-TEST_CASE("a caller that leaves stops what runs for it")
+TEST_CASE("the current attempt is cancelled when the caller disconnects")
 {
     flow_world world(draftRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(draftRoute()));
@@ -182,7 +182,7 @@
     CHECK(world.runtime.pending() == 0);
 }
 
-TEST_CASE("a stream passes whole events on, and resumes after the last one")
+TEST_CASE("a stream passes on complete events and resumes after the last one")
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     startFlow(world, requestFor(draftRoute()));
@@ -202,20 +202,20 @@
     CHECK(world.record->resumes == 1);
 }
 
-TEST_CASE("a stream that can't go on is cut, so that it never looks whole")
+TEST_CASE("a stream that can't be resumed is aborted, so that it does not look complete")
 {
     flow_world world(draftRoute(), {"e1"});
     startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 90);
     world.data(0, eventText(1) + "id: 2");
-    // Its only endpoint is gone, so that there is nobody to resume it at.
+    // No endpoint is left that could resume the stream.
     world.routing.directory().remove("e1", world.runtime.now());
     world.end(0, call_end::complete);
     CHECK(world.aborted);
     CHECK(!world.ended);
 }
 
-TEST_CASE("a pause in a stream moves it before the pause is too long")
+TEST_CASE("a paused stream is resumed elsewhere before the pause exceeds its limit")
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     startFlow(world, requestFor(draftRoute()));
@@ -228,7 +228,7 @@
     CHECK(world.steps.back().second == next_step::resumeElsewhere);
 }
 
-TEST_CASE("a doubtful answer of the small model is dropped for the large one's")
+TEST_CASE("a low-confidence answer of the small model is replaced by the large model's")
 {
     flow_world world(draftRoute(), {"e1"});
     startFlow(world, requestFor(draftRoute()));
@@ -244,7 +244,7 @@
     CHECK(world.record->escalations == 1);
 }
 
-TEST_CASE("a doubtful answer is kept when the large model's would be late")
+TEST_CASE("a low-confidence answer is kept when the large model's would be late")
 {
     // The small model reads 10,000 tokens in 100 ms; the large one costs ten times as much.
     struct row
@@ -274,7 +274,7 @@
     }
 }
 
-TEST_CASE("the log keeps why an endpoint was chosen when no larger model is asked after all")
+TEST_CASE("the record keeps the reason of the choice when an escalation is not carried out")
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     world.routing.promptRate("small").note(10'000, 100);
@@ -282,7 +282,7 @@
     request->promptTokens = 40'000;
     startFlow(world, request);
     REQUIRE(world.calls.size() == 1);
-    // The choice for the larger model would be a last resort.
+    // The endpoint for the larger model would be chosen with the reason last_resort.
     for (const auto &[id, endpoint] : world.routing.directory().all())
         endpoint->unreachable(world.runtime.now());
     world.runtime.advance(milliseconds(100));
@@ -294,7 +294,7 @@
     CHECK(world.record->choice == "least_cost");
 }
 
-TEST_CASE("the caller's own model is never replaced")
+TEST_CASE("a model that the caller requests is never replaced")
 {
     flow_world world(draftRoute(), {"e1"});
     auto request = requestFor(draftRoute());
@@ -306,7 +306,7 @@
     CHECK(world.calls.size() == 1);
 }
 
-TEST_CASE("a stopping process ends what it can't finish")
+TEST_CASE("a stopping process ends its requests with 504")
 {
     flow_world world(draftRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(draftRoute()));
@@ -315,7 +315,7 @@
     CHECK(world.record->reason == flow_reason::stopping);
 }
 
-TEST_CASE("what fails on a trial's few endpoints is served by the settled version")
+TEST_CASE("a request that fails on the trial's endpoints is served by the settled version")
 {
     flow_world world;
     world.useRoute(lookupRoute());
@@ -333,7 +333,7 @@
     CHECK(world.calls[1].attempt.endpoint->record().id == "old");
 }
 
-TEST_CASE("the only endpoint is asked again after a failure, and its own failure is passed on")
+TEST_CASE("the only endpoint is tried again after a failure, and its error answer is passed on")
 {
     flow_world world(lookupRoute(), {"e1"});
     startFlow(world, requestFor(lookupRoute()));
@@ -346,7 +346,7 @@
     CHECK(world.status == 500);
 }
 
-TEST_CASE("a failure is passed on as it came when its endpoint has gone since")
+TEST_CASE("an error answer is passed on unchanged when its endpoint was removed meanwhile")
 {
     flow_world world(lookupRoute(), {"e1"});
     startFlow(world, requestFor(lookupRoute()));
@@ -358,25 +358,25 @@
     CHECK(world.body == "why");
 }
 
-TEST_CASE("an endpoint that reads another entry's long prompt is passed over, and sends are told")
+TEST_CASE("an endpoint that reads another entry's long prompt is avoided, and sends are reported")
 {
     for (const char *busy : {"e1", "e2"}) {
         flow_world world(lookupRoute(), {"e1", "e2"});
-        std::vector<std::string> told;
+        std::vector<std::string> reported;
         world.routing.setSendListener(
                 [&](const service_endpoint &endpoint, double, std::span<const prompt_prefix>) {
-                    told.push_back(endpoint.record().id);
+                    reported.push_back(endpoint.record().id);
                 });
         const auto &all = world.routing.directory().all();
         all.at(busy)->beganElsewhere(milliseconds(400), world.runtime.now());
         startFlow(world, requestFor(lookupRoute()));
         REQUIRE(world.calls.size() == 1);
         CHECK(world.calls[0].attempt.endpoint->record().id != busy);
-        CHECK(told == std::vector<std::string>{world.calls[0].attempt.endpoint->record().id});
+        CHECK(reported == std::vector<std::string>{world.calls[0].attempt.endpoint->record().id});
     }
 }
 
-TEST_CASE("a prompt goes where another entry's prompt left its shared part")
+TEST_CASE("a prompt is sent to the endpoint that keeps its shared part from another entry")
 {
     const auto prompted = [] {
         auto request = requestFor(draftRoute());
@@ -384,26 +384,26 @@
         request->promptParts = {{"shared", 10'000}, {"own", 2000}};
         return request;
     };
-    std::vector<prompt_prefix> told;
-    flow_world teller(draftRoute(), {"e1"});
-    teller.routing.setSendListener(
+    std::vector<prompt_prefix> reported;
+    flow_world sender(draftRoute(), {"e1"});
+    sender.routing.setSendListener(
             [&](const service_endpoint &, double, std::span<const prompt_prefix> prefixes) {
-                told.assign(prefixes.begin(), prefixes.end());
+                reported.assign(prefixes.begin(), prefixes.end());
             });
-    startFlow(teller, prompted());
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].tokens == 10'000);
-    for (const char *keeper : {"e1", "e2", "e3"}) {
+    startFlow(sender, prompted());
+    REQUIRE(reported.size() == 1);
+    CHECK(reported[0].tokens == 10'000);
+    for (const char *holder : {"e1", "e2", "e3"}) {
         flow_world world(draftRoute(), {"e1", "e2", "e3"});
-        world.routing.noteSendElsewhere(keeper, milliseconds(0), told, world.runtime.now());
-        world.routing.noteSendElsewhere("gone", milliseconds(0), told, world.runtime.now());
+        world.routing.noteSendElsewhere(holder, milliseconds(0), reported, world.runtime.now());
+        world.routing.noteSendElsewhere("gone", milliseconds(0), reported, world.runtime.now());
         startFlow(world, prompted());
         REQUIRE(world.calls.size() == 1);
-        CHECK(world.calls[0].attempt.endpoint->record().id == keeper);
+        CHECK(world.calls[0].attempt.endpoint->record().id == holder);
     }
 }
 
-TEST_CASE("an entry that ends refuses truly, with the time to come back, and asks no endpoint")
+TEST_CASE("an entry that shuts down refuses a request with a Retry-After")
 {
     flow_world world(fetchRoute(), {"e1"});
     const auto flow
@@ -416,7 +416,7 @@
     CHECK(world.record->reason == flow_reason::stopping);
 }
 
-TEST_CASE("an entry that ends still serves what is over before")
+TEST_CASE("an entry that shuts down serves a request whose deadline is early enough")
 {
     flow_world world(fetchRoute(), {"e1"});
     const auto flow
@@ -428,7 +428,7 @@
     CHECK(world.status == 200);
 }
 
-TEST_CASE("an entry that ends says of an unknown route what it always says")
+TEST_CASE("an entry that shuts down still answers an unknown route with 404")
 {
     flow_world world(fetchRoute(), {"e1"});
     auto request = requestFor(fetchRoute());
@@ -438,9 +438,9 @@
     CHECK(world.status == 404);
 }
 
-TEST_CASE("a stream whose data centre is lost goes on in another one, with its last attempt")
+TEST_CASE("a stream is resumed in another data centre when its own one is lost")
 {
-    // Three endpoints here and one elsewhere; an endpoint elsewhere costs more while all is well.
+    // Three local endpoints and one in another data centre, which costs more without failures.
     const service_route route = draftRoute();
     flow_world world(route, {"a1", "a2", "a3", "b1"});
     world.setDataCentre("b1", "other");
@@ -448,7 +448,7 @@
     world.answer(0, 200, 90);
     world.data(0, eventText(1));
     CHECK(world.calls[0].attempt.endpoint->record().dataCentre.empty());
-    // All here reset their connections at once, and take none.
+    // The local data centre fails: the stream's connection is reset.
     world.end(0, call_end::broken);
     REQUIRE(world.calls.size() == 2);
     CHECK(world.calls[1].attempt.endpoint->record().id == "b1");
@@ -459,10 +459,11 @@
     CHECK(!world.aborted);
 }
 
-TEST_CASE("a larger model's send is charged like a repeat, and leaves repeats their part")
+TEST_CASE("escalations are charged to the budget like repeats, and leave a part to repeats")
 {
-    // Users saw more further sends at a service than its bound: nearly each request got a larger
-    // model while endpoints hung and shed, and only its second further send was charged.
+    // Guards against exceeding a service's bound on further sends, as users saw: while endpoints
+    // hung and shed load, nearly every request was escalated to a larger model, and only its second
+    // further send was charged.
     constexpr unsigned requests = 100;
     flow_world world(draftRoute(), {"e1", "e2", "e3", "e4"});
     routing_bounds bounds;
@@ -481,7 +482,7 @@
     }
     CHECK(larger > requests / 4);
     CHECK(larger < requests / 2);
-    // What is left is for requests whose endpoint broke off.
+    // The rest of the budget is left to requests whose endpoint broke off.
     unsigned repeats = 0;
     for (unsigned i = 0; i < requests / 20; ++i) {
         startFlow(world, requestFor(draftRoute()));
--- a/unittests/Proxy/FlowWorld.cpp
+++ b/unittests/Proxy/FlowWorld.cpp
@@ -1,6 +1,6 @@
-//===-- FlowWorld.cpp - fakes around one request flow -----------------------===//
+//===-- FlowWorld.cpp - fixture for request flows ---------------------------===//
 //
-// Routes and requests that the tests share.
+// Implements the fixture, and the routes and requests that the tests share.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowWorld.h"
--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowWorld.h
@@ -1,7 +1,7 @@
-//===-- FlowWorld.h - fakes around one request flow --------------*- C++ -*-===//
+//===-- FlowWorld.h - fixture for request flows ------------------*- C++ -*-===//
 //
-// Endpoints that the test plays by hand, a caller that writes down what it gets, and a
-// clock that stands still until the test advances it.
+// A test fixture with endpoints whose answers the test supplies, a caller that records the
+// response, and a clock that advances only when the test says so.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_UNITTESTS_PROXY_FLOWWORLD_H
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// One call that the flow made.
+/// A call that a flow has made.
 struct recorded_call
 {
     proxy_attempt attempt;
@@ -25,47 +25,49 @@
     bool cancelled = false;
 };
 
-/// Everything around one flow.
+/// Test fixture for request flows.
 struct flow_world
 {
     flow_world() = default;
-    /// One route is in force, and endpoints with these ids are listed.
+    /// Puts \p route in force and lists endpoints with the ids \p endpoints.
     flow_world(const service_route &route, std::initializer_list<const char *> endpoints);
 
     manual_runtime runtime;
     routing_state routing{{}, {0, 50}, 1};
     std::vector<recorded_call> calls;
     std::vector<std::pair<attempt_end, next_step>> steps;
-    int status = 0; ///< of the answer; 0: none yet
+    int status = 0; ///< of the response; 0 if there is none yet
     http_headers headers;
     std::string body;
     bool begun = false;
     bool ended = false;
     bool aborted = false;
     std::optional<flow_record> record;
-    std::vector<std::string> probedEndpoints; ///< endpoints that may have ended
-    bool room = true;
-    unsigned candidatesExamined = 0; ///< candidates that were looked at
-    std::vector<std::shared_ptr<void>> flows; ///< kept alive as the server does
+    std::vector<std::string> probedEndpoints; ///< endpoints probed after a lost connection
+    bool room = true; ///< whether endpoints have a free connection
+    unsigned candidatesExamined = 0; ///< number of candidates evaluated by choices
+    std::vector<std::shared_ptr<void>> flows; ///< keeps the flows alive, as the server does
 
     void addEndpoint(const std::string &id, const std::string &service = "pool",
                      const std::string &version = "v1");
     void setDataCentre(const std::string &id, const std::string &dataCentre);
-    /// An endpoint that is cold and bears one request a second, which \p owner may send.
+    /// Adds a cold endpoint with a limit of one request per second, which \p owner may send.
     void addColdEndpoint(const std::string &id, const std::string &owner);
-    /// The entry has run for a while: other requests have earned further sends of \p service.
+    /// Counts other requests to \p service, which earn a budget of further sends.
     void earnFurtherSends(const std::string &service);
-    /// Puts a contract of this one route in force, and some further sends at hand.
+    /// Puts a contract with this route in force and calls earnFurtherSends() for its services.
     void useRoute(const service_route &route);
 
-    /// Plays the head, and the end, of the answer of call \p index.
+    /// Supplies the head of a signed answer of call \p index.
     void answer(std::size_t index, int status, std::optional<int> confidence = std::nullopt);
-    /// Plays the given head, and ends call \p index.
+    /// Supplies the head \p head of the answer of call \p index, and ends the call.
     void answer(std::size_t index, proxy_answer head, call_end how);
-    /// \param misdirected another process than the one meant says so.
+    /// Refuses call \p index as not run.
+    /// \param misdirected if true, another process than the intended one refuses.
     void refuseNotRun(std::size_t index, bool misdirected = false);
     void data(std::size_t index, const std::string &text) { calls[index].events.onData(text); }
     void end(std::size_t index, call_end how) { calls[index].events.onEnd(how); }
+    /// \returns the number of calls that were not cancelled.
     std::size_t openCalls() const;
     std::string endpointOf(std::size_t index) const
     {
@@ -73,7 +75,7 @@
     }
 };
 
-/// The environment that a flow gets.
+/// Environment of a flow that connects it to a flow_world.
 struct fake_environment
 {
     flow_world *world;
@@ -126,8 +128,8 @@
 
 using fake_flow = request_flow<fake_environment>;
 
-service_route lookupRoute(); ///< repeatable, two endpoints
-service_route fetchRoute(); ///< runs at most once
+service_route lookupRoute(); ///< repeatable, at most two endpoints
+service_route fetchRoute(); ///< at most once
 service_route draftRoute(); ///< a resumable stream over three models
 
 std::shared_ptr<proxy_request> requestFor(const service_route &route);
--- a/unittests/Proxy/RetryAfterTests.cpp
+++ b/unittests/Proxy/RetryAfterTests.cpp
@@ -70,7 +70,7 @@
     CHECK(world.sentTo("e1", 1) == 1);
 }
 
-TEST_CASE("where all endpoints ask for no requests, callers are told the earliest end at once")
+TEST_CASE("when all endpoints are in backoff, callers get the earliest end as Retry-After at once")
 {
     backoff_world world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
@@ -86,7 +86,7 @@
     CHECK(findHeader(world.headers, "Retry-After") == "1.000000");
 }
 
-TEST_CASE("a Retry-After of zero, or none, leaves an endpoint usable within a moment")
+TEST_CASE("an endpoint that refused without a Retry-After, or with zero, is usable after 200 ms")
 {
     for (const std::optional<milliseconds> time :
          {std::optional(milliseconds(0)), std::optional<milliseconds>()}) {
@@ -98,7 +98,7 @@
     }
 }
 
-TEST_CASE("an endpoint that starts again has asked for nothing yet")
+TEST_CASE("a restarted endpoint is not in backoff")
 {
     backoff_world world(lookupRoute(), {"e1"});
     endpoint_record record = world.routing.directory().all().at("e1")->record();
