--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -1,7 +1,8 @@
-//===-- ColdEndpointTests.cpp - endpoints that bear few requests ------------===//
+//===-- ColdEndpointTests.cpp - rate limits of cold endpoints ---------------===//
 //
-// A third of the endpoints comes back cold at once, before a fleet of entries under load: what
-// arrives at each endpoint in any second, and what callers get.
+// Guards against overloading cold endpoints: up to a third of the endpoints return cold at the same
+// time while many entries are under load. The tests check the requests that each cold endpoint
+// receives in any second, and the responses to callers.
 //
 //===----------------------------------------------------------------------===//
 #include "FleetFlows.h"
@@ -17,9 +18,9 @@
 
 constexpr std::size_t entryCount = 40;
 constexpr unsigned endpointCount = 60;
-/// Requests a second that a cold endpoint bears; warm ones get 8 each on average.
+/// Requests per second that a cold endpoint accepts; warm ones get 8 each on average.
 constexpr double coldLimitPerSecond = 6;
-/// All entries together get a request this often: three quarters of what the endpoints can do.
+/// Time between two requests, over all entries: three quarters of what the endpoints can serve.
 constexpr milliseconds requestInterval{2};
 constexpr milliseconds serviceTime{150};
 constexpr milliseconds coldPeriod{3000};
@@ -33,16 +34,16 @@
 {
     fleet entries;
     service_route route = lookupRoute();
-    std::map<std::string, time_point> coldUntil; ///< of the endpoints, as they say
-    std::map<std::string, std::deque<time_point>> arrivals; ///< of the last second
-    std::map<std::string, unsigned> running; ///< requests that an endpoint works on
-    std::size_t maxPerSecondWhileCold = 0; ///< at a cold endpoint
+    std::map<std::string, time_point> coldUntil; ///< by endpoint, as reported in its row
+    std::map<std::string, std::deque<time_point>> arrivals; ///< by endpoint, in the last second
+    std::map<std::string, unsigned> running; ///< requests in progress, by endpoint
+    std::size_t maxPerSecondWhileCold = 0; ///< most requests to a cold endpoint in a second
     std::size_t sentWhileCold = 0;
     unsigned served = 0;
     unsigned refused = 0;
     std::vector<std::shared_ptr<fleet_flow>> flows;
 
-    explicit cold_world(double bears)
+    explicit cold_world(double coldLimit)
     {
         route.objective = milliseconds(2000);
         entries.store.put("orders", "contract", "7");
@@ -51,17 +52,17 @@
         entries.start(0, entryCount);
         entries.runtime.advance(seconds(5));
         for (fleet_entry &entry : entries.entries)
-            useContract(entry, bears);
+            useContract(entry, coldLimit);
     }
 
-    void useContract(fleet_entry &entry, double bears) const
+    void useContract(fleet_entry &entry, double coldLimit) const
     {
         auto contract = std::make_shared<service_contract>();
         contract->version = 100;
         contract->routes.push_back(route);
         service_description pool;
         pool.name = "pool";
-        pool.coldPerSecond = bears;
+        pool.coldPerSecond = coldLimit;
         contract->services.push_back(pool);
         entry.routing.setContract(contract);
     }
@@ -89,7 +90,7 @@
         entries.store.remove("endpoints", id);
     }
 
-    /// The entries take requests by turns for \p time.
+    /// Sends requests to the entries in round-robin order for \p time.
     void play(duration time)
     {
         auto entry = entries.entries.begin();
@@ -141,7 +142,7 @@
         maxPerSecondWhileCold = std::max(maxPerSecondWhileCold, times.size());
     }
 
-    /// Endpoints are gone for some seconds and come back cold at once.
+    /// Removes \p returning endpoints for some seconds, then adds as many cold ones at once.
     void returnCold(unsigned returning)
     {
         for (unsigned i = 0; i < returning; ++i)
@@ -155,53 +156,54 @@
 
 } // namespace
 
-TEST_CASE("endpoints that come back cold together get no more than they bear, and not nothing")
+TEST_CASE("endpoints that return cold together receive requests, but no more than their limit")
 {
     for (const unsigned returning : {2U, 20U}) {
         CAPTURE(returning);
-        // Two endpoints are chosen some ten times in one play: what they get is a mean of plays.
-        constexpr unsigned plays = 6;
+        // Two endpoints are chosen only about ten times in one run, so average several runs.
+        constexpr unsigned runs = 6;
         std::size_t atCold = 0;
-        for (unsigned play = 0; play < plays; ++play) {
+        for (unsigned run = 0; run < runs; ++run) {
             cold_world world(coldLimitPerSecond);
-            world.play(milliseconds(130) * play);
+            world.play(milliseconds(130) * run);
             world.returnCold(returning);
             CHECK(world.maxPerSecondWhileCold <= coldLimitPerSecond);
             CHECK(world.refused == 0);
             atCold += world.sentWhileCold;
         }
-        // Idle capacity serves: a sixth of what they bear. Owners with shares of three a second use
-        // 0.7 of these six on average, with one 1.4: few owners seldom choose the endpoint.
-        CHECK(static_cast<double>(atCold) / plays >= 3 * coldLimitPerSecond / 6 * returning);
+        // A sixth of the limit is enough, since the other endpoints have idle capacity. An endpoint
+        // whose limit of six is split into shares of three a second gets 0.7 requests a second on
+        // average, and 1.4 with shares of one, since a few owners choose the endpoint less often.
+        CHECK(static_cast<double>(atCold) / runs >= 3 * coldLimitPerSecond / 6 * returning);
     }
 }
 
-TEST_CASE("without shares two endpoints that come back cold get more than the users allow")
+TEST_CASE("without shares, two endpoints that return cold are overloaded")
 {
-    // What the shares guard against: all entries see the endpoints as idle.
+    // Without shares, all entries see the endpoints as idle and send to them at once.
     cold_world world(0);
     world.returnCold(2);
     CHECK(world.maxPerSecondWhileCold > 1.5 * coldLimitPerSecond + 5);
 }
 
-TEST_CASE("where all endpoints are cold, callers are served up to what these bear")
+TEST_CASE("when all endpoints are cold, callers are served up to the sum of the limits")
 {
-    constexpr double bears = 18;
-    cold_world world(bears);
+    constexpr double coldLimit = 18;
+    cold_world world(coldLimit);
     for (unsigned i = 0; i < endpointCount; ++i)
         world.endEndpoint("p" + std::to_string(i));
-    // Thirty bear 540 requests a second; 500 come.
+    // Thirty endpoints accept 540 requests per second; 500 arrive.
     for (unsigned i = 0; i < endpointCount / 2; ++i)
         world.startEndpoint("q" + std::to_string(i), seconds(20));
     world.play(seconds(2));
     world.served = 0;
     world.refused = 0;
     world.play(seconds(6));
-    CHECK(world.maxPerSecondWhileCold <= bears);
+    CHECK(world.maxPerSecondWhileCold <= coldLimit);
     CHECK(world.refused <= world.served / 50);
 }
 
-TEST_CASE("a data centre that is taken back counts as cold until its rows say otherwise")
+TEST_CASE("endpoints count as cold after an evacuation until a row or a timeout says otherwise")
 {
     service_directory directory;
     const time_point start{seconds(1000)};
@@ -219,7 +221,7 @@
     CHECK(!endpoint->isCold(start + milliseconds(9100)));
 }
 
-TEST_CASE("a request waits for room at the only cold endpoint, and is refused when none comes")
+TEST_CASE("a request waits for the only endpoint, which is cold, and is refused after a time limit")
 {
     flow_world world(lookupRoute(), {});
     world.addColdEndpoint("e1", "own");
@@ -241,7 +243,7 @@
     CHECK(world.status == 0);
 }
 
-TEST_CASE("an entry that owns none of the cold endpoints refuses at once")
+TEST_CASE("an entry without a share of any cold endpoint refuses at once")
 {
     flow_world world(lookupRoute(), {});
     world.addColdEndpoint("e1", "other");
--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -1,7 +1,8 @@
-//===-- EvacuationTests.cpp - a data centre that must get nothing -----------===//
+//===-- EvacuationTests.cpp - evacuation of data centres --------------------===//
 //
-// Operators empty a data centre and take it back; every entry leaves its endpoints alone within
-// the time that the site allows, whatever the store does, and whatever kind of send it is.
+// Guards against sends to a data centre that operators have evacuated: each entry must stop sending
+// there in time and start again when the evacuation ends, even with a failing store, and for first
+// sends, repeats and resumed streams.
 //
 //===----------------------------------------------------------------------===//
 #include "EntryFleet.h"
@@ -14,7 +15,7 @@
 namespace {
 
 constexpr std::size_t entryCount = 40;
-/// Far below what sites allow, which is five seconds.
+/// Time within which every entry must apply a change here. Sites allow five seconds.
 constexpr milliseconds propagationLimit{1000};
 
 std::size_t usableAt(fleet_entry &entry)
@@ -22,7 +23,7 @@
     return entry.routing.directory().usable("pool").size();
 }
 
-/// A fleet before two endpoints in each of two data centres.
+/// Entries with two endpoints in each of two data centres.
 struct evacuation_world
 {
     fleet entries;
@@ -36,7 +37,7 @@
         entries.runtime.advance(seconds(5));
     }
 
-    /// \returns how many entries that are up see \p count endpoints.
+    /// \returns the number of running entries that may use exactly \p count endpoints.
     std::size_t entriesThatSee(std::size_t count)
     {
         std::size_t found = 0;
@@ -48,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("every entry leaves an evacuated data centre alone, and takes it back")
+TEST_CASE("every entry avoids an evacuated data centre, and uses it again afterwards")
 {
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
@@ -65,7 +66,7 @@
     CHECK(world.entriesThatSee(4) == entryCount);
 }
 
-TEST_CASE("an entry that starts during an evacuation never sends there")
+TEST_CASE("an entry that starts during an evacuation never uses the evacuated endpoints")
 {
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
@@ -80,7 +81,7 @@
     CHECK(usableAt(entry) == 2);
 }
 
-TEST_CASE("an evacuation that ends while the history is forgotten ends for all")
+TEST_CASE("an evacuation ends for all entries although the store has lost its history")
 {
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
@@ -91,8 +92,8 @@
     CHECK(world.entriesThatSee(4) == entryCount);
 }
 
-TEST_CASE("an evacuation is in force soon after the store's return, and where entries are turned "
-          "away from it")
+TEST_CASE("an evacuation is in force soon after the store recovers, and at entries that the store "
+          "rejects")
 {
     evacuation_world world;
     world.entries.store.away = true;
@@ -101,7 +102,7 @@
     world.entries.store.away = false;
     world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(2) == entryCount);
-    // An odd one out of all, readers among them.
+    // The store rejects every second entry, except those that read it on behalf of others.
     std::size_t number = 0;
     for (fleet_entry &entry : world.entries.entries)
         entry.store.isTurnedAway = ++number % 2 == 0 && !entry.readers.empty();
@@ -110,7 +111,7 @@
     CHECK(world.entriesThatSee(4) == entryCount);
 }
 
-TEST_CASE("an evacuation is in force in time where the readers have lost power")
+TEST_CASE("an evacuation is in force in time when the entries that read the store lose power")
 {
     evacuation_world world;
     std::size_t up = 0;
@@ -123,7 +124,7 @@
     CHECK(world.entriesThatSee(2) == up);
 }
 
-TEST_CASE("a repeat, and the rest of a stream, leave an evacuated data centre alone")
+TEST_CASE("the rest of a stream is not resumed in an evacuated data centre")
 {
     const service_route route = draftRoute();
     flow_world world(route, {"e1", "e2", "e3"});
@@ -140,12 +141,12 @@
     world.end(0, call_end::broken);
     REQUIRE(world.calls.size() == 2);
     world.end(1, call_end::broken);
-    // The one that is left is asked again; the stream breaks off before it goes back.
+    // Only the remaining endpoint is tried again; the stream never returns to the evacuated ones.
     for (std::size_t i = 1; i < world.calls.size(); ++i)
         CHECK(world.calls[i].attempt.endpoint->record().id == other);
 }
 
-TEST_CASE("a request that only evacuated endpoints could serve is refused at once, with a time")
+TEST_CASE("a request that only evacuated endpoints could serve is refused with a Retry-After")
 {
     flow_world world(lookupRoute(), {"e1"});
     world.setDataCentre("e1", "east");
--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -1,6 +1,7 @@
-//===-- RegionTests.cpp - routes and customers that are bound to regions -----===//
+//===-- RegionTests.cpp - region restrictions of routes and customers -------===//
 //
-// Endpoints outside get nothing, whatever becomes of those inside.
+// Guards against sending a request to an endpoint outside the permitted regions, in particular when
+// no endpoint inside is available.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowWorld.h"
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// Two endpoints in the north, one in the south and one in a data centre of no known region.
+/// Two endpoints in region north, one in south and one in a data centre without a known region.
 struct two_regions : flow_world
 {
     explicit two_regions(const service_route &route)
@@ -31,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a route of one region is served there only, and refused at once when nobody is left")
+TEST_CASE("a route of one region is served only there, and refused when no endpoint is left")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north"};
@@ -57,7 +58,7 @@
     CHECK(none.record->reason == flow_reason::outsideRegions);
 }
 
-TEST_CASE("a customer's regions bind all its routes, and both bounds hold together")
+TEST_CASE("the regions of the customer and of the route both apply")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north", "south"};
@@ -71,7 +72,7 @@
     CHECK(world.calls[0].attempt.endpoint->record().id == "e3");
 }
 
-TEST_CASE("what is bound to no region is served anywhere")
+TEST_CASE("a request without region restrictions is served anywhere")
 {
     two_regions world(lookupRoute());
     for (const char *id : {"e1", "e2", "e3"})
@@ -81,7 +82,7 @@
     CHECK(world.calls[0].attempt.endpoint->record().id == "e4");
 }
 
-TEST_CASE("one endpoint inside is found among a thousand outside")
+TEST_CASE("the only endpoint in the permitted region is found among a thousand others")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"south"};
--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -1,6 +1,7 @@
-//===-- StreamVersionTests.cpp - begun streams and roll-outs ----------------===//
+//===-- StreamVersionTests.cpp - versions of retries during roll-outs -------===//
 //
-// Which version goes on with a stream that another endpoint has begun.
+// Checks which software version resumes a begun stream or retries a failed request during a
+// roll-out.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowWorld.h"
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// A stream's world with three endpoints of the settled version and one of a version on trial.
+/// A stream route, three endpoints of the settled version and one of a version on trial.
 struct trial_world : flow_world
 {
     trial_world()
@@ -29,7 +30,7 @@
                               share};
         routing.rollouts("pool").setRow(row);
     }
-    /// Plays \p event of call \p index, after which the endpoint breaks off.
+    /// Supplies \p event as an answer to call \p index, then breaks the connection.
     void breakAfter(std::size_t index, unsigned event)
     {
         answer(index, 200, 90);
@@ -44,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a stream that has begun does not go over to a version whose trial starts meanwhile")
+TEST_CASE("a begun stream is not resumed at a version whose trial starts meanwhile")
 {
     trial_world world;
     startFlow(world, requestFor(draftRoute()));
@@ -57,7 +58,7 @@
     CHECK(world.versionOf(2) == "v1");
 }
 
-TEST_CASE("the last attempt of a stream that a version on trial began is the settled version's")
+TEST_CASE("the last attempt of a stream begun by a version on trial uses the settled version")
 {
     trial_world world;
     world.setTrial(1.0);
@@ -72,9 +73,9 @@
     CHECK(world.versionOf(2) == "v1");
 }
 
-TEST_CASE("a stream whose version has ended goes on at the one that took its place")
+TEST_CASE("a stream whose version is gone is resumed at the version that replaced it")
 {
-    // The entry has heard of it, or finds out by connections that are refused.
+    // The entry knows this from the roll-out row, or notices it by refused connections.
     for (const bool hasHeard : {true, false}) {
         trial_world world;
         for (const char *id : {"old4", "old5", "old6", "old7"})
@@ -94,7 +95,7 @@
     }
 }
 
-TEST_CASE("a choice among thousands of endpoints looks at a bounded number, also while versions "
+TEST_CASE("a choice among thousands of endpoints evaluates a bounded number, also while versions "
           "change")
 {
     for (const bool ordered : {false, true}) {
@@ -111,7 +112,7 @@
     }
 }
 
-TEST_CASE("a session on trial keeps its version when the trial's few endpoints fail")
+TEST_CASE("a session on trial keeps its version when the endpoints of the trial fail")
 {
     trial_world world;
     world.useRoute(lookupRoute());
@@ -127,7 +128,7 @@
         world.end(call, call_end::complete);
     }
     CHECK(world.calls.size() == 2);
-    // One that belongs to no session is served by the old version.
+    // A request without a session is served by the old version.
     trial_world other;
     other.useRoute(lookupRoute());
     other.setTrial(1.0);
@@ -138,7 +139,7 @@
     CHECK(other.versionOf(1) == "v1");
 }
 
-TEST_CASE("a session on trial is served by the old version when none of the new one is reached")
+TEST_CASE("a session on trial falls back to the old version if the new one can't be reached")
 {
     trial_world world;
     world.useRoute(lookupRoute());
