--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -223,7 +223,7 @@
 
 TEST_CASE("a request waits for the only endpoint, which is cold, and is refused after a time limit")
 {
-    flow_world world(lookupRoute(), {});
+    flow_fixture world(lookupRoute(), {});
     world.addColdEndpoint("e1", "own");
     const auto first = startFlow(world, requestFor(lookupRoute()));
     CHECK(world.calls.size() == 1);
@@ -245,7 +245,7 @@
 
 TEST_CASE("an entry without a share of any cold endpoint refuses at once")
 {
-    flow_world world(lookupRoute(), {});
+    flow_fixture world(lookupRoute(), {});
     world.addColdEndpoint("e1", "other");
     const auto flow = startFlow(world, requestFor(lookupRoute()));
     CHECK(world.calls.empty());
--- a/unittests/Proxy/CustomerRunTests.cpp
+++ b/unittests/Proxy/CustomerRunTests.cpp
@@ -17,7 +17,7 @@
 /// Records the reported runs.
 struct run_log
 {
-    explicit run_log(flow_world &world)
+    explicit run_log(flow_fixture &world)
     {
         world.routing.setRunListener([this](const customer_run &run) { runs.push_back(run); });
     }
@@ -36,7 +36,7 @@
 
 TEST_CASE("a request is reported once, for its customer, when it is sent")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     run_log log(world);
     startFlow(world, requestFor(fetchRoute()));
     REQUIRE(log.runs.size() == 1);
@@ -50,7 +50,7 @@
 
 TEST_CASE("a retried request counts once, at the time of its first run")
 {
-    flow_world world(lookupRoute(), {"e1", "e2"});
+    flow_fixture world(lookupRoute(), {"e1", "e2"});
     run_log log(world);
     startFlow(world, requestFor(lookupRoute()));
     const time_point first = world.runtime.now();
@@ -66,7 +66,7 @@
 
 TEST_CASE("a report is reverted when an endpoint refused or never received the request")
 {
-    flow_world world(lookupRoute(), {"e1", "e2"});
+    flow_fixture world(lookupRoute(), {"e1", "e2"});
     run_log log(world);
     startFlow(world, requestFor(lookupRoute()));
     const time_point first = world.runtime.now();
@@ -79,7 +79,7 @@
     CHECK(log.runs[2].began == world.runtime.now());
     CHECK(log.counted() == 1);
 
-    flow_world other(fetchRoute(), {"e1"});
+    flow_fixture other(fetchRoute(), {"e1"});
     run_log none(other);
     startFlow(other, requestFor(fetchRoute()));
     other.end(0, call_end::notSent);
@@ -88,7 +88,7 @@
 
 TEST_CASE("a request whose answer was lost counts, since it may have run")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     run_log log(world);
     startFlow(world, requestFor(fetchRoute()));
     world.end(0, call_end::broken);
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -77,7 +77,7 @@
 TEST_CASE("a broken attempt and one that found nobody have their endpoint looked at")
 {
     for (const call_end how : {call_end::broken, call_end::notSent}) {
-        flow_world world(lookupRoute(), {"e1", "e2"});
+        flow_fixture world(lookupRoute(), {"e1", "e2"});
         startFlow(world, requestFor(lookupRoute()));
         const std::string first = world.calls[0].attempt.endpoint->record().id;
         world.end(0, how);
@@ -92,7 +92,7 @@
 TEST_CASE("a whole answer, a failure and a refusal leave no suspect; a caller that left does")
 {
     for (const int status : {200, 500, 503}) {
-        flow_world world(fetchRoute(), {"e1"});
+        flow_fixture world(fetchRoute(), {"e1"});
         startFlow(world, requestFor(fetchRoute()));
         if (status == 503) {
             world.refuseNotRun(0);
@@ -102,7 +102,7 @@
         }
         CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).empty());
     }
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(fetchRoute()));
     flow->callerLeft();
     CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).size() == 1);
--- a/unittests/Proxy/EndpointStateTests.cpp
+++ b/unittests/Proxy/EndpointStateTests.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("the record of a request keeps the state that its last endpoint reported")
 {
-    flow_world world(lookupRoute(), {"e1", "e2"});
+    flow_fixture world(lookupRoute(), {"e1", "e2"});
     const auto flow = startFlow(world, requestFor(lookupRoute()));
     proxy_answer refusal;
     refusal.status = http_status::unavailable;
@@ -30,7 +30,7 @@
 
 TEST_CASE("a misdirected answer sets no leaving state, retry time or rate limit of the endpoint")
 {
-    flow_world world(lookupRoute(), {"e1"});
+    flow_fixture world(lookupRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(lookupRoute()));
     proxy_answer answer;
     answer.status = 421;
--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -127,7 +127,7 @@
 TEST_CASE("the rest of a stream is not resumed in an evacuated data centre")
 {
     const service_route route = draftRoute();
-    flow_world world(route, {"e1", "e2", "e3"});
+    flow_fixture world(route, {"e1", "e2", "e3"});
     for (const char *id : {"e1", "e2", "e3"})
         world.setDataCentre(id, "east");
     const auto flow = startFlow(world, requestFor(route));
@@ -148,7 +148,7 @@
 
 TEST_CASE("a request that only evacuated endpoints could serve is refused with a Retry-After")
 {
-    flow_world world(lookupRoute(), {"e1"});
+    flow_fixture world(lookupRoute(), {"e1"});
     world.setDataCentre("e1", "east");
     world.routing.directory().setEvacuated({"east"}, world.runtime.now());
     const auto flow = startFlow(world, requestFor(lookupRoute()));
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("without a contract, a request is refused with a Retry-After")
 {
-    flow_world world;
+    flow_fixture world;
     startFlow(world, requestFor(lookupRoute()));
     CHECK(world.status == 503);
     CHECK(findHeader(world.headers, "Retry-After") == "0.600000");
@@ -20,7 +20,7 @@
 
 TEST_CASE("an unknown route gets 404, an unknown key 401, and neither reaches an endpoint")
 {
-    flow_world world(lookupRoute(), {"e1"});
+    flow_fixture world(lookupRoute(), {"e1"});
     auto request = requestFor(lookupRoute());
     request->path = "/b/x";
     startFlow(world, request);
@@ -34,7 +34,7 @@
 
 TEST_CASE("the customer, its priority and the remaining time are sent to the endpoint")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     auto request = requestFor(fetchRoute());
     request->patience = milliseconds(1500);
     startFlow(world, request);
@@ -47,7 +47,7 @@
 
 TEST_CASE("a complete answer is passed on unchanged")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     startFlow(world, requestFor(fetchRoute()));
     world.answer(0, 200);
     world.data(0, "abc");
@@ -62,7 +62,7 @@
 TEST_CASE("an at-most-once request is not retried after it may have run")
 {
     for (const call_end end : {call_end::broken, call_end::complete}) {
-        flow_world world(fetchRoute(), {"e1", "e2"});
+        flow_fixture world(fetchRoute(), {"e1", "e2"});
         startFlow(world, requestFor(fetchRoute()));
         if (end == call_end::complete)
             world.answer(0, 500);
@@ -76,7 +76,7 @@
 
 TEST_CASE("a request that was not sent is retried elsewhere, even an at-most-once one")
 {
-    flow_world world(fetchRoute(), {"e1", "e2"});
+    flow_fixture world(fetchRoute(), {"e1", "e2"});
     startFlow(world, requestFor(fetchRoute()));
     world.end(0, call_end::notSent);
     REQUIRE(world.calls.size() == 2);
@@ -87,7 +87,7 @@
 
 TEST_CASE("a refusal that states that the request has not run is passed on as 503")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     startFlow(world, requestFor(fetchRoute()));
     world.refuseNotRun(0);
     CHECK(world.status == 503);
@@ -98,7 +98,7 @@
 TEST_CASE("an endpoint with another process at its address is avoided for longer than a full one")
 {
     for (const bool misdirected : {false, true}) {
-        flow_world world(lookupRoute(), {"e1", "e2"});
+        flow_fixture world(lookupRoute(), {"e1", "e2"});
         startFlow(world, requestFor(lookupRoute()));
         const endpoint_ptr asked = world.calls[0].attempt.endpoint;
         world.refuseNotRun(0, misdirected);
@@ -110,7 +110,7 @@
 
 TEST_CASE("a misdirected attempt does not count against the limit of endpoints")
 {
-    flow_world world(fetchRoute(), {"e1", "e2"});
+    flow_fixture world(fetchRoute(), {"e1", "e2"});
     startFlow(world, requestFor(fetchRoute()));
     world.refuseNotRun(0, true);
     REQUIRE(world.calls.size() == 2);
@@ -123,7 +123,7 @@
 
 TEST_CASE("a request that may have run gets 502, not a refusal as not run")
 {
-    flow_world world(lookupRoute(), {"e1", "e2"});
+    flow_fixture world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
     world.end(0, call_end::broken);
     REQUIRE(world.calls.size() == 2);
@@ -133,7 +133,7 @@
 
 TEST_CASE("a repeatable request is retried after silence, up to the limit of endpoints")
 {
-    flow_world world(lookupRoute(), {"e1", "e2"});
+    flow_fixture world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
     world.runtime.advance(milliseconds(601));
     REQUIRE(world.calls.size() == 2);
@@ -148,7 +148,7 @@
 TEST_CASE("an unsigned or encoded success is treated as a broken attempt")
 {
     for (const bool encoded : {false, true}) {
-        flow_world world(fetchRoute(), {"e1"});
+        flow_fixture world(fetchRoute(), {"e1"});
         startFlow(world, requestFor(fetchRoute()));
         proxy_answer answer;
         answer.status = 200;
@@ -162,7 +162,7 @@
 
 TEST_CASE("at the route's timeout the caller gets 504 at once")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     startFlow(world, requestFor(fetchRoute()));
     world.runtime.advance(milliseconds(3999));
     CHECK(world.status == 0);
@@ -173,7 +173,7 @@
 
 TEST_CASE("the current attempt is cancelled when the caller disconnects")
 {
-    flow_world world(draftRoute(), {"e1"});
+    flow_fixture world(draftRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(draftRoute()));
     flow->callerLeft();
     CHECK(world.calls[0].cancelled);
@@ -184,7 +184,7 @@
 
 TEST_CASE("a stream passes on complete events and resumes after the last one")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 90);
     world.data(0, eventText(1) + eventText(2) + "id: 3\nda");
@@ -204,7 +204,7 @@
 
 TEST_CASE("a stream that can't be resumed is aborted, so that it does not look complete")
 {
-    flow_world world(draftRoute(), {"e1"});
+    flow_fixture world(draftRoute(), {"e1"});
     startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 90);
     world.data(0, eventText(1) + "id: 2");
@@ -217,7 +217,7 @@
 
 TEST_CASE("a paused stream is resumed elsewhere before the pause exceeds its limit")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 90);
     world.data(0, eventText(1));
@@ -230,7 +230,7 @@
 
 TEST_CASE("a low-confidence answer of the small model is replaced by the large model's")
 {
-    flow_world world(draftRoute(), {"e1"});
+    flow_fixture world(draftRoute(), {"e1"});
     startFlow(world, requestFor(draftRoute()));
     CHECK(world.calls[0].attempt.model == "small");
     world.answer(0, 200, 20);
@@ -257,7 +257,7 @@
                         {40'000, milliseconds(100), false},
                         {10'000, milliseconds(1500), false}};
     for (const row &item : rows) {
-        flow_world world(draftRoute(), {"e1", "e2"});
+        flow_fixture world(draftRoute(), {"e1", "e2"});
         world.routing.promptRate("small").note(10'000, 100);
         auto request = requestFor(draftRoute());
         request->promptTokens = item.tokens;
@@ -276,7 +276,7 @@
 
 TEST_CASE("the record keeps the reason of the choice when an escalation is not carried out")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     world.routing.promptRate("small").note(10'000, 100);
     auto request = requestFor(draftRoute());
     request->promptTokens = 40'000;
@@ -296,7 +296,7 @@
 
 TEST_CASE("a model that the caller requests is never replaced")
 {
-    flow_world world(draftRoute(), {"e1"});
+    flow_fixture world(draftRoute(), {"e1"});
     auto request = requestFor(draftRoute());
     request->anyModel = false;
     request->model = "middle";
@@ -308,7 +308,7 @@
 
 TEST_CASE("a stopping process ends its requests with 504")
 {
-    flow_world world(draftRoute(), {"e1"});
+    flow_fixture world(draftRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(draftRoute()));
     flow->giveUp();
     CHECK(world.status == 504);
@@ -317,7 +317,7 @@
 
 TEST_CASE("a request that fails on the trial's endpoints is served by the settled version")
 {
-    flow_world world;
+    flow_fixture world;
     world.useRoute(lookupRoute());
     world.addEndpoint("old", "pool", "v1");
     world.addEndpoint("new", "pool", "v2");
@@ -335,7 +335,7 @@
 
 TEST_CASE("the only endpoint is tried again after a failure, and its error answer is passed on")
 {
-    flow_world world(lookupRoute(), {"e1"});
+    flow_fixture world(lookupRoute(), {"e1"});
     startFlow(world, requestFor(lookupRoute()));
     world.answer(0, 500);
     world.end(0, call_end::complete);
@@ -348,7 +348,7 @@
 
 TEST_CASE("an error answer is passed on unchanged when its endpoint was removed meanwhile")
 {
-    flow_world world(lookupRoute(), {"e1"});
+    flow_fixture world(lookupRoute(), {"e1"});
     startFlow(world, requestFor(lookupRoute()));
     world.answer(0, 500);
     world.data(0, "why");
@@ -361,7 +361,7 @@
 TEST_CASE("an endpoint that reads another entry's long prompt is avoided, and sends are reported")
 {
     for (const char *busy : {"e1", "e2"}) {
-        flow_world world(lookupRoute(), {"e1", "e2"});
+        flow_fixture world(lookupRoute(), {"e1", "e2"});
         std::vector<std::string> reported;
         world.routing.setSendListener(
                 [&](const service_endpoint &endpoint, double, std::span<const prompt_prefix>) {
@@ -385,7 +385,7 @@
         return request;
     };
     std::vector<prompt_prefix> reported;
-    flow_world sender(draftRoute(), {"e1"});
+    flow_fixture sender(draftRoute(), {"e1"});
     sender.routing.setSendListener(
             [&](const service_endpoint &, double, std::span<const prompt_prefix> prefixes) {
                 reported.assign(prefixes.begin(), prefixes.end());
@@ -394,7 +394,7 @@
     REQUIRE(reported.size() == 1);
     CHECK(reported[0].tokens == 10'000);
     for (const char *holder : {"e1", "e2", "e3"}) {
-        flow_world world(draftRoute(), {"e1", "e2", "e3"});
+        flow_fixture world(draftRoute(), {"e1", "e2", "e3"});
         world.routing.noteSendElsewhere(holder, milliseconds(0), reported, world.runtime.now());
         world.routing.noteSendElsewhere("gone", milliseconds(0), reported, world.runtime.now());
         startFlow(world, prompted());
@@ -405,7 +405,7 @@
 
 TEST_CASE("an entry that shuts down refuses a request with a Retry-After")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     const auto flow
             = std::make_shared<fake_flow>(fake_environment{&world}, requestFor(fetchRoute()));
     flow->startDuringShutdown(world.runtime.now() + milliseconds(3900), milliseconds(1000));
@@ -418,7 +418,7 @@
 
 TEST_CASE("an entry that shuts down serves a request whose deadline is early enough")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     const auto flow
             = std::make_shared<fake_flow>(fake_environment{&world}, requestFor(fetchRoute()));
     flow->startDuringShutdown(world.runtime.now() + fetchRoute().timeout, milliseconds(1000));
@@ -430,7 +430,7 @@
 
 TEST_CASE("an entry that shuts down still answers an unknown route with 404")
 {
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     auto request = requestFor(fetchRoute());
     request->host = "elsewhere.example";
     const auto flow = std::make_shared<fake_flow>(fake_environment{&world}, request);
@@ -442,7 +442,7 @@
 {
     // Three local endpoints and one in another data centre, which costs more without failures.
     const service_route route = draftRoute();
-    flow_world world(route, {"a1", "a2", "a3", "b1"});
+    flow_fixture world(route, {"a1", "a2", "a3", "b1"});
     world.setDataCentre("b1", "other");
     const auto flow = startFlow(world, requestFor(route));
     world.answer(0, 200, 90);
@@ -465,7 +465,7 @@
     // hung and shed load, nearly every request was escalated to a larger model, and only its second
     // further send was charged.
     constexpr unsigned requests = 100;
-    flow_world world(draftRoute(), {"e1", "e2", "e3", "e4"});
+    flow_fixture world(draftRoute(), {"e1", "e2", "e3", "e4"});
     routing_bounds bounds;
     bounds.repeats = {0.5, 0, seconds(10)};
     routing_state charged(bounds, {0, 50}, 1);
--- a/unittests/Proxy/FlowWorld.cpp
+++ b/unittests/Proxy/FlowWorld.cpp
@@ -7,15 +7,16 @@
 
 using namespace laurelcroft;
 
-flow_world::flow_world(const service_route &route, std::initializer_list<const char *> endpoints)
+flow_fixture::flow_fixture(const service_route &route,
+                           std::initializer_list<const char *> endpoints)
 {
     useRoute(route);
     for (const char *id : endpoints)
         addEndpoint(id);
 }
 
-void flow_world::addEndpoint(const std::string &id, const std::string &service,
-                             const std::string &version)
+void flow_fixture::addEndpoint(const std::string &id, const std::string &service,
+                               const std::string &version)
 {
     endpoint_record record;
     record.id = id;
@@ -27,14 +28,14 @@
     routing.directory().apply(record, runtime.now());
 }
 
-void flow_world::setDataCentre(const std::string &id, const std::string &dataCentre)
+void flow_fixture::setDataCentre(const std::string &id, const std::string &dataCentre)
 {
     endpoint_record record = routing.directory().all().at(id)->record();
     record.dataCentre = dataCentre;
     routing.directory().apply(record, runtime.now());
 }
 
-void flow_world::addColdEndpoint(const std::string &id, const std::string &owner)
+void flow_fixture::addColdEndpoint(const std::string &id, const std::string &owner)
 {
     addEndpoint(id);
     auto contract = std::make_shared<service_contract>(*routing.contract());
@@ -45,7 +46,7 @@
     routing.directory().all().at(id)->heardCold(seconds(5), runtime.now());
 }
 
-void flow_world::earnFurtherSends(const std::string &service)
+void flow_fixture::earnFurtherSends(const std::string &service)
 {
     constexpr int requests = 100;
     routing.setEntries({"own"}, "own");
@@ -53,7 +54,7 @@
         routing.repeats(service).request(runtime.now(), routing.shareOfEntries());
 }
 
-void flow_world::useRoute(const service_route &route)
+void flow_fixture::useRoute(const service_route &route)
 {
     auto contract = std::make_shared<service_contract>();
     contract->version = routing.contract() ? routing.contract()->version + 1 : 1;
@@ -70,7 +71,7 @@
         earnFurtherSends(service.name);
 }
 
-void flow_world::answer(std::size_t index, int code, std::optional<int> confidence)
+void flow_fixture::answer(std::size_t index, int code, std::optional<int> confidence)
 {
     proxy_answer answer;
     answer.status = code;
@@ -81,7 +82,7 @@
     calls[index].events.onAnswer(std::move(answer));
 }
 
-void flow_world::refuseNotRun(std::size_t index, bool misdirected)
+void flow_fixture::refuseNotRun(std::size_t index, bool misdirected)
 {
     constexpr int misdirectedStatus = 421;
     proxy_answer answer;
@@ -91,13 +92,13 @@
     this->answer(index, std::move(answer), call_end::complete);
 }
 
-void flow_world::answer(std::size_t index, proxy_answer head, call_end how)
+void flow_fixture::answer(std::size_t index, proxy_answer head, call_end how)
 {
     calls[index].events.onAnswer(std::move(head));
     end(index, how);
 }
 
-std::size_t flow_world::openCalls() const
+std::size_t flow_fixture::openCalls() const
 {
     std::size_t open = 0;
     for (const recorded_call &call : calls)
@@ -157,7 +158,7 @@
     return request;
 }
 
-std::shared_ptr<fake_flow> laurelcroft::startFlow(flow_world &world,
+std::shared_ptr<fake_flow> laurelcroft::startFlow(flow_fixture &world,
                                                   std::shared_ptr<proxy_request> request)
 {
     auto flow = std::make_shared<fake_flow>(fake_environment{&world}, std::move(request));
--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowWorld.h
@@ -26,11 +26,11 @@
 };
 
 /// Test fixture for request flows.
-struct flow_world
+struct flow_fixture
 {
-    flow_world() = default;
+    flow_fixture() = default;
     /// Puts \p route in force and lists endpoints with the ids \p endpoints.
-    flow_world(const service_route &route, std::initializer_list<const char *> endpoints);
+    flow_fixture(const service_route &route, std::initializer_list<const char *> endpoints);
 
     manual_runtime runtime;
     routing_state routing{{}, {0, 50}, 1};
@@ -75,10 +75,10 @@
     }
 };
 
-/// Environment of a flow that connects it to a flow_world.
+/// Environment of a flow that connects it to a flow_fixture.
 struct fake_environment
 {
-    flow_world *world;
+    flow_fixture *world;
 
     manual_runtime &runtime() { return world->runtime; }
     routing_state &routing() { return world->routing; }
@@ -133,7 +133,7 @@
 service_route draftRoute(); ///< a resumable stream over three models
 
 std::shared_ptr<proxy_request> requestFor(const service_route &route);
-std::shared_ptr<fake_flow> startFlow(flow_world &world, std::shared_ptr<proxy_request> request);
+std::shared_ptr<fake_flow> startFlow(flow_fixture &world, std::shared_ptr<proxy_request> request);
 std::string eventText(unsigned id);
 
 } // namespace laurelcroft
--- a/unittests/Proxy/LeavingEndpointTests.cpp
+++ b/unittests/Proxy/LeavingEndpointTests.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-struct leaving_world : flow_world
+struct leaving_world : flow_fixture
 {
-    using flow_world::flow_world;
+    using flow_fixture::flow_fixture;
 
     service_directory &directory() { return routing.directory(); }
 
--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -289,7 +289,7 @@
 
 TEST_CASE("a repeat keeps to the rate limit as a first send does, and is refused at once")
 {
-    flow_world world(lookupRoute(), {"e1", "e2"});
+    flow_fixture world(lookupRoute(), {"e1", "e2"});
     const auto &listed = world.routing.directory().all();
     listed.at("e1")->setRateLimit(0.5, world.runtime.now());
     listed.at("e1")->sent(world.runtime.now());
@@ -304,7 +304,7 @@
 
 TEST_CASE("a request is refused at once when the rate limits of all endpoints are used up")
 {
-    flow_world world(lookupRoute(), {"e1"});
+    flow_fixture world(lookupRoute(), {"e1"});
     world.routing.directory().all().at("e1")->setRateLimit(0.5, world.runtime.now());
     startFlow(world, requestFor(lookupRoute()));
     CHECK(world.calls.size() == 1);
@@ -318,7 +318,7 @@
 
 TEST_CASE("of many endpoints the only one without a used up limit is found")
 {
-    flow_world world(lookupRoute(), {});
+    flow_fixture world(lookupRoute(), {});
     constexpr unsigned many = 300;
     for (unsigned i = 0; i < many; ++i)
         world.addEndpoint("e" + std::to_string(i));
@@ -336,7 +336,7 @@
 
 TEST_CASE("a resumed stream waits for a share of a rate limit that is due soon")
 {
-    flow_world world(draftRoute(), {"e1"});
+    flow_fixture world(draftRoute(), {"e1"});
     startFlow(world, requestFor(draftRoute()));
     REQUIRE(world.calls.size() == 1);
     world.answer(0, 200, 100);
--- a/unittests/Proxy/RateLimitWatchTests.cpp
+++ b/unittests/Proxy/RateLimitWatchTests.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-struct limit_world : flow_world
+struct limit_world : flow_fixture
 {
     limit_world()
-        : flow_world(lookupRoute(), {"e1"})
+        : flow_fixture(lookupRoute(), {"e1"})
     {
     }
 
--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// Two endpoints in region north, one in south and one in a data centre without a known region.
-struct two_regions : flow_world
+struct two_regions : flow_fixture
 {
     explicit two_regions(const service_route &route)
     {
--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -162,7 +162,7 @@
     return world.worstShare();
 }
 
-double furtherSendsLeft(flow_world &world)
+double furtherSendsLeft(flow_fixture &world)
 {
     return world.routing.repeats("pool").left(world.runtime.now(), world.routing.shareOfEntries());
 }
@@ -224,8 +224,8 @@
     // that waited had found it unspent: 40 went on where 16 were allowed.
     constexpr unsigned requests = 60;
     constexpr unsigned coldEndpoints = 40;
-    const send_budget_bounds bounds; // those of flow_world
-    flow_world world(draftRoute(), {"warm"});
+    const send_budget_bounds bounds; // those of flow_fixture
+    flow_fixture world(draftRoute(), {"warm"});
     for (unsigned i = 0; i < coldEndpoints; ++i) {
         const std::string id = "cold" + std::to_string(i);
         world.addColdEndpoint(id, "own");
@@ -248,7 +248,7 @@
 
 TEST_CASE("a further send that finds no endpoint is given back")
 {
-    flow_world world(draftRoute(), {"only"});
+    flow_fixture world(draftRoute(), {"only"});
     startFlow(world, requestFor(draftRoute()));
     const double before = furtherSendsLeft(world);
     world.refuseNotRun(0);
@@ -259,7 +259,7 @@
 
 TEST_CASE("a further send that reached nobody is made at the next endpoint")
 {
-    flow_world world(draftRoute(), {"a", "b", "c"});
+    flow_fixture world(draftRoute(), {"a", "b", "c"});
     startFlow(world, requestFor(draftRoute()));
     const double before = furtherSendsLeft(world);
     world.refuseNotRun(0);
--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -87,7 +87,7 @@
 
 TEST_CASE("a stream that has begun goes on although its service answers nobody")
 {
-    flow_world world(draftRoute(), {"a", "b"});
+    flow_fixture world(draftRoute(), {"a", "b"});
     const auto flow = startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 90);
     world.data(0, eventText(1));
--- a/unittests/Proxy/RetryAfterTests.cpp
+++ b/unittests/Proxy/RetryAfterTests.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-struct backoff_world : flow_world
+struct backoff_world : flow_fixture
 {
-    using flow_world::flow_world;
+    using flow_fixture::flow_fixture;
 
     /// Refuses call \p index with a Retry-After of \p time, if any.
     void refuse(std::size_t index, std::optional<milliseconds> time)
--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// A stream route, three endpoints of the settled version and one of a version on trial.
-struct trial_world : flow_world
+struct trial_world : flow_fixture
 {
     trial_world()
     {
@@ -99,7 +99,7 @@
           "change")
 {
     for (const bool ordered : {false, true}) {
-        flow_world world(lookupRoute(), {});
+        flow_fixture world(lookupRoute(), {});
         for (unsigned i = 0; i < 3000; ++i)
             world.addEndpoint("p" + std::to_string(i));
         if (ordered) {
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -10,7 +10,7 @@
 using namespace laurelcroft;
 
 /// Endpoints end one after the other under requests like \p request, as this entry sees it.
-static void endUnder(flow_world &world, const std::shared_ptr<proxy_request> &request,
+static void endUnder(flow_fixture &world, const std::shared_ptr<proxy_request> &request,
                      unsigned ends)
 {
     crash_watch &crashes = world.routing.crashes();
@@ -27,7 +27,7 @@
 
 TEST_CASE("a request that ended three endpoints waits, and is then refused until it may come back")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
     endUnder(world, request, 3);
     startFlow(world, request);
@@ -47,7 +47,7 @@
 
 TEST_CASE("another caller's request with the same body is served")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
     endUnder(world, request, 3);
     const auto other = std::make_shared<proxy_request>(*request);
@@ -63,7 +63,7 @@
 
 TEST_CASE("a suspect keeps to the smaller model's answer, so that its end would be seen")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
     endUnder(world, request, 1);
     startFlow(world, request);
@@ -73,7 +73,7 @@
 
 TEST_CASE("of a strong suspect one try is sent at a time, and its answer lets all go on")
 {
-    flow_world world(lookupRoute(), {"e1", "e2", "e3"});
+    flow_fixture world(lookupRoute(), {"e1", "e2", "e3"});
     const auto request = requestFor(lookupRoute());
     endUnder(world, request, 2);
     startFlow(world, request);
@@ -88,7 +88,7 @@
 
 TEST_CASE("two suspects of one end are sent to different endpoints, and others keep away")
 {
-    flow_world world(lookupRoute(), {"e1", "e2", "e3"});
+    flow_fixture world(lookupRoute(), {"e1", "e2", "e3"});
     const auto first = requestFor(lookupRoute());
     const auto second = std::make_shared<proxy_request>(*first);
     second->body = "another";
@@ -103,7 +103,7 @@
 
 TEST_CASE("a stream that runs for a second clears its request")
 {
-    flow_world world(draftRoute(), {"e1", "e2"});
+    flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
     endUnder(world, request, 2);
     startFlow(world, request);
