--- a/unittests/Proxy/CallerServerTests.cpp
+++ b/unittests/Proxy/CallerServerTests.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 /// A server whose requests are answered explicitly by the test, and one connected caller.
-struct server_world
+struct caller_server_fixture
 {
-    server_world()
+    caller_server_fixture()
         : server(context,
                  [this](message_head &&parsed, std::string &&whole, caller_exchange given) {
                      head = std::move(parsed);
@@ -85,7 +85,7 @@
 
 TEST_CASE("a request is passed on when complete, and its connection is kept after the answer")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhe");
     world.settle();
     CHECK(world.requests == 0);
@@ -104,7 +104,7 @@
 
 TEST_CASE("the chunks of a request body are joined")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
                "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     world.settle();
@@ -114,7 +114,7 @@
 
 TEST_CASE("a stream is sent in chunks, and an aborted one has no final chunk")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     world.settle();
     world.exchange->begin(200, {});
@@ -127,7 +127,7 @@
 
 TEST_CASE("a caller that disconnects is noticed while its request runs")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     world.settle();
     bool left = false;
@@ -146,7 +146,7 @@
             "nonsense\r\n\r\n",
     };
     for (const char *text : texts) {
-        server_world world;
+        caller_server_fixture world;
         world.send(text);
         const std::string answer = world.received();
         CHECK(answer.starts_with("HTTP/1.1 400"));
@@ -159,7 +159,7 @@
 
 TEST_CASE("heads and bodies above the limits are refused")
 {
-    server_world world;
+    caller_server_fixture world;
     caller_server_bounds bounds;
     bounds.maxBodyBytes = 4;
     world.server.setBounds(bounds);
@@ -167,14 +167,14 @@
     CHECK(world.received().starts_with("HTTP/1.1 413"));
     CHECK(world.requests == 0);
 
-    server_world second;
+    caller_server_fixture second;
     second.send("GET /a HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(20000, 'a') + "\r\n\r\n");
     CHECK(second.received().starts_with("HTTP/1.1 431"));
 }
 
 TEST_CASE("an incomplete head is refused with 408 at its timeout")
 {
-    server_world world;
+    caller_server_fixture world;
     caller_server_bounds bounds;
     bounds.headerTimeout = milliseconds(20);
     world.server.setBounds(bounds);
@@ -184,7 +184,7 @@
 
 TEST_CASE("a server that stops accepting finishes its answers and closes their connections")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     world.settle();
     world.exchange->begin(200, {});
@@ -199,7 +199,7 @@
 
 TEST_CASE("a draining server still answers new connections and closes them after the answer")
 {
-    server_world world;
+    caller_server_fixture world;
     world.settle();
     world.server.drainConnections();
     CHECK(world.received().empty());
@@ -218,7 +218,7 @@
 
 TEST_CASE("the end of an answer is written even if the server stops in the same turn")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     world.settle();
     world.exchange->begin(200, {});
@@ -232,7 +232,7 @@
 
 TEST_CASE("a pipelined request is served after the answer before it")
 {
-    server_world world;
+    caller_server_fixture world;
     world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n");
     world.settle();
     CHECK(world.requests == 1);
@@ -264,7 +264,7 @@
 
 TEST_CASE("a connection idle during a suspension of the instance is closed at its idle timeout")
 {
-    server_world world;
+    caller_server_fixture world;
     caller_server_bounds bounds;
     bounds.idleTimeout = seconds(10);
     world.server.setBounds(bounds);
