--- a/unittests/Proxy/EndpointCallerTests.cpp
+++ b/unittests/Proxy/EndpointCallerTests.cpp
@@ -43,9 +43,9 @@
     std::optional<call_end> end;
 };
 
-struct caller_world
+struct endpoint_caller_fixture
 {
-    caller_world()
+    endpoint_caller_fixture()
         : acceptor(context, {asio::ip::make_address("127.0.0.1"), 0})
         , calls(context, plainDialect())
     {
@@ -110,7 +110,7 @@
 
 TEST_CASE("a connection is reused after a complete answer")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result first;
     world.start("r1", first);
     auto &socket = world.accept();
@@ -127,7 +127,7 @@
 
 TEST_CASE("a refused connection is reported as not sent")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     world.acceptor.close();
     call_result result;
     world.start("r1", result);
@@ -139,7 +139,7 @@
 {
     for (const std::string &part :
          {std::string(), std::string("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nab")}) {
-        caller_world world;
+        endpoint_caller_fixture world;
         call_result result;
         world.start("r1", result);
         auto &socket = world.accept();
@@ -153,7 +153,7 @@
 TEST_CASE("an answer without a length is complete at a close, but broken at a reset")
 {
     for (const bool reset : {false, true}) {
-        caller_world world;
+        endpoint_caller_fixture world;
         call_result result;
         world.start("r1", result);
         auto &socket = world.accept();
@@ -171,7 +171,7 @@
 
 TEST_CASE("an answer to another request is skipped")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result result;
     world.start("r2", result);
     auto &socket = world.accept();
@@ -184,7 +184,7 @@
 
 TEST_CASE("bytes after a complete answer close the connection")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result first;
     world.start("r1", first);
     auto &socket = world.accept();
@@ -199,7 +199,7 @@
 
 TEST_CASE("a malformed answer is reported as broken")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result result;
     world.start("r1", result);
     world.send(world.accept(), "this is no answer\r\n\r\n");
@@ -208,7 +208,7 @@
 
 TEST_CASE("a cancelled call closes its connection and invokes no callback")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result result;
     const call_id call = world.start("r1", result);
     auto &socket = world.accept();
@@ -225,7 +225,7 @@
 
 TEST_CASE("an at-most-once request does not reuse a connection idle for long")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result first;
     world.start("r1", first);
     world.send(world.accept(), answerTo("r1", ""));
@@ -239,7 +239,7 @@
 
 TEST_CASE("the number of connections to an endpoint is limited")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result first;
     world.start("r1", first);
     CHECK(!world.calls.hasRoom(*world.endpoint, 1));
@@ -248,7 +248,7 @@
 
 TEST_CASE("connections to an earlier process of an endpoint are not reused")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result first;
     world.start("1", first);
     world.send(world.accept(), answerTo("1", "ok"));
@@ -280,7 +280,7 @@
 
 TEST_CASE("a probe reports an endpoint as ended when its port is closed, once per probe")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     unsigned reports = 0;
     const auto probe = [&] { world.calls.checkEnded(world.endpoint, [&reports] { ++reports; }); };
     probe();
@@ -298,7 +298,7 @@
 
 TEST_CASE("an idle connection that expired during a suspension of the instance is not reused")
 {
-    caller_world world;
+    endpoint_caller_fixture world;
     call_result first;
     world.start("a", first);
     asio::ip::tcp::socket &socket = world.accept();
