--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -26,11 +26,11 @@
 constexpr milliseconds coldPeriod{3000};
 constexpr milliseconds heartbeat{1200};
 
-struct cold_world;
+struct cold_endpoint_fixture;
 
-using fleet_flow = request_flow<fleet_environment<cold_world>>;
+using fleet_flow = request_flow<fleet_environment<cold_endpoint_fixture>>;
 
-struct cold_world
+struct cold_endpoint_fixture
 {
     fleet entries;
     service_route route = lookupRoute();
@@ -43,7 +43,7 @@
     unsigned refused = 0;
     std::vector<std::shared_ptr<fleet_flow>> flows;
 
-    explicit cold_world(double coldLimit)
+    explicit cold_endpoint_fixture(double coldLimit)
     {
         route.objective = milliseconds(2000);
         entries.store.put("orders", "contract", "7");
@@ -105,7 +105,7 @@
     void request(fleet_entry &entry)
     {
         std::erase_if(flows, [](const auto &flow) { return flow->isDone(); });
-        const fleet_environment<cold_world> environment{this, &entry};
+        const fleet_environment<cold_endpoint_fixture> environment{this, &entry};
         flows.push_back(std::make_shared<fleet_flow>(environment, requestFor(route)));
         flows.back()->start();
     }
@@ -164,7 +164,7 @@
         constexpr unsigned runs = 6;
         std::size_t atCold = 0;
         for (unsigned run = 0; run < runs; ++run) {
-            cold_world world(coldLimitPerSecond);
+            cold_endpoint_fixture world(coldLimitPerSecond);
             world.play(milliseconds(130) * run);
             world.returnCold(returning);
             CHECK(world.maxPerSecondWhileCold <= coldLimitPerSecond);
@@ -181,7 +181,7 @@
 TEST_CASE("without shares, two endpoints that return cold are overloaded")
 {
     // Without shares, all entries see the endpoints as idle and send to them at once.
-    cold_world world(0);
+    cold_endpoint_fixture world(0);
     world.returnCold(2);
     CHECK(world.maxPerSecondWhileCold > 1.5 * coldLimitPerSecond + 5);
 }
@@ -189,7 +189,7 @@
 TEST_CASE("when all endpoints are cold, callers are served up to the sum of the limits")
 {
     constexpr double coldLimit = 18;
-    cold_world world(coldLimit);
+    cold_endpoint_fixture world(coldLimit);
     for (unsigned i = 0; i < endpointCount; ++i)
         world.endEndpoint("p" + std::to_string(i));
     // Thirty endpoints accept 540 requests per second; 500 arrive.
