--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /// A stream route, three endpoints of the settled version and one of a version on trial.
-struct trial_world : flow_fixture
+struct trial_fixture : flow_fixture
 {
-    trial_world()
+    trial_fixture()
     {
         useRoute(draftRoute());
         for (const char *id : {"old1", "old2", "old3"})
@@ -47,7 +47,7 @@
 
 TEST_CASE("a begun stream is not resumed at a version whose trial starts meanwhile")
 {
-    trial_world world;
+    trial_fixture world;
     startFlow(world, requestFor(draftRoute()));
     world.breakAfter(0, 1);
     world.setTrial(1.0);
@@ -60,7 +60,7 @@
 
 TEST_CASE("the last attempt of a stream begun by a version on trial uses the settled version")
 {
-    trial_world world;
+    trial_fixture world;
     world.setTrial(1.0);
     world.addEndpoint("new2", "pool", "v2");
     startFlow(world, requestFor(draftRoute()));
@@ -77,7 +77,7 @@
 {
     // The entry knows this from the roll-out row, or notices it by refused connections.
     for (const bool hasHeard : {true, false}) {
-        trial_world world;
+        trial_fixture world;
         for (const char *id : {"old4", "old5", "old6", "old7"})
             world.addEndpoint(id, "pool", "v1");
         startFlow(world, requestFor(draftRoute()));
@@ -114,7 +114,7 @@
 
 TEST_CASE("a session on trial keeps its version when the endpoints of the trial fail")
 {
-    trial_world world;
+    trial_fixture world;
     world.useRoute(lookupRoute());
     for (const char *id : {"new2", "new3", "new4"})
         world.addEndpoint(id, "pool", "v2");
@@ -129,7 +129,7 @@
     }
     CHECK(world.calls.size() == 2);
     // A request without a session is served by the old version.
-    trial_world other;
+    trial_fixture other;
     other.useRoute(lookupRoute());
     other.setTrial(1.0);
     startFlow(other, requestFor(lookupRoute()));
@@ -141,7 +141,7 @@
 
 TEST_CASE("a session on trial falls back to the old version if the new one can't be reached")
 {
-    trial_world world;
+    trial_fixture world;
     world.useRoute(lookupRoute());
     world.setTrial(1.0);
     auto request = requestFor(lookupRoute());
