--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /// Two endpoints in region north, one in south and one in a data centre without a known region.
-struct two_regions : flow_fixture
+struct two_region_fixture : flow_fixture
 {
-    explicit two_regions(const service_route &route)
+    explicit two_region_fixture(const service_route &route)
     {
         routing_bounds bounds;
         bounds.dataCentre = "s1";
@@ -37,7 +37,7 @@
     service_route route = lookupRoute();
     route.homeRegions = {"north"};
     route.mostEndpoints = 4;
-    two_regions world(route);
+    two_region_fixture world(route);
     startFlow(world, requestFor(route));
     REQUIRE(world.calls.size() == 1);
     CHECK(world.calls[0].attempt.endpoint->record().id != "e3");
@@ -49,7 +49,7 @@
     CHECK(world.calls.size() == 2);
     CHECK(world.status == 503);
 
-    two_regions none(route);
+    two_region_fixture none(route);
     for (const char *id : {"e1", "e2"})
         none.routing.directory().remove(id, none.runtime.now(), 100);
     startFlow(none, requestFor(route));
@@ -62,7 +62,7 @@
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north", "south"};
-    two_regions world(route);
+    two_region_fixture world(route);
     auto contract = std::make_shared<service_contract>(*world.routing.contract());
     contract->version += 1;
     contract->customers.front().homeRegions = {"south"};
@@ -74,7 +74,7 @@
 
 TEST_CASE("a request without region restrictions is served anywhere")
 {
-    two_regions world(lookupRoute());
+    two_region_fixture world(lookupRoute());
     for (const char *id : {"e1", "e2", "e3"})
         world.routing.directory().remove(id, world.runtime.now(), 100);
     startFlow(world, requestFor(lookupRoute()));
@@ -86,7 +86,7 @@
 {
     service_route route = lookupRoute();
     route.homeRegions = {"south"};
-    two_regions world(route);
+    two_region_fixture world(route);
     for (int i = 0; i < 1000; ++i) {
         const std::string id = "far" + std::to_string(i);
         world.addEndpoint(id);
