--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -24,11 +24,11 @@
 }
 
 /// Entries with two endpoints in each of two data centres.
-struct evacuation_world
+struct evacuation_fixture
 {
     fleet entries;
 
-    evacuation_world()
+    evacuation_fixture()
     {
         entries.store.put("orders", "contract", "7");
         for (const char *id : {"a@east", "b@east", "c@west", "d@west"})
@@ -51,7 +51,7 @@
 
 TEST_CASE("every entry avoids an evacuated data centre, and uses it again afterwards")
 {
-    evacuation_world world;
+    evacuation_fixture world;
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.runtime.advance(propagationLimit);
     CHECK(world.entriesThatSee(2) == entryCount);
@@ -68,7 +68,7 @@
 
 TEST_CASE("an entry that starts during an evacuation never uses the evacuated endpoints")
 {
-    evacuation_world world;
+    evacuation_fixture world;
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.runtime.advance(propagationLimit);
     world.entries.start(entryCount, entryCount + 1);
@@ -83,7 +83,7 @@
 
 TEST_CASE("an evacuation ends for all entries although the store has lost its history")
 {
-    evacuation_world world;
+    evacuation_fixture world;
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.runtime.advance(propagationLimit);
     world.entries.store.forgetful = true;
@@ -95,7 +95,7 @@
 TEST_CASE("an evacuation is in force soon after the store recovers, and at entries that the store "
           "rejects")
 {
-    evacuation_world world;
+    evacuation_fixture world;
     world.entries.store.away = true;
     world.entries.runtime.advance(seconds(3));
     world.entries.store.put("orders", "evacuate east", "{}");
@@ -113,7 +113,7 @@
 
 TEST_CASE("an evacuation is in force in time when the entries that read the store lose power")
 {
-    evacuation_world world;
+    evacuation_fixture world;
     std::size_t up = 0;
     for (fleet_entry &entry : world.entries.entries) {
         entry.store.isUp = !entry.readers.empty();
