--- a/unittests/Proxy/RetryAfterTests.cpp
+++ b/unittests/Proxy/RetryAfterTests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-struct backoff_world : flow_fixture
+struct backoff_fixture : flow_fixture
 {
     using flow_fixture::flow_fixture;
 
@@ -47,7 +47,7 @@
 
 TEST_CASE("an endpoint that refused with Retry-After gets no request until then")
 {
-    backoff_world world(lookupRoute(), {"e1", "e2"});
+    backoff_fixture world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
     const std::string refusing = world.endpointOf(0);
     world.refuse(0, seconds(3));
@@ -59,7 +59,7 @@
 
 TEST_CASE("a shorter Retry-After does not shorten an endpoint's longer one")
 {
-    backoff_world world(lookupRoute(), {"e1"});
+    backoff_fixture world(lookupRoute(), {"e1"});
     startFlow(world, requestFor(lookupRoute()));
     startFlow(world, requestFor(lookupRoute()));
     REQUIRE(world.calls.size() == 2);
@@ -72,7 +72,7 @@
 
 TEST_CASE("when all endpoints are in backoff, callers get the earliest end as Retry-After at once")
 {
-    backoff_world world(lookupRoute(), {"e1", "e2"});
+    backoff_fixture world(lookupRoute(), {"e1", "e2"});
     startFlow(world, requestFor(lookupRoute()));
     world.refuse(0, seconds(3));
     world.refuse(1, milliseconds(1500));
@@ -90,7 +90,7 @@
 {
     for (const std::optional<milliseconds> time :
          {std::optional(milliseconds(0)), std::optional<milliseconds>()}) {
-        backoff_world world(lookupRoute(), {"e1"});
+        backoff_fixture world(lookupRoute(), {"e1"});
         startFlow(world, requestFor(lookupRoute()));
         world.refuse(0, time);
         world.runtime.advance(milliseconds(200));
@@ -100,7 +100,7 @@
 
 TEST_CASE("a restarted endpoint is not in backoff")
 {
-    backoff_world world(lookupRoute(), {"e1"});
+    backoff_fixture world(lookupRoute(), {"e1"});
     endpoint_record record = world.routing.directory().all().at("e1")->record();
     record.startedAt = 100;
     world.routing.directory().apply(record, world.runtime.now());
@@ -114,7 +114,7 @@
 
 TEST_CASE("a refused request is retried at an endpoint that accepts requests")
 {
-    backoff_world world(lookupRoute(), {"e1", "e2", "e3"});
+    backoff_fixture world(lookupRoute(), {"e1", "e2", "e3"});
     const auto &listed = world.routing.directory().all();
     for (const char *id : {"e1", "e2"})
         listed.at(id)->startBackoff(seconds(1), world.runtime.now());
@@ -139,7 +139,7 @@
 
 TEST_CASE("the only endpoint out of backoff is found among many")
 {
-    backoff_world world(lookupRoute(), {});
+    backoff_fixture world(lookupRoute(), {});
     constexpr unsigned endpointCount = 300;
     for (unsigned i = 0; i < endpointCount; ++i)
         world.addEndpoint("e" + std::to_string(i));
@@ -152,7 +152,7 @@
 
 TEST_CASE("a started stream waits for an endpoint whose backoff ends soon")
 {
-    backoff_world world(draftRoute(), {"e1"});
+    backoff_fixture world(draftRoute(), {"e1"});
     startFlow(world, requestFor(draftRoute()));
     world.answer(0, 200, 100);
     world.data(0, eventText(1));
