--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowWorld.h
@@ -78,51 +78,51 @@
 /// Environment of a flow that connects it to a flow_fixture.
 struct fake_environment
 {
-    flow_fixture *world;
+    flow_fixture *fixture;
 
-    manual_runtime &runtime() { return world->runtime; }
-    routing_state &routing() { return world->routing; }
+    manual_runtime &runtime() { return fixture->runtime; }
+    routing_state &routing() { return fixture->routing; }
     bool hasRoomAt(const endpoint_ptr &)
     {
-        ++world->candidatesExamined;
-        return world->room;
+        ++fixture->candidatesExamined;
+        return fixture->room;
     }
     call_id call(proxy_attempt attempt, call_events events)
     {
-        world->calls.push_back({std::move(attempt), std::move(events)});
-        return world->calls.size();
+        fixture->calls.push_back({std::move(attempt), std::move(events)});
+        return fixture->calls.size();
     }
     void cancel(call_id call)
     {
         if (call > 0)
-            world->calls[call - 1].cancelled = true;
+            fixture->calls[call - 1].cancelled = true;
     }
     void reply(int status, const http_headers &headers, std::string_view body)
     {
-        world->status = status;
-        world->headers = headers;
-        world->body = body;
-        world->ended = true;
+        fixture->status = status;
+        fixture->headers = headers;
+        fixture->body = body;
+        fixture->ended = true;
     }
     void begin(int status, const http_headers &headers)
     {
-        world->begun = true;
-        world->status = status;
-        world->headers = headers;
+        fixture->begun = true;
+        fixture->status = status;
+        fixture->headers = headers;
     }
-    void write(std::string_view piece) { world->body += piece; }
-    void end() { world->ended = true; }
-    void abort() { world->aborted = true; }
-    void finished(const flow_record &record) { world->record = record; }
+    void write(std::string_view piece) { fixture->body += piece; }
+    void end() { fixture->ended = true; }
+    void abort() { fixture->aborted = true; }
+    void finished(const flow_record &record) { fixture->record = record; }
     void escalated(const flow_record &, const std::string &) { }
     void sentFurther(const flow_record &, further_send) { }
     void attemptEnded(const flow_record &, attempt_end end, next_step step)
     {
-        world->steps.emplace_back(end, step);
+        fixture->steps.emplace_back(end, step);
     }
     void checkEnded(const endpoint_ptr &endpoint)
     {
-        world->probedEndpoints.push_back(endpoint->record().id);
+        fixture->probedEndpoints.push_back(endpoint->record().id);
     }
 };
 
