--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "FleetFlows.h"
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -18,7 +18,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "EntryFleet.h"
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include "laurelcroft/Proxy/SendNotices.h"
 #include "laurelcroft/Support/TokenBucket.h"
--- a/unittests/Proxy/CustomerRunTests.cpp
+++ b/unittests/Proxy/CustomerRunTests.cpp
@@ -4,7 +4,7 @@
 // the first endpoint that runs it.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -3,7 +3,7 @@
 // Which runs may have ended an endpoint, and what is the same in two tries of a request.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include "laurelcroft/Proxy/RequestKey.h"
 
--- a/unittests/Proxy/EndpointStateTests.cpp
+++ b/unittests/Proxy/EndpointStateTests.cpp
@@ -4,7 +4,7 @@
 // heads: leaving, Retry-After and rate limit.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/FlowWorld.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -1,9 +1,9 @@
-//===-- FlowWorld.cpp - fixture for request flows ---------------------------===//
+//===-- FlowFixture.cpp - fixture for request flows -------------------------===//
 //
 // Implements the fixture, and the routes and requests that the tests share.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 using namespace laurelcroft;
 
--- a/unittests/Proxy/FlowWorld.h
+++ b/unittests/Proxy/FlowFixture.h
@@ -1,11 +1,11 @@
-//===-- FlowWorld.h - fixture for request flows ------------------*- C++ -*-===//
+//===-- FlowFixture.h - fixture for request flows ----------------*- C++ -*-===//
 //
 // A test fixture with endpoints whose answers the test supplies, a caller that records the
 // response, and a clock that advances only when the test says so.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_UNITTESTS_PROXY_FLOWWORLD_H
-#define LAURELCROFT_UNITTESTS_PROXY_FLOWWORLD_H
+#ifndef LAURELCROFT_UNITTESTS_PROXY_FLOWFIXTURE_H
+#define LAURELCROFT_UNITTESTS_PROXY_FLOWFIXTURE_H
 
 #include "laurelcroft/Proxy/RequestFlow.h"
 
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -3,7 +3,7 @@
 // Covers each way in which an attempt can end, for each kind of route.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/LeavingEndpointTests.cpp
+++ b/unittests/Proxy/LeavingEndpointTests.cpp
@@ -4,7 +4,7 @@
 // even if its row does not.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "FleetFlows.h"
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RateLimitWatchTests.cpp
+++ b/unittests/Proxy/RateLimitWatchTests.cpp
@@ -3,7 +3,7 @@
 // Tests how the answers of an endpoint update its rate limit and the change counter.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -4,7 +4,7 @@
 // no endpoint inside is available.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -9,7 +9,7 @@
 #define LAURELCROFT_UNITTESTS_PROXY_REPEATWORLD_H
 
 #include "../Policy/RepeatRule.h"
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include "laurelcroft/Support/Random.h"
 
--- a/unittests/Proxy/RetryAfterTests.cpp
+++ b/unittests/Proxy/RetryAfterTests.cpp
@@ -3,7 +3,7 @@
 // Guards against sending to an endpoint before the Retry-After of its refusal has elapsed.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -4,7 +4,7 @@
 // roll-out.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -3,7 +3,7 @@
 // What one entry does with a request under which endpoints have ended, and with others beside it.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
