--- a/unittests/Proxy/CallerServerTests.cpp
+++ b/unittests/Proxy/CallerServerTests.cpp
@@ -85,55 +85,56 @@
 
 TEST_CASE("a request is passed on when complete, and its connection is kept after the answer")
 {
-    caller_server_fixture world;
-    world.send("POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhe");
-    world.settle();
-    CHECK(world.requests == 0);
-    world.send("llo");
-    world.settle();
-    REQUIRE(world.requests == 1);
-    CHECK(world.head.target == "/a/b?c=d");
-    CHECK(world.body == "hello");
-    world.exchange->reply(200, {{"X-A", "1"}}, "yes");
-    CHECK(world.received() == "HTTP/1.1 200 OK\r\nX-A: 1\r\nContent-Length: 3\r\n\r\nyes");
-    CHECK(!world.closed);
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
-    CHECK(world.requests == 2);
+    caller_server_fixture fixture;
+    fixture.send("POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhe");
+    fixture.settle();
+    CHECK(fixture.requests == 0);
+    fixture.send("llo");
+    fixture.settle();
+    REQUIRE(fixture.requests == 1);
+    CHECK(fixture.head.target == "/a/b?c=d");
+    CHECK(fixture.body == "hello");
+    fixture.exchange->reply(200, {{"X-A", "1"}}, "yes");
+    CHECK(fixture.received() == "HTTP/1.1 200 OK\r\nX-A: 1\r\nContent-Length: 3\r\n\r\nyes");
+    CHECK(!fixture.closed);
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
+    CHECK(fixture.requests == 2);
 }
 
 TEST_CASE("the chunks of a request body are joined")
 {
-    caller_server_fixture world;
-    world.send("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-               "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    world.settle();
-    REQUIRE(world.requests == 1);
-    CHECK(world.body == "abcde");
+    caller_server_fixture fixture;
+    fixture.send("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+                 "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    fixture.settle();
+    REQUIRE(fixture.requests == 1);
+    CHECK(fixture.body == "abcde");
 }
 
 TEST_CASE("a stream is sent in chunks, and an aborted one has no final chunk")
 {
-    caller_server_fixture world;
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
-    world.exchange->begin(200, {});
-    world.exchange->write("one");
-    CHECK(world.received() == "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
-    world.exchange->abort();
-    CHECK(world.received().empty());
-    CHECK(world.closed);
+    caller_server_fixture fixture;
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
+    fixture.exchange->begin(200, {});
+    fixture.exchange->write("one");
+    CHECK(fixture.received()
+          == "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
+    fixture.exchange->abort();
+    CHECK(fixture.received().empty());
+    CHECK(fixture.closed);
 }
 
 TEST_CASE("a caller that disconnects is noticed while its request runs")
 {
-    caller_server_fixture world;
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
+    caller_server_fixture fixture;
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
     bool left = false;
-    world.exchange->onDisconnect([&] { left = true; });
-    world.caller.close();
-    world.settle();
+    fixture.exchange->onDisconnect([&] { left = true; });
+    fixture.caller.close();
+    fixture.settle();
     CHECK(left);
 }
 
@@ -146,26 +147,26 @@
             "nonsense\r\n\r\n",
     };
     for (const char *text : texts) {
-        caller_server_fixture world;
-        world.send(text);
-        const std::string answer = world.received();
+        caller_server_fixture fixture;
+        fixture.send(text);
+        const std::string answer = fixture.received();
         CHECK(answer.starts_with("HTTP/1.1 400"));
-        CHECK(world.requests == 0);
-        world.caller.close();
-        world.settle();
-        CHECK(world.server.connections() == 0);
+        CHECK(fixture.requests == 0);
+        fixture.caller.close();
+        fixture.settle();
+        CHECK(fixture.server.connections() == 0);
     }
 }
 
 TEST_CASE("heads and bodies above the limits are refused")
 {
-    caller_server_fixture world;
+    caller_server_fixture fixture;
     caller_server_bounds bounds;
     bounds.maxBodyBytes = 4;
-    world.server.setBounds(bounds);
-    world.send("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello");
-    CHECK(world.received().starts_with("HTTP/1.1 413"));
-    CHECK(world.requests == 0);
+    fixture.server.setBounds(bounds);
+    fixture.send("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello");
+    CHECK(fixture.received().starts_with("HTTP/1.1 413"));
+    CHECK(fixture.requests == 0);
 
     caller_server_fixture second;
     second.send("GET /a HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(20000, 'a') + "\r\n\r\n");
@@ -174,72 +175,72 @@
 
 TEST_CASE("an incomplete head is refused with 408 at its timeout")
 {
-    caller_server_fixture world;
+    caller_server_fixture fixture;
     caller_server_bounds bounds;
     bounds.headerTimeout = milliseconds(20);
-    world.server.setBounds(bounds);
-    world.send("GET /a HTTP/1.1\r\nHos");
-    CHECK(world.received().starts_with("HTTP/1.1 408"));
+    fixture.server.setBounds(bounds);
+    fixture.send("GET /a HTTP/1.1\r\nHos");
+    CHECK(fixture.received().starts_with("HTTP/1.1 408"));
 }
 
 TEST_CASE("a server that stops accepting finishes its answers and closes their connections")
 {
-    caller_server_fixture world;
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
-    world.exchange->begin(200, {});
-    world.server.closeAfterAnswers();
-    world.server.closeIdle();
-    world.exchange->write("one");
-    world.exchange->end();
-    CHECK(world.received().ends_with("0\r\n\r\n"));
-    CHECK(world.closed);
-    CHECK(world.requests == 1);
+    caller_server_fixture fixture;
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
+    fixture.exchange->begin(200, {});
+    fixture.server.closeAfterAnswers();
+    fixture.server.closeIdle();
+    fixture.exchange->write("one");
+    fixture.exchange->end();
+    CHECK(fixture.received().ends_with("0\r\n\r\n"));
+    CHECK(fixture.closed);
+    CHECK(fixture.requests == 1);
 }
 
 TEST_CASE("a draining server still answers new connections and closes them after the answer")
 {
-    caller_server_fixture world;
-    world.settle();
-    world.server.drainConnections();
-    CHECK(world.received().empty());
-    CHECK(world.closed);
-    world.reconnect();
-    world.settle();
-    CHECK(world.server.busyConnections() == 0);
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
-    REQUIRE(world.requests == 1);
-    CHECK(world.server.busyConnections() == 1);
-    world.exchange->reply(503, {}, "");
-    CHECK(world.received().find("Connection: close") != std::string::npos);
-    CHECK(world.closed);
+    caller_server_fixture fixture;
+    fixture.settle();
+    fixture.server.drainConnections();
+    CHECK(fixture.received().empty());
+    CHECK(fixture.closed);
+    fixture.reconnect();
+    fixture.settle();
+    CHECK(fixture.server.busyConnections() == 0);
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
+    REQUIRE(fixture.requests == 1);
+    CHECK(fixture.server.busyConnections() == 1);
+    fixture.exchange->reply(503, {}, "");
+    CHECK(fixture.received().find("Connection: close") != std::string::npos);
+    CHECK(fixture.closed);
 }
 
 TEST_CASE("the end of an answer is written even if the server stops in the same turn")
 {
-    caller_server_fixture world;
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
-    world.exchange->begin(200, {});
-    world.exchange->write("one");
-    world.settle();
-    world.exchange->end();
-    world.server.closeIdle();
-    CHECK(world.received().ends_with("0\r\n\r\n"));
-    CHECK(world.closed);
+    caller_server_fixture fixture;
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
+    fixture.exchange->begin(200, {});
+    fixture.exchange->write("one");
+    fixture.settle();
+    fixture.exchange->end();
+    fixture.server.closeIdle();
+    CHECK(fixture.received().ends_with("0\r\n\r\n"));
+    CHECK(fixture.closed);
 }
 
 TEST_CASE("a pipelined request is served after the answer before it")
 {
-    caller_server_fixture world;
-    world.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n");
-    world.settle();
-    CHECK(world.requests == 1);
-    world.exchange->reply(200, {}, "");
-    world.settle();
-    CHECK(world.requests == 2);
-    CHECK(world.head.target == "/b");
+    caller_server_fixture fixture;
+    fixture.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.settle();
+    CHECK(fixture.requests == 1);
+    fixture.exchange->reply(200, {}, "");
+    fixture.settle();
+    CHECK(fixture.requests == 2);
+    CHECK(fixture.head.target == "/b");
 }
 
 TEST_CASE("a caller that connects before accept() is served after it")
@@ -264,15 +265,15 @@
 
 TEST_CASE("a connection idle during a suspension of the instance is closed at its idle timeout")
 {
-    caller_server_fixture world;
+    caller_server_fixture fixture;
     caller_server_bounds bounds;
     bounds.idleTimeout = seconds(10);
-    world.server.setBounds(bounds);
-    world.reconnect();
-    world.settle();
-    CHECK(world.server.connections() == 1);
+    fixture.server.setBounds(bounds);
+    fixture.reconnect();
+    fixture.settle();
+    CHECK(fixture.server.connections() == 1);
     pretendSuspension(seconds(11));
-    world.context.restart();
-    world.context.run_for(std::chrono::milliseconds(250));
-    CHECK(world.server.connections() == 0);
+    fixture.context.restart();
+    fixture.context.run_for(std::chrono::milliseconds(250));
+    CHECK(fixture.server.connections() == 0);
 }
--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -164,12 +164,12 @@
         constexpr unsigned runs = 6;
         std::size_t atCold = 0;
         for (unsigned run = 0; run < runs; ++run) {
-            cold_endpoint_fixture world(coldLimitPerSecond);
-            world.play(milliseconds(130) * run);
-            world.returnCold(returning);
-            CHECK(world.maxPerSecondWhileCold <= coldLimitPerSecond);
-            CHECK(world.refused == 0);
-            atCold += world.sentWhileCold;
+            cold_endpoint_fixture fixture(coldLimitPerSecond);
+            fixture.play(milliseconds(130) * run);
+            fixture.returnCold(returning);
+            CHECK(fixture.maxPerSecondWhileCold <= coldLimitPerSecond);
+            CHECK(fixture.refused == 0);
+            atCold += fixture.sentWhileCold;
         }
         // A sixth of the limit is enough, since the other endpoints have idle capacity. An endpoint
         // whose limit of six is split into shares of three a second gets 0.7 requests a second on
@@ -181,26 +181,26 @@
 TEST_CASE("without shares, two endpoints that return cold are overloaded")
 {
     // Without shares, all entries see the endpoints as idle and send to them at once.
-    cold_endpoint_fixture world(0);
-    world.returnCold(2);
-    CHECK(world.maxPerSecondWhileCold > 1.5 * coldLimitPerSecond + 5);
+    cold_endpoint_fixture fixture(0);
+    fixture.returnCold(2);
+    CHECK(fixture.maxPerSecondWhileCold > 1.5 * coldLimitPerSecond + 5);
 }
 
 TEST_CASE("when all endpoints are cold, callers are served up to the sum of the limits")
 {
     constexpr double coldLimit = 18;
-    cold_endpoint_fixture world(coldLimit);
+    cold_endpoint_fixture fixture(coldLimit);
     for (unsigned i = 0; i < endpointCount; ++i)
-        world.endEndpoint("p" + std::to_string(i));
+        fixture.endEndpoint("p" + std::to_string(i));
     // Thirty endpoints accept 540 requests per second; 500 arrive.
     for (unsigned i = 0; i < endpointCount / 2; ++i)
-        world.startEndpoint("q" + std::to_string(i), seconds(20));
-    world.play(seconds(2));
-    world.served = 0;
-    world.refused = 0;
-    world.play(seconds(6));
-    CHECK(world.maxPerSecondWhileCold <= coldLimit);
-    CHECK(world.refused <= world.served / 50);
+        fixture.startEndpoint("q" + std::to_string(i), seconds(20));
+    fixture.play(seconds(2));
+    fixture.served = 0;
+    fixture.refused = 0;
+    fixture.play(seconds(6));
+    CHECK(fixture.maxPerSecondWhileCold <= coldLimit);
+    CHECK(fixture.refused <= fixture.served / 50);
 }
 
 TEST_CASE("endpoints count as cold after an evacuation until a row or a timeout says otherwise")
@@ -223,32 +223,32 @@
 
 TEST_CASE("a request waits for the only endpoint, which is cold, and is refused after a time limit")
 {
-    flow_fixture world(lookupRoute(), {});
-    world.addColdEndpoint("e1", "own");
-    const auto first = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 1);
-    const auto second = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 1);
-    CHECK(world.status == 0);
+    flow_fixture fixture(lookupRoute(), {});
+    fixture.addColdEndpoint("e1", "own");
+    const auto first = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 1);
+    const auto second = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 1);
+    CHECK(fixture.status == 0);
     // A quarter of the objective of 300 ms.
-    world.runtime.advance(milliseconds(110));
-    CHECK(world.status == 503);
-    REQUIRE(world.record);
-    CHECK(world.record->reason == flow_reason::coldEndpoints);
-    world.runtime.advance(milliseconds(840));
-    world.status = 0;
-    const auto third = startFlow(world, requestFor(lookupRoute()));
-    world.runtime.advance(milliseconds(70));
-    CHECK(world.calls.size() == 2);
-    CHECK(world.status == 0);
+    fixture.runtime.advance(milliseconds(110));
+    CHECK(fixture.status == 503);
+    REQUIRE(fixture.record);
+    CHECK(fixture.record->reason == flow_reason::coldEndpoints);
+    fixture.runtime.advance(milliseconds(840));
+    fixture.status = 0;
+    const auto third = startFlow(fixture, requestFor(lookupRoute()));
+    fixture.runtime.advance(milliseconds(70));
+    CHECK(fixture.calls.size() == 2);
+    CHECK(fixture.status == 0);
 }
 
 TEST_CASE("an entry without a share of any cold endpoint refuses at once")
 {
-    flow_fixture world(lookupRoute(), {});
-    world.addColdEndpoint("e1", "other");
-    const auto flow = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.empty());
-    CHECK(world.status == 503);
-    CHECK(world.record->reason == flow_reason::coldEndpoints);
+    flow_fixture fixture(lookupRoute(), {});
+    fixture.addColdEndpoint("e1", "other");
+    const auto flow = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.empty());
+    CHECK(fixture.status == 503);
+    CHECK(fixture.record->reason == flow_reason::coldEndpoints);
 }
--- a/unittests/Proxy/EndpointCallerTests.cpp
+++ b/unittests/Proxy/EndpointCallerTests.cpp
@@ -110,28 +110,28 @@
 
 TEST_CASE("a connection is reused after a complete answer")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result first;
-    world.start("r1", first);
-    auto &socket = world.accept();
-    world.send(socket, answerTo("r1", "abc"));
+    fixture.start("r1", first);
+    auto &socket = fixture.accept();
+    fixture.send(socket, answerTo("r1", "abc"));
     CHECK(first.end == call_end::complete);
     CHECK(first.body == "abc");
     call_result second;
-    world.start("r2", second);
-    world.settle();
-    world.send(socket, answerTo("r2", "d"));
+    fixture.start("r2", second);
+    fixture.settle();
+    fixture.send(socket, answerTo("r2", "d"));
     CHECK(second.body == "d");
-    CHECK(world.calls.opened() == 1);
+    CHECK(fixture.calls.opened() == 1);
 }
 
 TEST_CASE("a refused connection is reported as not sent")
 {
-    endpoint_caller_fixture world;
-    world.acceptor.close();
+    endpoint_caller_fixture fixture;
+    fixture.acceptor.close();
     call_result result;
-    world.start("r1", result);
-    world.settle();
+    fixture.start("r1", result);
+    fixture.settle();
     CHECK(result.end == call_end::notSent);
 }
 
@@ -139,13 +139,13 @@
 {
     for (const std::string &part :
          {std::string(), std::string("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nab")}) {
-        endpoint_caller_fixture world;
+        endpoint_caller_fixture fixture;
         call_result result;
-        world.start("r1", result);
-        auto &socket = world.accept();
-        world.send(socket, part);
+        fixture.start("r1", result);
+        auto &socket = fixture.accept();
+        fixture.send(socket, part);
         socket.close();
-        world.settle();
+        fixture.settle();
         CHECK(result.end == call_end::broken);
     }
 }
@@ -153,161 +153,162 @@
 TEST_CASE("an answer without a length is complete at a close, but broken at a reset")
 {
     for (const bool reset : {false, true}) {
-        endpoint_caller_fixture world;
+        endpoint_caller_fixture fixture;
         call_result result;
-        world.start("r1", result);
-        auto &socket = world.accept();
-        world.send(socket, "HTTP/1.1 200 OK\r\nId: r1\r\n\r\nabc");
+        fixture.start("r1", result);
+        auto &socket = fixture.accept();
+        fixture.send(socket, "HTTP/1.1 200 OK\r\nId: r1\r\n\r\nabc");
         if (reset)
             socket.set_option(asio::socket_base::linger(true, 0));
         else
             socket.shutdown(asio::ip::tcp::socket::shutdown_send);
         if (reset)
             socket.close();
-        world.settle();
+        fixture.settle();
         CHECK(result.end == (reset ? call_end::broken : call_end::complete));
     }
 }
 
 TEST_CASE("an answer to another request is skipped")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result result;
-    world.start("r2", result);
-    auto &socket = world.accept();
-    world.send(socket, answerTo("r1", "old"));
+    fixture.start("r2", result);
+    auto &socket = fixture.accept();
+    fixture.send(socket, answerTo("r1", "old"));
     CHECK(!result.answer);
-    world.send(socket, answerTo("r2", "new"));
+    fixture.send(socket, answerTo("r2", "new"));
     CHECK(result.body == "new");
     CHECK(result.end == call_end::complete);
 }
 
 TEST_CASE("bytes after a complete answer close the connection")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result first;
-    world.start("r1", first);
-    auto &socket = world.accept();
-    world.send(socket, answerTo("r1", "abc") + answerTo("r1", "abc"));
+    fixture.start("r1", first);
+    auto &socket = fixture.accept();
+    fixture.send(socket, answerTo("r1", "abc") + answerTo("r1", "abc"));
     CHECK(first.end == call_end::complete);
     CHECK(first.body == "abc");
     call_result second;
-    world.start("r2", second);
-    world.accept();
-    CHECK(world.calls.opened() == 2);
+    fixture.start("r2", second);
+    fixture.accept();
+    CHECK(fixture.calls.opened() == 2);
 }
 
 TEST_CASE("a malformed answer is reported as broken")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result result;
-    world.start("r1", result);
-    world.send(world.accept(), "this is no answer\r\n\r\n");
+    fixture.start("r1", result);
+    fixture.send(fixture.accept(), "this is no answer\r\n\r\n");
     CHECK(result.end == call_end::broken);
 }
 
 TEST_CASE("a cancelled call closes its connection and invokes no callback")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result result;
-    const call_id call = world.start("r1", result);
-    auto &socket = world.accept();
-    world.calls.cancel(call);
-    world.settle();
+    const call_id call = fixture.start("r1", result);
+    auto &socket = fixture.accept();
+    fixture.calls.cancel(call);
+    fixture.settle();
     CHECK(!result.end);
     char buffer[256];
     asio::error_code error;
     while (!error)
         socket.read_some(asio::buffer(buffer), error);
     CHECK(error == asio::error::eof);
-    CHECK(world.calls.hasRoom(*world.endpoint, 1));
+    CHECK(fixture.calls.hasRoom(*fixture.endpoint, 1));
 }
 
 TEST_CASE("an at-most-once request does not reuse a connection idle for long")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result first;
-    world.start("r1", first);
-    world.send(world.accept(), answerTo("r1", ""));
+    fixture.start("r1", first);
+    fixture.send(fixture.accept(), answerTo("r1", ""));
     for (int i = 0; i < 20; ++i)
-        world.settle();
+        fixture.settle();
     call_result second;
-    world.start("r2", second, true);
-    world.accept();
-    CHECK(world.calls.opened() == 2);
+    fixture.start("r2", second, true);
+    fixture.accept();
+    CHECK(fixture.calls.opened() == 2);
 }
 
 TEST_CASE("the number of connections to an endpoint is limited")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result first;
-    world.start("r1", first);
-    CHECK(!world.calls.hasRoom(*world.endpoint, 1));
-    CHECK(world.calls.hasRoom(*world.endpoint, 2));
+    fixture.start("r1", first);
+    CHECK(!fixture.calls.hasRoom(*fixture.endpoint, 1));
+    CHECK(fixture.calls.hasRoom(*fixture.endpoint, 2));
 }
 
 TEST_CASE("connections to an earlier process of an endpoint are not reused")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result first;
-    world.start("1", first);
-    world.send(world.accept(), answerTo("1", "ok"));
+    fixture.start("1", first);
+    fixture.send(fixture.accept(), answerTo("1", "ok"));
     // Another call is in progress while the endpoint restarts under its id.
     call_result second;
-    world.start("2", second);
+    fixture.start("2", second);
     call_result third;
-    world.start("3", third);
-    asio::ip::tcp::socket &busy = world.accept();
-    endpoint_record record = world.endpoint->record();
+    fixture.start("3", third);
+    asio::ip::tcp::socket &busy = fixture.accept();
+    endpoint_record record = fixture.endpoint->record();
     record.startedAt = 1;
     const endpoint_ptr before
-            = std::exchange(world.endpoint, std::make_shared<service_endpoint>(record));
-    world.send(world.sockets.front(), answerTo("2", "ok"));
+            = std::exchange(fixture.endpoint, std::make_shared<service_endpoint>(record));
+    fixture.send(fixture.sockets.front(), answerTo("2", "ok"));
     call_result fourth;
-    world.start("4", fourth);
-    world.send(world.accept(), answerTo("4", "ok"));
+    fixture.start("4", fourth);
+    fixture.send(fixture.accept(), answerTo("4", "ok"));
     CHECK(fourth.body == "ok");
-    CHECK(world.calls.opened() == 3);
+    CHECK(fixture.calls.opened() == 3);
     // Answers on old connections are still delivered; the connections are then closed.
-    world.send(busy, answerTo("3", "late"));
+    fixture.send(busy, answerTo("3", "late"));
     CHECK(third.body == "late");
     call_result fifth;
-    world.start("5", fifth);
-    world.send(world.sockets.back(), answerTo("5", "ok"));
+    fixture.start("5", fifth);
+    fixture.send(fixture.sockets.back(), answerTo("5", "ok"));
     CHECK(fifth.body == "ok");
-    CHECK(world.calls.opened() == 3);
+    CHECK(fixture.calls.opened() == 3);
 }
 
 TEST_CASE("a probe reports an endpoint as ended when its port is closed, once per probe")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     unsigned reports = 0;
-    const auto probe = [&] { world.calls.checkEnded(world.endpoint, [&reports] { ++reports; }); };
+    const auto probe
+            = [&] { fixture.calls.checkEnded(fixture.endpoint, [&reports] { ++reports; }); };
     probe();
-    world.settle();
+    fixture.settle();
     CHECK(reports == 0);
-    world.acceptor.close();
+    fixture.acceptor.close();
     probe();
     probe();
-    world.settle();
+    fixture.settle();
     CHECK(reports == 1);
     probe();
-    world.settle();
+    fixture.settle();
     CHECK(reports == 2);
 }
 
 TEST_CASE("an idle connection that expired during a suspension of the instance is not reused")
 {
-    endpoint_caller_fixture world;
+    endpoint_caller_fixture fixture;
     call_result first;
-    world.start("a", first);
-    asio::ip::tcp::socket &socket = world.accept();
-    world.send(socket, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n");
-    world.settle();
+    fixture.start("a", first);
+    asio::ip::tcp::socket &socket = fixture.accept();
+    fixture.send(socket, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n");
+    fixture.settle();
     REQUIRE(first.end == call_end::complete);
     pretendSuspension(seconds(10));
     call_result second;
-    world.start("b", second);
-    world.settle();
-    CHECK(world.calls.opened() == 2);
+    fixture.start("b", second);
+    fixture.settle();
+    CHECK(fixture.calls.opened() == 2);
 }
--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -51,30 +51,30 @@
 
 TEST_CASE("every entry avoids an evacuated data centre, and uses it again afterwards")
 {
-    evacuation_fixture world;
-    world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(propagationLimit);
-    CHECK(world.entriesThatSee(2) == entryCount);
-    world.entries.store.put("orders", "evacuate west", "{}");
-    world.entries.runtime.advance(propagationLimit);
-    CHECK(world.entriesThatSee(0) == entryCount);
-    world.entries.store.remove("orders", "evacuate east");
-    world.entries.runtime.advance(propagationLimit);
-    CHECK(world.entriesThatSee(2) == entryCount);
-    world.entries.store.remove("orders", "evacuate west");
-    world.entries.runtime.advance(propagationLimit);
-    CHECK(world.entriesThatSee(4) == entryCount);
+    evacuation_fixture fixture;
+    fixture.entries.store.put("orders", "evacuate east", "{}");
+    fixture.entries.runtime.advance(propagationLimit);
+    CHECK(fixture.entriesThatSee(2) == entryCount);
+    fixture.entries.store.put("orders", "evacuate west", "{}");
+    fixture.entries.runtime.advance(propagationLimit);
+    CHECK(fixture.entriesThatSee(0) == entryCount);
+    fixture.entries.store.remove("orders", "evacuate east");
+    fixture.entries.runtime.advance(propagationLimit);
+    CHECK(fixture.entriesThatSee(2) == entryCount);
+    fixture.entries.store.remove("orders", "evacuate west");
+    fixture.entries.runtime.advance(propagationLimit);
+    CHECK(fixture.entriesThatSee(4) == entryCount);
 }
 
 TEST_CASE("an entry that starts during an evacuation never uses the evacuated endpoints")
 {
-    evacuation_fixture world;
-    world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(propagationLimit);
-    world.entries.start(entryCount, entryCount + 1);
-    fleet_entry &entry = world.entries.entries.back();
+    evacuation_fixture fixture;
+    fixture.entries.store.put("orders", "evacuate east", "{}");
+    fixture.entries.runtime.advance(propagationLimit);
+    fixture.entries.start(entryCount, entryCount + 1);
+    fleet_entry &entry = fixture.entries.entries.back();
     for (int i = 0; i < 200; ++i) {
-        world.entries.runtime.advance(milliseconds(5));
+        fixture.entries.runtime.advance(milliseconds(5));
         if (entry.isReady())
             CHECK(usableAt(entry) <= 2);
     }
@@ -83,78 +83,78 @@
 
 TEST_CASE("an evacuation ends for all entries although the store has lost its history")
 {
-    evacuation_fixture world;
-    world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(propagationLimit);
-    world.entries.store.forgetful = true;
-    world.entries.store.remove("orders", "evacuate east");
-    world.entries.runtime.advance(propagationLimit + propagationLimit);
-    CHECK(world.entriesThatSee(4) == entryCount);
+    evacuation_fixture fixture;
+    fixture.entries.store.put("orders", "evacuate east", "{}");
+    fixture.entries.runtime.advance(propagationLimit);
+    fixture.entries.store.forgetful = true;
+    fixture.entries.store.remove("orders", "evacuate east");
+    fixture.entries.runtime.advance(propagationLimit + propagationLimit);
+    CHECK(fixture.entriesThatSee(4) == entryCount);
 }
 
 TEST_CASE("an evacuation is in force soon after the store recovers, and at entries that the store "
           "rejects")
 {
-    evacuation_fixture world;
-    world.entries.store.away = true;
-    world.entries.runtime.advance(seconds(3));
-    world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.store.away = false;
-    world.entries.runtime.advance(propagationLimit);
-    CHECK(world.entriesThatSee(2) == entryCount);
+    evacuation_fixture fixture;
+    fixture.entries.store.away = true;
+    fixture.entries.runtime.advance(seconds(3));
+    fixture.entries.store.put("orders", "evacuate east", "{}");
+    fixture.entries.store.away = false;
+    fixture.entries.runtime.advance(propagationLimit);
+    CHECK(fixture.entriesThatSee(2) == entryCount);
     // The store rejects every second entry, except those that read it on behalf of others.
     std::size_t number = 0;
-    for (fleet_entry &entry : world.entries.entries)
+    for (fleet_entry &entry : fixture.entries.entries)
         entry.store.isTurnedAway = ++number % 2 == 0 && !entry.readers.empty();
-    world.entries.store.remove("orders", "evacuate east");
-    world.entries.runtime.advance(propagationLimit);
-    CHECK(world.entriesThatSee(4) == entryCount);
+    fixture.entries.store.remove("orders", "evacuate east");
+    fixture.entries.runtime.advance(propagationLimit);
+    CHECK(fixture.entriesThatSee(4) == entryCount);
 }
 
 TEST_CASE("an evacuation is in force in time when the entries that read the store lose power")
 {
-    evacuation_fixture world;
+    evacuation_fixture fixture;
     std::size_t up = 0;
-    for (fleet_entry &entry : world.entries.entries) {
+    for (fleet_entry &entry : fixture.entries.entries) {
         entry.store.isUp = !entry.readers.empty();
         up += entry.store.isUp ? 1 : 0;
     }
-    world.entries.store.put("orders", "evacuate east", "{}");
-    world.entries.runtime.advance(seconds(3));
-    CHECK(world.entriesThatSee(2) == up);
+    fixture.entries.store.put("orders", "evacuate east", "{}");
+    fixture.entries.runtime.advance(seconds(3));
+    CHECK(fixture.entriesThatSee(2) == up);
 }
 
 TEST_CASE("the rest of a stream is not resumed in an evacuated data centre")
 {
     const service_route route = draftRoute();
-    flow_fixture world(route, {"e1", "e2", "e3"});
+    flow_fixture fixture(route, {"e1", "e2", "e3"});
     for (const char *id : {"e1", "e2", "e3"})
-        world.setDataCentre(id, "east");
-    const auto flow = startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    const std::string first = world.calls[0].attempt.endpoint->record().id;
+        fixture.setDataCentre(id, "east");
+    const auto flow = startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    const std::string first = fixture.calls[0].attempt.endpoint->record().id;
     const std::string other = first == "e1" ? "e2" : "e1";
-    world.setDataCentre(other, "west");
-    world.answer(0, 200, 90);
-    world.data(0, eventText(1));
-    world.routing.directory().setEvacuated({"east"}, world.runtime.now());
-    world.end(0, call_end::broken);
-    REQUIRE(world.calls.size() == 2);
-    world.end(1, call_end::broken);
+    fixture.setDataCentre(other, "west");
+    fixture.answer(0, 200, 90);
+    fixture.data(0, eventText(1));
+    fixture.routing.directory().setEvacuated({"east"}, fixture.runtime.now());
+    fixture.end(0, call_end::broken);
+    REQUIRE(fixture.calls.size() == 2);
+    fixture.end(1, call_end::broken);
     // Only the remaining endpoint is tried again; the stream never returns to the evacuated ones.
-    for (std::size_t i = 1; i < world.calls.size(); ++i)
-        CHECK(world.calls[i].attempt.endpoint->record().id == other);
+    for (std::size_t i = 1; i < fixture.calls.size(); ++i)
+        CHECK(fixture.calls[i].attempt.endpoint->record().id == other);
 }
 
 TEST_CASE("a request that only evacuated endpoints could serve is refused with a Retry-After")
 {
-    flow_fixture world(lookupRoute(), {"e1"});
-    world.setDataCentre("e1", "east");
-    world.routing.directory().setEvacuated({"east"}, world.runtime.now());
-    const auto flow = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.empty());
-    CHECK(world.status == 503);
-    REQUIRE(world.record);
-    CHECK(world.record->reason == flow_reason::evacuated);
-    CHECK(!world.headers.empty());
+    flow_fixture fixture(lookupRoute(), {"e1"});
+    fixture.setDataCentre("e1", "east");
+    fixture.routing.directory().setEvacuated({"east"}, fixture.runtime.now());
+    const auto flow = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.empty());
+    CHECK(fixture.status == 503);
+    REQUIRE(fixture.record);
+    CHECK(fixture.record->reason == flow_reason::evacuated);
+    CHECK(!fixture.headers.empty());
 }
--- a/unittests/Proxy/FlowFixture.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -158,11 +158,11 @@
     return request;
 }
 
-std::shared_ptr<fake_flow> laurelcroft::startFlow(flow_fixture &world,
+std::shared_ptr<fake_flow> laurelcroft::startFlow(flow_fixture &fixture,
                                                   std::shared_ptr<proxy_request> request)
 {
-    auto flow = std::make_shared<fake_flow>(fake_environment{&world}, std::move(request));
-    world.flows.push_back(flow);
+    auto flow = std::make_shared<fake_flow>(fake_environment{&fixture}, std::move(request));
+    fixture.flows.push_back(flow);
     flow->start();
     return flow;
 }
--- a/unittests/Proxy/FlowFixture.h
+++ b/unittests/Proxy/FlowFixture.h
@@ -133,7 +133,7 @@
 service_route draftRoute(); ///< a resumable stream over three models
 
 std::shared_ptr<proxy_request> requestFor(const service_route &route);
-std::shared_ptr<fake_flow> startFlow(flow_fixture &world, std::shared_ptr<proxy_request> request);
+std::shared_ptr<fake_flow> startFlow(flow_fixture &fixture, std::shared_ptr<proxy_request> request);
 std::string eventText(unsigned id);
 
 } // namespace laurelcroft
--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -37,17 +37,17 @@
     service_route route = lookupRoute();
     route.homeRegions = {"north"};
     route.mostEndpoints = 4;
-    two_region_fixture world(route);
-    startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id != "e3");
-    world.refuseNotRun(0);
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.calls[1].attempt.endpoint->record().id != "e3");
-    CHECK(world.calls[1].attempt.endpoint->record().id != "e4");
-    world.refuseNotRun(1);
-    CHECK(world.calls.size() == 2);
-    CHECK(world.status == 503);
+    two_region_fixture fixture(route);
+    startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id != "e3");
+    fixture.refuseNotRun(0);
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.calls[1].attempt.endpoint->record().id != "e3");
+    CHECK(fixture.calls[1].attempt.endpoint->record().id != "e4");
+    fixture.refuseNotRun(1);
+    CHECK(fixture.calls.size() == 2);
+    CHECK(fixture.status == 503);
 
     two_region_fixture none(route);
     for (const char *id : {"e1", "e2"})
@@ -62,37 +62,37 @@
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north", "south"};
-    two_region_fixture world(route);
-    auto contract = std::make_shared<service_contract>(*world.routing.contract());
+    two_region_fixture fixture(route);
+    auto contract = std::make_shared<service_contract>(*fixture.routing.contract());
     contract->version += 1;
     contract->customers.front().homeRegions = {"south"};
-    world.routing.setContract(contract);
-    startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e3");
+    fixture.routing.setContract(contract);
+    startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e3");
 }
 
 TEST_CASE("a request without region restrictions is served anywhere")
 {
-    two_region_fixture world(lookupRoute());
+    two_region_fixture fixture(lookupRoute());
     for (const char *id : {"e1", "e2", "e3"})
-        world.routing.directory().remove(id, world.runtime.now(), 100);
-    startFlow(world, requestFor(lookupRoute()));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e4");
+        fixture.routing.directory().remove(id, fixture.runtime.now(), 100);
+    startFlow(fixture, requestFor(lookupRoute()));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e4");
 }
 
 TEST_CASE("the only endpoint in the permitted region is found among a thousand others")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"south"};
-    two_region_fixture world(route);
+    two_region_fixture fixture(route);
     for (int i = 0; i < 1000; ++i) {
         const std::string id = "far" + std::to_string(i);
-        world.addEndpoint(id);
-        world.setDataCentre(id, "n1");
+        fixture.addEndpoint(id);
+        fixture.setDataCentre(id, "n1");
     }
-    startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e3");
+    startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e3");
 }
--- a/unittests/Proxy/RetryAfterTests.cpp
+++ b/unittests/Proxy/RetryAfterTests.cpp
@@ -47,119 +47,120 @@
 
 TEST_CASE("an endpoint that refused with Retry-After gets no request until then")
 {
-    backoff_fixture world(lookupRoute(), {"e1", "e2"});
-    startFlow(world, requestFor(lookupRoute()));
-    const std::string refusing = world.endpointOf(0);
-    world.refuse(0, seconds(3));
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.sentTo(refusing, 59) == 0);
-    world.runtime.advance(milliseconds(100));
-    CHECK(world.sentTo(refusing, 40) > 0);
+    backoff_fixture fixture(lookupRoute(), {"e1", "e2"});
+    startFlow(fixture, requestFor(lookupRoute()));
+    const std::string refusing = fixture.endpointOf(0);
+    fixture.refuse(0, seconds(3));
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.sentTo(refusing, 59) == 0);
+    fixture.runtime.advance(milliseconds(100));
+    CHECK(fixture.sentTo(refusing, 40) > 0);
 }
 
 TEST_CASE("a shorter Retry-After does not shorten an endpoint's longer one")
 {
-    backoff_fixture world(lookupRoute(), {"e1"});
-    startFlow(world, requestFor(lookupRoute()));
-    startFlow(world, requestFor(lookupRoute()));
-    REQUIRE(world.calls.size() == 2);
-    world.refuse(0, seconds(3));
-    world.refuse(1, milliseconds(200));
-    CHECK(world.sentTo("e1", 59) == 0);
-    world.runtime.advance(milliseconds(100));
-    CHECK(world.sentTo("e1", 1) == 1);
+    backoff_fixture fixture(lookupRoute(), {"e1"});
+    startFlow(fixture, requestFor(lookupRoute()));
+    startFlow(fixture, requestFor(lookupRoute()));
+    REQUIRE(fixture.calls.size() == 2);
+    fixture.refuse(0, seconds(3));
+    fixture.refuse(1, milliseconds(200));
+    CHECK(fixture.sentTo("e1", 59) == 0);
+    fixture.runtime.advance(milliseconds(100));
+    CHECK(fixture.sentTo("e1", 1) == 1);
 }
 
 TEST_CASE("when all endpoints are in backoff, callers get the earliest end as Retry-After at once")
 {
-    backoff_fixture world(lookupRoute(), {"e1", "e2"});
-    startFlow(world, requestFor(lookupRoute()));
-    world.refuse(0, seconds(3));
-    world.refuse(1, milliseconds(1500));
-    CHECK(world.status == 503);
-    CHECK(findHeader(world.headers, "Retry-After") == "1.500000");
-    world.status = 0;
-    world.runtime.advance(milliseconds(500));
-    startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 2);
-    CHECK(world.status == 503);
-    CHECK(findHeader(world.headers, "Retry-After") == "1.000000");
+    backoff_fixture fixture(lookupRoute(), {"e1", "e2"});
+    startFlow(fixture, requestFor(lookupRoute()));
+    fixture.refuse(0, seconds(3));
+    fixture.refuse(1, milliseconds(1500));
+    CHECK(fixture.status == 503);
+    CHECK(findHeader(fixture.headers, "Retry-After") == "1.500000");
+    fixture.status = 0;
+    fixture.runtime.advance(milliseconds(500));
+    startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 2);
+    CHECK(fixture.status == 503);
+    CHECK(findHeader(fixture.headers, "Retry-After") == "1.000000");
 }
 
 TEST_CASE("an endpoint that refused without a Retry-After, or with zero, is usable after 200 ms")
 {
     for (const std::optional<milliseconds> time :
          {std::optional(milliseconds(0)), std::optional<milliseconds>()}) {
-        backoff_fixture world(lookupRoute(), {"e1"});
-        startFlow(world, requestFor(lookupRoute()));
-        world.refuse(0, time);
-        world.runtime.advance(milliseconds(200));
-        CHECK(world.sentTo("e1", 1) == 1);
+        backoff_fixture fixture(lookupRoute(), {"e1"});
+        startFlow(fixture, requestFor(lookupRoute()));
+        fixture.refuse(0, time);
+        fixture.runtime.advance(milliseconds(200));
+        CHECK(fixture.sentTo("e1", 1) == 1);
     }
 }
 
 TEST_CASE("a restarted endpoint is not in backoff")
 {
-    backoff_fixture world(lookupRoute(), {"e1"});
-    endpoint_record record = world.routing.directory().all().at("e1")->record();
+    backoff_fixture fixture(lookupRoute(), {"e1"});
+    endpoint_record record = fixture.routing.directory().all().at("e1")->record();
     record.startedAt = 100;
-    world.routing.directory().apply(record, world.runtime.now());
-    startFlow(world, requestFor(lookupRoute()));
-    world.refuse(0, seconds(30));
-    CHECK(world.sentTo("e1", 1) == 0);
+    fixture.routing.directory().apply(record, fixture.runtime.now());
+    startFlow(fixture, requestFor(lookupRoute()));
+    fixture.refuse(0, seconds(30));
+    CHECK(fixture.sentTo("e1", 1) == 0);
     record.startedAt = 200;
-    world.routing.directory().apply(record, world.runtime.now());
-    CHECK(world.sentTo("e1", 1) == 1);
+    fixture.routing.directory().apply(record, fixture.runtime.now());
+    CHECK(fixture.sentTo("e1", 1) == 1);
 }
 
 TEST_CASE("a refused request is retried at an endpoint that accepts requests")
 {
-    backoff_fixture world(lookupRoute(), {"e1", "e2", "e3"});
-    const auto &listed = world.routing.directory().all();
+    backoff_fixture fixture(lookupRoute(), {"e1", "e2", "e3"});
+    const auto &listed = fixture.routing.directory().all();
     for (const char *id : {"e1", "e2"})
-        listed.at(id)->startBackoff(seconds(1), world.runtime.now());
-    world.runtime.advance(seconds(1));
+        listed.at(id)->startBackoff(seconds(1), fixture.runtime.now());
+    fixture.runtime.advance(seconds(1));
     // Load makes e3 the most expensive choice.
     for (unsigned i = 0; i < 20; ++i)
         listed.at("e3")->began();
     for (unsigned i = 0; i < 20; ++i) {
-        world.earnFurtherSends("pool");
-        const std::size_t first = world.calls.size();
-        startFlow(world, requestFor(lookupRoute()));
-        REQUIRE(world.calls.size() == first + 1);
-        REQUIRE(world.endpointOf(first) != "e3");
-        world.refuse(first, milliseconds(0));
-        REQUIRE(world.calls.size() == first + 2);
-        CHECK(world.endpointOf(first + 1) == "e3");
-        world.answer(first + 1, 200);
-        world.end(first + 1, call_end::complete);
-        world.runtime.advance(milliseconds(200));
+        fixture.earnFurtherSends("pool");
+        const std::size_t first = fixture.calls.size();
+        startFlow(fixture, requestFor(lookupRoute()));
+        REQUIRE(fixture.calls.size() == first + 1);
+        REQUIRE(fixture.endpointOf(first) != "e3");
+        fixture.refuse(first, milliseconds(0));
+        REQUIRE(fixture.calls.size() == first + 2);
+        CHECK(fixture.endpointOf(first + 1) == "e3");
+        fixture.answer(first + 1, 200);
+        fixture.end(first + 1, call_end::complete);
+        fixture.runtime.advance(milliseconds(200));
     }
 }
 
 TEST_CASE("the only endpoint out of backoff is found among many")
 {
-    backoff_fixture world(lookupRoute(), {});
+    backoff_fixture fixture(lookupRoute(), {});
     constexpr unsigned endpointCount = 300;
     for (unsigned i = 0; i < endpointCount; ++i)
-        world.addEndpoint("e" + std::to_string(i));
-    for (const auto &[id, endpoint] : world.routing.directory().all()) {
+        fixture.addEndpoint("e" + std::to_string(i));
+    for (const auto &[id, endpoint] : fixture.routing.directory().all()) {
         if (id != "e123")
-            endpoint->startBackoff(seconds(60), world.runtime.now());
+            endpoint->startBackoff(seconds(60), fixture.runtime.now());
     }
-    CHECK(world.sentTo("e123", 10) == 10);
+    CHECK(fixture.sentTo("e123", 10) == 10);
 }
 
 TEST_CASE("a started stream waits for an endpoint whose backoff ends soon")
 {
-    backoff_fixture world(draftRoute(), {"e1"});
-    startFlow(world, requestFor(draftRoute()));
-    world.answer(0, 200, 100);
-    world.data(0, eventText(1));
-    world.routing.directory().all().at("e1")->startBackoff(milliseconds(400), world.runtime.now());
-    world.end(0, call_end::broken);
-    CHECK(world.calls.size() == 1);
-    CHECK_FALSE(world.aborted);
-    world.runtime.advance(milliseconds(450));
-    CHECK(world.calls.size() == 2);
+    backoff_fixture fixture(draftRoute(), {"e1"});
+    startFlow(fixture, requestFor(draftRoute()));
+    fixture.answer(0, 200, 100);
+    fixture.data(0, eventText(1));
+    fixture.routing.directory().all().at("e1")->startBackoff(milliseconds(400),
+                                                             fixture.runtime.now());
+    fixture.end(0, call_end::broken);
+    CHECK(fixture.calls.size() == 1);
+    CHECK_FALSE(fixture.aborted);
+    fixture.runtime.advance(milliseconds(450));
+    CHECK(fixture.calls.size() == 2);
 }
--- a/unittests/Proxy/StreamVersionTests.cpp
+++ b/unittests/Proxy/StreamVersionTests.cpp
@@ -47,51 +47,51 @@
 
 TEST_CASE("a begun stream is not resumed at a version whose trial starts meanwhile")
 {
-    trial_fixture world;
-    startFlow(world, requestFor(draftRoute()));
-    world.breakAfter(0, 1);
-    world.setTrial(1.0);
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.versionOf(1) == "v1");
-    world.breakAfter(1, 2);
-    REQUIRE(world.calls.size() == 3);
-    CHECK(world.versionOf(2) == "v1");
+    trial_fixture fixture;
+    startFlow(fixture, requestFor(draftRoute()));
+    fixture.breakAfter(0, 1);
+    fixture.setTrial(1.0);
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.versionOf(1) == "v1");
+    fixture.breakAfter(1, 2);
+    REQUIRE(fixture.calls.size() == 3);
+    CHECK(fixture.versionOf(2) == "v1");
 }
 
 TEST_CASE("the last attempt of a stream begun by a version on trial uses the settled version")
 {
-    trial_fixture world;
-    world.setTrial(1.0);
-    world.addEndpoint("new2", "pool", "v2");
-    startFlow(world, requestFor(draftRoute()));
-    CHECK(world.versionOf(0) == "v2");
-    world.breakAfter(0, 1);
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.versionOf(1) == "v2");
-    world.breakAfter(1, 2);
-    REQUIRE(world.calls.size() == 3);
-    CHECK(world.versionOf(2) == "v1");
+    trial_fixture fixture;
+    fixture.setTrial(1.0);
+    fixture.addEndpoint("new2", "pool", "v2");
+    startFlow(fixture, requestFor(draftRoute()));
+    CHECK(fixture.versionOf(0) == "v2");
+    fixture.breakAfter(0, 1);
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.versionOf(1) == "v2");
+    fixture.breakAfter(1, 2);
+    REQUIRE(fixture.calls.size() == 3);
+    CHECK(fixture.versionOf(2) == "v1");
 }
 
 TEST_CASE("a stream whose version is gone is resumed at the version that replaced it")
 {
     // The entry knows this from the roll-out row, or notices it by refused connections.
     for (const bool hasHeard : {true, false}) {
-        trial_fixture world;
+        trial_fixture fixture;
         for (const char *id : {"old4", "old5", "old6", "old7"})
-            world.addEndpoint(id, "pool", "v1");
-        startFlow(world, requestFor(draftRoute()));
-        CHECK(world.versionOf(0) == "v1");
+            fixture.addEndpoint(id, "pool", "v1");
+        startFlow(fixture, requestFor(draftRoute()));
+        CHECK(fixture.versionOf(0) == "v1");
         const rollout_stage stage = hasHeard ? rollout_stage::completed : rollout_stage::full;
-        world.routing.rollouts("pool").setRow(
+        fixture.routing.rollouts("pool").setRow(
                 {7, "v2", stage, milliseconds(1), milliseconds(2), 1});
-        world.breakAfter(0, 1);
-        for (std::size_t call = 1; call < world.calls.size() && !world.aborted; ++call) {
-            if (world.versionOf(call) == "v1")
-                world.end(call, call_end::notSent);
+        fixture.breakAfter(0, 1);
+        for (std::size_t call = 1; call < fixture.calls.size() && !fixture.aborted; ++call) {
+            if (fixture.versionOf(call) == "v1")
+                fixture.end(call, call_end::notSent);
         }
-        REQUIRE(!world.aborted);
-        CHECK(world.versionOf(world.calls.size() - 1) == "v2");
+        REQUIRE(!fixture.aborted);
+        CHECK(fixture.versionOf(fixture.calls.size() - 1) == "v2");
     }
 }
 
@@ -99,35 +99,35 @@
           "change")
 {
     for (const bool ordered : {false, true}) {
-        flow_fixture world(lookupRoute(), {});
+        flow_fixture fixture(lookupRoute(), {});
         for (unsigned i = 0; i < 3000; ++i)
-            world.addEndpoint("p" + std::to_string(i));
+            fixture.addEndpoint("p" + std::to_string(i));
         if (ordered) {
-            world.addEndpoint("new", "pool", "v2");
-            world.routing.rollouts("pool").setOrder({"pool", "v2", seconds(10), 4});
+            fixture.addEndpoint("new", "pool", "v2");
+            fixture.routing.rollouts("pool").setOrder({"pool", "v2", seconds(10), 4});
         }
-        const auto flow = startFlow(world, requestFor(lookupRoute()));
-        CHECK(world.calls.size() == 1);
-        CHECK(world.candidatesExamined <= mostCandidates);
+        const auto flow = startFlow(fixture, requestFor(lookupRoute()));
+        CHECK(fixture.calls.size() == 1);
+        CHECK(fixture.candidatesExamined <= mostCandidates);
     }
 }
 
 TEST_CASE("a session on trial keeps its version when the endpoints of the trial fail")
 {
-    trial_fixture world;
-    world.useRoute(lookupRoute());
+    trial_fixture fixture;
+    fixture.useRoute(lookupRoute());
     for (const char *id : {"new2", "new3", "new4"})
-        world.addEndpoint(id, "pool", "v2");
-    world.setTrial(1.0);
+        fixture.addEndpoint(id, "pool", "v2");
+    fixture.setTrial(1.0);
     auto request = requestFor(lookupRoute());
     request->session = "s1";
-    startFlow(world, request);
-    for (std::size_t call = 0; call < world.calls.size(); ++call) {
-        CHECK(world.versionOf(call) == "v2");
-        world.answer(call, 500);
-        world.end(call, call_end::complete);
+    startFlow(fixture, request);
+    for (std::size_t call = 0; call < fixture.calls.size(); ++call) {
+        CHECK(fixture.versionOf(call) == "v2");
+        fixture.answer(call, 500);
+        fixture.end(call, call_end::complete);
     }
-    CHECK(world.calls.size() == 2);
+    CHECK(fixture.calls.size() == 2);
     // A request without a session is served by the old version.
     trial_fixture other;
     other.useRoute(lookupRoute());
@@ -141,20 +141,20 @@
 
 TEST_CASE("a session on trial falls back to the old version if the new one can't be reached")
 {
-    trial_fixture world;
-    world.useRoute(lookupRoute());
-    world.setTrial(1.0);
+    trial_fixture fixture;
+    fixture.useRoute(lookupRoute());
+    fixture.setTrial(1.0);
     auto request = requestFor(lookupRoute());
     request->session = "s1";
-    startFlow(world, request);
-    CHECK(world.versionOf(0) == "v2");
-    world.end(0, call_end::notSent);
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.versionOf(1) == "v1");
-    CHECK(world.record == std::nullopt);
-    world.answer(1, 200);
-    world.end(1, call_end::complete);
-    REQUIRE(world.record);
-    CHECK(world.record->versionReason == "fallback");
-    CHECK(world.record->stage == "trial");
+    startFlow(fixture, request);
+    CHECK(fixture.versionOf(0) == "v2");
+    fixture.end(0, call_end::notSent);
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.versionOf(1) == "v1");
+    CHECK(fixture.record == std::nullopt);
+    fixture.answer(1, 200);
+    fixture.end(1, call_end::complete);
+    REQUIRE(fixture.record);
+    CHECK(fixture.record->versionReason == "fallback");
+    CHECK(fixture.record->stage == "trial");
 }
