--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RequestFlowAnswering.h - a flow's way to an answer -*- C++ -*-===//
+//===-- Proxy/RequestFlowAnswering.h - answers and failures ------*- C++ -*-===//
 //
-// Members of request_flow from an endpoint's answer to the caller's. Included by
-// RequestFlow.h only.
+// Members of request_flow that handle an endpoint's answer, the end of an attempt, and the response
+// to the caller. Included by RequestFlow.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOWANSWERING_H
@@ -21,7 +21,7 @@
 void request_flow<Env>::onAnswer(proxy_answer &&answer)
 {
     m_answer = std::move(answer);
-    m_answered = true;
+    m_headReceived = true;
     m_run->beganAt = now();
     endReading();
     m_endpoint->recordProgress(now());
@@ -34,7 +34,7 @@
     if (!success)
         return;
     outlook().succeeded();
-    if (m_begun)
+    if (m_streamBegun)
         return;
     noteWait();
     m_record.confidence = m_answer.confidence;
@@ -63,11 +63,11 @@
 void request_flow<Env>::noteWait()
 {
     const std::chrono::duration<double, std::milli> wait = now() - m_attemptAt;
-    m_env.routing().waits(m_service).addSample(ofObjective(wait));
-    if (m_answered)
+    m_env.routing().waits(m_service).addSample(shareOfObjective(wait));
+    if (m_headReceived)
         m_env.routing()
                 .promptRate(m_record.model)
-                .addSample(m_readTokens, wait.count(), m_ownShare);
+                .addSample(m_readTokens, wait.count(), m_ownReadingShare);
     m_record.serviceWait = m_env.routing().waits(m_service).mean();
 }
 
@@ -76,7 +76,7 @@
 {
     const attempt_facts now = facts();
     cascade_view view;
-    view.model = m_model;
+    view.model = m_modelIndex;
     view.models = m_route->models.size();
     view.confidence = m_answer.confidence;
     view.wait = m_env.routing().waits(m_service).mean();
@@ -89,8 +89,8 @@
 template <flow_environment Env>
 void request_flow<Env>::escalate()
 {
-    // What may end its endpoint keeps to it, so that its end is seen: a larger model's endpoint
-    // would be the next to end.
+    // A suspected request stays at its endpoint, so that a crash is attributed to it. Escalation
+    // could crash the larger model's endpoint as well.
     if (!m_request->anyModel || ownSuspicion() != suspicion::none)
         return;
     cascade_view view = cascadeView();
@@ -98,29 +98,29 @@
     const std::optional<std::size_t> larger = escalationTarget(settings, view);
     if (!larger)
         return;
-    // The answer is dropped only when another endpoint stands ready for the larger model.
+    // Drop the answer only if an endpoint is available for the larger model.
     const std::vector<std::string> tried = std::exchange(m_tried, {});
-    const std::size_t smaller = std::exchange(m_model, *larger);
+    const std::size_t smaller = std::exchange(m_modelIndex, *larger);
     m_prefixes = prefixesOf(modelName());
     const std::optional<endpoint_pick> pick = pickEndpoint();
     if (pick) {
         const std::chrono::duration<double, std::milli> wait(pick->waitMs);
-        view.expectedAt = ofObjective(now() - m_arrivedAt + wait);
+        view.expectedAt = shareOfObjective(now() - m_arrivedAt + wait);
     }
     m_record.largerExpectedAt = view.expectedAt;
     if (!pick || !escalationTarget(settings, view) || !takeFurtherSend(further_send::largerModel)) {
         m_tried = tried;
-        m_model = smaller;
+        m_modelIndex = smaller;
         m_prefixes = prefixesOf(modelName());
         return;
     }
     m_env.escalated(m_record, modelName());
-    m_droppedAt = m_endpoint;
+    m_escalatedFrom = m_endpoint;
     closeAttempt(attempt_end::answered);
     m_env.cancel(m_call);
     m_mayHaveRun = true;
-    // The dropped answer's send has reached its endpoint, though the attempt was not ended there.
-    ++m_arrivals;
+    // The dropped attempt reached its endpoint, but it is not counted by countAttempt().
+    ++m_receivedSends;
     ++m_record.escalations;
     send(*pick);
 }
@@ -130,14 +130,14 @@
 {
     if (isStream() && isValidSuccess()) {
         const auto keep = this->shared_from_this();
-        const unsigned number = m_number;
+        const unsigned number = m_attemptNumber;
         m_splitter->feed(data, [&](const stream_event &event) {
-            if (!m_done && m_number == number)
+            if (!m_done && m_attemptNumber == number)
                 onEvent(event);
         });
         return;
     }
-    if (m_body.size() + data.size() > flow_bounds::largestAnswer) {
+    if (m_body.size() + data.size() > flow_bounds::maxAnswerBytes) {
         endAttempt(attempt_end::broken);
         return;
     }
@@ -147,32 +147,32 @@
 template <flow_environment Env>
 void request_flow<Env>::onEvent(const stream_event &event)
 {
-    m_progressAt = now();
-    m_endpoint->recordProgress(m_progressAt);
+    m_lastProgressAt = now();
+    m_endpoint->recordProgress(m_lastProgressAt);
     ++m_attemptEvents;
-    if (!std::exchange(m_progressed, true)) {
-        m_firstEventAt = m_progressAt;
-        // The next pause is bounded more tightly than the wait for the first event.
+    if (!std::exchange(m_hasFirstEvent, true)) {
+        m_firstEventAt = m_lastProgressAt;
+        // Pauses between events have a shorter limit than the wait for the first event.
         m_env.runtime().cancel(m_progressTimer);
-        watchProgress(m_number);
+        watchProgress(m_attemptNumber);
     }
-    if (m_run->beganAt && m_progressAt - *m_run->beganAt > endpoint_runs::provenAfter
+    if (m_run->beganAt && m_lastProgressAt - *m_run->beganAt > endpoint_runs::provenAfter
         && m_suspicion != suspicion::none) {
         clearOfSuspicion();
         m_suspicion = suspicion::none;
     }
-    const bool repeated = event.id && m_lastEvent && *event.id <= *m_lastEvent;
+    const bool repeated = event.id && m_lastEventId && *event.id <= *m_lastEventId;
     if (repeated)
         return;
-    if (!m_begun) {
-        m_begun = true;
+    if (!m_streamBegun) {
+        m_streamBegun = true;
         m_streamVersion = m_endpoint->record().softwareVersion;
         m_record.firstPart = std::chrono::duration_cast<milliseconds>(now() - m_arrivedAt);
         m_record.status = m_answer.status;
         m_env.begin(m_answer.status, m_answer.headers);
     }
     if (event.id)
-        m_lastEvent = event.id;
+        m_lastEventId = event.id;
     ++m_record.events;
     m_env.write(std::string(event.text));
 }
@@ -180,7 +180,7 @@
 template <flow_environment Env>
 void request_flow<Env>::onEnd(call_end end)
 {
-    if (m_answered && m_answer.notRun) {
+    if (m_headReceived && m_answer.notRun) {
         endAttempt(attempt_end::refused);
         return;
     }
@@ -200,12 +200,12 @@
 answer_timing request_flow<Env>::timingNow()
 {
     answer_timing timing;
-    timing.wait = (m_progressed ? m_firstEventAt : now()) - m_attemptAt;
+    timing.wait = (m_hasFirstEvent ? m_firstEventAt : now()) - m_attemptAt;
     timing.countedSlow = m_countedSlow;
     timing.reading = std::chrono::duration_cast<duration>(
-            std::chrono::duration<double, std::milli>(m_expectedMs + m_elsewhereMs));
+            std::chrono::duration<double, std::milli>(m_expectedReadingMs + m_remoteReadingMs));
     if (m_attemptEvents > 1)
-        timing.pause = (m_progressAt - m_firstEventAt) / (m_attemptEvents - 1);
+        timing.pause = (m_lastProgressAt - m_firstEventAt) / (m_attemptEvents - 1);
     return timing;
 }
 
@@ -218,7 +218,7 @@
     m_env.runtime().cancel(m_progressTimer);
     endReading();
     m_endpoint->requestEnded();
-    leaveRun();
+    endRun();
     if (end == attempt_end::refused || end == attempt_end::notSent)
         noteNotRun();
     switch (end) {
@@ -228,21 +228,21 @@
         break;
     case attempt_end::failed:
     case attempt_end::broken:
-        if (!m_answered)
+        if (!m_headReceived)
             noteWait();
         m_endpoint->recordFailure(at);
         rollouts.observe(version, m_route->name, m_record.model, std::nullopt, at);
         break;
     case attempt_end::silent:
-        if (!m_answered)
+        if (!m_headReceived)
             noteWait();
         m_endpoint->recordFailure(at);
         if (!m_countedSlow)
             rollouts.observeSilence(version, m_route->name, at);
         break;
     case attempt_end::refused:
-        // A process that is gone seldom comes back at its address, and the record of its successor
-        // takes a second to come: 24 of 37,000 callers met three such endpoints in a row.
+        // An ended process rarely comes back at its address, and the record of its successor takes
+        // a second to arrive. Without this, 24 of 37,000 callers met three such endpoints in a row.
         if (m_answer.misdirected)
             m_endpoint->recordUnreachable(at);
         else
@@ -256,7 +256,7 @@
 }
 
 template <flow_environment Env>
-void request_flow<Env>::leaveRun()
+void request_flow<Env>::endRun()
 {
     endTrial();
     m_run->leftAt = now();
@@ -268,38 +268,38 @@
 {
     attempt_facts facts;
     facts.mayRepeat = m_route->mayRepeat();
-    facts.partDelivered = m_begun;
-    facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEvent);
+    facts.partDelivered = m_streamBegun;
+    facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEventId);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
-            = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::mostUnreached;
+            = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::maxUnreachedEndpoints;
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
-    facts.timeLeft = timeLeft() >= flow_bounds::leastForAttempt;
-    // A stream that has begun goes on against the odds: its caller would lose what it holds.
-    facts.worthRetrying = m_begun || !outlook().isRepeatFutile(now());
+    facts.timeLeft = timeLeft() >= flow_bounds::minAttemptTime;
+    // A begun stream is always resumed if possible: the caller would lose what it has received.
+    facts.worthRetrying = m_streamBegun || !outlook().isRepeatFutile(now());
     return facts;
 }
 
 template <flow_environment Env>
 void request_flow<Env>::endAttempt(attempt_end end)
 {
-    leaveEndpoint(end);
+    releaseEndpoint(end);
     countAttempt(end);
     if (end == attempt_end::answered) {
         deliver();
         return;
     }
-    const next_step step = decideAfter(end);
+    const next_step step = decideNextStep(end);
     m_env.attemptEnded(m_record, end, step);
-    follow(step, end);
+    executeStep(step, end);
 }
 
 template <flow_environment Env>
-void request_flow<Env>::leaveEndpoint(attempt_end end)
+void request_flow<Env>::releaseEndpoint(attempt_end end)
 {
     const bool isLost = end == attempt_end::broken || end == attempt_end::notSent;
     if (isLost)
-        m_failedPlaces.insert(m_endpoint->record().dataCentre);
+        m_failedDataCentres.insert(m_endpoint->record().dataCentre);
     const endpoint_ptr endpoint = m_endpoint;
     m_run->isOver = end != attempt_end::broken && end != attempt_end::silent;
     if (end == attempt_end::answered)
@@ -307,18 +307,19 @@
     closeAttempt(end);
     if (isLost)
         m_env.checkEnded(endpoint);
-    // The endpoint whose answer was dropped may have ended just after, unseen.
-    if (isLost && m_droppedAt)
-        m_env.checkEnded(std::exchange(m_droppedAt, nullptr));
-    // A call that is still under way must not run beside the next one.
+    // The endpoint whose answer was dropped may have ended right after that, unnoticed.
+    if (isLost && m_escalatedFrom)
+        m_env.checkEnded(std::exchange(m_escalatedFrom, nullptr));
+    // A call that is still in progress must not overlap with the next one.
     m_env.cancel(m_call);
 }
 
 template <flow_environment Env>
 void request_flow<Env>::countAttempt(attempt_end end)
 {
-    // Another process lives at the address: the endpoint that was meant saw nothing. A request for
-    // which one endpoint is allowed would be refused beside others that have room.
+    // A misdirected send never reached the intended endpoint, so it doesn't count against the
+    // route's limit of endpoints. Otherwise a request limited to one endpoint would be refused
+    // although other endpoints have capacity.
     const bool isMisdirected = end == attempt_end::refused && m_answer.misdirected;
     const bool metEndpoint = end != attempt_end::notSent && !isMisdirected;
     if (!metEndpoint) {
@@ -326,31 +327,31 @@
         ++m_unreached;
     }
     if (end == attempt_end::notSent)
-        m_heldSend = std::exchange(m_sentFor, std::nullopt);
+        m_reservedSend = std::exchange(m_currentFurtherSend, std::nullopt);
     else
-        ++m_arrivals;
+        ++m_receivedSends;
     if (metEndpoint && end != attempt_end::answered)
         outlook().failed(now());
-    m_record.attemptTook = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
-    m_record.left = timeLeft();
+    m_record.attemptDuration = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
+    m_record.timeLeft = timeLeft();
     if (end == attempt_end::broken && !m_record.key)
         m_record.key = keyOf(*m_request);
 }
 
 template <flow_environment Env>
-next_step request_flow<Env>::decideAfter(attempt_end end)
+next_step request_flow<Env>::decideNextStep(attempt_end end)
 {
     const attempt_facts facts = this->facts();
     m_record.lack = retryBlockerOf(facts);
     m_record.budgetLeft = budget().availableSends(now(), allowanceShare());
     const bool ran = end != attempt_end::notSent && end != attempt_end::refused;
     m_mayHaveRun = m_mayHaveRun || ran;
-    m_hasFailure = end == attempt_end::failed;
+    m_hasEndpointFailure = end == attempt_end::failed;
     return stepAfter(end, facts);
 }
 
 template <flow_environment Env>
-void request_flow<Env>::follow(next_step step, attempt_end end)
+void request_flow<Env>::executeStep(next_step step, attempt_end end)
 {
     const flow_reason noAnswer
             = end == attempt_end::silent ? flow_reason::silentEndpoint : flow_reason::brokenAttempt;
@@ -376,7 +377,7 @@
         refuse(http_status::unavailable,
                end == attempt_end::refused ? flow_reason::refusedByEndpoints
                                            : flow_reason::noEndpoint,
-               untilRoom());
+               retryAfterAllRefused());
         return;
     }
 }
@@ -384,12 +385,12 @@
 template <flow_environment Env>
 void request_flow<Env>::sendAgain(further_send what)
 {
-    if (m_arrivals > 0)
+    if (m_receivedSends > 0)
         takeFurtherSend(what);
     if (ownSuspicion() == suspicion::none)
         sendNext();
     else
-        sendAfter(flow_bounds::verdictWait);
+        sendAfter(flow_bounds::suspectResendDelay);
 }
 
 template <flow_environment Env>
@@ -409,7 +410,7 @@
     const bool served = isValidSuccess();
     const flow_reason why = served ? flow_reason::served : flow_reason::endpointFailure;
     if (served && isStream()) {
-        if (!m_begun)
+        if (!m_streamBegun)
             m_env.begin(m_answer.status, m_answer.headers);
         m_env.end();
         finish(why, m_answer.status);
@@ -421,12 +422,12 @@
 }
 
 template <flow_environment Env>
-milliseconds request_flow<Env>::untilRoom()
+milliseconds request_flow<Env>::retryAfterAllRefused()
 {
     const std::optional<time_point> end = m_env.routing().earliestBackoffEnd(m_service, now());
     const milliseconds wait = end ? std::chrono::ceil<milliseconds>(*end - now())
                                   : outlook().expectedRemaining(now());
-    return std::clamp(wait, flow_bounds::retryAfterFull, flow_bounds::retryAfterOutage);
+    return std::clamp(wait, flow_bounds::minRetryAfter, flow_bounds::maxRetryAfter);
 }
 
 template <flow_environment Env>
@@ -448,18 +449,18 @@
     if (m_done)
         return;
     if (m_endpoint) {
-        const bool silent = now() - m_progressAt >= m_route->objective;
+        const bool silent = now() - m_lastProgressAt >= m_route->objective;
         closeAttempt(silent ? attempt_end::silent : attempt_end::answered);
         m_env.cancel(m_call);
         m_mayHaveRun = true;
     }
-    if (m_begun) {
+    if (m_streamBegun) {
         m_env.abort();
         finish(why, 0);
     } else if (m_mayHaveRun) {
         refuse(http_status::gatewayTimeout, why, std::nullopt);
     } else {
-        refuse(http_status::unavailable, why, flow_bounds::retryAfterFull);
+        refuse(http_status::unavailable, why, flow_bounds::minRetryAfter);
     }
 }
 
@@ -471,7 +472,7 @@
     if (m_endpoint) {
         endReading();
         m_endpoint->requestEnded();
-        leaveRun();
+        endRun();
         m_endpoint = nullptr;
         m_env.cancel(m_call);
     }
@@ -482,7 +483,7 @@
 void request_flow<Env>::finish(flow_reason why, int status)
 {
     m_done = true;
-    if (std::exchange(m_heldSend, std::nullopt))
+    if (std::exchange(m_reservedSend, std::nullopt))
         budget().refund();
     m_env.runtime().cancel(m_deadlineTimer);
     m_env.runtime().cancel(m_progressTimer);
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RequestFlowChoosing.h - a flow's next endpoint -----*- C++ -*-===//
+//===-- Proxy/RequestFlowChoosing.h - endpoint selection ---------*- C++ -*-===//
 //
-// Members of request_flow that choose an endpoint, and with it a version. Included by RequestFlow.h
-// only.
+// Members of request_flow that choose the endpoint, and thereby the software version, of the next
+// attempt. Included by RequestFlow.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOWCHOOSING_H
@@ -20,13 +20,14 @@
 {
     routing_state &state = m_env.routing();
     const prefill_rate &rate = state.promptRate(modelName());
-    const bool first = !m_request->anyModel || m_model == 0;
+    const bool first = !m_request->anyModel || m_modelIndex == 0;
     if (first || rate.isKnown())
         return rate.msPerToken();
-    // Before a larger model has read a prompt for this entry, its price tells how much slower it
-    // is than the smallest: entries that have just started would else ask it for all. It gains
-    // 0.026 of worth on 32 entries with 57 endpoints (0.619 to 0.646, 3 days with faults) and 0.010
-    // on 21 with 40; on 3 or 4 entries nothing, since they see a larger model read soon.
+    // Until a larger model has read a prompt for this entry, estimate its speed from the ratio of
+    // its price to the smallest model's. Without the estimate, entries that have just started
+    // escalate every request. It raises the score by 0.026 with 32 entries and 57 endpoints
+    // (0.619 to 0.646, 3 test days with faults) and by 0.010 with 21 and 40, but not with 3 or 4
+    // entries, which observe a larger model's speed soon.
     const service_description *service = m_contract->findService(m_service);
     const std::string &smallest = m_route->models.front();
     const double slower = service ? service->priceRatio(modelName(), smallest) : 1;
@@ -38,25 +39,26 @@
 {
     routing_state &state = m_env.routing();
     state.directory().expire(now());
-    m_coldLeftOut = false;
-    m_roomComes = false;
-    m_backoffLeftOut = false;
-    m_limitedLeftOut = false;
+    m_excludedCold = false;
+    m_coldRoomExpected = false;
+    m_excludedInBackoff = false;
+    m_excludedRateLimited = false;
     m_nextAvailableAt.reset();
-    m_withheld = false;
-    m_regionLeftOut = false;
+    m_excludedWithheld = false;
+    m_excludedByRegion = false;
     m_suspicion = ownSuspicion();
     rollout_tracker &rollouts = state.rollouts(m_service);
     const std::vector<endpoint_ptr> &listed = state.directory().usable(m_service);
-    // Before anything is sampled: of thousands, few may stand where the request may be served.
+    // Filter before sampling: only a few of thousands of endpoints may lie in permitted regions.
     const std::vector<endpoint_ptr> within
             = isBoundToRegions() ? withinRegions(listed) : std::vector<endpoint_ptr>();
     const std::vector<endpoint_ptr> &usable = isBoundToRegions() ? within : listed;
-    // Where a roll-out is over, the version that began the stream may have ended at once; before
-    // this entry hears so, refused connections tell.
-    const bool mayHaveEnded = rollouts.isOver() || m_unreached >= flow_bounds::endedVersion;
-    if (m_begun && !mayHaveEnded) {
-        std::optional<endpoint_pick> rest = pickForRest(usable);
+    // The version that began the stream may be gone: a completed or reverted roll-out can end it
+    // everywhere at once. Refused connections show this before the roll-out row arrives.
+    const bool mayHaveEnded
+            = rollouts.isOver() || m_unreached >= flow_bounds::unreachedBeforeVersionChange;
+    if (m_streamBegun && !mayHaveEnded) {
+        std::optional<endpoint_pick> rest = pickForResume(usable);
         if (rest) {
             m_versionReason = version_reason::begunStream;
             return rest;
@@ -67,13 +69,13 @@
         return first;
     if (std::optional<endpoint_pick> same = pickSameVersion(usable))
         return same;
-    // What failed on a trial's few endpoints is still served by the settled version.
+    // A request that failed on the few endpoints of a trial is served by the settled version.
     std::optional<endpoint_pick> second = pickAmong(rollouts.settled(usable));
     if (second)
         m_versionReason = version_reason::fallback;
     if (second || !m_mayHaveRun)
         return second;
-    // All have been asked: one that failed once may well serve the request the next time.
+    // All endpoints were tried. One that failed may serve the request at a second attempt.
     m_tried.clear();
     return pickEligible(usable);
 }
@@ -82,9 +84,10 @@
 std::optional<endpoint_pick>
 request_flow<Env>::pickSameVersion(const std::vector<endpoint_ptr> &usable)
 {
-    // A session on trial keeps its version while there is an endpoint that may answer: where a
-    // third of the endpoints crashed, attempts that failed at the trial's few moved 1 to 3
-    // requests of a day back on 5 of 7 days. A version that is bad is not asked again.
+    // A session on trial keeps its version while any endpoint of the version may answer, not only
+    // the few of the trial. Without this, when a third of the endpoints crashed, failed attempts at
+    // the few moved 1 to 3 requests per day back to the old version on 5 of 7 days. A version that
+    // was found bad is not tried again.
     rollout_tracker &rollouts = m_env.routing().rollouts(m_service);
     if (m_request->session.empty() || rollouts.judge().isFoundBad())
         return std::nullopt;
@@ -96,12 +99,13 @@
 }
 
 template <flow_environment Env>
-std::optional<endpoint_pick> request_flow<Env>::pickForRest(const std::vector<endpoint_ptr> &usable)
+std::optional<endpoint_pick>
+request_flow<Env>::pickForResume(const std::vector<endpoint_ptr> &usable)
 {
-    // A stream goes on where it began: a trial that has started meanwhile may fail what the caller
-    // holds half of. The last attempt trusts no version on trial that something speaks against;
-    // it answered one of 106,000 streams with a failure after which nothing was left but to break
-    // the stream off.
+    // Resume a stream at the version that began it: a trial started in the meantime may fail a
+    // stream that the caller has half received. The last attempt avoids a suspected version on
+    // trial: such a version failed the last attempt of one of 106,000 streams, which then had to be
+    // aborted.
     const bool isLast = m_sends + 1 >= m_route->mostEndpoints;
     if (isLast && m_env.routing().rollouts(m_service).judge().isSuspected()) {
         std::optional<endpoint_pick> settled
@@ -118,7 +122,7 @@
 }
 
 template <flow_environment Env>
-double request_flow<Env>::ofObjective(std::chrono::duration<double, std::milli> time) const
+double request_flow<Env>::shareOfObjective(std::chrono::duration<double, std::milli> time) const
 {
     const std::chrono::duration<double, std::milli> objective = m_route->objective;
     return time / objective;
@@ -135,31 +139,31 @@
     candidate.load = endpoint->expectedLoad(at);
     candidate.slots = std::max(1U, endpoint->record().slots);
     candidate.waitMs = endpoint->prefillMs()
-            + flow_bounds::weightElsewhere * endpoint->remotePrefillMs(at)
+            + flow_bounds::remoteReadingWeight * endpoint->remotePrefillMs(at)
             + prompt.msPerToken * tokensToRead(kept);
     candidate.uncachedMs = prompt.msPerToken * (prompt.sharedTokens - kept);
     candidate.failureRate = endpoint->failureRate(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
-    // An endpoint that refuses at once has no load and so the lowest cost. Further attempts avoid
-    // it until it accepts a request, so that one request does not spend all its attempts on such
-    // endpoints.
+    // An endpoint that refuses immediately has no load and thus the lowest cost. Further attempts
+    // avoid it until it accepts a request, so that one request does not spend all its attempts on
+    // such endpoints.
     candidate.avoided
-            = endpoint->isAvoided(at) || (m_arrivals > 0 && endpoint->isRecoveryUnconfirmed());
+            = endpoint->isAvoided(at) || (m_receivedSends > 0 && endpoint->isRecoveryUnconfirmed());
     candidate.tried
             = std::find(m_tried.begin(), m_tried.end(), endpoint->record().id) != m_tried.end();
-    candidate.runsSuspect = isBesideSuspect(*endpoint);
+    candidate.runsSuspect = runsSuspectedRequest(*endpoint);
     if (m_suspicion == suspicion::strong
         && m_env.routing().suspects().isWithheld(*m_record.key, endpoint->record().softwareVersion,
                                                  at)) {
         candidate.withheld = true;
-        m_withheld = true;
+        m_excludedWithheld = true;
     }
-    candidate.failedInDataCentre = m_failedPlaces.count(endpoint->record().dataCentre) != 0;
+    candidate.failedInDataCentre = m_failedDataCentres.count(endpoint->record().dataCentre) != 0;
     candidate.hasConnection = m_env.hasRoomAt(endpoint);
     if (const std::optional<double> share = m_env.routing().coldShare(*endpoint, at)) {
         candidate.withinRateShare = endpoint->hasRoomFor(*share, at);
-        m_coldLeftOut = m_coldLeftOut || !candidate.withinRateShare;
-        m_roomComes = m_roomComes || (*share > 0 && !candidate.tried);
+        m_excludedCold = m_excludedCold || !candidate.withinRateShare;
+        m_coldRoomExpected = m_coldRoomExpected || (*share > 0 && !candidate.tried);
     }
     if (endpoint->isInBackoff(at))
         applyBackoff(*endpoint, candidate);
@@ -172,7 +176,7 @@
 void request_flow<Env>::applyBackoff(const service_endpoint &endpoint, direct_candidate &candidate)
 {
     candidate.isInBackoff = true;
-    m_backoffLeftOut = true;
+    m_excludedInBackoff = true;
     noteAvailableAt(candidate, endpoint.backoffUntil());
 }
 
@@ -193,7 +197,7 @@
     if (endpoint.hasRoomFor(share, now()) || (share <= 0 && state.isLimitCheckDue(endpoint, now())))
         return;
     candidate.withinRateShare = false;
-    m_limitedLeftOut = true;
+    m_excludedRateLimited = true;
     if (share > 0)
         noteAvailableAt(candidate, endpoint.nextSendAllowedAt(share));
 }
@@ -217,15 +221,16 @@
         if (mayServe)
             within.push_back(endpoint);
     }
-    m_regionLeftOut = within.size() < endpoints.size();
+    m_excludedByRegion = within.size() < endpoints.size();
     return within;
 }
 
 template <flow_environment Env>
-bool request_flow<Env>::isBesideSuspect(const service_endpoint &endpoint)
+bool request_flow<Env>::runsSuspectedRequest(const service_endpoint &endpoint)
 {
-    // Two suspects of one end that go on to the same endpoint can't be told apart by its end, and
-    // everybody keeps away from where one is on trial.
+    // Two requests suspected of the same crash must not share an endpoint, or its next crash can't
+    // be attributed to one of them. No other request should use an endpoint that runs a strongly
+    // suspected one.
     crash_watch &crashes = m_env.routing().crashes();
     const bool isSuspected = m_suspicion != suspicion::none;
     if (!isSuspected && !crashes.suspects().hasProbes())
@@ -260,7 +265,7 @@
     };
     const std::vector<std::size_t> sample = sampleCandidates(items, promptHash, draw);
     const std::optional<endpoint_pick> pick = pickFrom(sample);
-    const bool isAnyExcluded = m_limitedLeftOut || m_backoffLeftOut;
+    const bool isAnyExcluded = m_excludedRateLimited || m_excludedInBackoff;
     const bool looksFurther = !pick && isAnyExcluded && sample.size() < endpoints.size();
     return looksFurther ? pickFrom(availableEndpoints(endpoints, draw)) : pick;
 }
@@ -296,7 +301,7 @@
 {
     routing_state &state = m_env.routing();
     rollout_tracker &rollouts = state.rollouts(m_service);
-    // Mostly there is one version, and nothing needs to be looked through.
+    // Common case: there is only one version, and the endpoints need no filtering.
     if (rollouts.mayUseAll(state.directory().commonVersion(m_service))) {
         m_versionReason = version_reason::single;
         if (isBoundToRegions())
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -1,6 +1,7 @@
-//===-- Proxy/RequestFlowSending.h - a flow's way to an endpoint -*- C++ -*-===//
+//===-- Proxy/RequestFlowSending.h - admission and sends ---------*- C++ -*-===//
 //
-// Members of request_flow up to a send and the watch over it. Included by RequestFlow.h only.
+// Members of request_flow that admit a request, send it to an endpoint and monitor the attempt's
+// progress. Included by RequestFlow.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_REQUESTFLOWSENDING_H
@@ -21,12 +22,13 @@
 }
 
 template <flow_environment Env>
-void request_flow<Env>::startBefore(time_point end, milliseconds retryAfter)
+void request_flow<Env>::startDuringShutdown(time_point end, milliseconds retryAfter)
 {
     if (!admit())
         return;
-    // The balancer has nobody else while all entries are restarted one after the other: serving
-    // these gains 0.017 of worth on such days (0.676 to 0.693, 6 days of 34 s, 3 entries).
+    // While all entries are restarted one after the other, the load balancer has no other entry to
+    // send to. Serving these requests raises the score on such days by 0.017 (0.676 to 0.693, 6
+    // test days of 34 s, 3 entries).
     if (m_deadline <= end)
         serve();
     else
@@ -43,9 +45,9 @@
 
     m_session = stableHash(m_request->session.empty() ? m_request->id : m_request->session);
     if (m_request->anyModel)
-        m_model = firstModel(m_env.routing().cascade(), m_route->models.size());
+        m_modelIndex = firstModel(m_env.routing().cascade(), m_route->models.size());
     m_prefixes = prefixesOf(modelName());
-    m_lastEvent = m_request->afterEvent;
+    m_lastEventId = m_request->afterEvent;
 
     m_deadlineTimer = m_env.runtime().after(m_deadline - m_arrivedAt,
                                             [weak = weak_flow(this->weak_from_this())] {
@@ -62,7 +64,7 @@
     m_record.request = m_request->id;
     m_record.session = m_request->session;
     if (!m_contract) {
-        refuse(http_status::unavailable, flow_reason::noContract, flow_bounds::retryAfterNothing);
+        refuse(http_status::unavailable, flow_reason::noContract, flow_bounds::defaultRetryAfter);
         return false;
     }
     m_record.contract = m_contract->version;
@@ -108,8 +110,8 @@
 template <flow_environment Env>
 std::string request_flow<Env>::modelName() const
 {
-    const bool chosenHere = m_request->anyModel && m_model < m_route->models.size();
-    return chosenHere ? m_route->models[m_model] : m_request->model;
+    const bool chosenHere = m_request->anyModel && m_modelIndex < m_route->models.size();
+    return chosenHere ? m_route->models[m_modelIndex] : m_request->model;
 }
 
 template <flow_environment Env>
@@ -117,7 +119,7 @@
 {
     std::vector<prompt_prefix> prefixes;
     std::uint64_t hash = stableHash(model);
-    // The last part is the request's own: nobody else reads it.
+    // The last part is unique to the request, so no other request shares it.
     for (std::size_t i = 0; i + 1 < m_request->promptParts.size(); ++i) {
         const prompt_part &part = m_request->promptParts[i];
         hash = stableHash(part.id, hash);
@@ -133,17 +135,17 @@
         return;
     const std::optional<endpoint_pick> pick = pickEndpoint();
     if (pick) {
-        m_waitsSince.reset();
+        m_waitingSince.reset();
         send(*pick);
         return;
     }
     if (waitForRoom())
         return;
-    const flow_reason why = m_withheld ? flow_reason::withheld : flow_reason::noEndpoint;
-    if (m_begun) {
+    const flow_reason why = m_excludedWithheld ? flow_reason::withheld : flow_reason::noEndpoint;
+    if (m_streamBegun) {
         m_env.abort();
         finish(why, 0);
-    } else if (m_hasFailure) {
+    } else if (m_hasEndpointFailure) {
         deliver();
     } else if (m_mayHaveRun) {
         refuse(http_status::badGateway, why, std::nullopt);
@@ -156,22 +158,22 @@
 void request_flow<Env>::refuseUnsent()
 {
     routing_state &state = m_env.routing();
-    const std::optional<time_point> until = m_withheld && m_record.key
+    const std::optional<time_point> until = m_excludedWithheld && m_record.key
             ? state.suspects().withheldUntil(*m_record.key, now())
             : std::nullopt;
     if (until) {
         refuse(http_status::unavailable, flow_reason::withheld,
                std::chrono::ceil<milliseconds>(*until - now()));
-    } else if (m_arrivals > 0) {
-        refuse(http_status::unavailable, flow_reason::refusedByEndpoints, untilRoom());
+    } else if (m_receivedSends > 0) {
+        refuse(http_status::unavailable, flow_reason::refusedByEndpoints, retryAfterAllRefused());
     } else if (state.directory().isEvacuated(m_service)) {
-        refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::retryAfterNothing);
+        refuse(http_status::unavailable, flow_reason::evacuated, flow_bounds::defaultRetryAfter);
     } else {
-        const flow_reason why = m_limitedLeftOut ? flow_reason::limitedEndpoints
-                : m_backoffLeftOut               ? flow_reason::backoffEndpoints
-                : m_coldLeftOut                  ? flow_reason::coldEndpoints
-                : m_regionLeftOut                ? flow_reason::outsideRegions
-                                                 : flow_reason::noEndpoint;
+        const flow_reason why = m_excludedRateLimited ? flow_reason::limitedEndpoints
+                : m_excludedInBackoff                 ? flow_reason::backoffEndpoints
+                : m_excludedCold                      ? flow_reason::coldEndpoints
+                : m_excludedByRegion                  ? flow_reason::outsideRegions
+                                                      : flow_reason::noEndpoint;
         refuse(http_status::unavailable, why, retryAfterUnsent());
     }
 }
@@ -180,9 +182,9 @@
 milliseconds request_flow<Env>::retryAfterUnsent()
 {
     if (!m_nextAvailableAt)
-        return flow_bounds::retryAfterNothing;
+        return flow_bounds::defaultRetryAfter;
     return std::clamp(std::chrono::ceil<milliseconds>(*m_nextAvailableAt - now()),
-                      flow_bounds::retryAfterFull, flow_bounds::retryAfterOutage);
+                      flow_bounds::minRetryAfter, flow_bounds::maxRetryAfter);
 }
 
 template <flow_environment Env>
@@ -229,11 +231,12 @@
     const bool hasMetAnEnd = own == suspicion::weak && m_mayHaveRun;
     if (own != suspicion::strong && !hasMetAnEnd)
         return false;
-    // Another try of the same request shows within the time of an answer whether it does harm:
-    // then all go on, or all are refused. Each that went on beside it could end one more endpoint.
+    // Wait while an identical request is on trial: its outcome shows within the time of an answer
+    // whether the request crashes endpoints. Then all waiting requests proceed or all are refused.
+    // Each one that was sent concurrently could crash one more endpoint.
     const crash_suspects &suspects = m_env.routing().suspects();
     if (suspects.isUnconfirmed(*m_record.key, now())) {
-        sendAfter(flow_bounds::roomCheck);
+        sendAfter(flow_bounds::roomCheckInterval);
         return true;
     }
     const bool isKnown = suspects.withheldUntil(*m_record.key, now()).has_value();
@@ -245,13 +248,13 @@
 template <flow_environment Env>
 bool request_flow<Env>::waitForRoom()
 {
-    const milliseconds longestWait = m_route->objective / flow_bounds::waitOfObjective;
-    // Only a request that may have run waits for an endpoint that is available soon, so that its
-    // work is kept; others are refused and can be retried by the caller.
-    const bool isAvailableSoon = (m_begun || m_mayHaveRun) && m_nextAvailableAt
+    const milliseconds longestWait = m_route->objective / flow_bounds::roomWaitDivisor;
+    // Only a request that may have run waits for an endpoint that becomes available soon, so that
+    // its work is not lost. Others are refused and can be retried by the caller.
+    const bool isAvailableSoon = (m_streamBegun || m_mayHaveRun) && m_nextAvailableAt
             && *m_nextAvailableAt - now() <= longestWait;
-    // Where this entry owns none of the cold endpoints, waiting would end like this, only later.
-    if (!m_roomComes && !isAvailableSoon)
+    // Without a share of any cold endpoint, waiting would only delay the refusal.
+    if (!m_coldRoomExpected && !isAvailableSoon)
         return false;
     return waitAndSend(longestWait);
 }
@@ -259,11 +262,11 @@
 template <flow_environment Env>
 bool request_flow<Env>::waitAndSend(milliseconds longest)
 {
-    if (!m_waitsSince)
-        m_waitsSince = now();
-    if (now() - *m_waitsSince >= longest)
+    if (!m_waitingSince)
+        m_waitingSince = now();
+    if (now() - *m_waitingSince >= longest)
         return false;
-    sendAfter(flow_bounds::roomCheck);
+    sendAfter(flow_bounds::roomCheckInterval);
     return true;
 }
 
@@ -283,10 +286,10 @@
     const endpoint_ptr &endpoint = pick.endpoint;
     routing_state &state = m_env.routing();
     m_attemptAt = now();
-    m_progressAt = m_attemptAt;
-    m_progressed = false;
+    m_lastProgressAt = m_attemptAt;
+    m_hasFirstEvent = false;
     m_attemptEvents = 0;
-    m_answered = false;
+    m_headReceived = false;
     m_countedSlow = false;
     m_body.clear();
     m_splitter = isStream() ? std::make_unique<event_splitter>() : nullptr;
@@ -297,27 +300,29 @@
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
     m_readingMs = readingMsPerToken() * m_readTokens;
-    m_expectedMs = m_endpoint->prefillMs() + m_readingMs;
-    m_elsewhereMs = m_endpoint->remotePrefillMs(m_attemptAt);
-    m_ownShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
+    m_expectedReadingMs = m_endpoint->prefillMs() + m_readingMs;
+    m_remoteReadingMs = m_endpoint->remotePrefillMs(m_attemptAt);
+    m_ownReadingShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
     m_endpoint->addPrefill(m_readingMs);
     state.noteSend(*endpoint, m_readingMs, m_prefixes);
     m_endpoint->prefixCache().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
-    assert((m_arrivals == 0 || m_heldSend) && "a further send is taken out of the budget first");
-    m_sentFor = m_arrivals > 0 ? std::exchange(m_heldSend, std::nullopt) : std::nullopt;
-    if (m_sentFor)
-        m_env.sentFurther(m_record, *m_sentFor);
+    assert((m_receivedSends == 0 || m_reservedSend)
+           && "a further send must be reserved in the budget first");
+    m_currentFurtherSend
+            = m_receivedSends > 0 ? std::exchange(m_reservedSend, std::nullopt) : std::nullopt;
+    if (m_currentFurtherSend)
+        m_env.sentFurther(m_record, *m_currentFurtherSend);
     ++m_sends;
-    ++m_number;
+    ++m_attemptNumber;
 
-    m_record.attempts = m_number;
+    m_record.attempts = m_attemptNumber;
     m_record.choice = textOf(pick.reason);
     m_record.endpoint = endpoint->record().id;
     m_record.endpointVersion = endpoint->record().softwareVersion;
     m_record.endpointLeaving = false;
     m_record.endpointRetryAfter.reset();
-    m_record.versionBy = textOf(m_versionReason);
+    m_record.versionReason = textOf(m_versionReason);
     m_record.stage = state.rollouts(m_service).stageName();
 
     proxy_attempt attempt;
@@ -331,26 +336,26 @@
     m_record.model = modelName();
     if (m_record.model != m_request->model)
         attempt.model = m_record.model;
-    attempt.afterEvent = m_lastEvent;
+    attempt.afterEvent = m_lastEventId;
     attempt.atMostOnce = !m_route->mayRepeat();
-    m_call = m_env.call(std::move(attempt), eventsFor(m_number));
-    watchProgress(m_number);
+    m_call = m_env.call(std::move(attempt), eventsFor(m_attemptNumber));
+    watchProgress(m_attemptNumber);
 }
 
 template <flow_environment Env>
 bool request_flow<Env>::mayTakeFurtherSend(further_send what)
 {
-    return m_heldSend || budget().allows(now(), allowanceShare(), what);
+    return m_reservedSend || budget().allows(now(), allowanceShare(), what);
 }
 
 template <flow_environment Env>
 bool request_flow<Env>::takeFurtherSend(further_send what)
 {
-    // Taken when it is decided on: of requests that wait before they are sent, each would find the
-    // same budget else.
-    if (!m_heldSend && budget().take(now(), allowanceShare(), what))
-        m_heldSend = what;
-    return m_heldSend.has_value();
+    // Reserve the send as soon as it is decided. Otherwise several requests that wait before their
+    // send would all count on the same remaining budget.
+    if (!m_reservedSend && budget().take(now(), allowanceShare(), what))
+        m_reservedSend = what;
+    return m_reservedSend.has_value();
 }
 
 template <flow_environment Env>
@@ -360,7 +365,7 @@
     const auto current = [weak, number]() -> std::shared_ptr<request_flow> {
         auto self = weak.lock();
         const bool isCurrent
-                = self && !self->m_done && self->m_number == number && self->m_endpoint;
+                = self && !self->m_done && self->m_attemptNumber == number && self->m_endpoint;
         return isCurrent ? self : nullptr;
     };
     call_events events;
@@ -386,30 +391,30 @@
 }
 
 template <flow_environment Env>
-bool request_flow<Env>::seemsDead()
+bool request_flow<Env>::isEndpointSilent()
 {
-    return now() - m_endpoint->progressedAt() >= flow_bounds::endpointSilence;
+    return now() - m_endpoint->progressedAt() >= flow_bounds::endpointSilenceTimeout;
 }
 
 template <flow_environment Env>
-milliseconds request_flow<Env>::patienceNow()
+milliseconds request_flow<Env>::currentPatience()
 {
     attempt_wait view;
     view.objective = m_route->objective;
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
-    view.prefillMs = m_expectedMs;
-    view.endpointSilent = seemsDead();
+    view.prefillMs = m_expectedReadingMs;
+    view.endpointSilent = isEndpointSilent();
     if (m_route->form == answer_form::events)
-        view.part = m_progressed ? awaited_part::nextEvent : awaited_part::firstEvent;
+        view.part = m_hasFirstEvent ? awaited_part::nextEvent : awaited_part::firstEvent;
     return attemptTimeoutOf(view);
 }
 
 template <flow_environment Env>
 void request_flow<Env>::noteSlowWait()
 {
-    if (m_progressed || m_countedSlow)
+    if (m_hasFirstEvent || m_countedSlow)
         return;
     m_countedSlow = m_env.routing().rollouts(m_service).observeWait(
             m_endpoint->record().softwareVersion, m_route->name, m_record.model, timingNow(),
@@ -421,17 +426,19 @@
 {
     if (!m_route->mayRepeat())
         return;
-    // Whether the endpoint works on others is asked now and then: it may fall silent later.
-    const auto due = m_progressAt + patienceNow();
-    const duration wait
-            = std::clamp<duration>(due - now(), milliseconds(1), flow_bounds::progressCheck);
+    // Check at intervals even if the limit is far away: the endpoint may become silent later, which
+    // shortens the limit.
+    const auto due = m_lastProgressAt + currentPatience();
+    const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
+                                               flow_bounds::progressCheckInterval);
     m_progressTimer
             = m_env.runtime().after(wait, [weak = weak_flow(this->weak_from_this()), number] {
                   const auto self = weak.lock();
-                  if (!self || self->m_done || self->m_number != number || !self->m_endpoint)
+                  if (!self || self->m_done || self->m_attemptNumber != number || !self->m_endpoint)
                       return;
                   self->noteSlowWait();
-                  const bool silent = self->now() - self->m_progressAt >= self->patienceNow();
+                  const bool silent
+                          = self->now() - self->m_lastProgressAt >= self->currentPatience();
                   if (!silent) {
                       self->watchProgress(number);
                       return;
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -1,7 +1,8 @@
 //===-- CallerConnection.cpp - one connection of a caller -------------------===//
 //
-// A connection goes on reading while its request is answered: that is how it learns
-// that the caller left. Pieces of an answer that are ready together leave together.
+// A connection keeps reading while its request is answered, in order to detect that the caller
+// disconnects. Pieces of an answer that are written within one turn of the event loop are sent
+// together.
 //
 //===----------------------------------------------------------------------===//
 #include "CallerConnection.h"
@@ -15,13 +16,13 @@
 
 namespace {
 
-/// Bytes that a caller may send ahead of its answer before reading stops.
-constexpr std::size_t mostPipelined = 65536;
-/// Bytes of an answer that may wait for a caller that doesn't read.
-constexpr std::size_t mostUnsent = 8U << 20;
-/// How long a closed connection waits for the caller's own close: closing with unread
-/// bytes would reset the connection and could take the answer with it.
-constexpr milliseconds lingering{500};
+/// Limit on bytes received before the current answer has ended; beyond it reading stops.
+constexpr std::size_t maxPipelinedBytes = 65536;
+/// Limit on unsent bytes of an answer; beyond it a caller that doesn't read is disconnected.
+constexpr std::size_t maxUnsentBytes = 8U << 20;
+/// How long a connection that was shut down waits for the caller's own close. Closing a socket with
+/// unread bytes resets the connection, and the caller could lose the answer.
+constexpr milliseconds lingerTimeout{500};
 
 std::string_view reasonPhrase(int status)
 {
@@ -76,11 +77,11 @@
     asio::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
-    arm(server->bounds.idleTimeout);
+    armTimer(server->bounds.idleTimeout);
     read();
 }
 
-void caller_exchange::state::arm(milliseconds wait)
+void caller_exchange::state::armTimer(milliseconds wait)
 {
     timer.expires_after(wait);
     timer.async_wait([self = shared_from_this()](const asio::error_code &error) {
@@ -119,7 +120,7 @@
                     return;
                 }
                 self->onBytes(std::string_view(self->in.data(), size));
-                const bool wantsMore = !self->answering || self->pending.size() < mostPipelined;
+                const bool wantsMore = !self->answering || self->pending.size() < maxPipelinedBytes;
                 if (wantsMore)
                     self->read();
             });
@@ -146,7 +147,7 @@
     }
     if (result == parse_state::open) {
         if (!wasBegun && parser.hasBegun())
-            arm(server->bounds.headerTimeout);
+            armTimer(server->bounds.headerTimeout);
         return;
     }
     pending.append(bytes.substr(used));
@@ -166,7 +167,7 @@
 
 void caller_exchange::state::onPeerEnd()
 {
-    const std::function<void()> left = std::exchange(onLeft, nullptr);
+    const std::function<void()> left = std::exchange(onDisconnect, nullptr);
     close(false);
     if (left)
         left();
@@ -222,7 +223,7 @@
             shutdown();
         return;
     }
-    if (out.size() > mostUnsent) {
+    if (out.size() > maxUnsentBytes) {
         onPeerEnd();
         return;
     }
@@ -236,9 +237,9 @@
 
 void caller_exchange::state::answerEnded()
 {
-    onLeft = nullptr;
-    // An answer that began before the server turned away didn't announce the close.
-    if (closeAfter || server->turningAway) {
+    onDisconnect = nullptr;
+    // When draining, close even if the head of the answer, sent earlier, did not announce it.
+    if (closeAfter || server->draining) {
         shuttingDown = true;
         queueFlush();
         return;
@@ -246,7 +247,7 @@
     queueFlush();
     answering = false;
     parser.reset();
-    arm(server->bounds.idleTimeout);
+    armTimer(server->bounds.idleTimeout);
     if (!pending.empty()) {
         asio::post(server->context, [self = shared_from_this()] {
             if (self->closed || self->answering)
@@ -265,7 +266,7 @@
 {
     asio::error_code ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
-    arm(lingering);
+    armTimer(lingerTimeout);
     read();
 }
 
@@ -274,7 +275,7 @@
     if (closed)
         return;
     closed = true;
-    onLeft = nullptr;
+    onDisconnect = nullptr;
     asio::error_code ignored;
     if (reset)
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -342,7 +343,7 @@
     m_state->close(true);
 }
 
-void caller_exchange::onLeft(std::function<void()> action)
+void caller_exchange::onDisconnect(std::function<void()> action)
 {
-    m_state->onLeft = std::move(action);
+    m_state->onDisconnect = std::move(action);
 }
--- a/lib/Proxy/CallerServer.cpp
+++ b/lib/Proxy/CallerServer.cpp
@@ -1,6 +1,6 @@
-//===-- CallerServer.cpp - connections of callers ---------------------------===//
+//===-- CallerServer.cpp - HTTP server for callers --------------------------===//
 //
-// Listens, accepts and ends; a connection looks after itself.
+// Listens, accepts connections and shuts down. CallerConnection.cpp handles the connections.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CallerServer.h"
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Pause before accepting again when no descriptor was free.
-constexpr milliseconds acceptPause{50};
+/// Delay before accepting again after a failed accept, for example without a free descriptor.
+constexpr milliseconds acceptRetryDelay{50};
 
 } // namespace
 
@@ -23,17 +23,17 @@
 {
     acceptor.async_accept(
             [self = shared_from_this()](const asio::error_code &error, tcp::socket socket) {
-                if (self->ended || error == asio::error::operation_aborted)
+                if (self->stopped || error == asio::error::operation_aborted)
                     return;
                 if (error) {
-                    self->pause.expires_after(acceptPause);
-                    self->pause.async_wait([self](const asio::error_code &) {
-                        if (!self->ended)
+                    self->acceptRetryTimer.expires_after(acceptRetryDelay);
+                    self->acceptRetryTimer.async_wait([self](const asio::error_code &) {
+                        if (!self->stopped)
                             self->accept();
                     });
                     return;
                 }
-                if (self->connections.size() < self->bounds.mostConnections)
+                if (self->connections.size() < self->bounds.maxConnections)
                     std::make_shared<caller_exchange::state>(self, std::move(socket))->start();
                 self->accept();
             });
@@ -103,21 +103,21 @@
 
 void caller_server::closeIdle()
 {
-    m_state->ended = true;
+    m_state->stopped = true;
     asio::error_code ignored;
     m_state->acceptor.close(ignored);
-    turnAway();
+    drainConnections();
 }
 
-void caller_server::turnAway()
+void caller_server::drainConnections()
 {
     m_state->closing = true;
-    m_state->turningAway = true;
+    m_state->draining = true;
     const auto connections = m_state->connections;
     for (caller_exchange::state *connection : connections) {
         if (carriesRequest(*connection))
             continue;
-        // The end of the last answer may still wait to be written.
+        // The end of the last answer may not be written yet, so flush before the close.
         connection->shuttingDown = true;
         connection->queueFlush();
     }
--- a/lib/Proxy/EndpointCaller.cpp
+++ b/lib/Proxy/EndpointCaller.cpp
@@ -1,6 +1,6 @@
 //===-- EndpointCaller.cpp - calls to endpoints -----------------------------===//
 //
-// The connection used last is used next, so that those not needed grow old.
+// Idle connections are reused in last-in, first-out order, so that surplus ones expire.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EndpointCaller.h"
@@ -20,9 +20,9 @@
 
 namespace {
 
-/// A request that may run only once takes a kept connection only when it was used this
-/// recently: one that the endpoint has just dropped would leave it unknown whether it ran.
-constexpr milliseconds surelyAlive{300};
+/// Longest idle time of a connection that is reused for a request that may run only once. If the
+/// endpoint had just closed an older one, it would be unknown whether the request ran.
+constexpr milliseconds maxIdleForAtMostOnce{300};
 
 } // namespace
 
@@ -47,17 +47,17 @@
     std::function<void(const endpoint_ptr &)> onIdleClosed;
     std::map<std::string, pool, std::less<>> pools;
     std::unordered_map<call_id, std::shared_ptr<endpoint_connection>> calls;
-    std::set<const service_endpoint *> probed; ///< whose addresses are being looked at
+    std::set<const service_endpoint *> pendingProbes; ///< endpoints with a probe in progress
     call_id lastCall = 0;
     std::uint64_t opened = 0;
     bool ending = false;
 
     std::shared_ptr<endpoint_connection> takeIdle(pool &from, bool atMostOnce);
     std::shared_ptr<endpoint_connection> open(const std::string &id, pool &to);
-    void returned(const std::string &id, const service_endpoint *endpoint,
-                  const std::weak_ptr<endpoint_connection> &weak);
+    void onConnectionIdle(const std::string &id, const service_endpoint *endpoint,
+                          const std::weak_ptr<endpoint_connection> &weak);
     pool &poolOf(const endpoint_ptr &endpoint);
-    void closed(const std::string &id, bool byPeerWhileIdle);
+    void onConnectionClosed(const std::string &id, bool byPeerWhileIdle);
 };
 
 std::shared_ptr<endpoint_connection> endpoint_caller::state::takeIdle(pool &from, bool atMostOnce)
@@ -66,10 +66,10 @@
     while (!from.idle.empty()) {
         std::shared_ptr<endpoint_connection> last = from.idle.back();
         const duration age = now - last->idleSince();
-        if (atMostOnce && age > surelyAlive)
+        if (atMostOnce && age > maxIdleForAtMostOnce)
             return nullptr;
         from.idle.pop_back();
-        if (last->isOpen() && age < last->idleLife())
+        if (last->isOpen() && age < last->idleTimeout())
             return last;
         last->close();
     }
@@ -79,7 +79,7 @@
 endpoint_caller::state::pool &endpoint_caller::state::poolOf(const endpoint_ptr &endpoint)
 {
     pool &own = pools[endpoint->record().id];
-    // It has started again under its id: connections to its earlier start lead nowhere.
+    // The endpoint was restarted under its id. Connections to the earlier process are useless.
     if (own.endpoint && own.endpoint != endpoint) {
         const auto idle = std::exchange(own.idle, {});
         for (const auto &connection : idle)
@@ -89,8 +89,9 @@
     return own;
 }
 
-void endpoint_caller::state::returned(const std::string &id, const service_endpoint *endpoint,
-                                      const std::weak_ptr<endpoint_connection> &weak)
+void endpoint_caller::state::onConnectionIdle(const std::string &id,
+                                              const service_endpoint *endpoint,
+                                              const std::weak_ptr<endpoint_connection> &weak)
 {
     const auto connection = weak.lock();
     const auto it = pools.find(id);
@@ -102,7 +103,7 @@
         connection->close();
 }
 
-void endpoint_caller::state::closed(const std::string &id, bool byPeerWhileIdle)
+void endpoint_caller::state::onConnectionClosed(const std::string &id, bool byPeerWhileIdle)
 {
     const auto it = pools.find(id);
     if (it == pools.end() || ending)
@@ -117,12 +118,15 @@
 {
     ++to.open;
     ++opened;
-    // The connection outlives neither callback: both are dropped when it closes.
+    // Capturing this is safe: ~endpoint_caller() closes all connections, and a closed connection
+    // invokes neither callback.
     const auto self = std::make_shared<std::weak_ptr<endpoint_connection>>();
     auto connection = std::make_shared<endpoint_connection>(
             context, dialect,
-            [this, id, self, endpoint = to.endpoint.get()] { returned(id, endpoint, *self); },
-            [this, id](bool byPeerWhileIdle) { closed(id, byPeerWhileIdle); });
+            [this, id, self, endpoint = to.endpoint.get()] {
+                onConnectionIdle(id, endpoint, *self);
+            },
+            [this, id](bool byPeerWhileIdle) { onConnectionClosed(id, byPeerWhileIdle); });
     *self = connection;
     return connection;
 }
@@ -173,17 +177,17 @@
         node.mapped()->close();
 }
 
-bool endpoint_caller::hasRoom(const service_endpoint &endpoint, std::size_t mostConnections) const
+bool endpoint_caller::hasRoom(const service_endpoint &endpoint, std::size_t maxConnections) const
 {
     const auto it = m_state->pools.find(endpoint.record().id);
     if (it == m_state->pools.end())
         return true;
-    return !it->second.idle.empty() || it->second.open < mostConnections;
+    return !it->second.idle.empty() || it->second.open < maxConnections;
 }
 
 void endpoint_caller::checkEnded(const endpoint_ptr &endpoint, std::function<void()> done)
 {
-    if (!m_state->probed.insert(endpoint.get()).second)
+    if (!m_state->pendingProbes.insert(endpoint.get()).second)
         return;
     const std::weak_ptr<state> weak = m_state;
     probeEndpoint(m_state->context, endpoint->record(),
@@ -191,7 +195,7 @@
                       const auto self = weak.lock();
                       if (!self)
                           return;
-                      self->probed.erase(endpoint.get());
+                      self->pendingProbes.erase(endpoint.get());
                       if (result == probe_result::ended)
                           done();
                   });
@@ -205,7 +209,7 @@
         const bool gone = pool.endpoint->isRemoved();
         const auto idle = pool.idle;
         for (const auto &connection : idle) {
-            if (gone || now - connection->idleSince() >= connection->idleLife())
+            if (gone || now - connection->idleSince() >= connection->idleTimeout())
                 connection->close();
         }
         const bool unused = gone && pool.open == 0;
--- a/lib/Proxy/EndpointConnection.cpp
+++ b/lib/Proxy/EndpointConnection.cpp
@@ -1,7 +1,7 @@
 //===-- EndpointConnection.cpp - one connection to an endpoint --------------===//
 //
-// An endpoint may answer late: an answer with another request's id is skipped, and the
-// one that is due is waited for.
+// An endpoint may send the answer to an earlier request. An answer with another request's id is
+// skipped, and the connection waits for the expected one.
 //
 //===----------------------------------------------------------------------===//
 #include "EndpointConnection.h"
@@ -18,15 +18,16 @@
 
 namespace {
 
-/// Long against a round trip between data centres, short against any objective.
+/// Much longer than a round trip between data centres, but shorter than any route's objective.
 constexpr milliseconds connectTimeout{400};
-/// How long unacknowledged bytes may stay on the way before the kernel gives up.
-constexpr unsigned unacknowledgedMs = 2500;
-/// Largest head of an answer, bytes: beyond it the peer is not an endpoint.
-constexpr std::size_t largestHead = 32768;
-/// How long an idle connection is kept when the endpoint names no time.
-constexpr milliseconds defaultIdleLife{4000};
-/// An idle connection is given up this long before the endpoint would close it.
+/// TCP_USER_TIMEOUT: the kernel closes the connection when sent bytes stay unacknowledged for this
+/// long.
+constexpr unsigned tcpUserTimeoutMs = 2500;
+/// Largest accepted head of an answer, in bytes. Endpoints send smaller ones.
+constexpr std::size_t maxHeadBytes = 32768;
+/// How long an idle connection is kept if the endpoint states no keep-alive timeout.
+constexpr milliseconds defaultIdleTimeout{4000};
+/// An idle connection expires this long before the endpoint would close it.
 constexpr milliseconds idleMargin{700};
 
 } // namespace
@@ -43,11 +44,11 @@
                {[this](message_head &&head) { onHead(std::move(head)); },
                 [this](std::string_view data) {
                     const auto events = m_events;
-                    if (!m_skipping && events)
+                    if (!m_skippingAnswer && events)
                         events->onData(data);
                 }},
-               largestHead)
-    , m_idleLife(defaultIdleLife)
+               maxHeadBytes)
+    , m_idleTimeout(defaultIdleTimeout)
 {
 }
 
@@ -58,11 +59,11 @@
     m_out = m_dialect.encodeAttempt(attempt) + m_request->body;
     m_outDone = 0;
     m_busy = true;
-    m_skipping = false;
+    m_skippingAnswer = false;
     m_parser.reset();
     if (m_request->method == "HEAD") {
         m_parser.expectNoBody();
-        m_mayKeep = false;
+        m_mayReuse = false;
     }
 }
 
@@ -93,7 +94,7 @@
                 self->m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
                 self->m_socket.non_blocking(true, ignored);
                 ::setsockopt(self->m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-                             &unacknowledgedMs, sizeof(unacknowledgedMs));
+                             &tcpUserTimeoutMs, sizeof(tcpUserTimeoutMs));
                 self->write();
                 self->read();
             });
@@ -112,7 +113,7 @@
             = [this] { return asio::buffer(m_out.data() + m_outDone, m_out.size() - m_outDone); };
     m_outDone += m_socket.write_some(rest(), error);
     if (error && error != asio::error::would_block) {
-        // The reader sees what came before the connection broke; it ends the call.
+        // The read side still delivers what arrived before the error, and then ends the call.
         return;
     }
     if (m_outDone == m_out.size())
@@ -145,7 +146,7 @@
 {
     while (!bytes.empty() && !m_closed) {
         if (!m_busy) {
-            // Bytes that nobody asked for: an answer that came twice, or worse.
+            // Unexpected bytes while idle, for example a duplicate answer.
             close();
             return;
         }
@@ -160,18 +161,18 @@
             end(call_end::broken);
             return;
         }
-        if (!m_skipping) {
+        if (!m_skippingAnswer) {
             onMessageEnd(bytes);
             return;
         }
-        m_skipping = false;
+        m_skippingAnswer = false;
         m_parser.reset();
     }
 }
 
 void endpoint_connection::onMessageEnd(std::string_view rest)
 {
-    const bool clean = rest.empty() && m_outDone == m_out.size() && m_mayKeep;
+    const bool clean = rest.empty() && m_outDone == m_out.size() && m_mayReuse;
     if (!clean) {
         end(call_end::complete);
         return;
@@ -187,15 +188,15 @@
 
 void endpoint_connection::onHead(message_head &&head)
 {
-    m_mayKeep = m_mayKeep && head.keepAlive && !head.endsWithConnection;
+    m_mayReuse = m_mayReuse && head.keepAlive && !head.endsWithConnection;
     proxy_answer answer = m_dialect.decodeAnswer(std::move(head));
-    m_skipping = !answer.requestId.empty() && answer.requestId != m_request->id;
-    if (m_skipping)
+    m_skippingAnswer = !answer.requestId.empty() && answer.requestId != m_request->id;
+    if (m_skippingAnswer)
         return;
-    if (answer.idleLife)
-        m_idleLife = std::max<duration>(*answer.idleLife - idleMargin, milliseconds(0));
+    if (answer.keepAliveTimeout)
+        m_idleTimeout = std::max<duration>(*answer.keepAliveTimeout - idleMargin, milliseconds(0));
     const bool success = isSuccess(answer.status);
-    // A success that doesn't say whose it is belongs to nobody.
+    // A success without a request id can't be matched to the request and is not trusted.
     if (success && answer.requestId.empty())
         answer.signedByEndpoint = false;
     const auto events = m_events;
@@ -209,7 +210,7 @@
         closeAs(true);
         return;
     }
-    const bool whole = inOrder && !m_skipping && m_parser.finish() == parse_state::complete;
+    const bool whole = inOrder && !m_skippingAnswer && m_parser.finish() == parse_state::complete;
     if (!m_closed)
         end(whole ? call_end::complete : call_end::broken);
 }
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -179,12 +179,12 @@
     request->body = std::move(body);
     const auto item = std::make_shared<flow>(environment{this, exchange}, std::move(request));
     flows.insert(item);
-    exchange.onLeft([weak = std::weak_ptr<flow>(item)] {
+    exchange.onDisconnect([weak = std::weak_ptr<flow>(item)] {
         if (const auto self = weak.lock())
             self->callerLeft();
     });
     if (turningAway)
-        item->startBefore(giveUpAt, untilRestarted());
+        item->startDuringShutdown(giveUpAt, untilRestarted());
     else
         item->start();
 }
@@ -211,8 +211,8 @@
         metrics.add("escalations_total", record.escalations);
     if (record.resumes > 0)
         metrics.add("resumes_total", record.resumes);
-    if (!record.versionBy.empty())
-        metrics.add("versions_total{by=\"" + std::string(record.versionBy) + "\"}");
+    if (!record.versionReason.empty())
+        metrics.add("versions_total{by=\"" + std::string(record.versionReason) + "\"}");
     const bool isOrdinary = record.reason == flow_reason::served && record.resumes == 0
             && record.attempts == record.escalations + 1;
     if ((isOrdinary ? ordinary : unusual).allows(runtime.now()))
@@ -239,7 +239,7 @@
              {"endpoint", record.endpoint},
              {"endpoint_leaving", record.endpointLeaving ? "yes" : "no"},
              {"version", record.endpointVersion},
-             {"version_by", record.versionBy},
+             {"version_by", record.versionReason},
              {"stage", record.stage},
              {"model", record.model},
              {"choice", record.choice},
@@ -288,10 +288,10 @@
              {"next", textOf(step)},
              {"endpoint", record.endpoint},
              {"version", record.endpointVersion},
-             {"version_by", record.versionBy},
+             {"version_by", record.versionReason},
              {"attempt", std::int64_t(record.attempts)},
-             {"took_ms", std::int64_t(record.attemptTook.count())},
-             {"left_ms", std::int64_t(record.left.count())},
+             {"took_ms", std::int64_t(record.attemptDuration.count())},
+             {"left_ms", std::int64_t(record.timeLeft.count())},
              {"events", std::int64_t(record.events)},
              {"endpoint_leaving", record.endpointLeaving ? "yes" : "no"},
              {"retry_after_ms",
@@ -461,7 +461,7 @@
     bounds.maxBodyBytes = contract->limits.maxBodyBytes;
     bounds.headerTimeout = contract->limits.headerTimeout;
     bounds.idleTimeout = contract->limits.idleTimeout;
-    bounds.mostConnections = m_state->options.mostCallers;
+    bounds.maxConnections = m_state->options.mostCallers;
     m_state->callers.setBounds(bounds);
 }
 
@@ -473,7 +473,7 @@
     m_state->giveUpAt = m_state->runtime.now() + m_state->options.grace - lastWords;
     m_state->runtime.after(m_state->options.turnAway, [this] {
         m_state->turningAway = true;
-        m_state->callers.turnAway();
+        m_state->callers.drainConnections();
         m_state->checkDrained();
     });
 }
--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -1,11 +1,12 @@
-//===-- ColdEndpointTests.cpp - endpoints that bear few requests ------------===//
+//===-- ColdEndpointTests.cpp - rate limits of cold endpoints ---------------===//
 //
-// A third of the endpoints comes back cold at once, before a fleet of entries under load: what
-// arrives at each endpoint in any second, and what callers get.
+// Guards against overloading cold endpoints: up to a third of the endpoints return cold at the same
+// time while many entries are under load. The tests check the requests that each cold endpoint
+// receives in any second, and the responses to callers.
 //
 //===----------------------------------------------------------------------===//
 #include "FleetFlows.h"
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -15,53 +16,53 @@
 
 namespace {
 
-constexpr std::size_t fewEntries = 40;
-constexpr unsigned endpoints = 60;
-/// Requests a second that a cold endpoint bears; warm ones get 8 each on average.
-constexpr double perSecond = 6;
-/// All entries together get a request this often: three quarters of what the endpoints can do.
-constexpr milliseconds between{2};
-constexpr milliseconds work{150};
-constexpr milliseconds cold{3000};
+constexpr std::size_t entryCount = 40;
+constexpr unsigned endpointCount = 60;
+/// Requests per second that a cold endpoint accepts; warm ones get 8 each on average.
+constexpr double coldLimitPerSecond = 6;
+/// Time between two requests, over all entries: three quarters of what the endpoints can serve.
+constexpr milliseconds requestInterval{2};
+constexpr milliseconds serviceTime{150};
+constexpr milliseconds coldPeriod{3000};
 constexpr milliseconds heartbeat{1200};
 
-struct cold_world;
+struct cold_endpoint_fixture;
 
-using fleet_flow = request_flow<fleet_environment<cold_world>>;
+using fleet_flow = request_flow<fleet_environment<cold_endpoint_fixture>>;
 
-struct cold_world
+struct cold_endpoint_fixture
 {
     fleet entries;
     service_route route = lookupRoute();
-    std::map<std::string, time_point> coldUntil; ///< of the endpoints, as they say
-    std::map<std::string, std::deque<time_point>> arrivals; ///< of the last second
-    std::map<std::string, unsigned> running; ///< requests that an endpoint works on
-    std::size_t mostInSecond = 0; ///< at a cold endpoint
-    std::size_t atCold = 0;
+    std::map<std::string, time_point> coldUntil; ///< by endpoint, as reported in its row
+    std::map<std::string, std::deque<time_point>> arrivals; ///< by endpoint, in the last second
+    std::map<std::string, unsigned> running; ///< requests in progress, by endpoint
+    std::size_t maxPerSecondWhileCold = 0; ///< most requests to a cold endpoint in a second
+    std::size_t sentWhileCold = 0;
     unsigned served = 0;
     unsigned refused = 0;
     std::vector<std::shared_ptr<fleet_flow>> flows;
 
-    explicit cold_world(double bears)
+    explicit cold_endpoint_fixture(double coldLimit)
     {
         route.objective = milliseconds(2000);
         entries.store.put("orders", "contract", "7");
-        for (unsigned i = 0; i < endpoints; ++i)
+        for (unsigned i = 0; i < endpointCount; ++i)
             startEndpoint("p" + std::to_string(i), milliseconds(0));
-        entries.start(0, fewEntries);
+        entries.start(0, entryCount);
         entries.runtime.advance(seconds(5));
         for (fleet_entry &entry : entries.entries)
-            useContract(entry, bears);
+            useContract(entry, coldLimit);
     }
 
-    void useContract(fleet_entry &entry, double bears) const
+    void useContract(fleet_entry &entry, double coldLimit) const
     {
         auto contract = std::make_shared<service_contract>();
         contract->version = 100;
         contract->routes.push_back(route);
         service_description pool;
         pool.name = "pool";
-        pool.coldPerSecond = bears;
+        pool.coldPerSecond = coldLimit;
         contract->services.push_back(pool);
         entry.routing.setContract(contract);
     }
@@ -89,12 +90,12 @@
         entries.store.remove("endpoints", id);
     }
 
-    /// The entries take requests by turns for \p time.
+    /// Sends requests to the entries in round-robin order for \p time.
     void play(duration time)
     {
         auto entry = entries.entries.begin();
-        for (duration passed{0}; passed < time; passed += between) {
-            entries.runtime.advance(between);
+        for (duration passed{0}; passed < time; passed += requestInterval) {
+            entries.runtime.advance(requestInterval);
             request(*entry);
             if (++entry == entries.entries.end())
                 entry = entries.entries.begin();
@@ -104,7 +105,7 @@
     void request(fleet_entry &entry)
     {
         std::erase_if(flows, [](const auto &flow) { return flow->isDone(); });
-        const fleet_environment<cold_world> environment{this, &entry};
+        const fleet_environment<cold_endpoint_fixture> environment{this, &entry};
         flows.push_back(std::make_shared<fleet_flow>(environment, requestFor(route)));
         flows.back()->start();
     }
@@ -116,7 +117,7 @@
         const std::string id = attempt.endpoint->record().id;
         arrived(id);
         ++running[id];
-        runtime().after(work, [this, events = std::move(events), id] {
+        runtime().after(serviceTime, [this, events = std::move(events), id] {
             proxy_answer answer;
             answer.load = {--running[id], 0, 1};
             answer.status = 200;
@@ -137,71 +138,72 @@
             times.pop_front();
         if (now >= coldUntil[id])
             return;
-        ++atCold;
-        mostInSecond = std::max(mostInSecond, times.size());
+        ++sentWhileCold;
+        maxPerSecondWhileCold = std::max(maxPerSecondWhileCold, times.size());
     }
 
-    /// Endpoints are gone for some seconds and come back cold at once.
+    /// Removes \p returning endpoints for some seconds, then adds as many cold ones at once.
     void returnCold(unsigned returning)
     {
         for (unsigned i = 0; i < returning; ++i)
             endEndpoint("p" + std::to_string(i));
         play(seconds(4));
         for (unsigned i = 0; i < returning; ++i)
-            startEndpoint("q" + std::to_string(i), cold);
-        play(cold + seconds(1));
+            startEndpoint("q" + std::to_string(i), coldPeriod);
+        play(coldPeriod + seconds(1));
     }
 };
 
 } // namespace
 
-TEST_CASE("endpoints that come back cold together get no more than they bear, and not nothing")
+TEST_CASE("endpoints that return cold together receive requests, but no more than their limit")
 {
     for (const unsigned returning : {2U, 20U}) {
         CAPTURE(returning);
-        // Two endpoints are chosen some ten times in one play: what they get is a mean of plays.
-        constexpr unsigned plays = 6;
+        // Two endpoints are chosen only about ten times in one run, so average several runs.
+        constexpr unsigned runs = 6;
         std::size_t atCold = 0;
-        for (unsigned play = 0; play < plays; ++play) {
-            cold_world world(perSecond);
-            world.play(milliseconds(130) * play);
-            world.returnCold(returning);
-            CHECK(world.mostInSecond <= perSecond);
-            CHECK(world.refused == 0);
-            atCold += world.atCold;
+        for (unsigned run = 0; run < runs; ++run) {
+            cold_endpoint_fixture fixture(coldLimitPerSecond);
+            fixture.play(milliseconds(130) * run);
+            fixture.returnCold(returning);
+            CHECK(fixture.maxPerSecondWhileCold <= coldLimitPerSecond);
+            CHECK(fixture.refused == 0);
+            atCold += fixture.sentWhileCold;
         }
-        // Idle capacity serves: a sixth of what they bear. Owners with shares of three a second use
-        // 0.7 of these six on average, with one 1.4: few owners seldom choose the endpoint.
-        CHECK(static_cast<double>(atCold) / plays >= 3 * perSecond / 6 * returning);
+        // A sixth of the limit is enough, since the other endpoints have idle capacity. An endpoint
+        // whose limit of six is split into shares of three a second gets 0.7 requests a second on
+        // average, and 1.4 with shares of one, since a few owners choose the endpoint less often.
+        CHECK(static_cast<double>(atCold) / runs >= 3 * coldLimitPerSecond / 6 * returning);
     }
 }
 
-TEST_CASE("without shares two endpoints that come back cold get more than the users allow")
+TEST_CASE("without shares, two endpoints that return cold are overloaded")
 {
-    // What the shares guard against: all entries see the endpoints as idle.
-    cold_world world(0);
-    world.returnCold(2);
-    CHECK(world.mostInSecond > 1.5 * perSecond + 5);
+    // Without shares, all entries see the endpoints as idle and send to them at once.
+    cold_endpoint_fixture fixture(0);
+    fixture.returnCold(2);
+    CHECK(fixture.maxPerSecondWhileCold > 1.5 * coldLimitPerSecond + 5);
 }
 
-TEST_CASE("where all endpoints are cold, callers are served up to what these bear")
+TEST_CASE("when all endpoints are cold, callers are served up to the sum of the limits")
 {
-    constexpr double bears = 18;
-    cold_world world(bears);
-    for (unsigned i = 0; i < endpoints; ++i)
-        world.endEndpoint("p" + std::to_string(i));
-    // Thirty bear 540 requests a second; 500 come.
-    for (unsigned i = 0; i < endpoints / 2; ++i)
-        world.startEndpoint("q" + std::to_string(i), seconds(20));
-    world.play(seconds(2));
-    world.served = 0;
-    world.refused = 0;
-    world.play(seconds(6));
-    CHECK(world.mostInSecond <= bears);
-    CHECK(world.refused <= world.served / 50);
+    constexpr double coldLimit = 18;
+    cold_endpoint_fixture fixture(coldLimit);
+    for (unsigned i = 0; i < endpointCount; ++i)
+        fixture.endEndpoint("p" + std::to_string(i));
+    // Thirty endpoints accept 540 requests per second; 500 arrive.
+    for (unsigned i = 0; i < endpointCount / 2; ++i)
+        fixture.startEndpoint("q" + std::to_string(i), seconds(20));
+    fixture.play(seconds(2));
+    fixture.served = 0;
+    fixture.refused = 0;
+    fixture.play(seconds(6));
+    CHECK(fixture.maxPerSecondWhileCold <= coldLimit);
+    CHECK(fixture.refused <= fixture.served / 50);
 }
 
-TEST_CASE("a data centre that is taken back counts as cold until its rows say otherwise")
+TEST_CASE("endpoints count as cold after an evacuation until a row or a timeout says otherwise")
 {
     service_directory directory;
     const time_point start{seconds(1000)};
@@ -219,34 +221,34 @@
     CHECK(!endpoint->isCold(start + milliseconds(9100)));
 }
 
-TEST_CASE("a request waits for room at the only cold endpoint, and is refused when none comes")
+TEST_CASE("a request waits for the only endpoint, which is cold, and is refused after a time limit")
 {
-    flow_world world(lookupRoute(), {});
-    world.addColdEndpoint("e1", "own");
-    const auto first = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 1);
-    const auto second = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 1);
-    CHECK(world.status == 0);
+    flow_fixture fixture(lookupRoute(), {});
+    fixture.addColdEndpoint("e1", "own");
+    const auto first = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 1);
+    const auto second = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 1);
+    CHECK(fixture.status == 0);
     // A quarter of the objective of 300 ms.
-    world.runtime.advance(milliseconds(110));
-    CHECK(world.status == 503);
-    REQUIRE(world.record);
-    CHECK(world.record->reason == flow_reason::coldEndpoints);
-    world.runtime.advance(milliseconds(840));
-    world.status = 0;
-    const auto third = startFlow(world, requestFor(lookupRoute()));
-    world.runtime.advance(milliseconds(70));
-    CHECK(world.calls.size() == 2);
-    CHECK(world.status == 0);
+    fixture.runtime.advance(milliseconds(110));
+    CHECK(fixture.status == 503);
+    REQUIRE(fixture.record);
+    CHECK(fixture.record->reason == flow_reason::coldEndpoints);
+    fixture.runtime.advance(milliseconds(840));
+    fixture.status = 0;
+    const auto third = startFlow(fixture, requestFor(lookupRoute()));
+    fixture.runtime.advance(milliseconds(70));
+    CHECK(fixture.calls.size() == 2);
+    CHECK(fixture.status == 0);
 }
 
-TEST_CASE("an entry that owns none of the cold endpoints refuses at once")
+TEST_CASE("an entry without a share of any cold endpoint refuses at once")
 {
-    flow_world world(lookupRoute(), {});
-    world.addColdEndpoint("e1", "other");
-    const auto flow = startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.empty());
-    CHECK(world.status == 503);
-    CHECK(world.record->reason == flow_reason::coldEndpoints);
+    flow_fixture fixture(lookupRoute(), {});
+    fixture.addColdEndpoint("e1", "other");
+    const auto flow = startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.empty());
+    CHECK(fixture.status == 503);
+    CHECK(fixture.record->reason == flow_reason::coldEndpoints);
 }
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -3,7 +3,7 @@
 // Which runs may have ended an endpoint, and what is the same in two tries of a request.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include "laurelcroft/Proxy/RequestKey.h"
 
@@ -31,11 +31,11 @@
 {
     for (const request_key key : {request_key(0), request_key(0xAB), ~request_key(0)}) {
         CHECK(textOf(key).size() == 16);
-        CHECK(requestKeyIn(textOf(key)) == key);
+        CHECK(parseRequestKey(textOf(key)) == key);
     }
     for (const char *text :
          {"", "12", "00000000000000zz", "000000000000000000", "-000000000000001"})
-        CHECK_FALSE(requestKeyIn(text));
+        CHECK_FALSE(parseRequestKey(text));
 }
 
 TEST_CASE("young runs are suspected when their endpoint ends, those that were cut a moment ago too")
@@ -77,11 +77,11 @@
 TEST_CASE("a broken attempt and one that found nobody have their endpoint looked at")
 {
     for (const call_end how : {call_end::broken, call_end::notSent}) {
-        flow_world world(lookupRoute(), {"e1", "e2"});
+        flow_fixture world(lookupRoute(), {"e1", "e2"});
         startFlow(world, requestFor(lookupRoute()));
         const std::string first = world.calls[0].attempt.endpoint->record().id;
         world.end(0, how);
-        CHECK(world.checked == std::vector{first});
+        CHECK(world.probedEndpoints == std::vector{first});
         const bool isSuspected = !world.routing.runs()
                                           .suspectsOf(first, world.runtime.now() + milliseconds(1))
                                           .empty();
@@ -92,7 +92,7 @@
 TEST_CASE("a whole answer, a failure and a refusal leave no suspect; a caller that left does")
 {
     for (const int status : {200, 500, 503}) {
-        flow_world world(fetchRoute(), {"e1"});
+        flow_fixture world(fetchRoute(), {"e1"});
         startFlow(world, requestFor(fetchRoute()));
         if (status == 503) {
             world.refuseNotRun(0);
@@ -102,7 +102,7 @@
         }
         CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).empty());
     }
-    flow_world world(fetchRoute(), {"e1"});
+    flow_fixture world(fetchRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(fetchRoute()));
     flow->callerLeft();
     CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).size() == 1);
--- a/unittests/Proxy/LeavingEndpointTests.cpp
+++ b/unittests/Proxy/LeavingEndpointTests.cpp
@@ -4,7 +4,7 @@
 // even if its row does not.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-struct leaving_world : flow_world
+struct leaving_world : flow_fixture
 {
-    using flow_world::flow_world;
+    using flow_fixture::flow_fixture;
 
     service_directory &directory() { return routing.directory(); }
 
--- a/unittests/Proxy/RateLimitWatchTests.cpp
+++ b/unittests/Proxy/RateLimitWatchTests.cpp
@@ -3,7 +3,7 @@
 // Tests how the answers of an endpoint update its rate limit and the change counter.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -11,10 +11,10 @@
 
 namespace {
 
-struct limit_world : flow_world
+struct limit_world : flow_fixture
 {
     limit_world()
-        : flow_world(lookupRoute(), {"e1"})
+        : flow_fixture(lookupRoute(), {"e1"})
     {
     }
 
--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -1,9 +1,10 @@
-//===-- RegionTests.cpp - routes and customers that are bound to regions -----===//
+//===-- RegionTests.cpp - region restrictions of routes and customers -------===//
 //
-// Endpoints outside get nothing, whatever becomes of those inside.
+// Guards against sending a request to an endpoint outside the permitted regions, in particular when
+// no endpoint inside is available.
 //
 //===----------------------------------------------------------------------===//
-#include "FlowWorld.h"
+#include "FlowFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -11,10 +12,10 @@
 
 namespace {
 
-/// Two endpoints in the north, one in the south and one in a data centre of no known region.
-struct two_regions : flow_world
+/// Two endpoints in region north, one in south and one in a data centre without a known region.
+struct two_region_fixture : flow_fixture
 {
-    explicit two_regions(const service_route &route)
+    explicit two_region_fixture(const service_route &route)
     {
         routing_bounds bounds;
         bounds.dataCentre = "s1";
@@ -31,24 +32,24 @@
 
 } // namespace
 
-TEST_CASE("a route of one region is served there only, and refused at once when nobody is left")
+TEST_CASE("a route of one region is served only there, and refused when no endpoint is left")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north"};
     route.mostEndpoints = 4;
-    two_regions world(route);
-    startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id != "e3");
-    world.refuseNotRun(0);
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.calls[1].attempt.endpoint->record().id != "e3");
-    CHECK(world.calls[1].attempt.endpoint->record().id != "e4");
-    world.refuseNotRun(1);
-    CHECK(world.calls.size() == 2);
-    CHECK(world.status == 503);
+    two_region_fixture fixture(route);
+    startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id != "e3");
+    fixture.refuseNotRun(0);
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.calls[1].attempt.endpoint->record().id != "e3");
+    CHECK(fixture.calls[1].attempt.endpoint->record().id != "e4");
+    fixture.refuseNotRun(1);
+    CHECK(fixture.calls.size() == 2);
+    CHECK(fixture.status == 503);
 
-    two_regions none(route);
+    two_region_fixture none(route);
     for (const char *id : {"e1", "e2"})
         none.routing.directory().remove(id, none.runtime.now(), 100);
     startFlow(none, requestFor(route));
@@ -57,41 +58,41 @@
     CHECK(none.record->reason == flow_reason::outsideRegions);
 }
 
-TEST_CASE("a customer's regions bind all its routes, and both bounds hold together")
+TEST_CASE("the regions of the customer and of the route both apply")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north", "south"};
-    two_regions world(route);
-    auto contract = std::make_shared<service_contract>(*world.routing.contract());
+    two_region_fixture fixture(route);
+    auto contract = std::make_shared<service_contract>(*fixture.routing.contract());
     contract->version += 1;
     contract->customers.front().homeRegions = {"south"};
-    world.routing.setContract(contract);
-    startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e3");
+    fixture.routing.setContract(contract);
+    startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e3");
 }
 
-TEST_CASE("what is bound to no region is served anywhere")
+TEST_CASE("a request without region restrictions is served anywhere")
 {
-    two_regions world(lookupRoute());
+    two_region_fixture fixture(lookupRoute());
     for (const char *id : {"e1", "e2", "e3"})
-        world.routing.directory().remove(id, world.runtime.now(), 100);
-    startFlow(world, requestFor(lookupRoute()));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e4");
+        fixture.routing.directory().remove(id, fixture.runtime.now(), 100);
+    startFlow(fixture, requestFor(lookupRoute()));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e4");
 }
 
-TEST_CASE("one endpoint inside is found among a thousand outside")
+TEST_CASE("the only endpoint in the permitted region is found among a thousand others")
 {
     service_route route = lookupRoute();
     route.homeRegions = {"south"};
-    two_regions world(route);
+    two_region_fixture fixture(route);
     for (int i = 0; i < 1000; ++i) {
         const std::string id = "far" + std::to_string(i);
-        world.addEndpoint(id);
-        world.setDataCentre(id, "n1");
+        fixture.addEndpoint(id);
+        fixture.setDataCentre(id, "n1");
     }
-    startFlow(world, requestFor(route));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e3");
+    startFlow(fixture, requestFor(route));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e3");
 }
