--- a/include/laurelcroft/Proxy/RowPaces.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -1,11 +1,11 @@
-//===-- Proxy/RowPaces.h - how often rows are read ---------------*- C++ -*-===//
+//===-- Proxy/RowTimings.h - how often rows are read -------------*- C++ -*-===//
 //
 // All times between the store's word and an entry's knowing it, as parts of the time in which a
 // change must be in force: a contract, an endpoint that leaves, an evacuation.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_PROXY_ROWPACES_H
-#define LAURELCROFT_PROXY_ROWPACES_H
+#ifndef LAURELCROFT_PROXY_ROWTIMINGS_H
+#define LAURELCROFT_PROXY_ROWTIMINGS_H
 
 #include "laurelcroft/Support/Runtime.h"
 
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -15,7 +15,7 @@
 #include "laurelcroft/Proxy/RolloutRows.h"
 #include "laurelcroft/Proxy/RoutingState.h"
 #include "laurelcroft/Proxy/RowMirror.h"
-#include "laurelcroft/Proxy/RowPaces.h"
+#include "laurelcroft/Proxy/RowTimings.h"
 #include "laurelcroft/Proxy/StoreClock.h"
 #include "laurelcroft/Support/Log.h"
 #include "laurelcroft/Support/LogLimiter.h"
--- a/lib/Proxy/RowPaces.cpp
+++ b/lib/Proxy/RowPaces.cpp
@@ -3,7 +3,7 @@
 // Parts of the bound. Whatever reads must confirm its rows more often than they lose freshness.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/RowPaces.h"
+#include "laurelcroft/Proxy/RowTimings.h"
 
 #include <algorithm>
 
