--- a/lib/Proxy/RowPaces.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -1,4 +1,4 @@
-//===-- RowPaces.cpp - how often rows are read ------------------------------===//
+//===-- RowTimings.cpp - how often rows are read ----------------------------===//
 //
 // Parts of the bound. Whatever reads must confirm its rows more often than they lose freshness.
 //
