--- a/unittests/Proxy/RowPacesTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -1,4 +1,4 @@
-//===-- RowPacesTests.cpp - how often rows are read -------------------------===//
+//===-- RowTimingsTests.cpp - how often rows are read -----------------------===//
 //
 // The paces fit together at every bound, and a change is in force in time where all entries that
 // the others read for are cut off from the store.
