--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -8,7 +8,7 @@
 
 #include "laurelcroft/Fleet/ServiceDirectory.h"
 #include "laurelcroft/Policy/ServiceRollout.h"
-#include "laurelcroft/Proxy/VersionJudge.h"
+#include "laurelcroft/Proxy/VersionEvaluator.h"
 
 #include <cstdint>
 #include <deque>
--- a/include/laurelcroft/Proxy/VersionJudge.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -1,11 +1,11 @@
-//===-- Proxy/VersionJudge.h - whether a version is bad ----------*- C++ -*-===//
+//===-- Proxy/VersionEvaluator.h - whether a version is bad ------*- C++ -*-===//
 //
 // Whether the version under roll-out is worse than the settled one, from this entry's own requests
 // and from what other entries tell of theirs.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_PROXY_VERSIONJUDGE_H
-#define LAURELCROFT_PROXY_VERSIONJUDGE_H
+#ifndef LAURELCROFT_PROXY_VERSIONEVALUATOR_H
+#define LAURELCROFT_PROXY_VERSIONEVALUATOR_H
 
 #include "laurelcroft/Policy/VersionGuard.h"
 #include "laurelcroft/Proxy/RolloutRows.h"
--- a/lib/Proxy/VersionJudge.cpp
+++ b/lib/Proxy/VersionJudge.cpp
@@ -3,7 +3,7 @@
 // Failures and slowness are judged apart, for each route and for all together.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/VersionJudge.h"
+#include "laurelcroft/Proxy/VersionEvaluator.h"
 
 #include <algorithm>
 #include <utility>
