--- a/lib/Proxy/VersionJudge.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -1,4 +1,4 @@
-//===-- VersionJudge.cpp - whether a version is worse than the old one ------===//
+//===-- VersionEvaluator.cpp - whether a version is worse than the old one --===//
 //
 // Failures and slowness are judged apart, for each route and for all together.
 //
