--- a/unittests/Proxy/VersionJudgeTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -1,4 +1,4 @@
-//===-- VersionJudgeTests.cpp - whether a version is bad --------------------===//
+//===-- VersionEvaluatorTests.cpp - whether a version is bad ----------------===//
 //
 // Answers of both versions, and what other entries tell of theirs.
 //
