--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -18,10 +18,10 @@
 /// ask the store themselves well within the bound. With 0.7 and 0.75 of it, both readers and their
 /// stand-ins cut off together, entries acted on contracts that were older than the bound on 3 of
 /// 100 days of 34 s with faults (21 entries); with 0.55 and 0.2 on none of the same days.
-struct row_paces
+struct row_timings
 {
     /// \param bound time in which a change must be in force.
-    explicit row_paces(milliseconds bound);
+    explicit row_timings(milliseconds bound);
 
     /// From one read of the endpoints to the next, at an entry that reads the store: they heartbeat
     /// all the time, so that their feed is not held.
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -27,7 +27,7 @@
     return std::chrono::duration_cast<milliseconds>(bound * share);
 }
 
-row_paces::row_paces(milliseconds bound)
+row_timings::row_timings(milliseconds bound)
     : endpointRead(
             std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
     , heldByStore(part(bound, heldByStorePart))
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -86,7 +86,7 @@
     unsigned reads = 0;
     gated_store store;
     routing_state routing;
-    row_mirror mirror{row_paces(changeBound).fresh};
+    row_mirror mirror{row_timings(changeBound).fresh};
     metric_registry metrics;
     store_sync<gated_store, manual_runtime> sync;
 };
@@ -190,7 +190,7 @@
     entry_links links;
     links.entry = name;
     links.place = {address, "hall"};
-    links.paces = row_paces(changeBound);
+    links.paces = row_timings(changeBound);
     links.isFirstStart = all.isFirstStart;
     links.relay.isPreferred = [this] { return !asked().empty(); };
     links.relay.read
--- a/unittests/Proxy/RowTimingsTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -16,7 +16,7 @@
     for (const int ms : {1500, 2000, 3000, 4000, 10'000}) {
         CAPTURE(ms);
         const milliseconds bound(ms);
-        const row_paces paces(bound);
+        const row_timings paces(bound);
         CHECK(paces.heldByStore + sync::ownPause < paces.fresh);
         CHECK(paces.endpointRead < paces.fresh);
         CHECK(paces.heldByEntry < paces.fresh);
