--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -61,7 +61,7 @@
     std::string entry; ///< name of this entry
     entry_place place; ///< where other entries may read this one's rows
     row_relay relay; ///< asks other entries
-    row_timings paces{milliseconds(2000)};
+    row_timings timings{milliseconds(2000)};
     /// The whole system starts for the first time: there are no callers yet who wait for an entry.
     bool isFirstStart = false;
     std::function<void(const entry_map &entries)> onEntries;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -51,8 +51,8 @@
 follow_pace store_sync<Store, Runtime>::endpointPace() const
 {
     follow_pace pace;
-    pace.between = m_links.paces.endpointRead;
-    pace.staleWait = m_links.paces.staleWait;
+    pace.between = m_links.timings.endpointRead;
+    pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
 
@@ -61,8 +61,8 @@
 {
     follow_pace pace;
     pace.between = between;
-    pace.held = m_links.paces.heldByStore;
-    pace.staleWait = m_links.paces.staleWait;
+    pace.held = m_links.timings.heldByStore;
+    pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
 
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -190,7 +190,7 @@
     entry_links links;
     links.entry = name;
     links.place = {address, "hall"};
-    links.paces = row_timings(changeBound);
+    links.timings = row_timings(changeBound);
     links.isFirstStart = all.isFirstStart;
     links.relay.isPreferred = [this] { return !asked().empty(); };
     links.relay.read
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -61,7 +61,7 @@
         entry_links links;
         links.entry = name;
         links.place = {"10.0.0.1:5", "hall"};
-        links.paces = row_timings(leaveBound);
+        links.timings = row_timings(leaveBound);
         links.relay.isPreferred = [this] { return relayed; };
         links.relay.read
                 = [this](const std::string &table, std::uint64_t, row_callback<row_news> done) {
