--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -25,7 +25,7 @@
 
     /// From one read of the endpoints to the next, at an entry that reads the store: they heartbeat
     /// all the time, so that their feed is not held.
-    milliseconds endpointRead;
+    milliseconds endpointReadInterval;
     /// How long the store may hold a call for rows that seldom change. A held call whose answer is
     /// lost costs this time once more.
     milliseconds heldByStore;
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -28,7 +28,7 @@
 }
 
 row_timings::row_timings(milliseconds bound)
-    : endpointRead(
+    : endpointReadInterval(
             std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
     , heldByStore(part(bound, heldByStorePart))
     , heldByEntry(part(bound, heldByEntryPart))
