--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -28,7 +28,7 @@
     milliseconds endpointReadInterval;
     /// How long the store may hold a call for rows that seldom change. A held call whose answer is
     /// lost costs this time once more.
-    milliseconds heldByStore;
+    milliseconds maxStoreHold;
     /// How long another entry may hold a read that has no news.
     milliseconds heldByEntry;
     /// Rows that the store has not confirmed for longer are not given on.
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -30,7 +30,7 @@
 row_timings::row_timings(milliseconds bound)
     : endpointReadInterval(
             std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
-    , heldByStore(part(bound, heldByStorePart))
+    , maxStoreHold(part(bound, heldByStorePart))
     , heldByEntry(part(bound, heldByEntryPart))
     , fresh(part(bound, freshPart))
     , staleWait(part(bound, staleWaitPart))
--- a/unittests/Proxy/RowTimingsTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -17,7 +17,7 @@
         CAPTURE(ms);
         const milliseconds bound(ms);
         const row_timings paces(bound);
-        CHECK(paces.heldByStore + sync::ownPause < paces.fresh);
+        CHECK(paces.maxStoreHold + sync::ownPause < paces.fresh);
         CHECK(paces.endpointReadInterval < paces.fresh);
         CHECK(paces.heldByEntry < paces.fresh);
         // What is left is for a call that gets no answer from one silent entry.
