--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -30,7 +30,7 @@
     /// lost costs this time once more.
     milliseconds maxStoreHold;
     /// How long another entry may hold a read that has no news.
-    milliseconds heldByEntry;
+    milliseconds maxEntryHold;
     /// Rows that the store has not confirmed for longer are not given on.
     milliseconds fresh;
     /// How long an entry whose sources say that their rows are outdated waits for one of them
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -31,7 +31,7 @@
     : endpointReadInterval(
             std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
     , maxStoreHold(part(bound, heldByStorePart))
-    , heldByEntry(part(bound, heldByEntryPart))
+    , maxEntryHold(part(bound, heldByEntryPart))
     , fresh(part(bound, freshPart))
     , staleWait(part(bound, staleWaitPart))
     , removalDoubt(part(bound, removalDoubtPart))
--- a/unittests/Proxy/RowTimingsTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -19,7 +19,7 @@
         const row_timings paces(bound);
         CHECK(paces.maxStoreHold + sync::ownPause < paces.fresh);
         CHECK(paces.endpointReadInterval < paces.fresh);
-        CHECK(paces.heldByEntry < paces.fresh);
+        CHECK(paces.maxEntryHold < paces.fresh);
         // What is left is for a call that gets no answer from one silent entry.
         CHECK(paces.fresh + paces.staleWait <= bound * 0.8);
     }
