--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -39,7 +39,7 @@
     /// Since the rows were confirmed last, how long an endpoint whose row is removed may be kept
     /// where only other entries have lost the store. The grace after an own loss, 2.2 s, sent 15
     /// requests to endpoints 3.2 s after they had begun to leave.
-    milliseconds removalDoubt;
+    milliseconds removalGrace;
 };
 
 } // namespace laurelcroft
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -34,6 +34,6 @@
     , maxEntryHold(part(bound, heldByEntryPart))
     , fresh(part(bound, freshPart))
     , staleWait(part(bound, staleWaitPart))
-    , removalDoubt(part(bound, removalDoubtPart))
+    , removalGrace(part(bound, removalDoubtPart))
 {
 }
