--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -14,10 +14,10 @@
 /// The paces for one bound.
 ///
 /// An entry that the others read for may lose the store at any moment, and its stand-ins with it.
-/// Then the others believe their rows for \c fresh and wait for a stand-in for \c staleWait, and
-/// ask the store themselves well within the bound. With 0.7 and 0.75 of it, both readers and their
-/// stand-ins cut off together, entries acted on contracts that were older than the bound on 3 of
-/// 100 days of 34 s with faults (21 entries); with 0.55 and 0.2 on none of the same days.
+/// Then the others believe their rows for \c maxRowAge and wait for a stand-in for \c staleWait,
+/// and ask the store themselves well within the bound. With 0.7 and 0.75 of it, both readers and
+/// their stand-ins cut off together, entries acted on contracts that were older than the bound on 3
+/// of 100 days of 34 s with faults (21 entries); with 0.55 and 0.2 on none of the same days.
 struct row_timings
 {
     /// \param bound time in which a change must be in force.
@@ -32,7 +32,7 @@
     /// How long another entry may hold a read that has no news.
     milliseconds maxEntryHold;
     /// Rows that the store has not confirmed for longer are not given on.
-    milliseconds fresh;
+    milliseconds maxRowAge;
     /// How long an entry whose sources say that their rows are outdated waits for one of them
     /// before it asks the store.
     milliseconds staleWait;
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -32,7 +32,7 @@
             std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
     , maxStoreHold(part(bound, heldByStorePart))
     , maxEntryHold(part(bound, heldByEntryPart))
-    , fresh(part(bound, freshPart))
+    , maxRowAge(part(bound, freshPart))
     , staleWait(part(bound, staleWaitPart))
     , removalGrace(part(bound, removalDoubtPart))
 {
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -86,7 +86,7 @@
     unsigned reads = 0;
     gated_store store;
     routing_state routing;
-    row_mirror mirror{row_timings(changeBound).fresh};
+    row_mirror mirror{row_timings(changeBound).maxRowAge};
     metric_registry metrics;
     store_sync<gated_store, manual_runtime> sync;
 };
--- a/unittests/Proxy/RowTimingsTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -17,11 +17,11 @@
         CAPTURE(ms);
         const milliseconds bound(ms);
         const row_timings paces(bound);
-        CHECK(paces.maxStoreHold + sync::ownPause < paces.fresh);
-        CHECK(paces.endpointReadInterval < paces.fresh);
-        CHECK(paces.maxEntryHold < paces.fresh);
+        CHECK(paces.maxStoreHold + sync::ownPause < paces.maxRowAge);
+        CHECK(paces.endpointReadInterval < paces.maxRowAge);
+        CHECK(paces.maxEntryHold < paces.maxRowAge);
         // What is left is for a call that gets no answer from one silent entry.
-        CHECK(paces.fresh + paces.staleWait <= bound * 0.8);
+        CHECK(paces.maxRowAge + paces.staleWait <= bound * 0.8);
     }
 }
 
