--- a/include/laurelcroft/Proxy/StoreReaders.h
+++ b/include/laurelcroft/Proxy/StoreReaders.h
@@ -20,7 +20,7 @@
 /// asked by turns, so that one may be gone or cut off.
 inline constexpr std::size_t storeReaderCount = 2;
 /// Entries that one asks by turns.
-inline constexpr std::size_t askedByTurns = 2;
+inline constexpr std::size_t sourcesPerEntry = 2;
 /// Entries for each relay of a data centre at most: each asks once or twice a second, so that a
 /// relay spends less than a hundredth of a core on them. The relays of 4,600 entries are as many as
 /// two readers bear.
--- a/lib/Proxy/StoreReaders.cpp
+++ b/lib/Proxy/StoreReaders.cpp
@@ -72,7 +72,7 @@
     }
     // Beside the two that an entry asks there is a third one, in another data centre if there is
     // one.
-    const std::size_t fewest = byDataCentre.size() > 1 ? askedByTurns : askedByTurns + 1;
+    const std::size_t fewest = byDataCentre.size() > 1 ? sourcesPerEntry : sourcesPerEntry + 1;
     std::vector<std::string> relays;
     for (const auto &[dataCentre, there] : byDataCentre) {
         const std::size_t needed = (there.size() + entriesOfRelay - 1) / entriesOfRelay;
@@ -155,15 +155,15 @@
     const bool asksReaders
             = ranks.relays.empty() || isAmong(ranks.standbys, own) || isAmong(ranks.relays, own);
     if (asksReaders) {
-        sources.readers = nearestOf(ranks.readers, entries, own, askedByTurns);
+        sources.readers = nearestOf(ranks.readers, entries, own, sourcesPerEntry);
         if (!isAmong(ranks.standbys, own))
             sources.standbys = nearestOf(ranks.standbys, entries, own, 1);
         return sources;
     }
     // A third relay takes the place of the first two: there are three at least where there are any,
     // and when all hear nothing the standbys help them, not each entry.
-    std::vector<std::string> asked = nearestOf(ranks.relays, entries, own, askedByTurns + 1);
-    assert(asked.size() > askedByTurns && "a site with relays has three at least");
+    std::vector<std::string> asked = nearestOf(ranks.relays, entries, own, sourcesPerEntry + 1);
+    assert(asked.size() > sourcesPerEntry && "a site with relays has three at least");
     sources.standbys = {std::move(asked.back())};
     asked.pop_back();
     sources.readers = std::move(asked);
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -80,7 +80,7 @@
             readers += found.empty() ? 1 : 0;
             if (found.empty())
                 continue;
-            REQUIRE(found.size() == askedByTurns);
+            REQUIRE(found.size() == sourcesPerEntry);
             CHECK(found[0] != found[1]);
             for (const std::string &address : found)
                 ++asked[address];
@@ -101,7 +101,7 @@
             place.dataCentre = left > 0 && left-- > 0 ? "b" : "a";
         for (const auto &[name, place] : entries) {
             const row_sources sources = sourcesFor(entries, name);
-            CHECK((sources.readers.empty() || sources.readers.size() == askedByTurns));
+            CHECK((sources.readers.empty() || sources.readers.size() == sourcesPerEntry));
         }
     }
 }
@@ -133,7 +133,7 @@
         CHECK(isNear(sources.readers[1]));
         std::vector<std::string> asked = sources.readers;
         asked.insert(asked.end(), sources.standbys.begin(), sources.standbys.end());
-        CHECK(asked.size() == askedByTurns + 1);
+        CHECK(asked.size() == sourcesPerEntry + 1);
         for (const std::string &address : asked)
             CHECK(isReader(sourcesFor(entries, nameOf.at(address)).readers.at(0)));
     }
