--- a/include/laurelcroft/Proxy/StoreReaders.h
+++ b/include/laurelcroft/Proxy/StoreReaders.h
@@ -24,7 +24,7 @@
 /// Entries for each relay of a data centre at most: each asks once or twice a second, so that a
 /// relay spends less than a hundredth of a core on them. The relays of 4,600 entries are as many as
 /// two readers bear.
-inline constexpr std::size_t entriesOfRelay = 48;
+inline constexpr std::size_t maxEntriesPerRelay = 48;
 
 /// \returns the names of the entries that read the store.
 std::vector<std::string> storeReaders(const entry_map &entries);
--- a/lib/Proxy/StoreReaders.cpp
+++ b/lib/Proxy/StoreReaders.cpp
@@ -75,7 +75,7 @@
     const std::size_t fewest = byDataCentre.size() > 1 ? sourcesPerEntry : sourcesPerEntry + 1;
     std::vector<std::string> relays;
     for (const auto &[dataCentre, there] : byDataCentre) {
-        const std::size_t needed = (there.size() + entriesOfRelay - 1) / entriesOfRelay;
+        const std::size_t needed = (there.size() + maxEntriesPerRelay - 1) / maxEntriesPerRelay;
         const std::size_t count = std::max(fewest, needed);
         for (std::string &name : rankStrongFirst(there, entries, count))
             relays.push_back(std::move(name));
@@ -106,7 +106,7 @@
     const std::vector<std::string> names = reachable(entries);
     source_ranks ranks;
     ranks.readers = rankReaders(names, entries);
-    if (names.size() > storeReaderCount * entriesOfRelay)
+    if (names.size() > storeReaderCount * maxEntriesPerRelay)
         ranks.relays = rankRelays(names, entries, ranks.readers);
     const auto standbys = ranks.readers.begin()
             + static_cast<std::ptrdiff_t>(std::min(storeReaderCount, names.size()));
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -87,7 +87,7 @@
         }
         CHECK(readers == std::min(count, storeReaderCount));
         for (const auto &[address, askers] : asked)
-            CHECK(askers <= 4 * entriesOfRelay); // each asks two by turns; data centres differ
+            CHECK(askers <= 4 * maxEntriesPerRelay); // each asks two by turns; data centres differ
     }
     CHECK(sourcesFor(entriesOf(8), "unknown").readers.empty());
 }
