--- a/lib/Proxy/StoreReaders.cpp
+++ b/lib/Proxy/StoreReaders.cpp
@@ -19,7 +19,7 @@
 /// An entry is strong when its instance gives this part of what the strongest gives. Reading
 /// thousands of heartbeats and giving on whole tables took 57% of an instance of 0.09 cores, where
 /// others had 0.5: endpoints that leave were known after 3.8 s.
-constexpr double strongPart = 0.5;
+constexpr double strongFraction = 0.5;
 
 } // namespace
 
@@ -50,7 +50,7 @@
     std::vector<std::string> strong;
     std::vector<std::string> others;
     for (const std::string &name : names) {
-        const bool isStrong = entries.at(name).processorShare >= strongPart * strongest;
+        const bool isStrong = entries.at(name).processorShare >= strongFraction * strongest;
         (isStrong ? strong : others).push_back(name);
     }
     std::vector<std::string> ranked = rankFirst(strong, "store reader", count);
