--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -114,8 +114,8 @@
     void observeSilence(std::string_view version, std::string_view route, time_point now);
 
     /// What has been seen of the version under roll-out.
-    version_judge &judge() { return m_judge; }
-    const version_judge &judge() const { return m_judge; }
+    version_evaluator &judge() { return m_judge; }
+    const version_evaluator &judge() const { return m_judge; }
 
     /// \param entries the number of entries that serve callers.
     /// \param othersKnown true when the other entries' evidence is known up to a moment ago.
@@ -156,7 +156,7 @@
     std::optional<rollout_row> m_row;
     time_point m_stageBegin{}; ///< of the row's stage
     std::optional<time_point> m_foundBadAt; ///< when a request first met that finding
-    version_judge m_judge;
+    version_evaluator m_judge;
     std::string m_settled; ///< version in force before the order, or while there is none
 };
 
--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -41,7 +41,7 @@
 };
 
 /// Evidence for and against the version of one service's order.
-class version_judge
+class version_evaluator
 {
 public:
     /// An order begins: what was seen before counts no more.
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void version_judge::begin(std::uint64_t orderedAt)
+void version_evaluator::begin(std::uint64_t orderedAt)
 {
     m_orderedAt = orderedAt;
     m_guards.clear();
@@ -49,14 +49,14 @@
     judgeReceived();
 }
 
-bool version_judge::isSlow(const std::string &kind, double slowness) const
+bool version_evaluator::isSlow(const std::string &kind, double slowness) const
 {
     const auto mean = m_slownesses.find(kind);
     return mean != m_slownesses.end() && mean->second.count >= answersForMean
             && slowness > slowFactor * mean->second.value;
 }
 
-bool version_judge::learnSlowness(const std::string &kind, double slowness, bool onTarget)
+bool version_evaluator::learnSlowness(const std::string &kind, double slowness, bool onTarget)
 {
     const bool slow = isSlow(kind, slowness);
     if (onTarget)
@@ -68,7 +68,7 @@
     return slow;
 }
 
-version_judge::guard_pair &version_judge::guardsOf(std::string_view route)
+version_evaluator::guard_pair &version_evaluator::guardsOf(std::string_view route)
 {
     const auto it = m_guards.find(route);
     if (it != m_guards.end())
@@ -76,7 +76,7 @@
     return m_guards.emplace(route, guard_pair()).first->second;
 }
 
-void version_judge::judge(std::string_view route, bool onTarget, const version_answers &seen)
+void version_evaluator::judge(std::string_view route, bool onTarget, const version_answers &seen)
 {
     const std::uint64_t whole = seen.good + seen.slow;
     for (const std::string_view name : {route, allRoutes}) {
@@ -104,8 +104,8 @@
     return timing.wait / (timing.reading + leastWait);
 }
 
-bool version_judge::observeWait(bool onTarget, std::string_view route, std::string_view model,
-                                const answer_timing &soFar, time_point now)
+bool version_evaluator::observeWait(bool onTarget, std::string_view route, std::string_view model,
+                                    const answer_timing &soFar, time_point now)
 {
     if (!m_orderedAt || !isSlow(kindOf(route, model), slownessOf(soFar)))
         return false;
@@ -113,8 +113,8 @@
     return true;
 }
 
-void version_judge::observe(bool onTarget, std::string_view route, std::string_view model,
-                            std::optional<answer_timing> timing, time_point now)
+void version_evaluator::observe(bool onTarget, std::string_view route, std::string_view model,
+                                std::optional<answer_timing> timing, time_point now)
 {
     version_answers seen;
     if (!timing) {
@@ -131,13 +131,13 @@
     note(onTarget, route, seen, now);
 }
 
-void version_judge::observeSilence(bool onTarget, std::string_view route, time_point now)
+void version_evaluator::observeSilence(bool onTarget, std::string_view route, time_point now)
 {
     note(onTarget, route, {0, 0, 1}, now);
 }
 
-void version_judge::note(bool onTarget, std::string_view route, version_answers seen,
-                         time_point now)
+void version_evaluator::note(bool onTarget, std::string_view route, version_answers seen,
+                             time_point now)
 {
     if (!m_orderedAt)
         return;
@@ -152,7 +152,7 @@
     own.slow += seen.slow;
 }
 
-std::uint64_t version_judge::slownessThatCounts(std::uint64_t slow, time_point now)
+std::uint64_t version_evaluator::slownessThatCounts(std::uint64_t slow, time_point now)
 {
     if (slow == 0 || (m_slowAt && now - *m_slowAt < slownessApart))
         return 0;
@@ -172,7 +172,7 @@
     return {seen.good - before.good, seen.failed - before.failed, seen.slow - before.slow};
 }
 
-void version_judge::takeEvidence(const std::string &entry, const rollout_evidence &evidence)
+void version_evaluator::takeEvidence(const std::string &entry, const rollout_evidence &evidence)
 {
     const std::string source = entry + "#" + std::to_string(evidence.life);
     rollout_evidence &last = m_received[source];
@@ -185,14 +185,14 @@
         judgeOther(source, evidence);
 }
 
-void version_judge::setJudgesOthers(bool judges)
+void version_evaluator::setJudgesOthers(bool judges)
 {
     if (std::exchange(m_judgesOthers, judges) == judges || !judges)
         return;
     judgeReceived();
 }
 
-void version_judge::judgeReceived()
+void version_evaluator::judgeReceived()
 {
     if (!m_judgesOthers)
         return;
@@ -200,7 +200,7 @@
         judgeOther(source, evidence);
 }
 
-void version_judge::judgeOther(const std::string &source, const rollout_evidence &evidence)
+void version_evaluator::judgeOther(const std::string &source, const rollout_evidence &evidence)
 {
     if (evidence.orderedAt != m_orderedAt)
         return;
@@ -215,14 +215,14 @@
     }
 }
 
-bool version_judge::anyGuard(const std::function<bool(const version_guard &)> &test) const
+bool version_evaluator::anyGuard(const std::function<bool(const version_guard &)> &test) const
 {
     return std::any_of(m_guards.begin(), m_guards.end(), [&](const auto &item) {
         return test(item.second.failures) || test(item.second.slowness);
     });
 }
 
-rollout_doubt version_judge::strongestDoubt() const
+rollout_doubt version_evaluator::strongestDoubt() const
 {
     rollout_doubt strongest;
     const auto consider
@@ -243,12 +243,12 @@
     return strongest;
 }
 
-bool version_judge::isFoundBad() const
+bool version_evaluator::isFoundBad() const
 {
     return anyGuard([](const version_guard &guard) { return guard.isStopped(); });
 }
 
-bool version_judge::mostlyFails() const
+bool version_evaluator::mostlyFails() const
 {
     const auto all = m_guards.find(allRoutes);
     if (all == m_guards.end())
@@ -258,7 +258,7 @@
             && failures.rolloutBad() * 2 >= failures.rolloutAll();
 }
 
-bool version_judge::isSuspected() const
+bool version_evaluator::isSuspected() const
 {
     // Where endpoints of the old version fail as well, few answers tell no difference: 13 of 17
     // that failed were no doubt.
--- a/unittests/Proxy/VersionEvaluatorTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -197,7 +197,7 @@
 
 TEST_CASE("an answer counts as slow once it is late, not only when it has come")
 {
-    version_judge judge;
+    version_evaluator judge;
     judge.begin(7);
     const answer_timing usual{milliseconds(100), {}, {}};
     for (int i = 0; i < 60; ++i)
