--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -106,7 +106,7 @@
     bool observeWait(std::string_view version, std::string_view route, std::string_view model,
                      const answer_timing &soFar, time_point now)
     {
-        return m_judge.observeWait(isTarget(version), route, model, soFar, now);
+        return m_evaluator.observeWait(isTarget(version), route, model, soFar, now);
     }
 
     /// An attempt was left because nothing came for too long. That is a slow answer, not a
@@ -114,8 +114,8 @@
     void observeSilence(std::string_view version, std::string_view route, time_point now);
 
     /// What has been seen of the version under roll-out.
-    version_evaluator &judge() { return m_judge; }
-    const version_evaluator &judge() const { return m_judge; }
+    version_evaluator &judge() { return m_evaluator; }
+    const version_evaluator &judge() const { return m_evaluator; }
 
     /// \param entries the number of entries that serve callers.
     /// \param othersKnown true when the other entries' evidence is known up to a moment ago.
@@ -156,7 +156,7 @@
     std::optional<rollout_row> m_row;
     time_point m_stageBegin{}; ///< of the row's stage
     std::optional<time_point> m_foundBadAt; ///< when a request first met that finding
-    version_evaluator m_judge;
+    version_evaluator m_evaluator;
     std::string m_settled; ///< version in force before the order, or while there is none
 };
 
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -47,13 +47,13 @@
     if (!isNew)
         return;
     m_foundBadAt.reset();
-    m_judge.begin(order.orderedAt);
+    m_evaluator.begin(order.orderedAt);
 }
 
 void rollout_tracker::clearOrder()
 {
     noteCompletion();
-    m_judge.end();
+    m_evaluator.end();
     m_order.reset();
 }
 
@@ -101,7 +101,7 @@
 
 bool rollout_tracker::stopsAlone(time_point now)
 {
-    if (m_row->stage == rollout_stage::completed || !m_judge.isFoundBad())
+    if (m_row->stage == rollout_stage::completed || !m_evaluator.isFoundBad())
         return false;
     // While the store is away the row may be long in coming: two versions in a session are then
     // better than a bad one.
@@ -114,13 +114,13 @@
                               std::string_view model, std::optional<answer_timing> timing,
                               time_point now)
 {
-    m_judge.observe(isTarget(version), route, model, timing, now);
+    m_evaluator.observe(isTarget(version), route, model, timing, now);
 }
 
 void rollout_tracker::observeSilence(std::string_view version, std::string_view route,
                                      time_point now)
 {
-    m_judge.observeSilence(isTarget(version), route, now);
+    m_evaluator.observeSilence(isTarget(version), route, now);
 }
 
 void rollout_tracker::arrived(time_point now)
@@ -246,9 +246,9 @@
     view.now = storeNow;
     view.exposure = m_exposure;
     view.requestsPerSecond = static_cast<double>(m_arrivals.size() * entries);
-    view.judged = m_judge.judged();
-    view.suspected = m_judge.isSuspected();
-    view.foundBad = m_judge.isFoundBad();
+    view.judged = m_evaluator.judged();
+    view.suspected = m_evaluator.isSuspected();
+    view.foundBad = m_evaluator.isFoundBad();
     view.othersKnown = othersKnown;
     view.targetListed = std::any_of(endpoints.begin(), endpoints.end(), [&](const auto &endpoint) {
         return isTarget(endpoint->record().softwareVersion);
