--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -86,7 +86,7 @@
     // third of the endpoints crashed, attempts that failed at the trial's few moved 1 to 3
     // requests of a day back on 5 of 7 days. A version that is bad is not asked again.
     rollout_tracker &rollouts = m_env.routing().rollouts(m_service);
-    if (m_request->session.empty() || rollouts.judge().isFoundBad())
+    if (m_request->session.empty() || rollouts.evaluator().isFoundBad())
         return std::nullopt;
     std::optional<endpoint_pick> other = pickAmong(rollouts.beyondTrial(usable, sessionRequest()));
     if (other || !m_mayHaveRun)
@@ -103,7 +103,7 @@
     // it answered one of 106,000 streams with a failure after which nothing was left but to break
     // the stream off.
     const bool isLast = m_sends + 1 >= m_route->mostEndpoints;
-    if (isLast && m_env.routing().rollouts(m_service).judge().isSuspected()) {
+    if (isLast && m_env.routing().rollouts(m_service).evaluator().isSuspected()) {
         std::optional<endpoint_pick> settled
                 = pickAmong(m_env.routing().rollouts(m_service).settled(usable));
         if (settled)
--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -114,8 +114,8 @@
     void observeSilence(std::string_view version, std::string_view route, time_point now);
 
     /// What has been seen of the version under roll-out.
-    version_evaluator &judge() { return m_evaluator; }
-    const version_evaluator &judge() const { return m_evaluator; }
+    version_evaluator &evaluator() { return m_evaluator; }
+    const version_evaluator &evaluator() const { return m_evaluator; }
 
     /// \param entries the number of entries that serve callers.
     /// \param othersKnown true when the other entries' evidence is known up to a moment ago.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -249,10 +249,12 @@
             logWarning(log_part::bundle, "evidence refused",
                        {{"entry", place->entry}, {"fault", evidence.error()}});
         else if (place->entry != m_links.entry)
-            m_state.rollouts(place->service).judge().takeEvidence(place->entry, evidence.value());
+            m_state.rollouts(place->service)
+                    .evaluator()
+                    .takeEvidence(place->entry, evidence.value());
         else if (m_told.count(place->service) == 0)
             m_state.rollouts(place->service)
-                    .judge()
+                    .evaluator()
                     .takeEvidence(std::string(earlierLife), evidence.value());
         return;
     }
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -15,7 +15,7 @@
 bool store_sync<Store, Runtime>::tellEvidence(const std::string &service,
                                               const rollout_tracker &tracker)
 {
-    const rollout_evidence &own = tracker.judge().ownEvidence();
+    const rollout_evidence &own = tracker.evaluator().ownEvidence();
     const rollout_evidence &told = m_told[service];
     const bool sameOrder = told.orderedAt == own.orderedAt;
     const bool news = own.bad() > (sameOrder ? told.bad() : 0);
@@ -56,14 +56,14 @@
 void store_sync<Store, Runtime>::takeEvidence(const evidence_notice &notice)
 {
     if (notice.entry != m_links.entry)
-        m_state.rollouts(notice.service).judge().takeEvidence(notice.entry, notice.evidence);
+        m_state.rollouts(notice.service).evaluator().takeEvidence(notice.entry, notice.evidence);
 }
 
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::tellReaders(const std::string &service,
                                              const rollout_tracker &tracker)
 {
-    const rollout_evidence &own = tracker.judge().ownEvidence();
+    const rollout_evidence &own = tracker.evaluator().ownEvidence();
     if (!m_links.tellReaders || own.byRoute.empty() || m_toldReaders[service] == own)
         return;
     evidence_notice notice{m_links.entry, service, own};
@@ -101,7 +101,7 @@
         m_nextNoticeAt = m_runtime.now() + evidenceNoticePause;
     const bool knowsOthers = othersKnown();
     for (auto &[service, tracker] : m_state.allRollouts()) {
-        tracker.judge().setJudgesOthers(knowsOthers);
+        tracker.evaluator().setJudgesOthers(knowsOthers);
         if (isNoticeDue && tracker.order() && !tracker.isOver())
             tellReaders(service, tracker);
     }
@@ -128,7 +128,7 @@
                                        const rollout_row &row)
 {
     m_writing = true;
-    const rollout_doubt doubt = m_state.rollouts(service).judge().strongestDoubt();
+    const rollout_doubt doubt = m_state.rollouts(service).evaluator().strongestDoubt();
     logInfo(log_part::bundle, "roll-out step is due",
             {{"service", service},
              {"target", row.targetVersion},
--- a/unittests/Proxy/VersionEvaluatorTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -22,7 +22,7 @@
             tracker.observe("v2", "route", "m", i % 3 == 0 ? std::nullopt : good, nextMoment());
         const rollout_evidence seen{7, {{"route", {6, 3, 0}}}};
         for (int entry = 0; together && entry < 5; ++entry)
-            tracker.judge().takeEvidence("e" + std::to_string(entry), seen);
+            tracker.evaluator().takeEvidence("e" + std::to_string(entry), seen);
         return tracker.nextRow(milliseconds(3000), {endpointOf("b", "v2")}, 6).has_value();
     };
     CHECK(!judge(false));
@@ -35,8 +35,8 @@
     tracker.setOrder(exampleOrder());
     tracker.setRow(rowAt(rollout_stage::trial));
     for (int i = 0; i < 50; ++i) {
-        tracker.judge().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}});
-        tracker.judge().takeEvidence("e2", {6, {{"route", {0, 9, 0}}}});
+        tracker.evaluator().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}});
+        tracker.evaluator().takeEvidence("e2", {6, {{"route", {0, 9, 0}}}});
     }
     CHECK(!tracker.nextRow(milliseconds(3000), {endpointOf("b", "v2")}, 3));
 }
@@ -52,25 +52,26 @@
     const auto slow = std::optional<answer_timing>({milliseconds(900), {}});
     for (int i = 0; i < 400; ++i)
         tracker.observe("v1", "route", "m", i % 20 == 19 ? slow : good, nextMoment());
-    tracker.judge().setJudgesOthers(false);
+    tracker.evaluator().setJudgesOthers(false);
     for (int entry = 0; entry < 100; entry += 15)
-        tracker.judge().takeEvidence("e" + std::to_string(entry), {7, {{"route", {0, 0, 1}}}, 11});
+        tracker.evaluator().takeEvidence("e" + std::to_string(entry),
+                                         {7, {{"route", {0, 0, 1}}}, 11});
     const std::vector<endpoint_ptr> target{endpointOf("b", "v2")};
     CHECK(!tracker.nextRow(milliseconds(3000), target, 100));
 
     // Whoever reads the store is told by all of them.
     for (int entry = 0; entry < 100; ++entry) {
         const std::uint64_t slowOnes = entry % 15 == 0 ? 1 : 0;
-        tracker.judge().takeEvidence("e" + std::to_string(entry),
-                                     {7, {{"route", {1, 0, slowOnes}}}, 11});
+        tracker.evaluator().takeEvidence("e" + std::to_string(entry),
+                                         {7, {{"route", {1, 0, slowOnes}}}, 11});
     }
-    tracker.judge().setJudgesOthers(true);
+    tracker.evaluator().setJudgesOthers(true);
     CHECK(!tracker.nextRow(milliseconds(3000), target, 100));
     // A version that fails each third answer is found all the same.
     for (int entry = 0; entry < 100; ++entry) {
         const std::uint64_t failed = entry % 3 == 0 ? 1 : 0;
-        tracker.judge().takeEvidence("e" + std::to_string(entry),
-                                     {7, {{"route", {2, failed, 1}}}, 11});
+        tracker.evaluator().takeEvidence("e" + std::to_string(entry),
+                                         {7, {{"route", {2, failed, 1}}}, 11});
     }
     const auto next = tracker.nextRow(milliseconds(4000), target, 100);
     REQUIRE(next);
@@ -83,12 +84,12 @@
     tracker.setOrder(exampleOrder());
     tracker.setRow(rowAt(rollout_stage::trial));
     for (int i = 0; i < 20; ++i) {
-        tracker.judge().takeEvidence("e1", {7, {{"route", {5, 2, 0}}}, 11});
-        tracker.judge().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}, 11});
+        tracker.evaluator().takeEvidence("e1", {7, {{"route", {5, 2, 0}}}, 11});
+        tracker.evaluator().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}, 11});
     }
-    CHECK(tracker.judge().strongestDoubt().all == 7);
-    tracker.judge().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}, 12});
-    CHECK(tracker.judge().strongestDoubt().all == 11);
+    CHECK(tracker.evaluator().strongestDoubt().all == 7);
+    tracker.evaluator().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}, 12});
+    CHECK(tracker.evaluator().strongestDoubt().all == 11);
 }
 
 TEST_CASE("evidence survives the way to the store and back")
@@ -150,12 +151,12 @@
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
     tracker.setRow(rowAt(rollout_stage::trial));
-    tracker.judge().takeEvidence("e1", {7, {{"route", {4, 0, 30}}}});
-    CHECK(tracker.judge().strongestDoubt().bad == 1);
-    CHECK(tracker.judge().strongestDoubt().fault == "slowness");
-    tracker.judge().takeEvidence("e2", {7, {{"route", {4, 3, 0}}}});
-    CHECK(tracker.judge().strongestDoubt().bad == 3);
-    CHECK(tracker.judge().strongestDoubt().fault == "failures");
+    tracker.evaluator().takeEvidence("e1", {7, {{"route", {4, 0, 30}}}});
+    CHECK(tracker.evaluator().strongestDoubt().bad == 1);
+    CHECK(tracker.evaluator().strongestDoubt().fault == "slowness");
+    tracker.evaluator().takeEvidence("e2", {7, {{"route", {4, 3, 0}}}});
+    CHECK(tracker.evaluator().strongestDoubt().bad == 3);
+    CHECK(tracker.evaluator().strongestDoubt().fault == "failures");
 }
 
 TEST_CASE("a wait that long prompts explain is not slow")
