--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -76,7 +76,8 @@
     return m_guards.emplace(route, guard_pair()).first->second;
 }
 
-void version_evaluator::judge(std::string_view route, bool onTarget, const version_answers &seen)
+void version_evaluator::addAnswers(std::string_view route, bool onTarget,
+                                   const version_answers &seen)
 {
     const std::uint64_t whole = seen.good + seen.slow;
     for (const std::string_view name : {route, allRoutes}) {
@@ -143,7 +144,7 @@
         return;
     if (onTarget)
         seen.slow = slownessThatCounts(seen.slow, now);
-    judge(route, onTarget, seen);
+    addAnswers(route, onTarget, seen);
     if (!onTarget)
         return;
     version_answers &own = m_own.byRoute[std::string(route)];
@@ -210,7 +211,7 @@
         const version_answers news = newerThan(before, seen, evidence.life != 0);
         if (news.all() == 0)
             continue;
-        judge(route, true, {news.good, news.failed, std::min<std::uint64_t>(news.slow, 1)});
+        addAnswers(route, true, {news.good, news.failed, std::min<std::uint64_t>(news.slow, 1)});
         before = seen;
     }
 }
