--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -118,7 +118,7 @@
     guard_pair &guardsOf(std::string_view route);
     void note(bool onTarget, std::string_view route, version_answers seen, time_point now);
     void addAnswers(std::string_view route, bool onTarget, const version_answers &seen);
-    void judgeOther(const std::string &source, const rollout_evidence &evidence);
+    void addPeerEvidence(const std::string &source, const rollout_evidence &evidence);
     void judgeReceived();
     std::uint64_t slownessThatCounts(std::uint64_t slow, time_point now);
     bool anyGuard(const std::function<bool(const version_guard &)> &test) const;
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -183,7 +183,7 @@
     if (!isOld)
         last = evidence;
     if (m_judgesOthers)
-        judgeOther(source, evidence);
+        addPeerEvidence(source, evidence);
 }
 
 void version_evaluator::setJudgesOthers(bool judges)
@@ -198,10 +198,10 @@
     if (!m_judgesOthers)
         return;
     for (const auto &[source, evidence] : m_received)
-        judgeOther(source, evidence);
+        addPeerEvidence(source, evidence);
 }
 
-void version_evaluator::judgeOther(const std::string &source, const rollout_evidence &evidence)
+void version_evaluator::addPeerEvidence(const std::string &source, const rollout_evidence &evidence)
 {
     if (evidence.orderedAt != m_orderedAt)
         return;
