--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -46,7 +46,7 @@
     // Evidence of earlier orders counts no more; each restart of an entry left some.
     std::erase_if(m_received, [&](const auto &item) { return item.second.orderedAt < orderedAt; });
     // Rows of evidence may have been read before their order.
-    judgeReceived();
+    addReceivedEvidence();
 }
 
 bool version_evaluator::isSlow(const std::string &kind, double slowness) const
@@ -190,10 +190,10 @@
 {
     if (std::exchange(m_judgesOthers, judges) == judges || !judges)
         return;
-    judgeReceived();
+    addReceivedEvidence();
 }
 
-void version_evaluator::judgeReceived()
+void version_evaluator::addReceivedEvidence()
 {
     if (!m_judgesOthers)
         return;
