--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -101,7 +101,7 @@
         m_nextNoticeAt = m_runtime.now() + evidenceNoticePause;
     const bool knowsOthers = othersKnown();
     for (auto &[service, tracker] : m_state.allRollouts()) {
-        tracker.evaluator().setJudgesOthers(knowsOthers);
+        tracker.evaluator().setUsesPeerEvidence(knowsOthers);
         if (isNoticeDue && tracker.order() && !tracker.isOver())
             tellReaders(service, tracker);
     }
--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -77,7 +77,7 @@
     /// Whether others' evidence counts. It does where all of it comes: elsewhere only entries that
     /// have seen bad answers are heard of, and a good version looks bad. \p judges may change;
     /// what came meanwhile counts then.
-    void setJudgesOthers(bool judges);
+    void setUsesPeerEvidence(bool judges);
 
     /// \returns the guard with the most evidence, for the log.
     rollout_doubt strongestDoubt() const;
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -186,7 +186,7 @@
         addPeerEvidence(source, evidence);
 }
 
-void version_evaluator::setJudgesOthers(bool judges)
+void version_evaluator::setUsesPeerEvidence(bool judges)
 {
     if (std::exchange(m_judgesOthers, judges) == judges || !judges)
         return;
--- a/unittests/Proxy/VersionEvaluatorTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -52,7 +52,7 @@
     const auto slow = std::optional<answer_timing>({milliseconds(900), {}});
     for (int i = 0; i < 400; ++i)
         tracker.observe("v1", "route", "m", i % 20 == 19 ? slow : good, nextMoment());
-    tracker.evaluator().setJudgesOthers(false);
+    tracker.evaluator().setUsesPeerEvidence(false);
     for (int entry = 0; entry < 100; entry += 15)
         tracker.evaluator().takeEvidence("e" + std::to_string(entry),
                                          {7, {{"route", {0, 0, 1}}}, 11});
@@ -65,7 +65,7 @@
         tracker.evaluator().takeEvidence("e" + std::to_string(entry),
                                          {7, {{"route", {1, 0, slowOnes}}}, 11});
     }
-    tracker.evaluator().setJudgesOthers(true);
+    tracker.evaluator().setUsesPeerEvidence(true);
     CHECK(!tracker.nextRow(milliseconds(3000), target, 100));
     // A version that fails each third answer is found all the same.
     for (int entry = 0; entry < 100; ++entry) {
