--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -182,20 +182,20 @@
             && evidence.all() < last.all();
     if (!isOld)
         last = evidence;
-    if (m_judgesOthers)
+    if (m_usesPeerEvidence)
         addPeerEvidence(source, evidence);
 }
 
 void version_evaluator::setUsesPeerEvidence(bool judges)
 {
-    if (std::exchange(m_judgesOthers, judges) == judges || !judges)
+    if (std::exchange(m_usesPeerEvidence, judges) == judges || !judges)
         return;
     addReceivedEvidence();
 }
 
 void version_evaluator::addReceivedEvidence()
 {
-    if (!m_judgesOthers)
+    if (!m_usesPeerEvidence)
         return;
     for (const auto &[source, evidence] : m_received)
         addPeerEvidence(source, evidence);
