--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -83,7 +83,7 @@
     rollout_doubt strongestDoubt() const;
 
     /// \returns answers of the new version that are known.
-    std::uint64_t judged() const { return m_judged; }
+    std::uint64_t targetAnswers() const { return m_judged; }
 
     /// \returns true when the new version was found bad; it stays so.
     bool isFoundBad() const;
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -246,7 +246,7 @@
     view.now = storeNow;
     view.exposure = m_exposure;
     view.requestsPerSecond = static_cast<double>(m_arrivals.size() * entries);
-    view.judged = m_evaluator.judged();
+    view.judged = m_evaluator.targetAnswers();
     view.suspected = m_evaluator.isSuspected();
     view.foundBad = m_evaluator.isFoundBad();
     view.othersKnown = othersKnown;
--- a/unittests/Proxy/VersionEvaluatorTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -213,10 +213,10 @@
     CHECK(judge.strongestDoubt().bad == 12);
     CHECK(judge.isFoundBad());
     // When it ends it counts no second time.
-    const std::uint64_t known = judge.judged();
+    const std::uint64_t known = judge.targetAnswers();
     judge.observe(true, "route", "m", answer_timing{milliseconds(4000), {}, {}, true},
                   nextMoment());
-    CHECK(judge.judged() == known);
+    CHECK(judge.targetAnswers() == known);
 }
 
 TEST_CASE("full share doesn't begin while a trial leaves doubt, and the version goes at the end")
