--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -83,7 +83,7 @@
     rollout_doubt strongestDoubt() const;
 
     /// \returns answers of the new version that are known.
-    std::uint64_t targetAnswers() const { return m_judged; }
+    std::uint64_t targetAnswers() const { return m_targetAnswers; }
 
     /// \returns true when the new version was found bad; it stays so.
     bool isFoundBad() const;
@@ -132,7 +132,7 @@
     std::optional<std::uint64_t> m_orderedAt; ///< tells orders apart; nothing: there is none
     /// One for each route, and one for all: a version may be bad for one route only.
     std::map<std::string, guard_pair, std::less<>> m_guards;
-    std::uint64_t m_judged = 0; ///< answers of the target version
+    std::uint64_t m_targetAnswers = 0; ///< answers of the target version
     std::optional<time_point> m_slowAt; ///< when the last slow answer counted
     std::map<std::string, running_mean> m_slownesses; ///< of the settled version
     rollout_evidence m_own;
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -39,7 +39,7 @@
 {
     m_orderedAt = orderedAt;
     m_guards.clear();
-    m_judged = 0;
+    m_targetAnswers = 0;
     m_slowAt.reset();
     m_own = {orderedAt, {}};
     m_others.clear();
@@ -91,7 +91,7 @@
         }
     }
     if (onTarget)
-        m_judged += seen.all();
+        m_targetAnswers += seen.all();
 }
 
 /// \returns what answers of a pair of route and model are compared by.
