--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -137,7 +137,8 @@
     std::map<std::string, running_mean> m_slownesses; ///< of the settled version
     rollout_evidence m_own;
     bool m_usesPeerEvidence = true;
-    std::map<std::string, rollout_evidence> m_others; ///< by entry and life, as judged already
+    std::map<std::string, rollout_evidence>
+            m_addedEvidence; ///< by entry and life, as judged already
     std::map<std::string, rollout_evidence> m_received; ///< by entry and life, as told last
 };
 
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -42,7 +42,7 @@
     m_targetAnswers = 0;
     m_slowAt.reset();
     m_own = {orderedAt, {}};
-    m_others.clear();
+    m_addedEvidence.clear();
     // Evidence of earlier orders counts no more; each restart of an entry left some.
     std::erase_if(m_received, [&](const auto &item) { return item.second.orderedAt < orderedAt; });
     // Rows of evidence may have been read before their order.
@@ -205,7 +205,7 @@
 {
     if (evidence.orderedAt != m_orderedAt)
         return;
-    rollout_evidence &known = m_others[source];
+    rollout_evidence &known = m_addedEvidence[source];
     for (const auto &[route, seen] : evidence.byRoute) {
         version_answers &before = known.byRoute[route];
         const version_answers news = newerThan(before, seen, evidence.life != 0);
