--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -30,7 +30,7 @@
 };
 
 /// What speaks most against a version under roll-out.
-struct rollout_doubt
+struct rollout_suspicion
 {
     std::string route; ///< "*" for all routes together
     std::string_view fault; ///< "failures" or "slowness"
@@ -80,7 +80,7 @@
     void setUsesPeerEvidence(bool judges);
 
     /// \returns the guard with the most evidence, for the log.
-    rollout_doubt strongestDoubt() const;
+    rollout_suspicion strongestDoubt() const;
 
     /// \returns answers of the new version that are known.
     std::uint64_t targetAnswers() const { return m_targetAnswers; }
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -223,9 +223,9 @@
     });
 }
 
-rollout_doubt version_evaluator::strongestDoubt() const
+rollout_suspicion version_evaluator::strongestDoubt() const
 {
-    rollout_doubt strongest;
+    rollout_suspicion strongest;
     const auto consider
             = [&](const std::string &route, std::string_view fault, const version_guard &guard) {
                   if (guard.evidence() <= strongest.evidence)
