--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -128,7 +128,7 @@
                                        const rollout_row &row)
 {
     m_writing = true;
-    const rollout_suspicion doubt = m_state.rollouts(service).evaluator().strongestDoubt();
+    const rollout_suspicion doubt = m_state.rollouts(service).evaluator().strongestSuspicion();
     logInfo(log_part::bundle, "roll-out step is due",
             {{"service", service},
              {"target", row.targetVersion},
--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -80,7 +80,7 @@
     void setUsesPeerEvidence(bool judges);
 
     /// \returns the guard with the most evidence, for the log.
-    rollout_suspicion strongestDoubt() const;
+    rollout_suspicion strongestSuspicion() const;
 
     /// \returns answers of the new version that are known.
     std::uint64_t targetAnswers() const { return m_targetAnswers; }
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -223,7 +223,7 @@
     });
 }
 
-rollout_suspicion version_evaluator::strongestDoubt() const
+rollout_suspicion version_evaluator::strongestSuspicion() const
 {
     rollout_suspicion strongest;
     const auto consider
--- a/unittests/Proxy/VersionEvaluatorTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -87,9 +87,9 @@
         tracker.evaluator().takeEvidence("e1", {7, {{"route", {5, 2, 0}}}, 11});
         tracker.evaluator().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}, 11});
     }
-    CHECK(tracker.evaluator().strongestDoubt().all == 7);
+    CHECK(tracker.evaluator().strongestSuspicion().all == 7);
     tracker.evaluator().takeEvidence("e1", {7, {{"route", {3, 1, 0}}}, 12});
-    CHECK(tracker.evaluator().strongestDoubt().all == 11);
+    CHECK(tracker.evaluator().strongestSuspicion().all == 11);
 }
 
 TEST_CASE("evidence survives the way to the store and back")
@@ -152,11 +152,11 @@
     tracker.setOrder(exampleOrder());
     tracker.setRow(rowAt(rollout_stage::trial));
     tracker.evaluator().takeEvidence("e1", {7, {{"route", {4, 0, 30}}}});
-    CHECK(tracker.evaluator().strongestDoubt().bad == 1);
-    CHECK(tracker.evaluator().strongestDoubt().fault == "slowness");
+    CHECK(tracker.evaluator().strongestSuspicion().bad == 1);
+    CHECK(tracker.evaluator().strongestSuspicion().fault == "slowness");
     tracker.evaluator().takeEvidence("e2", {7, {{"route", {4, 3, 0}}}});
-    CHECK(tracker.evaluator().strongestDoubt().bad == 3);
-    CHECK(tracker.evaluator().strongestDoubt().fault == "failures");
+    CHECK(tracker.evaluator().strongestSuspicion().bad == 3);
+    CHECK(tracker.evaluator().strongestSuspicion().fault == "failures");
 }
 
 TEST_CASE("a wait that long prompts explain is not slow")
@@ -210,7 +210,7 @@
         // The fast ones have ended by then.
         judge.observe(true, "route", "m", usual, nextMoment());
     }
-    CHECK(judge.strongestDoubt().bad == 12);
+    CHECK(judge.strongestSuspicion().bad == 12);
     CHECK(judge.isFoundBad());
     // When it ends it counts no second time.
     const std::uint64_t known = judge.targetAnswers();
