--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -14,7 +14,7 @@
 
 /// Part of the evidence that stops a version from which the old one is not let go. A good
 /// version seldom has it.
-constexpr double doubtfulPart = 0.01;
+constexpr double suspicionFraction = 0.01;
 /// Name of the guard over all routes; no route has it.
 constexpr std::string_view allRoutes = "*";
 /// An answer counts as bad when its first part takes this many times the settled mean.
@@ -264,7 +264,7 @@
     // Where endpoints of the old version fail as well, few answers tell no difference: 13 of 17
     // that failed were no doubt.
     return mostlyFails() || anyGuard([](const version_guard &guard) {
-               return guard.certainty() >= doubtfulPart
+               return guard.certainty() >= suspicionFraction
                        || guard.deviationsAbove() >= doubtfulDeviations;
            });
 }
