--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -25,7 +25,7 @@
 constexpr milliseconds leastWait{50};
 /// Standard deviations by which the bad share of the new version may be above what is tolerated
 /// when the old version is let go.
-constexpr double doubtfulDeviations = 2;
+constexpr double suspicionDeviations = 2;
 /// Answers of the new version from which on half of them must be no failures.
 constexpr std::uint64_t answersForHalf = 10;
 /// Answers of a kind from which its mean is known.
@@ -265,6 +265,6 @@
     // that failed were no doubt.
     return mostlyFails() || anyGuard([](const version_guard &guard) {
                return guard.certainty() >= suspicionFraction
-                       || guard.deviationsAbove() >= doubtfulDeviations;
+                       || guard.deviationsAbove() >= suspicionDeviations;
            });
 }
