--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -27,7 +27,7 @@
 /// when the old version is let go.
 constexpr double suspicionDeviations = 2;
 /// Answers of the new version from which on half of them must be no failures.
-constexpr std::uint64_t answersForHalf = 10;
+constexpr std::uint64_t minAnswersForMajority = 10;
 /// Answers of a kind from which its mean is known.
 constexpr unsigned answersForMean = 10;
 /// Weight of one answer in the running mean.
@@ -255,7 +255,7 @@
     if (all == m_guards.end())
         return false;
     const version_guard &failures = all->second.failures;
-    return failures.rolloutAll() >= answersForHalf
+    return failures.rolloutAll() >= minAnswersForMajority
             && failures.rolloutBad() * 2 >= failures.rolloutAll();
 }
 
