--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -29,7 +29,7 @@
 /// Answers of the new version from which on half of them must be no failures.
 constexpr std::uint64_t minAnswersForMajority = 10;
 /// Answers of a kind from which its mean is known.
-constexpr unsigned answersForMean = 10;
+constexpr unsigned minAnswersForMean = 10;
 /// Weight of one answer in the running mean.
 constexpr double meanWeight = 0.05;
 
@@ -52,7 +52,7 @@
 bool version_evaluator::isSlow(const std::string &kind, double slowness) const
 {
     const auto mean = m_slownesses.find(kind);
-    return mean != m_slownesses.end() && mean->second.count >= answersForMean
+    return mean != m_slownesses.end() && mean->second.count >= minAnswersForMean
             && slowness > slowFactor * mean->second.value;
 }
 
