--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -22,7 +22,7 @@
 /// What no prompt explains: the way there and a step or two. A wait is compared with this
 /// and the reading that is before it, so that an endpoint with long prompts, or one that has to
 /// read anew what others keep, doesn't look slow for it.
-constexpr milliseconds leastWait{50};
+constexpr milliseconds minExpectedWait{50};
 /// Standard deviations by which the bad share of the new version may be above what is tolerated
 /// when the old version is let go.
 constexpr double suspicionDeviations = 2;
@@ -102,7 +102,7 @@
 
 static double slownessOf(const answer_timing &timing)
 {
-    return timing.wait / (timing.reading + leastWait);
+    return timing.wait / (timing.reading + minExpectedWait);
 }
 
 bool version_evaluator::observeWait(bool onTarget, std::string_view route, std::string_view model,
@@ -124,7 +124,8 @@
         const std::string kind = kindOf(route, model);
         const bool slowStart = learnSlowness(kind, slownessOf(*timing), onTarget);
         const bool slowEvents = timing->pause
-                && learnSlowness(kind + "/pause", *timing->pause / duration(leastWait), onTarget);
+                && learnSlowness(kind + "/pause", *timing->pause / duration(minExpectedWait),
+                                 onTarget);
         if (timing->countedSlow)
             return;
         ++(slowStart || slowEvents ? seen.slow : seen.good);
