--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -93,7 +93,7 @@
 
     /// Slow answers of the new version that are nearer to each other count as one. A trial has
     /// few endpoints, and one long prompt holds up all that run beside it.
-    static constexpr milliseconds slownessApart{300};
+    static constexpr milliseconds slowAnswerSpacing{300};
 
 private:
     struct running_mean
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -156,7 +156,7 @@
 
 std::uint64_t version_evaluator::slownessThatCounts(std::uint64_t slow, time_point now)
 {
-    if (slow == 0 || (m_slowAt && now - *m_slowAt < slownessApart))
+    if (slow == 0 || (m_slowAt && now - *m_slowAt < slowAnswerSpacing))
         return 0;
     m_slowAt = now;
     return 1;
