--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -120,7 +120,7 @@
     void addAnswers(std::string_view route, bool onTarget, const version_answers &seen);
     void addPeerEvidence(const std::string &source, const rollout_evidence &evidence);
     void addReceivedEvidence();
-    std::uint64_t slownessThatCounts(std::uint64_t slow, time_point now);
+    std::uint64_t countedSlowAnswers(std::uint64_t slow, time_point now);
     bool anyGuard(const std::function<bool(const version_guard &)> &test) const;
     /// \returns true when half of the new version's answers are failures, whatever the old one's
     /// are.
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -144,7 +144,7 @@
     if (!m_orderedAt)
         return;
     if (onTarget)
-        seen.slow = slownessThatCounts(seen.slow, now);
+        seen.slow = countedSlowAnswers(seen.slow, now);
     addAnswers(route, onTarget, seen);
     if (!onTarget)
         return;
@@ -154,7 +154,7 @@
     own.slow += seen.slow;
 }
 
-std::uint64_t version_evaluator::slownessThatCounts(std::uint64_t slow, time_point now)
+std::uint64_t version_evaluator::countedSlowAnswers(std::uint64_t slow, time_point now)
 {
     if (slow == 0 || (m_slowAt && now - *m_slowAt < slowAnswerSpacing))
         return 0;
