--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -127,7 +127,7 @@
     bool mostlyFails() const;
     bool isSlow(const std::string &kind, double slowness) const;
     /// Adds an answer's slowness to the settled mean. \returns true when it is slow against that.
-    bool learnSlowness(const std::string &kind, double slowness, bool onTarget);
+    bool updateSlowness(const std::string &kind, double slowness, bool onTarget);
 
     std::optional<std::uint64_t> m_orderedAt; ///< tells orders apart; nothing: there is none
     /// One for each route, and one for all: a version may be bad for one route only.
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -56,7 +56,7 @@
             && slowness > slowFactor * mean->second.value;
 }
 
-bool version_evaluator::learnSlowness(const std::string &kind, double slowness, bool onTarget)
+bool version_evaluator::updateSlowness(const std::string &kind, double slowness, bool onTarget)
 {
     const bool slow = isSlow(kind, slowness);
     if (onTarget)
@@ -122,10 +122,10 @@
         seen.failed = 1;
     } else {
         const std::string kind = kindOf(route, model);
-        const bool slowStart = learnSlowness(kind, slownessOf(*timing), onTarget);
+        const bool slowStart = updateSlowness(kind, slownessOf(*timing), onTarget);
         const bool slowEvents = timing->pause
-                && learnSlowness(kind + "/pause", *timing->pause / duration(minExpectedWait),
-                                 onTarget);
+                && updateSlowness(kind + "/pause", *timing->pause / duration(minExpectedWait),
+                                  onTarget);
         if (timing->countedSlow)
             return;
         ++(slowStart || slowEvents ? seen.slow : seen.good);
