--- a/include/laurelcroft/Proxy/EntryAnnouncement.h
+++ b/include/laurelcroft/Proxy/EntryAnnouncement.h
@@ -20,7 +20,7 @@
 struct entry_announcement
 {
     std::string entry;
-    entry_place place; ///< without times
+    entry_info place; ///< without times
     milliseconds wallTime{0}; ///< its time of day
 };
 
--- a/include/laurelcroft/Proxy/RolloutRows.h
+++ b/include/laurelcroft/Proxy/RolloutRows.h
@@ -64,7 +64,7 @@
 std::optional<evidence_place> evidenceOfKey(std::string_view key);
 
 /// Where an entry is.
-struct entry_place
+struct entry_info
 {
     std::string address; ///< "host:port" where other entries may read its rows; empty: nowhere
     std::string dataCentre;
@@ -73,11 +73,11 @@
     /// The instance's time of day, less the store's clock, when the row was written.
     std::optional<milliseconds> wallAhead = std::nullopt;
 };
-using entry_map = std::map<std::string, entry_place>; ///< by name
+using entry_map = std::map<std::string, entry_info>; ///< by name
 
-std::string encodeEntry(const entry_place &place);
+std::string encodeEntry(const entry_info &place);
 /// \returns an empty place for a row that can't be read: it is an entry all the same.
-entry_place decodeEntry(const std::string &value);
+entry_info decodeEntry(const std::string &value);
 
 std::string encodeRollout(const rollout_row &row);
 outcome<rollout_row, std::string> decodeRollout(const std::string &value);
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -59,7 +59,7 @@
 struct entry_links
 {
     std::string entry; ///< name of this entry
-    entry_place place; ///< where other entries may read this one's rows
+    entry_info place; ///< where other entries may read this one's rows
     row_relay relay; ///< asks other entries
     row_timings timings{milliseconds(2000)};
     /// The whole system starts for the first time: there are no callers yet who wait for an entry.
@@ -183,7 +183,7 @@
     /// \returns true while others, who give rows to this entry, have the time to write its row.
     bool isListedByOthers();
     /// \returns the row that lists \p entry from now on. \param wallTime its time of day.
-    row_write entryRow(const std::string &entry, entry_place place, milliseconds wallTime);
+    row_write entryRow(const std::string &entry, entry_info place, milliseconds wallTime);
     void announce();
     void writeAnnounced();
     void dropGone(const listed_entry &entry);
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -369,7 +369,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-row_write store_sync<Store, Runtime>::entryRow(const std::string &entry, entry_place place,
+row_write store_sync<Store, Runtime>::entryRow(const std::string &entry, entry_info place,
                                                milliseconds wallTime)
 {
     place.writtenAt = storeNow();
--- a/lib/Proxy/RolloutRows.cpp
+++ b/lib/Proxy/RolloutRows.cpp
@@ -74,7 +74,7 @@
     return afterPrefix(key, entryPrefix);
 }
 
-std::string laurelcroft::encodeEntry(const entry_place &place)
+std::string laurelcroft::encodeEntry(const entry_info &place)
 {
     nlohmann::json json{{"address", place.address},
                         {"data_centre", place.dataCentre},
@@ -85,15 +85,15 @@
     return json.dump();
 }
 
-entry_place laurelcroft::decodeEntry(const std::string &value)
+entry_info laurelcroft::decodeEntry(const std::string &value)
 {
     const nlohmann::json json = nlohmann::json::parse(value, nullptr, false);
     if (!json.is_object())
         return {};
     try {
-        entry_place place{json.value("address", ""), json.value("data_centre", ""),
-                          milliseconds(json.value("written_ms", std::int64_t(0))),
-                          json.value("processor_share", 0.0), std::nullopt};
+        entry_info place{json.value("address", ""), json.value("data_centre", ""),
+                         milliseconds(json.value("written_ms", std::int64_t(0))),
+                         json.value("processor_share", 0.0), std::nullopt};
         if (json.contains("wall_ahead_ms"))
             place.wallAhead = milliseconds(json.at("wall_ahead_ms").get<std::int64_t>());
         return place;
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -43,7 +43,7 @@
 
 TEST_CASE("an entry's place survives the way to the store and back; other rows are nowhere")
 {
-    const entry_place back = decodeEntry(encodeEntry({"10.0.0.1:5", "hall", milliseconds(7)}));
+    const entry_info back = decodeEntry(encodeEntry({"10.0.0.1:5", "hall", milliseconds(7)}));
     CHECK(back.address == "10.0.0.1:5");
     CHECK(back.dataCentre == "hall");
     CHECK(back.writtenAt == milliseconds(7));
--- a/unittests/Proxy/FleetStartTests.cpp
+++ b/unittests/Proxy/FleetStartTests.cpp
@@ -55,7 +55,7 @@
     CHECK(fleet.calls() <= 50);
     // All are listed, each with its own place.
     for (fleet_entry &entry : fleet.entries) {
-        const entry_place place
+        const entry_info place
                 = decodeEntry(fleet.store.valueOf(std::string(ownTable), entryKey(entry.name)));
         CHECK(place.address == entry.address);
         CHECK(place.wallAhead);
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -31,7 +31,7 @@
     send_notices notices;
 };
 
-entry_place placeOf(const one_entry &entry, const std::string &dataCentre)
+entry_info placeOf(const one_entry &entry, const std::string &dataCentre)
 {
     return {"127.0.0.1:" + std::to_string(entry.notices.port()), dataCentre};
 }
