--- a/include/laurelcroft/Proxy/RolloutRows.h
+++ b/include/laurelcroft/Proxy/RolloutRows.h
@@ -55,13 +55,13 @@
 std::optional<std::string> entryOfKey(std::string_view key);
 
 /// Whose evidence a row holds.
-struct evidence_place
+struct evidence_row_key
 {
     std::string entry;
     std::string service;
 };
 /// \returns the place of an evidence row's key; nothing for other keys.
-std::optional<evidence_place> evidenceOfKey(std::string_view key);
+std::optional<evidence_row_key> evidenceOfKey(std::string_view key);
 
 /// Where an entry is.
 struct entry_info
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -243,7 +243,7 @@
             m_roster.take(*entry, decodeEntry(row.value), row.version);
         return;
     }
-    if (const std::optional<evidence_place> place = evidenceOfKey(row.key)) {
+    if (const std::optional<evidence_row_key> place = evidenceOfKey(row.key)) {
         const auto evidence = decodeEvidence(row.value);
         if (!evidence)
             logWarning(log_part::bundle, "evidence refused",
--- a/lib/Proxy/RolloutRows.cpp
+++ b/lib/Proxy/RolloutRows.cpp
@@ -55,13 +55,13 @@
     return total;
 }
 
-std::optional<evidence_place> laurelcroft::evidenceOfKey(std::string_view key)
+std::optional<evidence_row_key> laurelcroft::evidenceOfKey(std::string_view key)
 {
     const std::optional<std::string> rest = afterPrefix(key, evidencePrefix);
     const std::size_t slash = rest ? rest->find('/') : std::string::npos;
     if (slash == std::string::npos)
         return std::nullopt;
-    return evidence_place{rest->substr(0, slash), rest->substr(slash + 1)};
+    return evidence_row_key{rest->substr(0, slash), rest->substr(slash + 1)};
 }
 
 std::optional<std::string> laurelcroft::serviceOfKey(std::string_view key)
