--- a/include/laurelcroft/Proxy/RolloutRows.h
+++ b/include/laurelcroft/Proxy/RolloutRows.h
@@ -71,7 +71,7 @@
     milliseconds writtenAt{0}; ///< on the store's clock
     double processorShare = 0; ///< of a core, that the instance gives; 0: not told
     /// The instance's time of day, less the store's clock, when the row was written.
-    std::optional<milliseconds> wallAhead = std::nullopt;
+    std::optional<milliseconds> wallClockOffset = std::nullopt;
 };
 using entry_map = std::map<std::string, entry_info>; ///< by name
 
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -373,7 +373,7 @@
                                                milliseconds wallTime)
 {
     place.writtenAt = storeNow();
-    place.wallAhead = wallTime - place.writtenAt;
+    place.wallClockOffset = wallTime - place.writtenAt;
     return {std::string(ownTable), entryKey(entry), encodeEntry(place), std::nullopt};
 }
 
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -49,8 +49,8 @@
 {
     std::vector<milliseconds> told;
     for (const auto &[name, place] : m_entries) {
-        if (place.wallAhead)
-            told.push_back(*place.wallAhead);
+        if (place.wallClockOffset)
+            told.push_back(*place.wallClockOffset);
     }
     if (told.empty())
         return std::nullopt;
--- a/lib/Proxy/RolloutRows.cpp
+++ b/lib/Proxy/RolloutRows.cpp
@@ -80,8 +80,8 @@
                         {"data_centre", place.dataCentre},
                         {"written_ms", place.writtenAt.count()},
                         {"processor_share", place.processorShare}};
-    if (place.wallAhead)
-        json["wall_ahead_ms"] = place.wallAhead->count();
+    if (place.wallClockOffset)
+        json["wall_ahead_ms"] = place.wallClockOffset->count();
     return json.dump();
 }
 
@@ -95,7 +95,7 @@
                          milliseconds(json.value("written_ms", std::int64_t(0))),
                          json.value("processor_share", 0.0), std::nullopt};
         if (json.contains("wall_ahead_ms"))
-            place.wallAhead = milliseconds(json.at("wall_ahead_ms").get<std::int64_t>());
+            place.wallClockOffset = milliseconds(json.at("wall_ahead_ms").get<std::int64_t>());
         return place;
     } catch (const nlohmann::json::exception &) {
         return {}; // a field of another type: as a row that can't be read
--- a/unittests/Proxy/FleetStartTests.cpp
+++ b/unittests/Proxy/FleetStartTests.cpp
@@ -58,7 +58,7 @@
         const entry_info place
                 = decodeEntry(fleet.store.valueOf(std::string(ownTable), entryKey(entry.name)));
         CHECK(place.address == entry.address);
-        CHECK(place.wallAhead);
+        CHECK(place.wallClockOffset);
         CHECK(entry.routing.entries() == entriesOfFleet);
     }
 }
