--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -245,7 +245,7 @@
         time_point at{};
     };
     std::map<std::string, heard_announcement> m_announced; ///< by entries that are not listed yet
-    std::optional<milliseconds> m_wallAhead; ///< as the roster says
+    std::optional<milliseconds> m_wallClockOffset; ///< as the roster says
     bool m_isGathering = false;
     time_point m_toldAt{};
     time_point m_nextWriteAt{};
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -121,8 +121,8 @@
 {
     if (!m_clock.isKnown() || !m_ownTableRead)
         return std::nullopt;
-    if (m_wallAhead)
-        return storeNow() + *m_wallAhead;
+    if (m_wallClockOffset)
+        return storeNow() + *m_wallClockOffset;
     return milliseconds(wallMilliseconds());
 }
 
@@ -222,7 +222,7 @@
     });
     if (!news.whole && !tellsOfEntries)
         return;
-    m_wallAhead = m_roster.wallAhead();
+    m_wallClockOffset = m_roster.wallAhead();
     std::vector<std::string> names;
     std::map<std::string, std::string> dataCentres;
     for (const auto &[name, place] : m_roster.entries()) {
