--- a/include/laurelcroft/Proxy/RolloutRows.h
+++ b/include/laurelcroft/Proxy/RolloutRows.h
@@ -35,7 +35,8 @@
 {
     std::uint64_t orderedAt = 0; ///< as in the order
     std::map<std::string, version_answers> byRoute;
-    std::uint64_t life = 0; ///< random for each process, which counts from nothing; 0: not told
+    std::uint64_t incarnation
+            = 0; ///< random for each process, which counts from nothing; 0: not told
     bool operator==(const rollout_evidence &) const = default;
 
     std::uint64_t bad() const;
--- a/include/laurelcroft/Proxy/VersionEvaluator.h
+++ b/include/laurelcroft/Proxy/VersionEvaluator.h
@@ -138,8 +138,8 @@
     rollout_evidence m_own;
     bool m_usesPeerEvidence = true;
     std::map<std::string, rollout_evidence>
-            m_addedEvidence; ///< by entry and life, as judged already
-    std::map<std::string, rollout_evidence> m_received; ///< by entry and life, as told last
+            m_addedEvidence; ///< by entry and incarnation, as judged already
+    std::map<std::string, rollout_evidence> m_received; ///< by entry and incarnation, as told last
 };
 
 } // namespace laurelcroft
--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -1,7 +1,7 @@
 //===-- EvidenceNotice.cpp - evidence by datagram ---------------------------===//
 //
-// A MessagePack array: entry, service, order, life, and name and three counts of each route. All
-// counts are from the beginning, so that a notice that is lost or late does no harm.
+// A MessagePack array: entry, service, order, incarnation, and name and three counts of each route.
+// All counts are from the beginning, so that a notice that is lost or late does no harm.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EvidenceNotice.h"
@@ -31,7 +31,7 @@
     if (routes.size() > evidence_notice::mostRoutes)
         routes.resize(evidence_notice::mostRoutes);
     json item = json::array(
-            {notice.entry, notice.service, notice.evidence.orderedAt, notice.evidence.life});
+            {notice.entry, notice.service, notice.evidence.orderedAt, notice.evidence.incarnation});
     for (const auto &[route, seen] : routes) {
         item.push_back(route);
         item.push_back(seen.good);
@@ -71,7 +71,7 @@
     notice.entry = item[0].get<std::string>();
     notice.service = item[1].get<std::string>();
     notice.evidence.orderedAt = item[2].get<std::uint64_t>();
-    notice.evidence.life = item[3].get<std::uint64_t>();
+    notice.evidence.incarnation = item[3].get<std::uint64_t>();
     for (std::size_t i = fieldsBeforeRoutes; i < item.size(); i += fieldsOfRoute) {
         notice.evidence.byRoute[item[i].get<std::string>()]
                 = {item[i + 1].get<std::uint64_t>(), item[i + 2].get<std::uint64_t>(),
--- a/lib/Proxy/RolloutRows.cpp
+++ b/lib/Proxy/RolloutRows.cpp
@@ -142,7 +142,7 @@
     for (const auto &[route, seen] : evidence.byRoute)
         routes[route] = {{"good", seen.good}, {"failed", seen.failed}, {"slow", seen.slow}};
     return nlohmann::json{
-            {"ordered_at", evidence.orderedAt}, {"routes", routes}, {"life", evidence.life}}
+            {"ordered_at", evidence.orderedAt}, {"routes", routes}, {"life", evidence.incarnation}}
             .dump();
 }
 
@@ -152,7 +152,7 @@
         const nlohmann::json json = nlohmann::json::parse(value);
         rollout_evidence evidence;
         evidence.orderedAt = json.at("ordered_at").get<std::uint64_t>();
-        evidence.life = json.value("life", std::uint64_t(0));
+        evidence.incarnation = json.value("life", std::uint64_t(0));
         for (const auto &[route, seen] : json.at("routes").items()) {
             evidence.byRoute[route]
                     = {seen.at("good").get<std::uint64_t>(), seen.at("failed").get<std::uint64_t>(),
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -168,7 +168,7 @@
 {
     const bool isLess
             = seen.good < before.good || seen.failed < before.failed || seen.slow < before.slow;
-    // An entry that was restarted counts from 0 again; the same life's lower counts are old.
+    // An entry that was restarted counts from 0 again; the same incarnation's lower counts are old.
     if (isLess)
         return sameLife ? version_answers() : seen;
     return {seen.good - before.good, seen.failed - before.failed, seen.slow - before.slow};
@@ -176,10 +176,10 @@
 
 void version_evaluator::takeEvidence(const std::string &entry, const rollout_evidence &evidence)
 {
-    const std::string source = entry + "#" + std::to_string(evidence.life);
+    const std::string source = entry + "#" + std::to_string(evidence.incarnation);
     rollout_evidence &last = m_received[source];
     // A row may come later than a datagram that says more.
-    const bool isOld = evidence.life != 0 && evidence.orderedAt == last.orderedAt
+    const bool isOld = evidence.incarnation != 0 && evidence.orderedAt == last.orderedAt
             && evidence.all() < last.all();
     if (!isOld)
         last = evidence;
@@ -209,7 +209,7 @@
     rollout_evidence &known = m_addedEvidence[source];
     for (const auto &[route, seen] : evidence.byRoute) {
         version_answers &before = known.byRoute[route];
-        const version_answers news = newerThan(before, seen, evidence.life != 0);
+        const version_answers news = newerThan(before, seen, evidence.incarnation != 0);
         if (news.all() == 0)
             continue;
         addAnswers(route, true, {news.good, news.failed, std::min<std::uint64_t>(news.slow, 1)});
