--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -27,7 +27,7 @@
     , m_codec(std::move(codec))
     , m_links(std::move(links))
     , m_roster(m_links.entry)
-    , m_life(m_state.random().bits())
+    , m_incarnation(m_state.random().bits())
 {
 }
 
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -27,7 +27,7 @@
     logInfo(log_part::bundle, "evidence told",
             {{"service", service}, {"bad", std::int64_t(own.bad())}});
     rollout_evidence signedOwn = own;
-    signedOwn.incarnation = m_life;
+    signedOwn.incarnation = m_incarnation;
     const row_write row{std::string(ownTable), evidenceKey(m_links.entry, service),
                         encodeEvidence(signedOwn), std::nullopt};
     m_store.write({row}, [this, service](outcome<conditional_write, row_failure> result) {
@@ -67,7 +67,7 @@
     if (!m_links.tellReaders || own.byRoute.empty() || m_toldReaders[service] == own)
         return;
     evidence_notice notice{m_links.entry, service, own};
-    notice.evidence.incarnation = m_life;
+    notice.evidence.incarnation = m_incarnation;
     if (m_links.tellReaders(notice))
         m_toldReaders[service] = own;
 }
