--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -13,7 +13,7 @@
 
 /// Under this name evidence counts that this entry wrote before it was restarted; no entry has
 /// an empty name.
-inline constexpr std::string_view earlierLife;
+inline constexpr std::string_view earlierIncarnation;
 
 template <row_store_like Store, runtime_like Runtime>
 store_sync<Store, Runtime>::store_sync(Store &store, Runtime &runtime, routing_state &state,
@@ -255,7 +255,7 @@
         else if (m_told.count(place->service) == 0)
             m_state.rollouts(place->service)
                     .evaluator()
-                    .takeEvidence(std::string(earlierLife), evidence.value());
+                    .takeEvidence(std::string(earlierIncarnation), evidence.value());
         return;
     }
     if (const std::optional<request_key> key = withheldOfKey(row.key)) {
