--- a/include/laurelcroft/Proxy/RolloutRows.h
+++ b/include/laurelcroft/Proxy/RolloutRows.h
@@ -44,7 +44,7 @@
 };
 
 /// The table of laurelcroft's own rows.
-inline constexpr std::string_view ownTable = "laurelcroft";
+inline constexpr std::string_view internalTable = "laurelcroft";
 
 std::string rolloutKey(std::string_view service);
 std::string entryKey(std::string_view entry);
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -63,8 +63,8 @@
     const auto known = m_findingRows.find(key);
     const std::uint64_t expected = known == m_findingRows.end() ? 0 : known->second.version;
     m_writing = true;
-    const row_write row{std::string(ownTable), withheldKey(key), encodeWithheldRow(finding->row),
-                        expected};
+    const row_write row{std::string(internalTable), withheldKey(key),
+                        encodeWithheldRow(finding->row), expected};
     m_store.write({row}, [this, key](outcome<conditional_write, row_failure> result) {
         m_writing = false;
         if (!result)
@@ -94,11 +94,12 @@
     if (old == m_findingRows.end() || !m_state.random().chance(chance))
         return;
     m_nextAnnounceAt = m_runtime.now() + announcePause;
-    m_store.write({{std::string(ownTable), withheldKey(old->first), "", old->second.version, true}},
-                  [key = old->first](outcome<conditional_write, row_failure> result) {
-                      logInfo(log_part::routing, "row of a finding removed",
-                              {{"request_key", textOf(key)}, {"result", textOf(result)}});
-                  });
+    m_store.write(
+            {{std::string(internalTable), withheldKey(old->first), "", old->second.version, true}},
+            [key = old->first](outcome<conditional_write, row_failure> result) {
+                logInfo(log_part::routing, "row of a finding removed",
+                        {{"request_key", textOf(key)}, {"result", textOf(result)}});
+            });
 }
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -34,7 +34,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::start()
 {
-    const std::string own(ownTable);
+    const std::string own(internalTable);
     m_followers[m_codec.endpointTable]
             = follow(m_codec.endpointTable, endpointPace(), &store_sync::applyEndpoints);
     m_followers[m_codec.operatorTable]
@@ -374,7 +374,7 @@
 {
     place.writtenAt = storeNow();
     place.wallClockOffset = wallTime - place.writtenAt;
-    return {std::string(ownTable), entryKey(entry), encodeEntry(place), std::nullopt};
+    return {std::string(internalTable), entryKey(entry), encodeEntry(place), std::nullopt};
 }
 
 template <row_store_like Store, runtime_like Runtime>
@@ -394,7 +394,7 @@
 void store_sync<Store, Runtime>::dropGone(const listed_entry &entry)
 {
     m_nextAnnounceAt = m_runtime.now() + announcePause;
-    const std::string own(ownTable);
+    const std::string own(internalTable);
     std::vector<row_write> removals{{own, entryKey(entry.name), "", entry.version, true}};
     for (const auto &[service, tracker] : m_state.allRollouts())
         removals.push_back({own, evidenceKey(entry.name, service), "", std::nullopt, true});
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -28,7 +28,7 @@
             {{"service", service}, {"bad", std::int64_t(own.bad())}});
     rollout_evidence signedOwn = own;
     signedOwn.incarnation = m_incarnation;
-    const row_write row{std::string(ownTable), evidenceKey(m_links.entry, service),
+    const row_write row{std::string(internalTable), evidenceKey(m_links.entry, service),
                         encodeEvidence(signedOwn), std::nullopt};
     m_store.write({row}, [this, service](outcome<conditional_write, row_failure> result) {
         m_writing = false;
@@ -45,7 +45,7 @@
 template <row_store_like Store, runtime_like Runtime>
 bool store_sync<Store, Runtime>::othersKnown()
 {
-    const follower &own = *m_followers.at(std::string(ownTable));
+    const follower &own = *m_followers.at(std::string(internalTable));
     const time_point now = m_runtime.now();
     if (now - own.relayedAt() < evidenceGrace)
         return false;
@@ -139,7 +139,7 @@
              {"answers", std::int64_t(doubt.all)},
              {"evidence_percent", std::lround(doubt.evidence * 100)},
              {"deviations_percent", std::lround(doubt.deviations * 100)}});
-    const row_write own{std::string(ownTable), rolloutKey(service), encodeRollout(row),
+    const row_write own{std::string(internalTable), rolloutKey(service), encodeRollout(row),
                         m_rowVersions[service]};
     const std::vector<row_write> writes{own, m_codec.encodeStatus(order, row.stage)};
     m_store.write(writes, [this, service, row](outcome<conditional_write, row_failure> result) {
@@ -159,7 +159,7 @@
             return;
         // Somebody else was first: the next step goes on from that row.
         for (const table_entry &entry : result.value().current) {
-            if (entry.table == ownTable)
+            if (entry.table == internalTable)
                 takeOwnRow(entry.row);
         }
     });
--- a/unittests/Proxy/FleetStartTests.cpp
+++ b/unittests/Proxy/FleetStartTests.cpp
@@ -55,8 +55,8 @@
     CHECK(fleet.calls() <= 50);
     // All are listed, each with its own place.
     for (fleet_entry &entry : fleet.entries) {
-        const entry_info place
-                = decodeEntry(fleet.store.valueOf(std::string(ownTable), entryKey(entry.name)));
+        const entry_info place = decodeEntry(
+                fleet.store.valueOf(std::string(internalTable), entryKey(entry.name)));
         CHECK(place.address == entry.address);
         CHECK(place.wallClockOffset);
         CHECK(entry.routing.entries() == entriesOfFleet);
@@ -74,9 +74,10 @@
         entry.store.isTurnedAway = true;
     fleet.start(firstPeers, firstPeers + 1);
     fleet.runtime.advance(seconds(1));
-    CHECK(fleet.store.valueOf(std::string(ownTable), entryKey(fleet.entries.back().name)).empty());
+    CHECK(fleet.store.valueOf(std::string(internalTable), entryKey(fleet.entries.back().name))
+                  .empty());
     fleet.runtime.advance(seconds(3));
-    CHECK_FALSE(fleet.store.valueOf(std::string(ownTable), entryKey(fleet.entries.back().name))
+    CHECK_FALSE(fleet.store.valueOf(std::string(internalTable), entryKey(fleet.entries.back().name))
                         .empty());
 }
 
