--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -77,7 +77,7 @@
 {
 public:
     /// Least time between two calls for what operators and entries write.
-    static constexpr milliseconds operatorPause{20};
+    static constexpr milliseconds operatorReadInterval{20};
     static constexpr milliseconds ownPause{300};
     /// The own rows are few and tell which entries read the others: they are read after this
     /// time when no first peer answers. When all entries are restarted together the first peers
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -37,8 +37,8 @@
     const std::string own(internalTable);
     m_followers[m_codec.endpointTable]
             = follow(m_codec.endpointTable, endpointPace(), &store_sync::applyEndpoints);
-    m_followers[m_codec.operatorTable]
-            = follow(m_codec.operatorTable, heldPace(operatorPause), &store_sync::applyOperator);
+    m_followers[m_codec.operatorTable] = follow(
+            m_codec.operatorTable, heldPace(operatorReadInterval), &store_sync::applyOperator);
     follow_pace ownPace = heldPace(ownPause);
     ownPace.firstWait = m_links.isFirstStart ? ownFirstWaitAtFirstStart : ownFirstWait;
     m_followers[own] = follow(own, ownPace, &store_sync::applyOwn);
