--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -78,7 +78,7 @@
 public:
     /// Least time between two calls for what operators and entries write.
     static constexpr milliseconds operatorReadInterval{20};
-    static constexpr milliseconds ownPause{300};
+    static constexpr milliseconds internalReadInterval{300};
     /// The own rows are few and tell which entries read the others: they are read after this
     /// time when no first peer answers. When all entries are restarted together the first peers
     /// may come last: 400 ms later, 237 callers of 103 entries were refused in that time.
--- a/unittests/Proxy/RowTimingsTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -17,7 +17,7 @@
         CAPTURE(ms);
         const milliseconds bound(ms);
         const row_timings paces(bound);
-        CHECK(paces.maxStoreHold + sync::ownPause < paces.maxRowAge);
+        CHECK(paces.maxStoreHold + sync::internalReadInterval < paces.maxRowAge);
         CHECK(paces.endpointReadInterval < paces.maxRowAge);
         CHECK(paces.maxEntryHold < paces.maxRowAge);
         // What is left is for a call that gets no answer from one silent entry.
