--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -82,7 +82,7 @@
     /// The own rows are few and tell which entries read the others: they are read after this
     /// time when no first peer answers. When all entries are restarted together the first peers
     /// may come last: 400 ms later, 237 callers of 103 entries were refused in that time.
-    static constexpr milliseconds ownFirstWait{60};
+    static constexpr milliseconds internalFirstWait{60};
     /// The same at the first start of the whole system: first peers have what all need by then, and
     /// a call of each entry to the store is saved.
     static constexpr milliseconds ownFirstWaitAtFirstStart{1000};
