--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -85,7 +85,7 @@
     static constexpr milliseconds internalFirstWait{60};
     /// The same at the first start of the whole system: first peers have what all need by then, and
     /// a call of each entry to the store is saved.
-    static constexpr milliseconds ownFirstWaitAtFirstStart{1000};
+    static constexpr milliseconds internalFirstWaitAtFirstStart{1000};
     /// How often roll-outs are looked at; each entry takes a due step with this chance, so
     /// that seldom two write at once.
     static constexpr milliseconds stepEvery{200};
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -40,7 +40,7 @@
     m_followers[m_codec.operatorTable] = follow(
             m_codec.operatorTable, heldPace(operatorReadInterval), &store_sync::applyOperator);
     follow_pace ownPace = heldPace(internalReadInterval);
-    ownPace.firstWait = m_links.isFirstStart ? ownFirstWaitAtFirstStart : internalFirstWait;
+    ownPace.firstWait = m_links.isFirstStart ? internalFirstWaitAtFirstStart : internalFirstWait;
     m_followers[own] = follow(own, ownPace, &store_sync::applyOwn);
     for (const auto &[table, item] : m_followers)
         item->start();
