--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -88,7 +88,7 @@
     static constexpr milliseconds internalFirstWaitAtFirstStart{1000};
     /// How often roll-outs are looked at; each entry takes a due step with this chance, so
     /// that seldom two write at once.
-    static constexpr milliseconds stepEvery{200};
+    static constexpr milliseconds stepInterval{200};
     static constexpr double stepChance = 0.5;
     /// Entries that write at the same look, on average, where there are many. Of the first steps
     /// of a roll-out one counts, the others are calls for nothing, 50 of them at 103 entries. Rows
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -93,7 +93,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::step()
 {
-    m_runtime.after(stepEvery, [this] { step(); });
+    m_runtime.after(stepInterval, [this] { step(); });
     keepListed();
     logHeldEndpoints();
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
