--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -94,7 +94,7 @@
     /// of a roll-out one counts, the others are calls for nothing, 50 of them at 103 entries. Rows
     /// of evidence are for readers that no datagram reaches: 78 of them came in the two seconds in
     /// which all sessions had gone over to a good version.
-    static constexpr double writersAtOnce = 4;
+    static constexpr double meanConcurrentWriters = 4;
     /// From one write of an entry's row to the next: the time in which it comes back by the feed,
     /// or a call that hangs has ended.
     static constexpr milliseconds announcePause{2500};
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -76,7 +76,7 @@
 bool store_sync<Store, Runtime>::isAmongFew()
 {
     const double entries = static_cast<double>(std::max<std::size_t>(1, m_state.entries()));
-    return m_state.random().chance(std::min(1.0, writersAtOnce / entries));
+    return m_state.random().chance(std::min(1.0, meanConcurrentWriters / entries));
 }
 
 template <row_store_like Store, runtime_like Runtime>
