--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -97,7 +97,7 @@
     static constexpr double meanConcurrentWriters = 4;
     /// From one write of an entry's row to the next: the time in which it comes back by the feed,
     /// or a call that hangs has ended.
-    static constexpr milliseconds announcePause{2500};
+    static constexpr milliseconds ownRowWriteInterval{2500};
     /// How long an entry that others give rows to waits for one of them to write its row, and how
     /// long such a one gathers rows before it writes them.
     static constexpr milliseconds listedByOthers{1200};
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -381,7 +381,7 @@
 void store_sync<Store, Runtime>::announce()
 {
     // The own row comes back by the feed; until then it is not written again.
-    m_nextAnnounceAt = m_runtime.now() + announcePause;
+    m_nextAnnounceAt = m_runtime.now() + ownRowWriteInterval;
     const row_write row = entryRow(m_links.entry, m_links.place, milliseconds(wallMilliseconds()));
     m_store.write({row}, [](outcome<conditional_write, row_failure> result) {
         if (!result)
@@ -393,7 +393,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::dropGone(const listed_entry &entry)
 {
-    m_nextAnnounceAt = m_runtime.now() + announcePause;
+    m_nextAnnounceAt = m_runtime.now() + ownRowWriteInterval;
     const std::string own(internalTable);
     std::vector<row_write> removals{{own, entryKey(entry.name), "", entry.version, true}};
     for (const auto &[service, tracker] : m_state.allRollouts())
