--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -312,7 +312,7 @@
         return false;
     if (!m_unlistedSince)
         m_unlistedSince = m_runtime.now();
-    return m_runtime.now() - *m_unlistedSince < listedByOthers;
+    return m_runtime.now() - *m_unlistedSince < listedByOthersTimeout;
 }
 
 template <row_store_like Store, runtime_like Runtime>
