--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -101,7 +101,7 @@
     /// How long an entry that others give rows to waits for one of them to write its row, and how
     /// long such a one gathers rows before it writes them.
     static constexpr milliseconds listedByOthersTimeout{1200};
-    static constexpr milliseconds announcementsGather{150};
+    static constexpr milliseconds announcementBatchDelay{150};
     /// From one announcement to the next: a row comes back by then.
     static constexpr milliseconds announcedEvery{700};
     /// Rows of one write: the store takes a hundred entries of a transaction.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -333,7 +333,7 @@
     m_announced[announcement.entry] = {announcement, m_runtime.now()};
     if (std::exchange(m_isGathering, true))
         return;
-    m_runtime.after(announcementsGather, [this] {
+    m_runtime.after(announcementBatchDelay, [this] {
         m_isGathering = false;
         writeAnnounced();
     });
