--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -103,7 +103,7 @@
     static constexpr milliseconds listedByOthersTimeout{1200};
     static constexpr milliseconds announcementBatchDelay{150};
     /// From one announcement to the next: a row comes back by then.
-    static constexpr milliseconds announcedEvery{700};
+    static constexpr milliseconds announcementInterval{700};
     /// Rows of one write: the store takes a hundred entries of a transaction.
     static constexpr std::size_t mostAnnounced = 90;
     /// After a write that the store did not take.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -321,7 +321,7 @@
     const bool isListed = m_ownTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
     if (isListed || m_runtime.now() < m_nextAnnouncementAt)
         return std::nullopt;
-    m_nextAnnouncementAt = m_runtime.now() + announcedEvery;
+    m_nextAnnouncementAt = m_runtime.now() + announcementInterval;
     return entry_announcement{m_links.entry, m_links.place, milliseconds(wallMilliseconds())};
 }
 
