--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -105,7 +105,7 @@
     /// From one announcement to the next: a row comes back by then.
     static constexpr milliseconds announcementInterval{700};
     /// Rows of one write: the store takes a hundred entries of a transaction.
-    static constexpr std::size_t mostAnnounced = 90;
+    static constexpr std::size_t maxAnnouncedRows = 90;
     /// After a write that the store did not take.
     static constexpr milliseconds writeRetry{1000};
     /// An endpoint that is cold for this much longer than was known has turned cold again; less is
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -361,7 +361,7 @@
             continue;
         const auto waited = std::chrono::duration_cast<milliseconds>(m_runtime.now() - item.at);
         rows.push_back(entryRow(name, item.what.place, item.what.wallTime + waited));
-        if (rows.size() == mostAnnounced)
+        if (rows.size() == maxAnnouncedRows)
             write();
     }
     if (!rows.empty())
