--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -110,7 +110,7 @@
     static constexpr milliseconds writeRetry{1000};
     /// An endpoint that is cold for this much longer than was known has turned cold again; less is
     /// the way of its row.
-    static constexpr milliseconds coldDifference{500};
+    static constexpr milliseconds coldChangeThreshold{500};
     /// Lines a second that tell of single endpoints. Each entry hears of each endpoint: when all
     /// start, or many are replaced, the lines of a fleet would be as many as entries times
     /// endpoints.
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -203,7 +203,8 @@
 bool store_sync<Store, Runtime>::isOtherwiseCold(const endpoint_record &record,
                                                  const service_endpoint &known)
 {
-    const bool isColder = m_runtime.now() + record.coldLeft > known.coldUntil() + coldDifference
+    const bool isColder
+            = m_runtime.now() + record.coldLeft > known.coldUntil() + coldChangeThreshold
             && record.coldLeft.count() > 0;
     // Told as well, so that an entry that starts later doesn't take an old row's word.
     const bool isWarm = record.coldLeft.count() == 0 && known.record().coldLeft.count() > 0;
