--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -114,7 +114,7 @@
     /// Lines a second that tell of single endpoints. Each entry hears of each endpoint: when all
     /// start, or many are replaced, the lines of a fleet would be as many as entries times
     /// endpoints.
-    static constexpr double endpointLines = 20;
+    static constexpr double maxEndpointLinesPerSecond = 20;
     /// Refused records of endpoints whose faults are remembered, so that each is logged once.
     static constexpr std::size_t mostRefused = 1000;
     /// Least time between two rows of evidence; it is written only when it tells of more bad
@@ -233,7 +233,7 @@
     time_point m_nextNoticeAt{};
     bool m_ownTableRead = false;
     bool m_endpointsRead = false;
-    log_limiter m_endpointLines{endpointLines};
+    log_limiter m_endpointLines{maxEndpointLinesPerSecond};
     time_point m_nextHeldLineAt{};
     bool m_writing = false;
     time_point m_nextAnnounceAt{};
