--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -116,7 +116,7 @@
     /// endpoints.
     static constexpr double maxEndpointLinesPerSecond = 20;
     /// Refused records of endpoints whose faults are remembered, so that each is logged once.
-    static constexpr std::size_t mostRefused = 1000;
+    static constexpr std::size_t maxRefusedRecords = 1000;
     /// Least time between two rows of evidence; it is written only when it tells of more bad
     /// answers.
     static constexpr milliseconds evidencePause{500};
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -128,7 +128,7 @@
     const bool isKnown = m_refused.count(row.key) != 0 && m_refused.at(row.key) == record.error();
     if (isKnown)
         return std::nullopt;
-    if (m_refused.size() >= mostRefused)
+    if (m_refused.size() >= maxRefusedRecords)
         m_refused.clear();
     m_refused[row.key] = record.error();
     m_metrics.add("endpoint_records_refused_total");
