--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -119,7 +119,7 @@
     static constexpr std::size_t maxRefusedRecords = 1000;
     /// Least time between two rows of evidence; it is written only when it tells of more bad
     /// answers.
-    static constexpr milliseconds evidencePause{500};
+    static constexpr milliseconds evidenceRowInterval{500};
     /// The same between two datagrams of evidence, which are told for good answers as well.
     static constexpr milliseconds evidenceNoticePause{500};
 
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -19,7 +19,7 @@
     const rollout_evidence &told = m_told[service];
     const bool sameOrder = told.orderedAt == own.orderedAt;
     const bool news = own.bad() > (sameOrder ? told.bad() : 0);
-    if (!news || m_runtime.now() - m_toldAt < evidencePause || !isAmongFew())
+    if (!news || m_runtime.now() - m_toldAt < evidenceRowInterval || !isAmongFew())
         return false;
     m_writing = true;
     m_toldAt = m_runtime.now();
