--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -121,7 +121,7 @@
     /// answers.
     static constexpr milliseconds evidenceRowInterval{500};
     /// The same between two datagrams of evidence, which are told for good answers as well.
-    static constexpr milliseconds evidenceNoticePause{500};
+    static constexpr milliseconds evidenceNoticeInterval{500};
 
     /// A roll-out goes on only where the rows of other entries were read this short a time ago
     /// (a held call and its answer), and without a failure for so long that whoever could not
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -98,7 +98,7 @@
     logHeldEndpoints();
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
     if (isNoticeDue)
-        m_nextNoticeAt = m_runtime.now() + evidenceNoticePause;
+        m_nextNoticeAt = m_runtime.now() + evidenceNoticeInterval;
     const bool knowsOthers = othersKnown();
     for (auto &[service, tracker] : m_state.allRollouts()) {
         tracker.evaluator().setUsesPeerEvidence(knowsOthers);
