--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -126,7 +126,7 @@
     /// A roll-out goes on only where the rows of other entries were read this short a time ago
     /// (a held call and its answer), and without a failure for so long that whoever could not
     /// write meanwhile has done it: a call that hangs, a pause, and a call.
-    static constexpr milliseconds evidenceAge{2500};
+    static constexpr milliseconds maxEvidenceAge{2500};
     static constexpr milliseconds evidenceGrace{2500};
 
     store_sync(Store &store, Runtime &runtime, routing_state &state, row_mirror &mirror,
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -49,7 +49,7 @@
     const time_point now = m_runtime.now();
     if (now - own.relayedAt() < evidenceGrace)
         return false;
-    return now - own.confirmedAt() <= evidenceAge && now - own.steadySince() >= evidenceGrace;
+    return now - own.confirmedAt() <= maxEvidenceAge && now - own.steadySince() >= evidenceGrace;
 }
 
 template <row_store_like Store, runtime_like Runtime>
