--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -127,7 +127,7 @@
     /// (a held call and its answer), and without a failure for so long that whoever could not
     /// write meanwhile has done it: a call that hangs, a pause, and a call.
     static constexpr milliseconds maxEvidenceAge{2500};
-    static constexpr milliseconds evidenceGrace{2500};
+    static constexpr milliseconds evidenceSettleTime{2500};
 
     store_sync(Store &store, Runtime &runtime, routing_state &state, row_mirror &mirror,
                metric_registry &metrics, row_codec codec, entry_links links);
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -47,9 +47,10 @@
 {
     const follower &own = *m_followers.at(std::string(internalTable));
     const time_point now = m_runtime.now();
-    if (now - own.relayedAt() < evidenceGrace)
+    if (now - own.relayedAt() < evidenceSettleTime)
         return false;
-    return now - own.confirmedAt() <= maxEvidenceAge && now - own.steadySince() >= evidenceGrace;
+    return now - own.confirmedAt() <= maxEvidenceAge
+            && now - own.steadySince() >= evidenceSettleTime;
 }
 
 template <row_store_like Store, runtime_like Runtime>
