--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -170,7 +170,7 @@
     /// Says how many lines of endpoints were left out.
     void logHeldEndpoints();
     /// \returns true when an endpoint has turned cold, or is cold no more, and logs it.
-    bool isOtherwiseCold(const endpoint_record &record, const service_endpoint &known);
+    bool hasColdStateChanged(const endpoint_record &record, const service_endpoint &known);
     void applyOwn(row_news &news);
     void takeContract(const store_row &row);
     void takeOrder(const std::string &service, const store_row &row);
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -149,7 +149,7 @@
     // The others have heard of a record that lapsed as removed.
     const bool isBack = m_state.directory().isLapsed(record.id);
     const bool saysMore = isNew || isBack || !record.saysTheSame(known->second->record())
-            || isOtherwiseCold(record, *known->second);
+            || hasColdStateChanged(record, *known->second);
     if (isNew || isRestarted || known->second->record().leaving != record.leaving) {
         logEndpoint(isNew                 ? "endpoint listed"
                             : isRestarted ? "endpoint started again"
@@ -200,8 +200,8 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isOtherwiseCold(const endpoint_record &record,
-                                                 const service_endpoint &known)
+bool store_sync<Store, Runtime>::hasColdStateChanged(const endpoint_record &record,
+                                                     const service_endpoint &known)
 {
     const bool isColder
             = m_runtime.now() + record.coldLeft > known.coldUntil() + coldChangeThreshold
