--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -168,7 +168,7 @@
     bool isNamed(const std::string &service) const;
     void logEndpoint(const char *what, const endpoint_record &record);
     /// Says how many lines of endpoints were left out.
-    void logHeldEndpoints();
+    void logOmittedEndpointLines();
     /// \returns true when an endpoint has turned cold, or is cold no more, and logs it.
     bool hasColdStateChanged(const endpoint_record &record, const service_endpoint &known);
     void applyOwn(row_news &news);
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -176,7 +176,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::logHeldEndpoints()
+void store_sync<Store, Runtime>::logOmittedEndpointLines()
 {
     if (m_runtime.now() < m_nextHeldLineAt)
         return;
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -96,7 +96,7 @@
 {
     m_runtime.after(stepInterval, [this] { step(); });
     keepListed();
-    logHeldEndpoints();
+    logOmittedEndpointLines();
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
     if (isNoticeDue)
         m_nextNoticeAt = m_runtime.now() + evidenceNoticeInterval;
