--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -160,7 +160,7 @@
     void applyEndpoints(row_news &news);
     void applyEndpointTable(row_batch &batch);
     /// \returns removals of the endpoints that are known and not in \p batch.
-    std::vector<store_row> vanishedEndpoints(const row_batch &batch) const;
+    std::vector<store_row> removalsOfMissingEndpoints(const row_batch &batch) const;
     bool takeEndpointRow(const store_row &row);
     std::optional<endpoint_record> endpointIn(const store_row &row);
     bool takeEndpoint(endpoint_record &&record);
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -61,7 +61,7 @@
     // A table that is read again is mostly heartbeats, too: where the store drops its history
     // all the time, other entries would get all rows with each read.
     if (news.whole) {
-        for (store_row &row : vanishedEndpoints(news.batch))
+        for (store_row &row : removalsOfMissingEndpoints(news.batch))
             news.batch.rows.push_back(std::move(row));
         news.whole = false;
     }
@@ -86,7 +86,8 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-std::vector<store_row> store_sync<Store, Runtime>::vanishedEndpoints(const row_batch &batch) const
+std::vector<store_row>
+store_sync<Store, Runtime>::removalsOfMissingEndpoints(const row_batch &batch) const
 {
     std::set<std::string_view> listed;
     for (const store_row &row : batch.rows)
