--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -179,7 +179,7 @@
     void doubtRemovals(row_failure why);
     void noteTime(const row_batch &batch);
     milliseconds storeNow();
-    void keepListed();
+    void maintainEntryRows();
     /// \returns true while others, who give rows to this entry, have the time to write its row.
     bool isListedByOthers();
     /// \returns the row that lists \p entry from now on. \param wallTime its time of day.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -287,7 +287,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::keepListed()
+void store_sync<Store, Runtime>::maintainEntryRows()
 {
     if (!m_clock.isKnown() || !m_ownTableRead || m_runtime.now() < m_nextAnnounceAt)
         return;
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -95,7 +95,7 @@
 void store_sync<Store, Runtime>::step()
 {
     m_runtime.after(stepInterval, [this] { step(); });
-    keepListed();
+    maintainEntryRows();
     logOmittedEndpointLines();
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
     if (isNoticeDue)
