--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -186,7 +186,7 @@
     row_write entryRow(const std::string &entry, entry_info place, milliseconds wallTime);
     void announce();
     void writeAnnounced();
-    void dropGone(const listed_entry &entry);
+    void removeExpiredEntry(const listed_entry &entry);
     /// \returns true when what other entries have found is known up to a moment ago: this entry
     /// reads the store itself, so that the others tell it all.
     bool othersKnown();
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -302,7 +302,7 @@
     // Any entry may do it; the chance keeps most of them from doing it at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
     if (gone && m_state.random().chance(chance))
-        dropGone(*gone);
+        removeExpiredEntry(*gone);
 }
 
 template <row_store_like Store, runtime_like Runtime>
@@ -391,7 +391,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::dropGone(const listed_entry &entry)
+void store_sync<Store, Runtime>::removeExpiredEntry(const listed_entry &entry)
 {
     m_nextAnnounceAt = m_runtime.now() + ownRowWriteInterval;
     const std::string own(internalTable);
