--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -194,7 +194,7 @@
     /// \returns true when this entry writes a step that is due at this look.
     bool mayStepNow(const rollout_row &next, bool knowsOthers);
     /// \returns true for a few entries at a time, by chance.
-    bool isAmongFew();
+    bool isSampledWriter();
     void tellReaders(const std::string &service, const rollout_tracker &tracker);
     void write(const std::string &service, const rollout_order &order, const rollout_row &row);
     bool tellEvidence(const std::string &service, const rollout_tracker &tracker);
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -19,7 +19,7 @@
     const rollout_evidence &told = m_told[service];
     const bool sameOrder = told.orderedAt == own.orderedAt;
     const bool news = own.bad() > (sameOrder ? told.bad() : 0);
-    if (!news || m_runtime.now() - m_toldAt < evidenceRowInterval || !isAmongFew())
+    if (!news || m_runtime.now() - m_toldAt < evidenceRowInterval || !isSampledWriter())
         return false;
     m_writing = true;
     m_toldAt = m_runtime.now();
@@ -74,7 +74,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isAmongFew()
+bool store_sync<Store, Runtime>::isSampledWriter()
 {
     const double entries = static_cast<double>(std::max<std::size_t>(1, m_state.entries()));
     return m_state.random().chance(std::min(1.0, meanConcurrentWriters / entries));
@@ -88,7 +88,7 @@
     if (next.stage == rollout_stage::reverted)
         return true;
     // Those that read the store are few already; most steps are theirs alone.
-    return (knowsOthers || isAmongFew()) && m_state.random().chance(stepChance);
+    return (knowsOthers || isSampledWriter()) && m_state.random().chance(stepChance);
 }
 
 template <row_store_like Store, runtime_like Runtime>
