--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -192,7 +192,7 @@
     bool othersKnown();
     void step();
     /// \returns true when this entry writes a step that is due at this look.
-    bool mayStepNow(const rollout_row &next, bool knowsOthers);
+    bool mayWriteStepNow(const rollout_row &next, bool knowsOthers);
     /// \returns true for a few entries at a time, by chance.
     bool isSampledWriter();
     void tellReaders(const std::string &service, const rollout_tracker &tracker);
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -81,7 +81,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::mayStepNow(const rollout_row &next, bool knowsOthers)
+bool store_sync<Store, Runtime>::mayWriteStepNow(const rollout_row &next, bool knowsOthers)
 {
     // A finding that waits for its turn leaves bad answers to callers: 3 s on average at 32
     // entries.
@@ -117,7 +117,7 @@
                 storeNow(), m_state.directory().usable(service), m_state.entries(), knowsOthers);
         if (!next && tracker.row() && tellEvidence(service, tracker))
             return;
-        if (!next || !mayStepNow(*next, knowsOthers))
+        if (!next || !mayWriteStepNow(*next, knowsOthers))
             continue;
         write(service, *tracker.order(), *next);
         return;
