--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -12,8 +12,8 @@
 namespace laurelcroft {
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::tellEvidence(const std::string &service,
-                                              const rollout_tracker &tracker)
+bool store_sync<Store, Runtime>::writeEvidence(const std::string &service,
+                                               const rollout_tracker &tracker)
 {
     const rollout_evidence &own = tracker.evaluator().ownEvidence();
     const rollout_evidence &told = m_told[service];
@@ -115,7 +115,7 @@
             continue;
         const std::optional<rollout_row> next = tracker.nextRow(
                 storeNow(), m_state.directory().usable(service), m_state.entries(), knowsOthers);
-        if (!next && tracker.row() && tellEvidence(service, tracker))
+        if (!next && tracker.row() && writeEvidence(service, tracker))
             return;
         if (!next || !mayWriteStepNow(*next, knowsOthers))
             continue;
