--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -297,7 +297,7 @@
         return;
     }
     m_unlistedSince.reset();
-    dropOldFinding();
+    removeStaleFinding();
     const std::optional<listed_entry> gone = m_roster.expired(storeNow());
     // Any entry may do it; the chance keeps most of them from doing it at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
