--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -201,7 +201,7 @@
     void takeOwnRow(const store_row &row);
     void takeWithheldRow(request_key key, const store_row &row);
     /// Releases the requests whose rows are not in \p rows any more; a whole table was read.
-    void keepWithheld(const std::vector<store_row> &rows);
+    void retainWithheld(const std::vector<store_row> &rows);
     /// \returns true when the row of a finding on a request is being written.
     bool writeFinding();
     /// \returns true when the row of \p key in \p current tells all that is known here.
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -31,7 +31,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::keepWithheld(const std::vector<store_row> &rows)
+void store_sync<Store, Runtime>::retainWithheld(const std::vector<store_row> &rows)
 {
     std::vector<request_key> listed;
     for (const store_row &row : rows) {
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -213,7 +213,7 @@
     m_ownTableRead = true;
     if (news.whole) {
         m_roster.clear();
-        keepWithheld(rows);
+        retainWithheld(rows);
     }
     for (const store_row &row : rows)
         takeOwnRow(row);
