--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -252,7 +252,7 @@
             m_state.rollouts(place->service)
                     .evaluator()
                     .takeEvidence(place->entry, evidence.value());
-        else if (m_told.count(place->service) == 0)
+        else if (m_writtenEvidence.count(place->service) == 0)
             m_state.rollouts(place->service)
                     .evaluator()
                     .takeEvidence(std::string(earlierIncarnation), evidence.value());
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -16,14 +16,14 @@
                                                const rollout_tracker &tracker)
 {
     const rollout_evidence &own = tracker.evaluator().ownEvidence();
-    const rollout_evidence &told = m_told[service];
+    const rollout_evidence &told = m_writtenEvidence[service];
     const bool sameOrder = told.orderedAt == own.orderedAt;
     const bool news = own.bad() > (sameOrder ? told.bad() : 0);
     if (!news || m_runtime.now() - m_toldAt < evidenceRowInterval || !isSampledWriter())
         return false;
     m_writing = true;
     m_toldAt = m_runtime.now();
-    m_told[service] = own;
+    m_writtenEvidence[service] = own;
     logInfo(log_part::bundle, "evidence told",
             {{"service", service}, {"bad", std::int64_t(own.bad())}});
     rollout_evidence signedOwn = own;
@@ -35,7 +35,7 @@
         if (result)
             return;
         // The next look tells it again.
-        m_told[service] = {};
+        m_writtenEvidence[service] = {};
         logWarning(log_part::platform, "evidence not written",
                    {{"service", service}, {"why", textOf(result.error())}});
     });
