--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -228,7 +228,7 @@
     };
     std::map<request_key, finding_row> m_findingRows;
     std::map<std::string, rollout_evidence> m_writtenEvidence; ///< in a row, by service
-    std::map<std::string, rollout_evidence> m_toldReaders; ///< by datagram, by service
+    std::map<std::string, rollout_evidence> m_sentEvidence; ///< by datagram, by service
     std::uint64_t m_incarnation; ///< tells this process's evidence from an earlier one's
     time_point m_nextNoticeAt{};
     bool m_ownTableRead = false;
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -65,12 +65,12 @@
                                              const rollout_tracker &tracker)
 {
     const rollout_evidence &own = tracker.evaluator().ownEvidence();
-    if (!m_links.tellReaders || own.byRoute.empty() || m_toldReaders[service] == own)
+    if (!m_links.tellReaders || own.byRoute.empty() || m_sentEvidence[service] == own)
         return;
     evidence_notice notice{m_links.entry, service, own};
     notice.evidence.incarnation = m_incarnation;
     if (m_links.tellReaders(notice))
-        m_toldReaders[service] = own;
+        m_sentEvidence[service] = own;
 }
 
 template <row_store_like Store, runtime_like Runtime>
