--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -247,7 +247,7 @@
     std::map<std::string, heard_announcement> m_announced; ///< by entries that are not listed yet
     std::optional<milliseconds> m_wallClockOffset; ///< as the roster says
     bool m_isGathering = false;
-    time_point m_toldAt{};
+    time_point m_evidenceWrittenAt{};
     time_point m_nextWriteAt{};
     store_clock m_clock;
 };
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -19,10 +19,10 @@
     const rollout_evidence &told = m_writtenEvidence[service];
     const bool sameOrder = told.orderedAt == own.orderedAt;
     const bool news = own.bad() > (sameOrder ? told.bad() : 0);
-    if (!news || m_runtime.now() - m_toldAt < evidenceRowInterval || !isSampledWriter())
+    if (!news || m_runtime.now() - m_evidenceWrittenAt < evidenceRowInterval || !isSampledWriter())
         return false;
     m_writing = true;
-    m_toldAt = m_runtime.now();
+    m_evidenceWrittenAt = m_runtime.now();
     m_writtenEvidence[service] = own;
     logInfo(log_part::bundle, "evidence told",
             {{"service", service}, {"bad", std::int64_t(own.bad())}});
