--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -231,7 +231,7 @@
     std::map<std::string, rollout_evidence> m_sentEvidence; ///< by datagram, by service
     std::uint64_t m_incarnation; ///< tells this process's evidence from an earlier one's
     time_point m_nextNoticeAt{};
-    bool m_ownTableRead = false;
+    bool m_internalTableRead = false;
     bool m_endpointsRead = false;
     log_limiter m_endpointLines{maxEndpointLinesPerSecond};
     time_point m_nextHeldLineAt{};
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -119,7 +119,7 @@
 template <row_store_like Store, runtime_like Runtime>
 std::optional<milliseconds> store_sync<Store, Runtime>::trueTime()
 {
-    if (!m_clock.isKnown() || !m_ownTableRead)
+    if (!m_clock.isKnown() || !m_internalTableRead)
         return std::nullopt;
     if (m_wallClockOffset)
         return storeNow() + *m_wallClockOffset;
@@ -210,7 +210,7 @@
 void store_sync<Store, Runtime>::applyOwn(row_news &news)
 {
     const std::vector<store_row> &rows = news.batch.rows;
-    m_ownTableRead = true;
+    m_internalTableRead = true;
     if (news.whole) {
         m_roster.clear();
         retainWithheld(rows);
@@ -289,7 +289,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::maintainEntryRows()
 {
-    if (!m_clock.isKnown() || !m_ownTableRead || m_runtime.now() < m_nextAnnounceAt)
+    if (!m_clock.isKnown() || !m_internalTableRead || m_runtime.now() < m_nextAnnounceAt)
         return;
     if (m_roster.isOwnDue(storeNow())) {
         if (!isListedByOthers())
@@ -318,7 +318,8 @@
 template <row_store_like Store, runtime_like Runtime>
 std::optional<entry_announcement> store_sync<Store, Runtime>::nextAnnouncement()
 {
-    const bool isListed = m_ownTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
+    const bool isListed
+            = m_internalTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
     if (isListed || m_runtime.now() < m_nextAnnouncementAt)
         return std::nullopt;
     m_nextAnnouncementAt = m_runtime.now() + announcementInterval;
@@ -342,7 +343,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::writeAnnounced()
 {
-    const bool knows = m_clock.isKnown() && m_ownTableRead;
+    const bool knows = m_clock.isKnown() && m_internalTableRead;
     const std::map<std::string, heard_announcement> announced = std::exchange(m_announced, {});
     std::vector<row_write> rows;
     const auto write = [&] {
