--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -246,7 +246,7 @@
     };
     std::map<std::string, heard_announcement> m_announced; ///< by entries that are not listed yet
     std::optional<milliseconds> m_wallClockOffset; ///< as the roster says
-    bool m_isGathering = false;
+    bool m_isBatchPending = false;
     time_point m_evidenceWrittenAt{};
     time_point m_nextWriteAt{};
     store_clock m_clock;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -332,10 +332,10 @@
     if (announcement.entry == m_links.entry)
         return;
     m_announced[announcement.entry] = {announcement, m_runtime.now()};
-    if (std::exchange(m_isGathering, true))
+    if (std::exchange(m_isBatchPending, true))
         return;
     m_runtime.after(announcementBatchDelay, [this] {
-        m_isGathering = false;
+        m_isBatchPending = false;
         writeAnnounced();
     });
 }
