--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -239,12 +239,13 @@
     time_point m_nextAnnounceAt{};
     std::optional<time_point> m_unlistedSince;
     time_point m_nextAnnouncementAt{};
-    struct heard_announcement
+    struct received_announcement
     {
         entry_announcement what;
         time_point at{};
     };
-    std::map<std::string, heard_announcement> m_announced; ///< by entries that are not listed yet
+    std::map<std::string, received_announcement>
+            m_announced; ///< by entries that are not listed yet
     std::optional<milliseconds> m_wallClockOffset; ///< as the roster says
     bool m_isBatchPending = false;
     time_point m_evidenceWrittenAt{};
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -344,7 +344,7 @@
 void store_sync<Store, Runtime>::writeAnnounced()
 {
     const bool knows = m_clock.isKnown() && m_internalTableRead;
-    const std::map<std::string, heard_announcement> announced = std::exchange(m_announced, {});
+    const std::map<std::string, received_announcement> announced = std::exchange(m_announced, {});
     std::vector<row_write> rows;
     const auto write = [&] {
         logInfo(log_part::fleet, "entries listed for others",
