--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -234,7 +234,7 @@
     bool m_internalTableRead = false;
     bool m_endpointsRead = false;
     log_limiter m_endpointLines{maxEndpointLinesPerSecond};
-    time_point m_nextHeldLineAt{};
+    time_point m_nextOmittedLineAt{};
     bool m_writing = false;
     time_point m_nextAnnounceAt{};
     std::optional<time_point> m_unlistedSince;
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -179,9 +179,9 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::logOmittedEndpointLines()
 {
-    if (m_runtime.now() < m_nextHeldLineAt)
+    if (m_runtime.now() < m_nextOmittedLineAt)
         return;
-    m_nextHeldLineAt = m_runtime.now() + seconds(1);
+    m_nextOmittedLineAt = m_runtime.now() + seconds(1);
     const std::uint64_t held = m_endpointLines.takeHeld();
     if (held == 0)
         return;
