--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -236,7 +236,7 @@
     log_limiter m_endpointLines{maxEndpointLinesPerSecond};
     time_point m_nextOmittedLineAt{};
     bool m_writing = false;
-    time_point m_nextAnnounceAt{};
+    time_point m_nextOwnRowWriteAt{};
     std::optional<time_point> m_unlistedSince;
     time_point m_nextAnnouncementAt{};
     struct received_announcement
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -93,7 +93,7 @@
     const double chance = 1.0 / static_cast<double>(m_state.entries());
     if (old == m_findingRows.end() || !m_state.random().chance(chance))
         return;
-    m_nextAnnounceAt = m_runtime.now() + ownRowWriteInterval;
+    m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
     m_store.write(
             {{std::string(internalTable), withheldKey(old->first), "", old->second.version, true}},
             [key = old->first](outcome<conditional_write, row_failure> result) {
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -289,7 +289,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::maintainEntryRows()
 {
-    if (!m_clock.isKnown() || !m_internalTableRead || m_runtime.now() < m_nextAnnounceAt)
+    if (!m_clock.isKnown() || !m_internalTableRead || m_runtime.now() < m_nextOwnRowWriteAt)
         return;
     if (m_roster.isOwnDue(storeNow())) {
         if (!isListedByOthers())
@@ -382,7 +382,7 @@
 void store_sync<Store, Runtime>::announce()
 {
     // The own row comes back by the feed; until then it is not written again.
-    m_nextAnnounceAt = m_runtime.now() + ownRowWriteInterval;
+    m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
     const row_write row = entryRow(m_links.entry, m_links.place, milliseconds(wallMilliseconds()));
     m_store.write({row}, [](outcome<conditional_write, row_failure> result) {
         if (!result)
@@ -394,7 +394,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::removeExpiredEntry(const listed_entry &entry)
 {
-    m_nextAnnounceAt = m_runtime.now() + ownRowWriteInterval;
+    m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
     const std::string own(internalTable);
     std::vector<row_write> removals{{own, entryKey(entry.name), "", entry.version, true}};
     for (const auto &[service, tracker] : m_state.allRollouts())
