--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -171,7 +171,7 @@
     void logOmittedEndpointLines();
     /// \returns true when an endpoint has turned cold, or is cold no more, and logs it.
     bool hasColdStateChanged(const endpoint_record &record, const service_endpoint &known);
-    void applyOwn(row_news &news);
+    void applyInternal(row_news &news);
     void takeContract(const store_row &row);
     void takeOrder(const std::string &service, const store_row &row);
     void setEvacuated(std::set<std::string> dataCentres, std::uint64_t version);
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -41,7 +41,7 @@
             m_codec.operatorTable, heldPace(operatorReadInterval), &store_sync::applyOperator);
     follow_pace ownPace = heldPace(internalReadInterval);
     ownPace.firstWait = m_links.isFirstStart ? internalFirstWaitAtFirstStart : internalFirstWait;
-    m_followers[own] = follow(own, ownPace, &store_sync::applyOwn);
+    m_followers[own] = follow(own, ownPace, &store_sync::applyInternal);
     for (const auto &[table, item] : m_followers)
         item->start();
     step();
@@ -207,7 +207,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyOwn(row_news &news)
+void store_sync<Store, Runtime>::applyInternal(row_news &news)
 {
     const std::vector<store_row> &rows = news.batch.rows;
     m_internalTableRead = true;
