--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -198,7 +198,7 @@
     void tellReaders(const std::string &service, const rollout_tracker &tracker);
     void write(const std::string &service, const rollout_order &order, const rollout_row &row);
     bool writeEvidence(const std::string &service, const rollout_tracker &tracker);
-    void takeOwnRow(const store_row &row);
+    void takeInternalRow(const store_row &row);
     void takeWithheldRow(request_key key, const store_row &row);
     /// Releases the requests whose rows are not in \p rows any more; a whole table was read.
     void retainWithheld(const std::vector<store_row> &rows);
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -77,7 +77,7 @@
         if (!result || result.value().done)
             return;
         for (const table_entry &entry : result.value().current)
-            takeOwnRow(entry.row);
+            takeInternalRow(entry.row);
     });
     return true;
 }
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -216,7 +216,7 @@
         retainWithheld(rows);
     }
     for (const store_row &row : rows)
-        takeOwnRow(row);
+        takeInternalRow(row);
     const bool tellsOfEntries = std::any_of(rows.begin(), rows.end(), [](const store_row &row) {
         return entryOfKey(row.key).has_value();
     });
@@ -234,7 +234,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::takeOwnRow(const store_row &row)
+void store_sync<Store, Runtime>::takeInternalRow(const store_row &row)
 {
     if (const std::optional<std::string> entry = entryOfKey(row.key)) {
         if (row.removed)
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -161,7 +161,7 @@
         // Somebody else was first: the next step goes on from that row.
         for (const table_entry &entry : result.value().current) {
             if (entry.table == internalTable)
-                takeOwnRow(entry.row);
+                takeInternalRow(entry.row);
         }
     });
 }
