--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -245,7 +245,7 @@
         time_point at{};
     };
     std::map<std::string, received_announcement>
-            m_announced; ///< by entries that are not listed yet
+            m_receivedAnnouncements; ///< by entries that are not listed yet
     std::optional<milliseconds> m_wallClockOffset; ///< as the roster says
     bool m_isBatchPending = false;
     time_point m_evidenceWrittenAt{};
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -331,7 +331,7 @@
 {
     if (announcement.entry == m_links.entry)
         return;
-    m_announced[announcement.entry] = {announcement, m_runtime.now()};
+    m_receivedAnnouncements[announcement.entry] = {announcement, m_runtime.now()};
     if (std::exchange(m_isBatchPending, true))
         return;
     m_runtime.after(announcementBatchDelay, [this] {
@@ -344,7 +344,8 @@
 void store_sync<Store, Runtime>::writeAnnounced()
 {
     const bool knows = m_clock.isKnown() && m_internalTableRead;
-    const std::map<std::string, received_announcement> announced = std::exchange(m_announced, {});
+    const std::map<std::string, received_announcement> announced
+            = std::exchange(m_receivedAnnouncements, {});
     std::vector<row_write> rows;
     const auto write = [&] {
         logInfo(log_part::fleet, "entries listed for others",
