--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -107,7 +107,7 @@
     /// Rows of one write: the store takes a hundred entries of a transaction.
     static constexpr std::size_t maxAnnouncedRows = 90;
     /// After a write that the store did not take.
-    static constexpr milliseconds writeRetry{1000};
+    static constexpr milliseconds writeRetryDelay{1000};
     /// An endpoint that is cold for this much longer than was known has turned cold again; less is
     /// the way of its row.
     static constexpr milliseconds coldChangeThreshold{500};
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -68,7 +68,7 @@
     m_store.write({row}, [this, key](outcome<conditional_write, row_failure> result) {
         m_writing = false;
         if (!result)
-            m_nextWriteAt = m_runtime.now() + writeRetry;
+            m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         logInfo(log_part::routing, "finding on a request written",
                 {{"request_key", textOf(key)}, {"result", textOf(result)}});
         // What somebody else's row lacks is written again.
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -146,7 +146,7 @@
     m_store.write(writes, [this, service, row](outcome<conditional_write, row_failure> result) {
         m_writing = false;
         if (!result)
-            m_nextWriteAt = m_runtime.now() + writeRetry;
+            m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         const bool done = result && result.value().done;
         logInfo(log_part::bundle, "roll-out step written",
                 {{"service", service},
