--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -205,7 +205,7 @@
     /// \returns true when the row of a finding on a request is being written.
     bool writeFinding();
     /// \returns true when the row of \p key in \p current tells all that is known here.
-    bool isTold(request_key key, const std::vector<table_entry> &current);
+    bool isCoveredByRow(request_key key, const std::vector<table_entry> &current);
     /// Drops the row of a request that is withheld no more, now and then.
     void removeStaleFinding();
 
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -43,7 +43,8 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isTold(request_key key, const std::vector<table_entry> &current)
+bool store_sync<Store, Runtime>::isCoveredByRow(request_key key,
+                                                const std::vector<table_entry> &current)
 {
     return std::any_of(current.begin(), current.end(), [&](const table_entry &entry) {
         const outcome<withheld_row, std::string> row = decodeWithheldRow(entry.row.value);
@@ -72,7 +73,7 @@
         logInfo(log_part::routing, "finding on a request written",
                 {{"request_key", textOf(key)}, {"result", textOf(result)}});
         // What somebody else's row lacks is written again.
-        if (result && (result.value().done || isTold(key, result.value().current)))
+        if (result && (result.value().done || isCoveredByRow(key, result.value().current)))
             m_state.crashes().wasWritten(key);
         if (!result || result.value().done)
             return;
