--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -195,7 +195,7 @@
     bool mayWriteStepNow(const rollout_row &next, bool knowsOthers);
     /// \returns true for a few entries at a time, by chance.
     bool isSampledWriter();
-    void tellReaders(const std::string &service, const rollout_tracker &tracker);
+    void sendEvidence(const std::string &service, const rollout_tracker &tracker);
     void write(const std::string &service, const rollout_order &order, const rollout_row &row);
     bool writeEvidence(const std::string &service, const rollout_tracker &tracker);
     void takeInternalRow(const store_row &row);
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -61,8 +61,8 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::tellReaders(const std::string &service,
-                                             const rollout_tracker &tracker)
+void store_sync<Store, Runtime>::sendEvidence(const std::string &service,
+                                              const rollout_tracker &tracker)
 {
     const rollout_evidence &own = tracker.evaluator().ownEvidence();
     if (!m_links.tellReaders || own.byRoute.empty() || m_sentEvidence[service] == own)
@@ -104,7 +104,7 @@
     for (auto &[service, tracker] : m_state.allRollouts()) {
         tracker.evaluator().setUsesPeerEvidence(knowsOthers);
         if (isNoticeDue && tracker.order() && !tracker.isOver())
-            tellReaders(service, tracker);
+            sendEvidence(service, tracker);
     }
     if (m_writing || !m_clock.isKnown() || m_runtime.now() < m_nextWriteAt)
         return;
