--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -189,7 +189,7 @@
     void removeExpiredEntry(const listed_entry &entry);
     /// \returns true when what other entries have found is known up to a moment ago: this entry
     /// reads the store itself, so that the others tell it all.
-    bool othersKnown();
+    bool isPeerEvidenceCurrent();
     void step();
     /// \returns true when this entry writes a step that is due at this look.
     bool mayWriteStepNow(const rollout_row &next, bool knowsOthers);
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -43,7 +43,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::othersKnown()
+bool store_sync<Store, Runtime>::isPeerEvidenceCurrent()
 {
     const follower &own = *m_followers.at(std::string(internalTable));
     const time_point now = m_runtime.now();
@@ -100,7 +100,7 @@
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
     if (isNoticeDue)
         m_nextNoticeAt = m_runtime.now() + evidenceNoticeInterval;
-    const bool knowsOthers = othersKnown();
+    const bool knowsOthers = isPeerEvidenceCurrent();
     for (auto &[service, tracker] : m_state.allRollouts()) {
         tracker.evaluator().setUsesPeerEvidence(knowsOthers);
         if (isNoticeDue && tracker.order() && !tracker.isOver())
