--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -128,7 +128,7 @@
     /// after this long: several looks at what is to be written, and a write. Going back at once,
     /// while the others went on for seconds, it moved 215 requests of sessions under way in ten
     /// roll-outs (32 entries, one of which gets failures).
-    static constexpr milliseconds aloneAfter{1000};
+    static constexpr milliseconds localRevertDelay{1000};
 
 private:
     bool isTarget(std::string_view version) const
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -107,7 +107,7 @@
     // better than a bad one.
     if (!m_foundBadAt)
         m_foundBadAt = now;
-    return now - *m_foundBadAt >= aloneAfter;
+    return now - *m_foundBadAt >= localRevertDelay;
 }
 
 void rollout_tracker::observe(std::string_view version, std::string_view route,
--- a/unittests/Proxy/RolloutTests.cpp
+++ b/unittests/Proxy/RolloutTests.cpp
@@ -243,8 +243,9 @@
     // The others hear of it first: sessions keep one version meanwhile.
     const time_point found = nextMoment();
     CHECK(onTarget(tracker, both, found) == 100);
-    CHECK(onTarget(tracker, both, found + rollout_tracker::aloneAfter - milliseconds(1)) == 100);
-    CHECK(onTarget(tracker, both, found + rollout_tracker::aloneAfter) == 0);
+    CHECK(onTarget(tracker, both, found + rollout_tracker::localRevertDelay - milliseconds(1))
+          == 100);
+    CHECK(onTarget(tracker, both, found + rollout_tracker::localRevertDelay) == 0);
     // Once the old version may end, nothing else is left to send to.
     tracker.setRow(rowAt(rollout_stage::completed));
     CHECK(onTarget(tracker, both) == 100);
