--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -99,7 +99,7 @@
     return isCurrent() && isAmongShare(shareAt(request.arrivedAt), request.session);
 }
 
-bool rollout_tracker::stopsAlone(time_point now)
+bool rollout_tracker::revertsLocally(time_point now)
 {
     if (m_row->stage == rollout_stage::completed || !m_evaluator.isFoundBad())
         return false;
@@ -197,7 +197,7 @@
     }
     if (!isForTarget(request))
         return {ofOldVersion(endpoints), version_reason::stage};
-    if (stopsAlone(request.now))
+    if (revertsLocally(request.now))
         return {ofOldVersion(endpoints), version_reason::foundBadHere};
     std::vector<endpoint_ptr> onTarget = ofTarget(endpoints);
     if (onTarget.empty())
@@ -209,7 +209,7 @@
 std::vector<endpoint_ptr> rollout_tracker::beyondTrial(const std::vector<endpoint_ptr> &endpoints,
                                                        const session_request &request)
 {
-    if (!isForTarget(request) || stopsAlone(request.now))
+    if (!isForTarget(request) || revertsLocally(request.now))
         return {};
     return ofTarget(endpoints);
 }
