--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -88,7 +88,8 @@
     rollout_tracker &rollouts = m_env.routing().rollouts(m_service);
     if (m_request->session.empty() || rollouts.evaluator().isFoundBad())
         return std::nullopt;
-    std::optional<endpoint_pick> other = pickAmong(rollouts.beyondTrial(usable, sessionRequest()));
+    std::optional<endpoint_pick> other
+            = pickAmong(rollouts.targetEndpointsBeyondTrial(usable, sessionRequest()));
     if (other || !m_mayHaveRun)
         return other;
     m_tried.clear();
--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -84,8 +84,8 @@
 
     /// \returns for a session on trial all of \p endpoints with the new version, not only the few
     /// that the trial keeps to; otherwise none.
-    std::vector<endpoint_ptr> beyondTrial(const std::vector<endpoint_ptr> &endpoints,
-                                          const session_request &request);
+    std::vector<endpoint_ptr> targetEndpointsBeyondTrial(const std::vector<endpoint_ptr> &endpoints,
+                                                         const session_request &request);
 
     /// \returns the stage of the order in force; empty when there is none, or it is not known.
     std::string_view stageName() const;
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -206,8 +206,9 @@
     return {std::move(onTarget), version_reason::stage};
 }
 
-std::vector<endpoint_ptr> rollout_tracker::beyondTrial(const std::vector<endpoint_ptr> &endpoints,
-                                                       const session_request &request)
+std::vector<endpoint_ptr>
+rollout_tracker::targetEndpointsBeyondTrial(const std::vector<endpoint_ptr> &endpoints,
+                                            const session_request &request)
 {
     if (!isForTarget(request) || revertsLocally(request.now))
         return {};
