--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -39,7 +39,7 @@
     m_service = pickService().name;
     m_record.service = m_service;
     budget().request(m_arrivedAt, allowanceShare());
-    m_env.routing().rollouts(m_service).arrived(m_arrivedAt);
+    m_env.routing().rollouts(m_service).noteArrival(m_arrivedAt);
 
     m_session = stableHash(m_request->session.empty() ? m_request->id : m_request->session);
     if (m_request->anyModel)
--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -94,7 +94,7 @@
     std::vector<endpoint_ptr> settled(const std::vector<endpoint_ptr> &endpoints);
 
     /// A request for the service came in.
-    void arrived(time_point now);
+    void noteArrival(time_point now);
 
     /// An attempt ended. \param route and \p model: answers of one pair are alike.
     /// \param timing of the answer; empty when it failed.
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -123,7 +123,7 @@
     m_evaluator.observeSilence(isTarget(version), route, now);
 }
 
-void rollout_tracker::arrived(time_point now)
+void rollout_tracker::noteArrival(time_point now)
 {
     m_arrivals.push_back(now);
     while (now - m_arrivals.front() > seconds(1))
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -90,7 +90,7 @@
         fleet_entry &entry = anyEntry();
         rollout_tracker &rollouts = entry.routing.rollouts("pool");
         const time_point now = entries.runtime.now();
-        rollouts.arrived(now);
+        rollouts.noteArrival(now);
         const auto &usable = entry.routing.directory().usable("pool");
         std::string version = "v1";
         if (!rollouts.mayUseAll(entry.routing.directory().onlyVersion("pool"))) {
