--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -147,7 +147,7 @@
     std::vector<endpoint_ptr> ofTarget(const std::vector<endpoint_ptr> &endpoints) const;
     /// After a roll-out that was completed its version is the one in force.
     void noteCompletion();
-    void keepTrialEndpoints(std::vector<endpoint_ptr> &onTarget, time_point now) const;
+    void limitToTrialEndpoints(std::vector<endpoint_ptr> &onTarget, time_point now) const;
     std::string_view settledVersion(const std::vector<endpoint_ptr> &endpoints);
 
     double m_exposure;
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -202,7 +202,7 @@
     std::vector<endpoint_ptr> onTarget = ofTarget(endpoints);
     if (onTarget.empty())
         return {ofOldVersion(endpoints), version_reason::noTarget};
-    keepTrialEndpoints(onTarget, request.arrivedAt);
+    limitToTrialEndpoints(onTarget, request.arrivedAt);
     return {std::move(onTarget), version_reason::stage};
 }
 
@@ -222,7 +222,8 @@
     return ofOldVersion(endpoints);
 }
 
-void rollout_tracker::keepTrialEndpoints(std::vector<endpoint_ptr> &onTarget, time_point now) const
+void rollout_tracker::limitToTrialEndpoints(std::vector<endpoint_ptr> &onTarget,
+                                            time_point now) const
 {
     const double share = shareAt(now);
     if (share >= 1)
