--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -143,7 +143,7 @@
     bool isForTarget(const session_request &request) const;
     /// \returns true when this entry goes back alone.
     bool revertsLocally(time_point now);
-    std::vector<endpoint_ptr> ofOldVersion(const std::vector<endpoint_ptr> &endpoints);
+    std::vector<endpoint_ptr> endpointsOfOldVersion(const std::vector<endpoint_ptr> &endpoints);
     std::vector<endpoint_ptr> ofTarget(const std::vector<endpoint_ptr> &endpoints) const;
     /// After a roll-out that was completed its version is the one in force.
     void noteCompletion();
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -169,7 +169,8 @@
     return onTarget;
 }
 
-std::vector<endpoint_ptr> rollout_tracker::ofOldVersion(const std::vector<endpoint_ptr> &endpoints)
+std::vector<endpoint_ptr>
+rollout_tracker::endpointsOfOldVersion(const std::vector<endpoint_ptr> &endpoints)
 {
     // Endpoints of a version that was taken back last stay for some seconds: they are no more in
     // force than the target is.
@@ -189,19 +190,19 @@
                                          const session_request &request)
 {
     if (!m_order)
-        return {ofOldVersion(endpoints), version_reason::settled};
+        return {endpointsOfOldVersion(endpoints), version_reason::settled};
     if (!isCurrent()) {
         // An order that was carried out long ago, and this entry has just started.
-        std::vector<endpoint_ptr> onOld = ofOldVersion(endpoints);
+        std::vector<endpoint_ptr> onOld = endpointsOfOldVersion(endpoints);
         return {onOld.empty() ? ofTarget(endpoints) : onOld, version_reason::stageUnknown};
     }
     if (!isForTarget(request))
-        return {ofOldVersion(endpoints), version_reason::stage};
+        return {endpointsOfOldVersion(endpoints), version_reason::stage};
     if (revertsLocally(request.now))
-        return {ofOldVersion(endpoints), version_reason::foundBadHere};
+        return {endpointsOfOldVersion(endpoints), version_reason::foundBadHere};
     std::vector<endpoint_ptr> onTarget = ofTarget(endpoints);
     if (onTarget.empty())
-        return {ofOldVersion(endpoints), version_reason::noTarget};
+        return {endpointsOfOldVersion(endpoints), version_reason::noTarget};
     limitToTrialEndpoints(onTarget, request.arrivedAt);
     return {std::move(onTarget), version_reason::stage};
 }
@@ -219,7 +220,7 @@
 {
     if (!isCurrent() || !isOnTrial(m_row->stage))
         return {};
-    return ofOldVersion(endpoints);
+    return endpointsOfOldVersion(endpoints);
 }
 
 void rollout_tracker::limitToTrialEndpoints(std::vector<endpoint_ptr> &onTarget,
