--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -144,7 +144,7 @@
     /// \returns true when this entry goes back alone.
     bool revertsLocally(time_point now);
     std::vector<endpoint_ptr> endpointsOfOldVersion(const std::vector<endpoint_ptr> &endpoints);
-    std::vector<endpoint_ptr> ofTarget(const std::vector<endpoint_ptr> &endpoints) const;
+    std::vector<endpoint_ptr> endpointsOfTarget(const std::vector<endpoint_ptr> &endpoints) const;
     /// After a roll-out that was completed its version is the one in force.
     void noteCompletion();
     void limitToTrialEndpoints(std::vector<endpoint_ptr> &onTarget, time_point now) const;
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -159,7 +159,7 @@
 }
 
 std::vector<endpoint_ptr>
-rollout_tracker::ofTarget(const std::vector<endpoint_ptr> &endpoints) const
+rollout_tracker::endpointsOfTarget(const std::vector<endpoint_ptr> &endpoints) const
 {
     std::vector<endpoint_ptr> onTarget;
     for (const endpoint_ptr &endpoint : endpoints) {
@@ -194,13 +194,13 @@
     if (!isCurrent()) {
         // An order that was carried out long ago, and this entry has just started.
         std::vector<endpoint_ptr> onOld = endpointsOfOldVersion(endpoints);
-        return {onOld.empty() ? ofTarget(endpoints) : onOld, version_reason::stageUnknown};
+        return {onOld.empty() ? endpointsOfTarget(endpoints) : onOld, version_reason::stageUnknown};
     }
     if (!isForTarget(request))
         return {endpointsOfOldVersion(endpoints), version_reason::stage};
     if (revertsLocally(request.now))
         return {endpointsOfOldVersion(endpoints), version_reason::foundBadHere};
-    std::vector<endpoint_ptr> onTarget = ofTarget(endpoints);
+    std::vector<endpoint_ptr> onTarget = endpointsOfTarget(endpoints);
     if (onTarget.empty())
         return {endpointsOfOldVersion(endpoints), version_reason::noTarget};
     limitToTrialEndpoints(onTarget, request.arrivedAt);
@@ -213,7 +213,7 @@
 {
     if (!isForTarget(request) || revertsLocally(request.now))
         return {};
-    return ofTarget(endpoints);
+    return endpointsOfTarget(endpoints);
 }
 
 std::vector<endpoint_ptr> rollout_tracker::settled(const std::vector<endpoint_ptr> &endpoints)
