--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -213,8 +213,8 @@
     std::vector<endpoint_ptr> within;
     for (const endpoint_ptr &endpoint : endpoints) {
         const std::string &place = endpoint->record().dataCentre;
-        const bool mayServe = state.liesIn(place, m_route->homeRegions)
-                && (!m_customer || state.liesIn(place, m_customer->homeRegions));
+        const bool mayServe = state.isInRegions(place, m_route->homeRegions)
+                && (!m_customer || state.isInRegions(place, m_customer->homeRegions));
         if (mayServe)
             within.push_back(endpoint);
     }
--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -96,7 +96,7 @@
 
     /// \returns true when \p dataCentre lies in one of \p regions; always where none is named. One
     /// of which no region is known lies in none.
-    bool liesIn(const std::string &dataCentre, std::span<const std::string> regions) const
+    bool isInRegions(const std::string &dataCentre, std::span<const std::string> regions) const
     {
         if (regions.empty())
             return true;
