--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -58,7 +58,7 @@
         : m_bounds(std::move(bounds))
         , m_cascade(cascade)
         , m_random(seed)
-        , m_roundings(seed + 1)
+        , m_roundingRandom(seed + 1)
     {
     }
 
@@ -186,7 +186,7 @@
     routing_bounds m_bounds;
     cascade_settings m_cascade;
     random_source m_random;
-    random_source m_roundings; ///< of budgets; apart from what decisions draw
+    random_source m_roundingRandom; ///< of budgets; apart from what decisions draw
     contract_ptr m_contract;
     service_directory m_directory;
     crash_watch m_crashes;
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -35,7 +35,7 @@
 
 send_budget &routing_state::repeats(std::string_view service)
 {
-    return itemOf(m_repeats, service, m_bounds.repeats, m_roundings.uniform());
+    return itemOf(m_repeats, service, m_bounds.repeats, m_roundingRandom.uniform());
 }
 
 repeat_outlook &routing_state::outlook(std::string_view service)
