--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -21,8 +21,8 @@
 
 /// \returns the item of \p name, made from \p arguments when first asked for.
 template <class T, class... Args>
-static T &itemOf(std::map<std::string, T, std::less<>> &items, std::string_view name,
-                 const Args &...arguments)
+static T &findOrCreate(std::map<std::string, T, std::less<>> &items, std::string_view name,
+                       const Args &...arguments)
 {
     const auto it = items.find(name);
     return it != items.end() ? it->second : items.emplace(name, T(arguments...)).first->second;
@@ -30,22 +30,22 @@
 
 rollout_tracker &routing_state::rollouts(std::string_view service)
 {
-    return itemOf(m_rollouts, service, m_bounds.rolloutExposure);
+    return findOrCreate(m_rollouts, service, m_bounds.rolloutExposure);
 }
 
 send_budget &routing_state::repeats(std::string_view service)
 {
-    return itemOf(m_repeats, service, m_bounds.repeats, m_roundingRandom.uniform());
+    return findOrCreate(m_repeats, service, m_bounds.repeats, m_roundingRandom.uniform());
 }
 
 repeat_outlook &routing_state::outlook(std::string_view service)
 {
-    return itemOf(m_outlooks, service);
+    return findOrCreate(m_outlooks, service);
 }
 
 recent_wait &routing_state::waits(std::string_view service)
 {
-    return itemOf(m_waits, service);
+    return findOrCreate(m_waits, service);
 }
 
 void routing_state::noteSendElsewhere(std::string_view endpoint, milliseconds reading,
@@ -94,7 +94,7 @@
 
 const std::vector<sampled_endpoint> &routing_state::sampled(std::string_view service)
 {
-    sample_list &list = itemOf(m_sampled, service);
+    sample_list &list = findOrCreate(m_sampled, service);
     const std::vector<endpoint_ptr> &usable = m_directory.usable(service);
     const bool isCurrent
             = list.revision == m_directory.revision() && list.items.size() == usable.size();
@@ -182,5 +182,5 @@
 
 prompt_rate &routing_state::promptRate(std::string_view model)
 {
-    return itemOf(m_promptRates, model);
+    return findOrCreate(m_promptRates, model);
 }
