--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -26,7 +26,7 @@
 
 constexpr int decimal = 10;
 /// Rows that come to an entry together leave it together: a start of many entries, a roll-out.
-constexpr milliseconds gathering{20};
+constexpr milliseconds batchDelay{20};
 
 /// Another entry's read that has no news yet.
 struct held_read
@@ -252,7 +252,7 @@
 {
     if (held.empty() || std::exchange(changeNoted, true))
         return;
-    runtime.after(gathering, [this] {
+    runtime.after(batchDelay, [this] {
         changeNoted = false;
         answerHeld();
     });
