--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -64,7 +64,7 @@
     return tables;
 }
 
-static milliseconds holdIn(const std::string &text)
+static milliseconds parseHold(const std::string &text)
 {
     std::int64_t hold = 0;
     std::from_chars(text.data(), text.data() + text.size(), hold, decimal);
@@ -154,7 +154,7 @@
     noteAnnouncement(head);
     const std::string_view parameters = target.substr(query + 1);
     std::vector<table_since> tables = tablesIn(queryValue(parameters, "tables"));
-    const milliseconds wanted = holdIn(queryValue(parameters, "hold"));
+    const milliseconds wanted = parseHold(queryValue(parameters, "hold"));
     const milliseconds time = std::min(wanted, longestHoldOf(tables));
     if (time.count() > 0)
         holdRead(std::move(tables), exchange, time);
