--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -46,7 +46,7 @@
 } // namespace
 
 /// \returns the tables of a query; a part that can't be read is left out.
-static std::vector<table_since> tablesIn(std::string_view text)
+static std::vector<table_since> parseTables(std::string_view text)
 {
     std::vector<table_since> tables;
     while (!text.empty()) {
@@ -153,7 +153,7 @@
     }
     noteAnnouncement(head);
     const std::string_view parameters = target.substr(query + 1);
-    std::vector<table_since> tables = tablesIn(queryValue(parameters, "tables"));
+    std::vector<table_since> tables = parseTables(queryValue(parameters, "tables"));
     const milliseconds wanted = parseHold(queryValue(parameters, "hold"));
     const milliseconds time = std::min(wanted, longestHoldOf(tables));
     if (time.count() > 0)
