--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -78,7 +78,7 @@
     void serve(const message_head &head, caller_exchange &exchange);
     void noteAnnouncement(const message_head &head) const;
     void holdRead(std::vector<table_since> tables, caller_exchange &exchange, milliseconds time);
-    milliseconds longestHoldOf(const std::vector<table_since> &tables) const;
+    milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
     std::optional<packed_news> newsFor(const table_since &asked);
     packed_news packedNews(const std::string &table, aged_news news);
@@ -155,7 +155,7 @@
     const std::string_view parameters = target.substr(query + 1);
     std::vector<table_since> tables = parseTables(queryValue(parameters, "tables"));
     const milliseconds wanted = parseHold(queryValue(parameters, "hold"));
-    const milliseconds time = std::min(wanted, longestHoldOf(tables));
+    const milliseconds time = std::min(wanted, maxHoldFor(tables));
     if (time.count() > 0)
         holdRead(std::move(tables), exchange, time);
     else
@@ -164,7 +164,7 @@
 
 /// \returns how long an answer may wait: until the rows would be outdated when no table has news,
 /// or one was not read yet by this process, which starts; a moment when one is outdated.
-milliseconds row_server::state::longestHoldOf(const std::vector<table_since> &tables) const
+milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
     bool hasNews = false;
     bool isOutdated = false;
@@ -262,7 +262,7 @@
 {
     for (auto item = held.begin(); item != held.end();) {
         const auto current = item++;
-        if (longestHoldOf(current->tables).count() > 0)
+        if (maxHoldFor(current->tables).count() > 0)
             continue;
         runtime.cancel(current->timer);
         answer(current->tables, current->exchange);
