--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// Rows of fewer bytes than this stay as they are: one packet carries them either way.
-constexpr std::size_t leastDeflated = 1000;
+constexpr std::size_t minDeflatedSize = 1000;
 /// Rows of one table have at most this many bytes: a tenth of an entry's memory.
 constexpr std::size_t mostRowBytes = 16U << 20;
 constexpr std::size_t fieldsOfTable = 7;
@@ -48,7 +48,7 @@
         items.push_back(std::move(item));
     }
     packed_rows result{packed(items), false};
-    if (result.bytes.size() < leastDeflated)
+    if (result.bytes.size() < minDeflatedSize)
         return result;
     std::optional<std::string> smaller = deflated(result.bytes);
     if (!smaller)
