--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -20,7 +20,7 @@
 /// Rows of fewer bytes than this stay as they are: one packet carries them either way.
 constexpr std::size_t minDeflatedSize = 1000;
 /// Rows of one table have at most this many bytes: a tenth of an entry's memory.
-constexpr std::size_t mostRowBytes = 16U << 20;
+constexpr std::size_t maxRowBytes = 16U << 20;
 constexpr std::size_t fieldsOfTable = 7;
 constexpr std::size_t fieldsOfRow = 3;
 constexpr std::size_t fieldsOfRemoved = 2;
@@ -96,7 +96,7 @@
     const bool isDeflated = item.at(field++).get<bool>();
     std::optional<std::string> rows = textIn(item.at(field));
     if (isDeflated)
-        rows = inflated(*rows, mostRowBytes);
+        rows = inflated(*rows, maxRowBytes);
     if (!rows)
         return std::nullopt;
     batch.rows = rowsIn(*rows);
