--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t minDeflatedSize = 1000;
 /// Rows of one table have at most this many bytes: a tenth of an entry's memory.
 constexpr std::size_t maxRowBytes = 16U << 20;
-constexpr std::size_t fieldsOfTable = 7;
+constexpr std::size_t tableFieldCount = 7;
 constexpr std::size_t fieldsOfRow = 3;
 constexpr std::size_t fieldsOfRemoved = 2;
 
@@ -111,7 +111,7 @@
         if (!items.is_array())
             return failure(std::string("not an array"));
         for (const json &item : items) {
-            if (item.size() != fieldsOfTable)
+            if (item.size() != tableFieldCount)
                 return failure(std::string("a table has another number of fields"));
             std::optional<aged_news> news = newsIn(item);
             if (!news)
