--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -22,7 +22,7 @@
 /// Rows of one table have at most this many bytes: a tenth of an entry's memory.
 constexpr std::size_t maxRowBytes = 16U << 20;
 constexpr std::size_t tableFieldCount = 7;
-constexpr std::size_t fieldsOfRow = 3;
+constexpr std::size_t rowFieldCount = 3;
 constexpr std::size_t fieldsOfRemoved = 2;
 
 } // namespace
@@ -77,7 +77,7 @@
         row.version = item.at(1).get<std::uint64_t>();
         row.removed = item.size() == fieldsOfRemoved;
         if (!row.removed)
-            row.value = textIn(item.at(fieldsOfRow - 1));
+            row.value = textIn(item.at(rowFieldCount - 1));
         rows.push_back(std::move(row));
     }
     return rows;
