--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t maxRowBytes = 16U << 20;
 constexpr std::size_t tableFieldCount = 7;
 constexpr std::size_t rowFieldCount = 3;
-constexpr std::size_t fieldsOfRemoved = 2;
+constexpr std::size_t removedRowFieldCount = 2;
 
 } // namespace
 
@@ -75,7 +75,7 @@
         store_row row;
         row.key = item.at(0).get<std::string>();
         row.version = item.at(1).get<std::uint64_t>();
-        row.removed = item.size() == fieldsOfRemoved;
+        row.removed = item.size() == removedRowFieldCount;
         if (!row.removed)
             row.value = textIn(item.at(rowFieldCount - 1));
         rows.push_back(std::move(row));
