--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-static json::binary_t binaryOf(std::string_view text)
+static json::binary_t toBinary(std::string_view text)
 {
     return json::binary_t({text.begin(), text.end()});
 }
@@ -44,7 +44,7 @@
     for (const store_row &row : rows) {
         json item = json::array({row.key, row.version});
         if (!row.removed)
-            item.push_back(binaryOf(row.value));
+            item.push_back(toBinary(row.value));
         items.push_back(std::move(item));
     }
     packed_rows result{packed(items), false};
@@ -63,7 +63,7 @@
         const row_batch &batch = news.about.news.batch;
         items.push_back(json::array({news.table, news.about.news.whole, batch.version,
                                      batch.storeTime.count(), news.about.age.count(),
-                                     news.rows.isDeflated, binaryOf(news.rows.bytes)}));
+                                     news.rows.isDeflated, toBinary(news.rows.bytes)}));
     }
     return packed(items);
 }
