--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -32,7 +32,7 @@
     return json::binary_t({text.begin(), text.end()});
 }
 
-static std::string textIn(const json &value)
+static std::string toText(const json &value)
 {
     const json::binary_t &bytes = value.get_binary();
     return {bytes.begin(), bytes.end()};
@@ -77,7 +77,7 @@
         row.version = item.at(1).get<std::uint64_t>();
         row.removed = item.size() == removedRowFieldCount;
         if (!row.removed)
-            row.value = textIn(item.at(rowFieldCount - 1));
+            row.value = toText(item.at(rowFieldCount - 1));
         rows.push_back(std::move(row));
     }
     return rows;
@@ -94,7 +94,7 @@
     batch.storeTime = milliseconds(item.at(field++).get<std::int64_t>());
     result.age = milliseconds(item.at(field++).get<std::int64_t>());
     const bool isDeflated = item.at(field++).get<bool>();
-    std::optional<std::string> rows = textIn(item.at(field));
+    std::optional<std::string> rows = toText(item.at(field));
     if (isDeflated)
         rows = inflated(*rows, maxRowBytes);
     if (!rows)
