--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -68,7 +68,7 @@
     return packed(items);
 }
 
-static std::vector<store_row> rowsIn(const std::string &bytes)
+static std::vector<store_row> decodeRows(const std::string &bytes)
 {
     std::vector<store_row> rows;
     for (const json &item : json::from_msgpack(bytes)) {
@@ -99,7 +99,7 @@
         rows = inflated(*rows, maxRowBytes);
     if (!rows)
         return std::nullopt;
-    batch.rows = rowsIn(*rows);
+    batch.rows = decodeRows(*rows);
     return result;
 }
 
