--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -28,7 +28,7 @@
 constexpr milliseconds peerAvoidance{3000};
 /// The same of a peer that takes no connection while this process starts: all may start together,
 /// some a little later.
-constexpr milliseconds startAvoidance{40};
+constexpr milliseconds startAvoidTime{40};
 /// Readers that one read is sent to, one after the other; a standby comes after them.
 constexpr unsigned readersOfRead = 2;
 
@@ -285,7 +285,7 @@
     if (reply)
         return;
     const bool startsLater = starting && reply.error() == http_error::notSent;
-    avoidedUntil[peer] = bootNow() + (startsLater ? startAvoidance : peerAvoidance);
+    avoidedUntil[peer] = bootNow() + (startsLater ? startAvoidTime : peerAvoidance);
     logDebug(log_part::fleet, "peer does not answer", {{"peer", peer}});
 }
 
