--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -25,7 +25,7 @@
 /// Peers are near; one that doesn't answer is not asked for longer than a retry takes.
 constexpr milliseconds peerTimeout{400};
 /// A peer that did not answer is left out this long: a restart takes about as much.
-constexpr milliseconds peerAvoidance{3000};
+constexpr milliseconds peerAvoidTime{3000};
 /// The same of a peer that takes no connection while this process starts: all may start together,
 /// some a little later.
 constexpr milliseconds startAvoidTime{40};
@@ -285,7 +285,7 @@
     if (reply)
         return;
     const bool startsLater = starting && reply.error() == http_error::notSent;
-    avoidedUntil[peer] = bootNow() + (startsLater ? startAvoidTime : peerAvoidance);
+    avoidedUntil[peer] = bootNow() + (startsLater ? startAvoidTime : peerAvoidTime);
     logDebug(log_part::fleet, "peer does not answer", {{"peer", peer}});
 }
 
