--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -30,7 +30,7 @@
 /// some a little later.
 constexpr milliseconds startAvoidTime{40};
 /// Readers that one read is sent to, one after the other; a standby comes after them.
-constexpr unsigned readersOfRead = 2;
+constexpr unsigned maxReaderTries = 2;
 
 /// One read that waits for another entry's answer.
 struct asked_table
@@ -217,7 +217,7 @@
 
 std::optional<std::string> peer_rows::state::pick()
 {
-    const bool asksStandby = tries >= readersOfRead;
+    const bool asksStandby = tries >= maxReaderTries;
     const std::vector<std::string> &readersOrPeers
             = sources.readers.empty() ? peers : sources.readers;
     const std::vector<std::string> &from = asksStandby ? sources.standbys : readersOrPeers;
@@ -236,12 +236,12 @@
     // The first one has taken its time.
     if (tries == 0)
         return hold;
-    return tries < readersOfRead ? milliseconds(0) : row_server::outdatedHold;
+    return tries < maxReaderTries ? milliseconds(0) : row_server::outdatedHold;
 }
 
 bool peer_rows::state::mayTryAgain() const
 {
-    return tries < readersOfRead + sources.standbys.size();
+    return tries < maxReaderTries + sources.standbys.size();
 }
 
 void peer_rows::state::ask()
