--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -33,7 +33,7 @@
 constexpr unsigned maxReaderTries = 2;
 
 /// One read that waits for another entry's answer.
-struct asked_table
+struct pending_read
 {
     table_since what;
     row_callback<row_news> done;
@@ -49,10 +49,10 @@
     return text;
 }
 
-static std::string queryOf(const std::vector<asked_table> &asked)
+static std::string queryOf(const std::vector<pending_read> &asked)
 {
     std::string text;
-    for (const asked_table &item : asked) {
+    for (const pending_read &item : asked) {
         text += text.empty() ? "" : ",";
         text += percentEncoded(item.what.table) + ":" + std::to_string(item.what.since);
     }
@@ -92,7 +92,7 @@
     bool starting = true; ///< no peer has answered yet
     std::size_t next = 0;
     std::map<std::string, time_point> avoidedUntil; ///< peers that did not answer
-    std::vector<asked_table> asked;
+    std::vector<pending_read> asked;
     unsigned tries = 0; ///< of what is asked
     bool isAnyoneUp = false; ///< among those that were asked
     std::optional<http_call_id> call;
@@ -273,9 +273,9 @@
 
 void peer_rows::state::failAll()
 {
-    const std::vector<asked_table> failed = std::exchange(asked, {});
+    const std::vector<pending_read> failed = std::exchange(asked, {});
     const row_failure why = isAnyoneUp ? row_failure::outdated : row_failure::notDone;
-    for (const asked_table &item : failed)
+    for (const pending_read &item : failed)
         item.done(failure(why));
 }
 
@@ -319,15 +319,15 @@
         return;
     }
     // What this peer has not heard of for too long stays for the next one.
-    std::vector<asked_table> answered;
-    for (asked_table &item : std::exchange(asked, {})) {
+    std::vector<pending_read> answered;
+    for (pending_read &item : std::exchange(asked, {})) {
         const auto it = tables.value().find(item.what.table);
         const bool isTold = it != tables.value().end();
         const bool isTaken = isTold
                 && (it->second.age <= mirror.freshness() || item.what.since == nothingKnown);
         (isTaken ? answered : asked).push_back(std::move(item));
     }
-    for (const asked_table &item : answered)
+    for (const pending_read &item : answered)
         item.done(taken(item.what.table, tables.value().at(item.what.table)));
 }
 
