--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -84,7 +84,7 @@
 }
 
 /// \returns nothing when deflated rows can't be read.
-static std::optional<aged_news> newsIn(const json &item)
+static std::optional<aged_news> decodeTable(const json &item)
 {
     aged_news result;
     row_batch &batch = result.news.batch;
@@ -113,7 +113,7 @@
         for (const json &item : items) {
             if (item.size() != tableFieldCount)
                 return failure(std::string("a table has another number of fields"));
-            std::optional<aged_news> news = newsIn(item);
+            std::optional<aged_news> news = decodeTable(item);
             if (!news)
                 return failure(std::string("rows can't be inflated"));
             tables[item.at(0).get<std::string>()] = std::move(*news);
