--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-static std::string joined(const std::vector<std::string> &addresses)
+static std::string joinAddresses(const std::vector<std::string> &addresses)
 {
     std::string text;
     for (const std::string &address : addresses)
@@ -178,7 +178,8 @@
     const bool reads = chosen.readers.empty();
     metrics.set("reads_store", reads ? 1 : 0);
     logInfo(log_part::fleet, reads ? "rows are read from the store" : "rows are read from entries",
-            {{"readers", joined(chosen.readers)}, {"standbys", joined(chosen.standbys)}});
+            {{"readers", joinAddresses(chosen.readers)},
+             {"standbys", joinAddresses(chosen.standbys)}});
 }
 
 bool peer_rows::arePreferred() const
