--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -49,7 +49,7 @@
     return text;
 }
 
-static std::string queryOf(const std::vector<pending_read> &asked)
+static std::string tablesQuery(const std::vector<pending_read> &asked)
 {
     std::string text;
     for (const pending_read &item : asked) {
@@ -259,8 +259,8 @@
     const milliseconds holdWanted = holdOfTry();
     ++tries;
     http_call request;
-    request.url = "http://" + *peer + std::string(row_server::path) + "?tables=" + queryOf(asked)
-            + "&hold=" + std::to_string(holdWanted.count());
+    request.url = "http://" + *peer + std::string(row_server::path)
+            + "?tables=" + tablesQuery(asked) + "&hold=" + std::to_string(holdWanted.count());
     if (const auto own = announced ? announced() : std::nullopt)
         request.headers.push_back({std::string(announcementHeader), encodeAnnouncement(*own)});
     request.timeout = holdWanted + peerTimeout;
