--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -94,7 +94,7 @@
     std::map<std::string, time_point> avoidedUntil; ///< peers that did not answer
     std::vector<pending_read> asked;
     unsigned tries = 0; ///< of what is asked
-    bool isAnyoneUp = false; ///< among those that were asked
+    bool hasReachablePeer = false; ///< among those that were asked
     std::optional<http_call_id> call;
     bool askPosted = false;
 };
@@ -211,7 +211,7 @@
     asio::post(context, [this] {
         askPosted = false;
         tries = 0;
-        isAnyoneUp = false;
+        hasReachablePeer = false;
         ask();
     });
 }
@@ -275,7 +275,7 @@
 void peer_rows::state::failAll()
 {
     const std::vector<pending_read> failed = std::exchange(asked, {});
-    const row_failure why = isAnyoneUp ? row_failure::outdated : row_failure::notDone;
+    const row_failure why = hasReachablePeer ? row_failure::outdated : row_failure::notDone;
     for (const pending_read &item : failed)
         item.done(failure(why));
 }
@@ -296,7 +296,7 @@
     const bool answered = reply && reply.value().status == http_status::ok;
     metrics.add(answered ? "peer_reads_total{result=\"ok\"}"
                          : "peer_reads_total{result=\"failed\"}");
-    isAnyoneUp = isAnyoneUp || reply;
+    hasReachablePeer = hasReachablePeer || reply;
     if (answered)
         takeReply(peer, reply.value().body);
     else
