--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -92,7 +92,7 @@
     bool starting = true; ///< no peer has answered yet
     std::size_t next = 0;
     std::map<std::string, time_point> avoidedUntil; ///< peers that did not answer
-    std::vector<pending_read> asked;
+    std::vector<pending_read> pending;
     unsigned tries = 0; ///< of what is asked
     bool hasReachablePeer = false; ///< among those that were asked
     std::optional<http_call_id> call;
@@ -195,7 +195,7 @@
 void peer_rows::read(const std::string &table, std::uint64_t since, row_callback<row_news> done)
 {
     state &self = *m_state;
-    self.asked.push_back({{table, since}, std::move(done)});
+    self.pending.push_back({{table, since}, std::move(done)});
     // What is under way is asked again together with this one.
     if (self.call) {
         self.http.cancel(*self.call);
@@ -260,7 +260,7 @@
     ++tries;
     http_call request;
     request.url = "http://" + *peer + std::string(row_server::path)
-            + "?tables=" + tablesQuery(asked) + "&hold=" + std::to_string(holdWanted.count());
+            + "?tables=" + tablesQuery(pending) + "&hold=" + std::to_string(holdWanted.count());
     if (const auto own = announced ? announced() : std::nullopt)
         request.headers.push_back({std::string(announcementHeader), encodeAnnouncement(*own)});
     request.timeout = holdWanted + peerTimeout;
@@ -274,7 +274,7 @@
 
 void peer_rows::state::failAll()
 {
-    const std::vector<pending_read> failed = std::exchange(asked, {});
+    const std::vector<pending_read> failed = std::exchange(pending, {});
     const row_failure why = hasReachablePeer ? row_failure::outdated : row_failure::notDone;
     for (const pending_read &item : failed)
         item.done(failure(why));
@@ -301,7 +301,7 @@
         takeReply(peer, reply.value().body);
     else
         avoid(peer, reply);
-    if (asked.empty() || call)
+    if (pending.empty() || call)
         return;
     if (mayTryAgain())
         ask();
@@ -321,12 +321,12 @@
     }
     // What this peer has not heard of for too long stays for the next one.
     std::vector<pending_read> answered;
-    for (pending_read &item : std::exchange(asked, {})) {
+    for (pending_read &item : std::exchange(pending, {})) {
         const auto it = tables.value().find(item.what.table);
         const bool isTold = it != tables.value().end();
         const bool isTaken = isTold
                 && (it->second.age <= mirror.freshness() || item.what.since == nothingKnown);
-        (isTaken ? answered : asked).push_back(std::move(item));
+        (isTaken ? answered : pending).push_back(std::move(item));
     }
     for (const pending_read &item : answered)
         item.done(taken(item.what.table, tables.value().at(item.what.table)));
