--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -65,7 +65,7 @@
           metric_registry &metrics, std::string ownAddress, milliseconds hold);
 
     void noteSources(const row_sources &chosen);
-    std::optional<std::string> pick();
+    std::optional<std::string> pickPeer();
     void postAsk();
     void ask();
     milliseconds holdOfTry() const;
@@ -216,7 +216,7 @@
     });
 }
 
-std::optional<std::string> peer_rows::state::pick()
+std::optional<std::string> peer_rows::state::pickPeer()
 {
     const bool asksStandby = tries >= maxReaderTries;
     const std::vector<std::string> &readersOrPeers
@@ -247,10 +247,10 @@
 
 void peer_rows::state::ask()
 {
-    std::optional<std::string> peer = pick();
+    std::optional<std::string> peer = pickPeer();
     while (!peer && mayTryAgain()) {
         ++tries;
-        peer = pick();
+        peer = pickPeer();
     }
     if (!peer) {
         failAll();
