--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -74,7 +74,7 @@
     void avoid(const std::string &peer, const outcome<http_reply, http_error> &reply);
     void failAll();
     void takeReply(const std::string &peer, const std::string &body);
-    row_news taken(const std::string &table, const aged_news &found);
+    row_news takeTable(const std::string &table, const aged_news &found);
 
     asio::io_context &context;
     asio_runtime runtime;
@@ -329,10 +329,10 @@
         (isTaken ? answered : pending).push_back(std::move(item));
     }
     for (const pending_read &item : answered)
-        item.done(taken(item.what.table, tables.value().at(item.what.table)));
+        item.done(takeTable(item.what.table, tables.value().at(item.what.table)));
 }
 
-row_news peer_rows::state::taken(const std::string &table, const aged_news &found)
+row_news peer_rows::state::takeTable(const std::string &table, const aged_news &found)
 {
     metrics.set("rows_age_ms{table=\"" + table + "\"}", static_cast<double>(found.age.count()));
     mirror.takeRelayed(table, found, bootNow());
