--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -49,7 +49,7 @@
 
     /// Removed rows that are remembered for each table; an entry that is further behind gets
     /// the whole table.
-    static constexpr std::size_t mostRemoved = 500;
+    static constexpr std::size_t maxRemovedRows = 500;
 
     /// Takes a whole table, or changes to it. \param confirmedAt when the store said so, and when
     /// its clock showed what \p batch says.
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -38,7 +38,7 @@
 
 void row_mirror::forgetRemoved(copy &known)
 {
-    while (known.removed.size() > mostRemoved) {
+    while (known.removed.size() > maxRemovedRows) {
         const auto oldest = std::min_element(
                 known.removed.begin(), known.removed.end(),
                 [](const auto &a, const auto &b) { return a.second < b.second; });
