--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -99,7 +99,7 @@
     static void forget(copy &known, const std::string &key);
     static void setRow(copy &known, const store_row &row);
     static void setRemoved(copy &known, const std::string &key, std::uint64_t version);
-    static void forgetRemoved(copy &known);
+    static void trimRemovedRows(copy &known);
 
     milliseconds m_freshness;
     std::map<std::string, copy> m_tables;
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -36,7 +36,7 @@
     known.changes.insert({version, key});
 }
 
-void row_mirror::forgetRemoved(copy &known)
+void row_mirror::trimRemovedRows(copy &known)
 {
     while (known.removed.size() > maxRemovedRows) {
         const auto oldest = std::min_element(
@@ -81,7 +81,7 @@
         else
             setRow(known, row);
     }
-    forgetRemoved(known);
+    trimRemovedRows(known);
     known.version = batch.version;
     if (confirmedAt >= known.confirmedAt) {
         known.storeTime = storeTime;
