--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -58,7 +58,7 @@
     /// Takes what another entry's mirror has told. Its age is in the store's time already, and must
     /// not be added once more by whoever reads it here: over some entries the store's clock would
     /// run seconds ahead.
-    void takeRelayed(const std::string &table, const aged_news &found, time_point now);
+    void takeFromPeer(const std::string &table, const aged_news &found, time_point now);
 
     /// \returns what is new since a version, with its age; nothing when the table is not known
     /// or not fresh.
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -335,6 +335,6 @@
 row_news peer_rows::state::takeTable(const std::string &table, const aged_news &found)
 {
     metrics.set("rows_age_ms{table=\"" + table + "\"}", static_cast<double>(found.age.count()));
-    mirror.takeRelayed(table, found, bootNow());
+    mirror.takeFromPeer(table, found, bootNow());
     return found.news;
 }
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -53,7 +53,7 @@
     take(table, batch, whole, batch.storeTime, confirmedAt);
 }
 
-void row_mirror::takeRelayed(const std::string &table, const aged_news &found, time_point now)
+void row_mirror::takeFromPeer(const std::string &table, const aged_news &found, time_point now)
 {
     const row_batch &batch = found.news.batch;
     take(table, batch, found.news.whole, batch.storeTime - found.age, now - found.age);
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -180,7 +180,7 @@
     all.runtime.after(delay, [this, table, news, isOutdated, done] {
         if (!news)
             return done(failure(isOutdated ? row_failure::outdated : row_failure::notDone));
-        mirror.takeRelayed(table, *news, all.runtime.now());
+        mirror.takeFromPeer(table, *news, all.runtime.now());
         done(news->news);
     });
 }
--- a/unittests/Proxy/RowMirrorTests.cpp
+++ b/unittests/Proxy/RowMirrorTests.cpp
@@ -76,7 +76,7 @@
         CHECK(told->age == passed);
         CHECK(told->news.batch.storeTime == reading + passed);
         row_mirror next(milliseconds(1500));
-        next.takeRelayed("t", *told, now);
+        next.takeFromPeer("t", *told, now);
         before = next;
     }
 }
