--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -96,7 +96,7 @@
               time_point confirmedAt);
     static aged_news headSince(const copy &known, std::uint64_t since, const news_state &state);
     static aged_news newsSince(const copy &known, std::uint64_t since, const news_state &state);
-    static void forget(copy &known, const std::string &key);
+    static void erase(copy &known, const std::string &key);
     static void setRow(copy &known, const store_row &row);
     static void setRemoved(copy &known, const std::string &key, std::uint64_t version);
     static void trimRemovedRows(copy &known);
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -10,7 +10,7 @@
 
 using namespace laurelcroft;
 
-void row_mirror::forget(copy &known, const std::string &key)
+void row_mirror::erase(copy &known, const std::string &key)
 {
     if (const auto row = known.rows.find(key); row != known.rows.end()) {
         known.changes.erase({row->second.version, key});
@@ -24,14 +24,14 @@
 
 void row_mirror::setRow(copy &known, const store_row &row)
 {
-    forget(known, row.key);
+    erase(known, row.key);
     known.rows[row.key] = row;
     known.changes.insert({row.version, row.key});
 }
 
 void row_mirror::setRemoved(copy &known, const std::string &key, std::uint64_t version)
 {
-    forget(known, key);
+    erase(known, key);
     known.removed[key] = version;
     known.changes.insert({version, key});
 }
@@ -43,7 +43,7 @@
                 known.removed.begin(), known.removed.end(),
                 [](const auto &a, const auto &b) { return a.second < b.second; });
         known.changesFrom = std::max(known.changesFrom, oldest->second);
-        forget(known, std::string(oldest->first));
+        erase(known, std::string(oldest->first));
     }
 }
 
