--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -73,7 +73,7 @@
     std::optional<aged_news> headForStart(const std::string &table, time_point now) const;
 
     /// \returns what read() would tell, without the rows.
-    news_state look(const std::string &table, std::uint64_t since, time_point now) const;
+    news_state stateOf(const std::string &table, std::uint64_t since, time_point now) const;
 
     /// \param onChange is called when a table gets its first rows or others.
     void setListener(std::function<void()> onChange) { m_onChange = std::move(onChange); }
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -19,7 +19,7 @@
     }
     // The store may have been there for all others: an endpoint that left after the rows were
     // confirmed last must still be left alone in time.
-    const milliseconds age = m_mirror.look(m_codec.endpointTable, nothingKnown, now).age;
+    const milliseconds age = m_mirror.stateOf(m_codec.endpointTable, nothingKnown, now).age;
     m_state.directory().doubtRemovals(now - age + m_links.timings.removalGrace);
 }
 
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -91,7 +91,7 @@
         m_onChange();
 }
 
-news_state row_mirror::look(const std::string &table, std::uint64_t since, time_point now) const
+news_state row_mirror::stateOf(const std::string &table, std::uint64_t since, time_point now) const
 {
     news_state state;
     const auto it = m_tables.find(table);
@@ -109,7 +109,7 @@
 std::optional<aged_news> row_mirror::read(const std::string &table, std::uint64_t since,
                                           time_point now) const
 {
-    const news_state state = look(table, since, now);
+    const news_state state = stateOf(table, since, now);
     if (!state.isKnown || state.isOutdated)
         return std::nullopt;
     return newsSince(m_tables.at(table), since, state);
@@ -117,7 +117,7 @@
 
 std::optional<aged_news> row_mirror::readForStart(const std::string &table, time_point now) const
 {
-    const news_state state = look(table, nothingKnown, now);
+    const news_state state = stateOf(table, nothingKnown, now);
     if (!state.isKnown)
         return std::nullopt;
     return newsSince(m_tables.at(table), nothingKnown, state);
@@ -125,7 +125,7 @@
 
 std::optional<aged_news> row_mirror::headForStart(const std::string &table, time_point now) const
 {
-    const news_state state = look(table, nothingKnown, now);
+    const news_state state = stateOf(table, nothingKnown, now);
     if (!state.isKnown)
         return std::nullopt;
     return headSince(m_tables.at(table), nothingKnown, state);
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -169,13 +169,14 @@
     };
     const auto news = peer ? newsOf(peer->mirror) : std::nullopt;
     const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
-    const bool isStarting = peer && !peer->mirror.look(table, since, all.runtime.now()).isKnown;
+    const bool isStarting = peer && !peer->mirror.stateOf(table, since, all.runtime.now()).isKnown;
     if ((isStarting || (news && !isNews)) && all.runtime.now() < until) {
         all.runtime.after(lookAgain,
                           [this, table, since, done, until] { read(table, since, done, until); });
         return;
     }
-    const bool isOutdated = peer && peer->mirror.look(table, since, all.runtime.now()).isOutdated;
+    const bool isOutdated
+            = peer && peer->mirror.stateOf(table, since, all.runtime.now()).isOutdated;
     const milliseconds delay = ++reads % 3 == 0 ? way : way + late;
     all.runtime.after(delay, [this, table, news, isOutdated, done] {
         if (!news)
