--- a/include/laurelcroft/Proxy/StoreClock.h
+++ b/include/laurelcroft/Proxy/StoreClock.h
@@ -18,7 +18,7 @@
 public:
     /// A reading that is this much behind is of another clock: the store has begun anew. One that
     /// was held up on its way is less late.
-    static constexpr milliseconds step{10000};
+    static constexpr milliseconds resetThreshold{10000};
     /// So long a reading is trusted more than later ones that are behind it. Two clocks drift apart
     /// by some 50 us a second, which makes 2 ms.
     static constexpr milliseconds trusted{30000};
@@ -30,7 +30,7 @@
     {
         const milliseconds behind = m_isKnown ? at(now) - reading : milliseconds(0);
         const bool isTrusted = m_isKnown && now - m_takenAt < trusted;
-        if (isTrusted && behind.count() > 0 && behind < step)
+        if (isTrusted && behind.count() > 0 && behind < resetThreshold)
             return;
         m_isKnown = true;
         m_reading = reading;
