--- a/include/laurelcroft/Proxy/StoreClock.h
+++ b/include/laurelcroft/Proxy/StoreClock.h
@@ -21,7 +21,7 @@
     static constexpr milliseconds resetThreshold{10000};
     /// So long a reading is trusted more than later ones that are behind it. Two clocks drift apart
     /// by some 50 us a second, which makes 2 ms.
-    static constexpr milliseconds trusted{30000};
+    static constexpr milliseconds trustPeriod{30000};
 
     bool isKnown() const { return m_isKnown; }
 
@@ -29,7 +29,7 @@
     void note(milliseconds reading, time_point now)
     {
         const milliseconds behind = m_isKnown ? at(now) - reading : milliseconds(0);
-        const bool isTrusted = m_isKnown && now - m_takenAt < trusted;
+        const bool isTrusted = m_isKnown && now - m_takenAt < trustPeriod;
         if (isTrusted && behind.count() > 0 && behind < resetThreshold)
             return;
         m_isKnown = true;
