--- a/include/laurelcroft/Proxy/StoreClock.h
+++ b/include/laurelcroft/Proxy/StoreClock.h
@@ -45,7 +45,7 @@
     }
 
     /// \returns the moment of this process's clock at which the store's shows \p reading.
-    time_point momentOf(milliseconds reading) const { return m_takenAt + (reading - m_reading); }
+    time_point localTimeOf(milliseconds reading) const { return m_takenAt + (reading - m_reading); }
 
 private:
     bool m_isKnown = false;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -275,7 +275,7 @@
         return;
     }
     const milliseconds begin = value.value().stageSince;
-    if (!m_state.rollouts(*service).setRow(value.value(), m_clock.momentOf(begin)))
+    if (!m_state.rollouts(*service).setRow(value.value(), m_clock.localTimeOf(begin)))
         return;
     logInfo(log_part::bundle, "roll-out stage",
             {{"service", *service},
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -155,7 +155,7 @@
                  {"result", textOf(result)}});
         // The row comes back by the feed; taking it at once saves a read's time.
         if (done)
-            m_state.rollouts(service).setRow(row, m_clock.momentOf(row.stageSince));
+            m_state.rollouts(service).setRow(row, m_clock.localTimeOf(row.stageSince));
         if (!result || done)
             return;
         // Somebody else was first: the next step goes on from that row.
--- a/unittests/Proxy/StoreClockTests.cpp
+++ b/unittests/Proxy/StoreClockTests.cpp
@@ -22,8 +22,8 @@
     CHECK(clock.at(start + seconds(1)) == milliseconds(6000));
     clock.note(milliseconds(7100), start + seconds(2));
     CHECK(clock.at(start + seconds(2)) == milliseconds(7100));
-    CHECK(clock.momentOf(milliseconds(8100)) == start + seconds(3));
-    CHECK(clock.momentOf(milliseconds(6100)) == start + seconds(1));
+    CHECK(clock.localTimeOf(milliseconds(8100)) == start + seconds(3));
+    CHECK(clock.localTimeOf(milliseconds(6100)) == start + seconds(1));
 }
 
 TEST_CASE("a clock that runs faster than the store's is set right in time")
