--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -54,7 +54,7 @@
     bool mayCall(const row_callback<T> &done)
     {
         if (isUp && isTurnedAway)
-            runtime.after(fake_store::way, [done] { done(failure(row_failure::unknown)); });
+            runtime.after(fake_store::callDelay, [done] { done(failure(row_failure::unknown)); });
         return isUp && !isTurnedAway;
     }
 
--- a/unittests/Proxy/FakeStore.h
+++ b/unittests/Proxy/FakeStore.h
@@ -35,11 +35,12 @@
     {
         ++follows;
         if (forgetful) {
-            m_runtime.after(way, [done] { done(failure(row_failure::historyGone)); });
+            m_runtime.after(callDelay, [done] { done(failure(row_failure::historyGone)); });
             return;
         }
         const bool news = changedSince(table, since);
-        const milliseconds delay = away ? awayDelay : (news || wait.count() == 0 ? way : wait);
+        const milliseconds delay
+                = away ? awayDelay : (news || wait.count() == 0 ? callDelay : wait);
         m_runtime.after(delay, [this, table, since, done] {
             if (away)
                 done(failure(row_failure::unknown));
@@ -70,10 +71,10 @@
     }
 
     /// Time from a call to its answer.
-    static constexpr milliseconds way{1};
+    static constexpr milliseconds callDelay{1};
 
     bool away = false;
-    milliseconds awayDelay = way; ///< until a call fails while the store is away
+    milliseconds awayDelay = callDelay; ///< until a call fails while the store is away
     bool forgetful = false;
     unsigned lists = 0;
     unsigned follows = 0;
@@ -83,7 +84,7 @@
     template <class T>
     void answer(row_callback<T> done, std::function<T()> result)
     {
-        m_runtime.after(away ? awayDelay : way, [this, done, result] {
+        m_runtime.after(away ? awayDelay : callDelay, [this, done, result] {
             if (away)
                 done(failure(row_failure::unknown));
             else
