--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -85,7 +85,7 @@
     evacuation_world world;
     world.entries.store.put("orders", "evacuate east", "{}");
     world.entries.runtime.advance(inForce);
-    world.entries.store.forgetful = true;
+    world.entries.store.hasLostHistory = true;
     world.entries.store.remove("orders", "evacuate east");
     world.entries.runtime.advance(inForce + inForce);
     CHECK(world.entriesThatSee(4) == fewEntries);
--- a/unittests/Proxy/FakeStore.h
+++ b/unittests/Proxy/FakeStore.h
@@ -34,7 +34,7 @@
                 row_callback<row_batch> done)
     {
         ++follows;
-        if (forgetful) {
+        if (hasLostHistory) {
             m_runtime.after(callDelay, [done] { done(failure(row_failure::historyGone)); });
             return;
         }
@@ -75,7 +75,7 @@
 
     bool away = false;
     milliseconds awayDelay = callDelay; ///< until a call fails while the store is away
-    bool forgetful = false;
+    bool hasLostHistory = false;
     unsigned lists = 0;
     unsigned follows = 0;
     unsigned writes = 0;
--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -131,10 +131,10 @@
 TEST_CASE("the same when the store forgets its history at its return")
 {
     lapse_world world;
-    world.entries.store.forgetful = true;
+    world.entries.store.hasLostHistory = true;
     world.outage(seconds(4));
     world.pass(seconds(1));
-    world.entries.store.forgetful = false;
+    world.entries.store.hasLostHistory = false;
     world.pass(seconds(6));
     CHECK(world.fewest == endpoints);
 }
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -153,7 +153,7 @@
     world.store.put("endpoints", "a", "v1");
     world.store.put("endpoints", "b", "v1");
     world.begin();
-    world.store.forgetful = true;
+    world.store.hasLostHistory = true;
     world.store.remove("endpoints", "a");
     world.runtime.advance(milliseconds(1000));
     const auto usable = world.routing.directory().usable("pool");
