--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t fewEntries = 40;
 constexpr milliseconds heartbeat{1200};
 /// Rows of living endpoints are back this long after the store.
-constexpr milliseconds backWithin{2000};
+constexpr milliseconds recoveryBound{2000};
 constexpr milliseconds look{50};
 
 std::string idOf(unsigned number)
@@ -113,7 +113,7 @@
     for (const int ms : {600, 1500}) {
         CAPTURE(ms);
         world.outage(milliseconds(ms));
-        world.pass(backWithin);
+        world.pass(recoveryBound);
         for (fleet_entry &entry : world.entries.entries)
             CHECK(world.usableAt(entry) == endpoints);
     }
@@ -202,7 +202,7 @@
     lapse_world world;
     world.dead.insert(7);
     world.outage(seconds(4));
-    world.pass(backWithin);
+    world.pass(recoveryBound);
     // The dead one may go before; those that live stay.
     CHECK(world.fewest >= endpoints - 1);
     // The grace, one read of a reader, and one of the others.
