--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -190,7 +190,7 @@
     /// \returns true when what other entries have found is known up to a moment ago: this entry
     /// reads the store itself, so that the others tell it all.
     bool isPeerEvidenceCurrent();
-    void step();
+    void runChecks();
     /// \returns true when this entry writes a step that is due at this look.
     bool mayWriteStepNow(const rollout_row &next, bool knowsOthers);
     /// \returns true for a few entries at a time, by chance.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -44,7 +44,7 @@
     m_followers[own] = follow(own, ownPace, &store_sync::applyInternal);
     for (const auto &[table, item] : m_followers)
         item->start();
-    step();
+    runChecks();
 }
 
 template <row_store_like Store, runtime_like Runtime>
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -92,9 +92,9 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::step()
+void store_sync<Store, Runtime>::runChecks()
 {
-    m_runtime.after(stepInterval, [this] { step(); });
+    m_runtime.after(stepInterval, [this] { runChecks(); });
     maintainEntryRows();
     logOmittedEndpointLines();
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
