--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -196,7 +196,7 @@
     /// \returns true for a few entries at a time, by chance.
     bool isSampledWriter();
     void sendEvidence(const std::string &service, const rollout_tracker &tracker);
-    void write(const std::string &service, const rollout_order &order, const rollout_row &row);
+    void writeStep(const std::string &service, const rollout_order &order, const rollout_row &row);
     bool writeEvidence(const std::string &service, const rollout_tracker &tracker);
     void takeInternalRow(const store_row &row);
     void takeWithheldRow(request_key key, const store_row &row);
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -119,14 +119,14 @@
             return;
         if (!next || !mayWriteStepNow(*next, knowsOthers))
             continue;
-        write(service, *tracker.order(), *next);
+        writeStep(service, *tracker.order(), *next);
         return;
     }
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::write(const std::string &service, const rollout_order &order,
-                                       const rollout_row &row)
+void store_sync<Store, Runtime>::writeStep(const std::string &service, const rollout_order &order,
+                                           const rollout_row &row)
 {
     m_writing = true;
     const rollout_suspicion doubt = m_state.rollouts(service).evaluator().strongestSuspicion();
