--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -184,7 +184,7 @@
     bool isListedByOthers();
     /// \returns the row that lists \p entry from now on. \param wallTime its time of day.
     row_write entryRow(const std::string &entry, entry_info place, milliseconds wallTime);
-    void announce();
+    void writeOwnRow();
     void writeAnnounced();
     void removeExpiredEntry(const listed_entry &entry);
     /// \returns true when what other entries have found is known up to a moment ago: this entry
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -293,7 +293,7 @@
         return;
     if (m_roster.isOwnDue(storeNow())) {
         if (!isListedByOthers())
-            announce();
+            writeOwnRow();
         return;
     }
     m_unlistedSince.reset();
@@ -380,7 +380,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::announce()
+void store_sync<Store, Runtime>::writeOwnRow()
 {
     // The own row comes back by the feed; until then it is not written again.
     m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
