--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -185,7 +185,7 @@
     /// \returns the row that lists \p entry from now on. \param wallTime its time of day.
     row_write entryRow(const std::string &entry, entry_info place, milliseconds wallTime);
     void writeOwnRow();
-    void writeAnnounced();
+    void writeAnnouncedRows();
     void removeExpiredEntry(const listed_entry &entry);
     /// \returns true when what other entries have found is known up to a moment ago: this entry
     /// reads the store itself, so that the others tell it all.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -336,12 +336,12 @@
         return;
     m_runtime.after(announcementBatchDelay, [this] {
         m_isBatchPending = false;
-        writeAnnounced();
+        writeAnnouncedRows();
     });
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::writeAnnounced()
+void store_sync<Store, Runtime>::writeAnnouncedRows()
 {
     const bool knows = m_clock.isKnown() && m_internalTableRead;
     const std::map<std::string, received_announcement> announced
