--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -181,7 +181,7 @@
     milliseconds storeNow();
     void maintainEntryRows();
     /// \returns true while others, who give rows to this entry, have the time to write its row.
-    bool isListedByOthers();
+    bool isAwaitingListing();
     /// \returns the row that lists \p entry from now on. \param wallTime its time of day.
     row_write entryRow(const std::string &entry, entry_info place, milliseconds wallTime);
     void writeOwnRow();
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -292,7 +292,7 @@
     if (!m_clock.isKnown() || !m_internalTableRead || m_runtime.now() < m_nextOwnRowWriteAt)
         return;
     if (m_roster.isOwnDue(storeNow())) {
-        if (!isListedByOthers())
+        if (!isAwaitingListing())
             writeOwnRow();
         return;
     }
@@ -306,7 +306,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isListedByOthers()
+bool store_sync<Store, Runtime>::isAwaitingListing()
 {
     if (!m_links.relay.isPreferred || !m_links.relay.isPreferred())
         return false;
