--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -235,7 +235,7 @@
     bool m_endpointsRead = false;
     log_limiter m_endpointLines{maxEndpointLinesPerSecond};
     time_point m_nextOmittedLineAt{};
-    bool m_writing = false;
+    bool m_isWriting = false;
     time_point m_nextOwnRowWriteAt{};
     std::optional<time_point> m_unlistedSince;
     time_point m_nextAnnouncementAt{};
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -63,11 +63,11 @@
     finding->row.until = storeNow() + finding->left;
     const auto known = m_findingRows.find(key);
     const std::uint64_t expected = known == m_findingRows.end() ? 0 : known->second.version;
-    m_writing = true;
+    m_isWriting = true;
     const row_write row{std::string(internalTable), withheldKey(key),
                         encodeWithheldRow(finding->row), expected};
     m_store.write({row}, [this, key](outcome<conditional_write, row_failure> result) {
-        m_writing = false;
+        m_isWriting = false;
         if (!result)
             m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         logInfo(log_part::routing, "finding on a request written",
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -21,7 +21,7 @@
     const bool news = own.bad() > (sameOrder ? told.bad() : 0);
     if (!news || m_runtime.now() - m_evidenceWrittenAt < evidenceRowInterval || !isSampledWriter())
         return false;
-    m_writing = true;
+    m_isWriting = true;
     m_evidenceWrittenAt = m_runtime.now();
     m_writtenEvidence[service] = own;
     logInfo(log_part::bundle, "evidence told",
@@ -31,7 +31,7 @@
     const row_write row{std::string(internalTable), evidenceKey(m_links.entry, service),
                         encodeEvidence(signedOwn), std::nullopt};
     m_store.write({row}, [this, service](outcome<conditional_write, row_failure> result) {
-        m_writing = false;
+        m_isWriting = false;
         if (result)
             return;
         // The next look tells it again.
@@ -106,7 +106,7 @@
         if (isNoticeDue && tracker.order() && !tracker.isOver())
             sendEvidence(service, tracker);
     }
-    if (m_writing || !m_clock.isKnown() || m_runtime.now() < m_nextWriteAt)
+    if (m_isWriting || !m_clock.isKnown() || m_runtime.now() < m_nextWriteAt)
         return;
     if (writeFinding())
         return;
@@ -128,7 +128,7 @@
 void store_sync<Store, Runtime>::writeStep(const std::string &service, const rollout_order &order,
                                            const rollout_row &row)
 {
-    m_writing = true;
+    m_isWriting = true;
     const rollout_suspicion doubt = m_state.rollouts(service).evaluator().strongestSuspicion();
     logInfo(log_part::bundle, "roll-out step is due",
             {{"service", service},
@@ -144,7 +144,7 @@
                         m_rowVersions[service]};
     const std::vector<row_write> writes{own, m_codec.encodeStatus(order, row.stage)};
     m_store.write(writes, [this, service, row](outcome<conditional_write, row_failure> result) {
-        m_writing = false;
+        m_isWriting = false;
         if (!result)
             m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         const bool done = result && result.value().done;
