--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -79,7 +79,7 @@
     void setListener(std::function<void()> onChange) { m_onChange = std::move(onChange); }
 
 private:
-    struct copy
+    struct table_copy
     {
         std::map<std::string, store_row> rows;
         std::map<std::string, std::uint64_t> removed; ///< versions of the removals, by key
@@ -94,15 +94,17 @@
     /// \param storeTime that the store's clock showed at \p confirmedAt.
     void take(const std::string &table, const row_batch &batch, bool whole, milliseconds storeTime,
               time_point confirmedAt);
-    static aged_news headSince(const copy &known, std::uint64_t since, const news_state &state);
-    static aged_news newsSince(const copy &known, std::uint64_t since, const news_state &state);
-    static void erase(copy &known, const std::string &key);
-    static void setRow(copy &known, const store_row &row);
-    static void setRemoved(copy &known, const std::string &key, std::uint64_t version);
-    static void trimRemovedRows(copy &known);
+    static aged_news headSince(const table_copy &known, std::uint64_t since,
+                               const news_state &state);
+    static aged_news newsSince(const table_copy &known, std::uint64_t since,
+                               const news_state &state);
+    static void erase(table_copy &known, const std::string &key);
+    static void setRow(table_copy &known, const store_row &row);
+    static void setRemoved(table_copy &known, const std::string &key, std::uint64_t version);
+    static void trimRemovedRows(table_copy &known);
 
     milliseconds m_freshness;
-    std::map<std::string, copy> m_tables;
+    std::map<std::string, table_copy> m_tables;
     std::function<void()> m_onChange;
 };
 
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -10,7 +10,7 @@
 
 using namespace laurelcroft;
 
-void row_mirror::erase(copy &known, const std::string &key)
+void row_mirror::erase(table_copy &known, const std::string &key)
 {
     if (const auto row = known.rows.find(key); row != known.rows.end()) {
         known.changes.erase({row->second.version, key});
@@ -22,21 +22,21 @@
     }
 }
 
-void row_mirror::setRow(copy &known, const store_row &row)
+void row_mirror::setRow(table_copy &known, const store_row &row)
 {
     erase(known, row.key);
     known.rows[row.key] = row;
     known.changes.insert({row.version, row.key});
 }
 
-void row_mirror::setRemoved(copy &known, const std::string &key, std::uint64_t version)
+void row_mirror::setRemoved(table_copy &known, const std::string &key, std::uint64_t version)
 {
     erase(known, key);
     known.removed[key] = version;
     known.changes.insert({version, key});
 }
 
-void row_mirror::trimRemovedRows(copy &known)
+void row_mirror::trimRemovedRows(table_copy &known)
 {
     while (known.removed.size() > maxRemovedRows) {
         const auto oldest = std::min_element(
@@ -62,7 +62,7 @@
 void row_mirror::take(const std::string &table, const row_batch &batch, bool whole,
                       milliseconds storeTime, time_point confirmedAt)
 {
-    copy &known = m_tables[table];
+    table_copy &known = m_tables[table];
     if (batch.version < known.version)
         return;
     const bool isFirst = known.version == 0;
@@ -97,7 +97,7 @@
     const auto it = m_tables.find(table);
     if (it == m_tables.end())
         return state;
-    const copy &known = it->second;
+    const table_copy &known = it->second;
     state.isKnown = true;
     state.isOutdated = now - known.confirmedAt > m_freshness;
     state.age = std::chrono::duration_cast<milliseconds>(now - known.confirmedAt);
@@ -131,7 +131,8 @@
     return headSince(m_tables.at(table), nothingKnown, state);
 }
 
-aged_news row_mirror::headSince(const copy &known, std::uint64_t since, const news_state &state)
+aged_news row_mirror::headSince(const table_copy &known, std::uint64_t since,
+                                const news_state &state)
 {
     aged_news result;
     result.age = state.age;
@@ -142,7 +143,8 @@
     return result;
 }
 
-aged_news row_mirror::newsSince(const copy &known, std::uint64_t since, const news_state &state)
+aged_news row_mirror::newsSince(const table_copy &known, std::uint64_t since,
+                                const news_state &state)
 {
     aged_news result = headSince(known, since, state);
     row_batch &batch = result.news.batch;
