--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -30,7 +30,7 @@
 struct lapse_world
 {
     fleet entries;
-    std::size_t fewest = std::numeric_limits<std::size_t>::max(); ///< usable at any entry, ever
+    std::size_t minUsable = std::numeric_limits<std::size_t>::max(); ///< usable at any entry, ever
 
     explicit lapse_world(std::size_t count = fewEntries)
     {
@@ -58,14 +58,14 @@
         return entry.routing.directory().usable("pool").size();
     }
 
-    /// Lets time pass and notes the fewest usable endpoints of any entry that is up.
+    /// Lets time pass and notes the minUsable usable endpoints of any entry that is up.
     void pass(duration time)
     {
         for (duration passed{0}; passed < time; passed += look) {
             entries.runtime.advance(look);
             for (fleet_entry &entry : entries.entries) {
                 if (entry.store.isUp && entry.routing.contract())
-                    fewest = std::min(fewest, usableAt(entry));
+                    minUsable = std::min(minUsable, usableAt(entry));
             }
         }
     }
@@ -100,7 +100,7 @@
         CAPTURE(ms);
         world.outage(milliseconds(ms));
         world.pass(seconds(6));
-        CHECK(world.fewest == endpoints);
+        CHECK(world.minUsable == endpoints);
     }
 }
 
@@ -125,7 +125,7 @@
     world.entries.store.awayDelay = milliseconds(900);
     world.outage(seconds(4));
     world.pass(seconds(6));
-    CHECK(world.fewest == endpoints);
+    CHECK(world.minUsable == endpoints);
 }
 
 TEST_CASE("the same when the store forgets its history at its return")
@@ -136,7 +136,7 @@
     world.pass(seconds(1));
     world.entries.store.hasLostHistory = false;
     world.pass(seconds(6));
-    CHECK(world.fewest == endpoints);
+    CHECK(world.minUsable == endpoints);
 }
 
 TEST_CASE("the same when all but the readers are turned away, and then the readers are")
@@ -150,7 +150,7 @@
         for (fleet_entry &entry : world.entries.entries)
             entry.store.isTurnedAway = false;
         world.pass(seconds(6));
-        CHECK(world.fewest == endpoints);
+        CHECK(world.minUsable == endpoints);
     }
 }
 
@@ -163,7 +163,7 @@
     world.pass(seconds(1));
     world.outage(seconds(3));
     world.pass(seconds(6));
-    CHECK(world.fewest == endpoints);
+    CHECK(world.minUsable == endpoints);
 }
 
 TEST_CASE("an entry that starts late in an outage goes by what the others still believe")
@@ -177,7 +177,7 @@
     CHECK(world.usableAt(world.entries.entries.back()) == endpoints);
     world.outage(seconds(2));
     world.pass(seconds(6));
-    CHECK(world.fewest == endpoints);
+    CHECK(world.minUsable == endpoints);
 }
 
 TEST_CASE("when the readers lose power in the outage, all entries know all endpoints soon after")
@@ -204,7 +204,7 @@
     world.outage(seconds(4));
     world.pass(recoveryBound);
     // The dead one may go before; those that live stay.
-    CHECK(world.fewest >= endpoints - 1);
+    CHECK(world.minUsable >= endpoints - 1);
     // The grace, one read of a reader, and one of the others.
     world.pass(milliseconds(200) + seconds(2));
     for (fleet_entry &entry : world.entries.entries) {
@@ -219,7 +219,7 @@
     world.dead.insert(7);
     world.entries.store.remove("endpoints", idOf(7));
     world.pass(seconds(3));
-    CHECK(world.fewest == endpoints - 1);
+    CHECK(world.minUsable == endpoints - 1);
     world.dead.clear();
     world.pass(seconds(3));
     for (fleet_entry &entry : world.entries.entries)
