--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -19,7 +19,7 @@
 constexpr milliseconds heartbeat{1200};
 /// Rows of living endpoints are back this long after the store.
 constexpr milliseconds recoveryBound{2000};
-constexpr milliseconds look{50};
+constexpr milliseconds checkInterval{50};
 
 std::string idOf(unsigned number)
 {
@@ -61,8 +61,8 @@
     /// Lets time pass and notes the minUsable usable endpoints of any entry that is up.
     void pass(duration time)
     {
-        for (duration passed{0}; passed < time; passed += look) {
-            entries.runtime.advance(look);
+        for (duration passed{0}; passed < time; passed += checkInterval) {
+            entries.runtime.advance(checkInterval);
             for (fleet_entry &entry : entries.entries) {
                 if (entry.store.isUp && entry.routing.contract())
                     minUsable = std::min(minUsable, usableAt(entry));
