--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -211,13 +211,13 @@
 {
     two_entries()
     {
-        REQUIRE(teller.rows.open().empty());
+        REQUIRE(server.rows.open().empty());
         asker.rows.setFirstPeers({tellerAddress()});
     }
-    std::string tellerAddress() const { return "127.0.0.1:" + std::to_string(teller.rows.port()); }
+    std::string tellerAddress() const { return "127.0.0.1:" + std::to_string(server.rows.port()); }
     void tell(const std::string &table, std::uint64_t version)
     {
-        teller.mirror.take(table, {{{"k", "v", version, false}}, version, {}}, true, bootNow());
+        server.mirror.take(table, {{{"k", "v", version, false}}, version, {}}, true, bootNow());
     }
     void ask(const std::string &table, std::uint64_t since)
     {
@@ -231,7 +231,7 @@
             context.run_one();
     }
     asio::io_context context;
-    one_entry teller{context, "127.0.0.1:0"};
+    one_entry server{context, "127.0.0.1:0"};
     one_entry asker{context, "127.0.0.1:1"};
     std::map<std::string, outcome<row_news, row_failure>> results;
 };
@@ -289,7 +289,7 @@
 TEST_CASE("a table without rows is given on as well, and its first row after it")
 {
     two_entries two;
-    two.teller.mirror.take("a", {{}, 3, {}}, true, bootNow());
+    two.server.mirror.take("a", {{}, 3, {}}, true, bootNow());
     two.ask("a", 0);
     two.runUntil(1);
     REQUIRE(two.results.at("a"));
@@ -297,7 +297,7 @@
     CHECK(two.results.at("a").value().batch.rows.empty());
 
     two.results.clear();
-    two.teller.mirror.take("a", {{{"k", "v", 4, false}}, 4, {}}, false, bootNow());
+    two.server.mirror.take("a", {{{"k", "v", 4, false}}, 4, {}}, false, bootNow());
     two.ask("a", 0);
     two.runUntil(1);
     REQUIRE(two.results.at("a"));
@@ -319,7 +319,7 @@
     two.ask("a", 3);
     asio_runtime runtime(two.context);
     runtime.after(milliseconds(10), [&] {
-        two.teller.mirror.take("a", {{{"l", "w", 4, false}}, 4, {}}, false, bootNow());
+        two.server.mirror.take("a", {{{"l", "w", 4, false}}, 4, {}}, false, bootNow());
     });
     two.runUntil(1);
     REQUIRE(two.results.at("a"));
@@ -338,7 +338,7 @@
     CHECK(two.results.at("a").value().whole);
 
     two.results.clear();
-    two.teller.mirror.take("b", {{}, 6, {}}, true, bootNow() - seconds(2));
+    two.server.mirror.take("b", {{}, 6, {}}, true, bootNow() - seconds(2));
     two.ask("b", 6);
     two.runUntil(1);
     REQUIRE(!two.results.at("b"));
@@ -354,7 +354,7 @@
     two.asker.rows.setSources({{two.tellerAddress()}, {standbyAddress}});
     CHECK(!two.asker.rows.isStandby());
     const time_point old = bootNow() - seconds(2);
-    two.teller.mirror.take("a", {{}, 6, {}}, true, old);
+    two.server.mirror.take("a", {{}, 6, {}}, true, old);
     standby.mirror.take("a", {{}, 6, {}}, true, old);
     two.tell("b", 4);
     two.ask("a", 6);
@@ -399,7 +399,7 @@
 TEST_CASE("outdated rows are for an entry that knows nothing yet, and for nobody else")
 {
     two_entries two;
-    two.teller.mirror.take("t", {{{"k", "v", 9, false}}, 9, {}}, true, bootNow() - seconds(10));
+    two.server.mirror.take("t", {{{"k", "v", 9, false}}, 9, {}}, true, bootNow() - seconds(10));
     two.ask("t", nothingKnown);
     two.runUntil(1);
     REQUIRE(two.results.at("t"));
