--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -212,7 +212,7 @@
     two_entries()
     {
         REQUIRE(server.rows.open().empty());
-        asker.rows.setFirstPeers({tellerAddress()});
+        client.rows.setFirstPeers({tellerAddress()});
     }
     std::string tellerAddress() const { return "127.0.0.1:" + std::to_string(server.rows.port()); }
     void tell(const std::string &table, std::uint64_t version)
@@ -221,7 +221,7 @@
     }
     void ask(const std::string &table, std::uint64_t since)
     {
-        asker.rows.read(table, since, [this, table](outcome<row_news, row_failure> news) {
+        client.rows.read(table, since, [this, table](outcome<row_news, row_failure> news) {
             results.emplace(table, std::move(news));
         });
     }
@@ -232,7 +232,7 @@
     }
     asio::io_context context;
     one_entry server{context, "127.0.0.1:0"};
-    one_entry asker{context, "127.0.0.1:1"};
+    one_entry client{context, "127.0.0.1:1"};
     std::map<std::string, outcome<row_news, row_failure>> results;
 };
 
@@ -282,7 +282,7 @@
     CHECK(two.results.at("b").value().batch.version == 5);
     CHECK(!two.results.at("c"));
     CHECK(!two.results.at("d"));
-    const std::string told = two.asker.metrics.prometheusText();
+    const std::string told = two.client.metrics.prometheusText();
     CHECK(told.find("peer_reads_total{result=\"ok\"} 1\n") != std::string::npos);
 }
 
@@ -351,8 +351,8 @@
     one_entry standby{two.context, "127.0.0.1:0"};
     REQUIRE(standby.rows.open().empty());
     const std::string standbyAddress = "127.0.0.1:" + std::to_string(standby.rows.port());
-    two.asker.rows.setSources({{two.tellerAddress()}, {standbyAddress}});
-    CHECK(!two.asker.rows.isStandby());
+    two.client.rows.setSources({{two.tellerAddress()}, {standbyAddress}});
+    CHECK(!two.client.rows.isStandby());
     const time_point old = bootNow() - seconds(2);
     two.server.mirror.take("a", {{}, 6, {}}, true, old);
     standby.mirror.take("a", {{}, 6, {}}, true, old);
@@ -376,7 +376,7 @@
 {
     two_entries two;
     two.tell("a", 3);
-    two.asker.rows.setSources({{"127.0.0.1:2", two.tellerAddress()}, {}});
+    two.client.rows.setSources({{"127.0.0.1:2", two.tellerAddress()}, {}});
     two.ask("a", 0);
     two.runUntil(1);
     CHECK(two.results.at("a"));
@@ -385,15 +385,15 @@
 TEST_CASE("an entry that finds itself a reader waits for no peer any more")
 {
     two_entries two;
-    CHECK(two.asker.rows.arePreferred());
+    CHECK(two.client.rows.arePreferred());
     const time_point began = bootNow();
     two.ask("a", 0);
     asio_runtime runtime(two.context);
-    runtime.after(milliseconds(10), [&] { two.asker.rows.setSources({}); });
+    runtime.after(milliseconds(10), [&] { two.client.rows.setSources({}); });
     two.runUntil(1);
     CHECK(!two.results.at("a"));
     CHECK(bootNow() - began < milliseconds(90));
-    CHECK(!two.asker.rows.arePreferred());
+    CHECK(!two.client.rows.arePreferred());
 }
 
 TEST_CASE("outdated rows are for an entry that knows nothing yet, and for nobody else")
