--- a/include/laurelcroft/Proxy/PeerRows.h
+++ b/include/laurelcroft/Proxy/PeerRows.h
@@ -1,7 +1,8 @@
-//===-- Proxy/PeerRows.h - rows from and for other entries -------*- C++ -*-===//
+//===-- Proxy/PeerRows.h - reads rows from peer entries ---------*- C++ -*-===//
 //
-// Serves this entry's mirror to the others, and asks them: when the store turns this entry
-// away, and always where enough others read the store. One thread.
+// Serves this entry's row mirror to other entries and reads rows from theirs: always when enough
+// entries read the store, otherwise only while the store is unavailable to this entry. Not
+// thread-safe.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_PEERROWS_H
@@ -21,46 +22,46 @@
 
 namespace laurelcroft {
 
-/// The other entries, as sources of rows.
+/// Exchanges rows with the other entries.
 class peer_rows
 {
 public:
     /// \param ownAddress "host:port" that \c open listens on.
-    /// \param hold how long another entry may hold a read that has no news.
+    /// \param hold how long a peer may hold a read that has no news.
     peer_rows(asio::io_context &context, http_client &http, row_mirror &mirror,
               metric_registry &metrics, std::string ownAddress, milliseconds hold);
     ~peer_rows();
 
-    /// \returns an empty string, or what failed.
+    /// \returns an empty string, or an error message.
     std::string open();
 
-    /// Peers that are asked while the readers are not known, by "host:port"; this entry's own
-    /// address is left out.
+    /// Sets the peers ("host:port") that are read from while the readers are unknown. This entry's
+    /// own address is left out.
     void setPeers(std::vector<std::string> peers);
 
-    /// Peers of a process that starts. It asks them before the store, unless it is one of them:
-    /// those read the store for the others.
+    /// Sets the peers of a process that is starting. It reads from them before it reads the store,
+    /// unless it is one of them: those read the store for the others.
     void setFirstPeers(const std::vector<std::string> &peers);
 
-    /// The port in use, after open().
+    /// \returns the port in use, after open().
     std::uint16_t port() const;
 
-    /// Entries that read the store for this one; none when it reads itself.
+    /// Sets the entries that this one reads from; none when it reads the store itself.
     void setSources(row_sources sources);
 
-    /// \param own tells what is announced with reads while this entry is not listed; \param
-    /// listener is told of other entries that are not.
+    /// \param own returns the announcement to send with reads while this entry is not listed.
+    /// \param listener is called for each announcement from another entry.
     void setAnnouncements(std::function<std::optional<entry_announcement>()> own,
                           std::function<void(const entry_announcement &)> listener);
 
-    /// \returns true while other entries are asked before the store.
+    /// \returns true while other entries are read before the store.
     bool arePreferred() const;
 
-    /// \returns true when this entry asks the store at once while its readers are outdated.
+    /// \returns true when this entry reads the store at once if its readers' rows are outdated.
     bool isStandby() const;
 
-    /// Asks a reader, or any peer when there is none; another one each time. Reads that come
-    /// together go as one.
+    /// Reads from a reader, or from any peer when there is none; successive reads rotate through
+    /// them. Reads issued together are sent as one request.
     void read(const std::string &table, std::uint64_t since, row_callback<row_news> done);
 
 private:
--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -1,8 +1,9 @@
-//===-- Proxy/RowMirror.h - tables as this entry last read them --*- C++ -*-===//
+//===-- Proxy/RowMirror.h - tables as last read -----------------*- C++ -*-===//
 //
-// Kept so that other entries can read them here: those that the store turns away, and those
-// that leave the reading to a few. Versions are the store's own, so that nobody ever goes
-// back; every answer tells its age, so that entries can't confirm each other.
+// Copies of tables that other entries read from this one: entries that cannot reach the store, and
+// entries that leave reading the store to a few. Rows keep the store's versions, so that no reader
+// goes back to an older state. Each answer carries its age, so that entries cannot keep confirming
+// each other's copies after the store is lost.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROWMIRROR_H
@@ -19,79 +20,82 @@
 
 namespace laurelcroft {
 
-/// News of a table and how old they are.
+/// Changes of a table and their age.
 struct aged_news
 {
     row_news news;
     milliseconds age{0}; ///< since the store confirmed them
-    std::uint64_t changedAt = 0; ///< version of the table's newest row or removal
+    std::uint64_t changedAt = 0; ///< version of the newest row or removal in the table
 };
 
-/// What a mirror has of a table for whoever knows it up to some version.
+/// State of a table relative to the version that a reader knows.
 struct news_state
 {
-    bool isKnown = false; ///< the table was read once
-    bool isOutdated = false; ///< the store has not confirmed it for too long
+    bool isKnown = false; ///< the table was read at least once
+    bool isOutdated = false; ///< the store has not confirmed the copy for too long
     bool hasNews = false;
     milliseconds age{0};
 };
 
-/// Copies of tables.
+/// Holds copies of tables.
 class row_mirror
 {
 public:
-    /// \param freshness a copy that the store has not confirmed for longer is not given away.
+    /// \param freshness maximum time since the store last confirmed a copy; older copies are not
+    /// served.
     explicit row_mirror(milliseconds freshness)
         : m_freshness(freshness)
     {
     }
     milliseconds freshness() const { return m_freshness; }
 
-    /// Removed rows that are remembered for each table; an entry that is further behind gets
-    /// the whole table.
+    /// Number of removals remembered per table. A reader that is further behind gets the whole
+    /// table.
     static constexpr std::size_t maxRemovedRows = 500;
 
-    /// Takes a whole table, or changes to it. \param confirmedAt when the store said so, and when
-    /// its clock showed what \p batch says.
+    /// Applies a whole table or changes to it.
+    /// \param confirmedAt when the store confirmed \p batch and its clock showed the time in \p
+    /// batch.
     void take(const std::string &table, const row_batch &batch, bool whole, time_point confirmedAt);
 
-    /// Takes what another entry's mirror has told. Its age is in the store's time already, and must
-    /// not be added once more by whoever reads it here: over some entries the store's clock would
-    /// run seconds ahead.
+    /// Applies changes from another entry's mirror. Their store time already includes their age,
+    /// which must not be added again for readers of this mirror: over several hops the store's
+    /// clock would be seconds ahead.
     void takeFromPeer(const std::string &table, const aged_news &found, time_point now);
 
-    /// \returns what is new since a version, with its age; nothing when the table is not known
-    /// or not fresh.
+    /// \returns the changes since a version and their age; nothing when the table is unknown or its
+    /// copy is outdated.
     std::optional<aged_news> read(const std::string &table, std::uint64_t since,
                                   time_point now) const;
 
-    /// \returns the whole table, of whatever age, for an entry that knows nothing yet: everybody
-    /// else goes by these rows while the store is away.
+    /// \returns the whole table, of any age, for an entry that knows nothing yet: the other entries
+    /// also use these rows while the store is unavailable.
     std::optional<aged_news> readForStart(const std::string &table, time_point now) const;
 
-    /// \returns what readForStart() would tell, without the rows.
+    /// \returns the result of readForStart() without the rows.
     std::optional<aged_news> headForStart(const std::string &table, time_point now) const;
 
-    /// \returns what read() would tell, without the rows.
+    /// \returns what read() would find, without the rows.
     news_state stateOf(const std::string &table, std::uint64_t since, time_point now) const;
 
-    /// \param onChange is called when a table gets its first rows or others.
+    /// \param onChange called when a table gets its first batch or a later batch has rows.
     void setListener(std::function<void()> onChange) { m_onChange = std::move(onChange); }
 
 private:
     struct table_copy
     {
         std::map<std::string, store_row> rows;
-        std::map<std::string, std::uint64_t> removed; ///< versions of the removals, by key
-        /// Versions of rows and removals with their keys: what is new to somebody is found without
-        /// a look at the whole table, which many ask for each second.
+        /// Versions of the removals, keyed by row key.
+        std::map<std::string, std::uint64_t> removed;
+        /// Versions of rows and removals with their keys. Finds the changes since a version without
+        /// a scan of the table; many entries ask for them each second.
         std::set<std::pair<std::uint64_t, std::string>> changes;
-        std::uint64_t changesFrom = 0; ///< changes since any later version are known
+        std::uint64_t changesFrom = 0; ///< changes since this or any later version are known
         std::uint64_t version = 0;
         milliseconds storeTime{0};
         time_point confirmedAt{};
     };
-    /// \param storeTime that the store's clock showed at \p confirmedAt.
+    /// \param storeTime time of the store's clock at \p confirmedAt.
     void take(const std::string &table, const row_batch &batch, bool whole, milliseconds storeTime,
               time_point confirmedAt);
     static aged_news headSince(const table_copy &known, std::uint64_t since,
--- a/include/laurelcroft/Proxy/RowServer.h
+++ b/include/laurelcroft/Proxy/RowServer.h
@@ -1,6 +1,7 @@
-//===-- Proxy/RowServer.h - rows for other entries ---------------*- C++ -*-===//
+//===-- Proxy/RowServer.h - serves rows to other entries --------*- C++ -*-===//
 //
-// Gives this entry's mirror to the others. A read that has no news is held until there are some.
+// Serves this entry's row mirror to other entries. A read that has no news is held until there is
+// some.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROWSERVER_H
@@ -23,38 +24,38 @@
 
 namespace laurelcroft {
 
-/// A table and the version from which on its changes are asked for.
+/// A table, and the version since which its changes are requested.
 struct table_since
 {
     std::string table;
     std::uint64_t since = 0;
 };
 
-/// Header of a read whose sender asks to be listed.
+/// Header that announces a sender that is not listed yet.
 inline constexpr std::string_view announcementHeader = "Entry-Announcement";
 
-/// Answers GET /rows?tables=NAME:SINCE,NAME:SINCE&hold=MS. One thread.
+/// Answers GET /rows?tables=NAME:SINCE,NAME:SINCE&hold=MS. Not thread-safe.
 class row_server
 {
 public:
     static constexpr std::string_view path = "/rows";
-    /// A read whose rows are outdated here is held this long: a standby needs a call to the store
-    /// before it can help.
+    /// How long a read of outdated rows is held: a standby needs one call to the store before it
+    /// can answer.
     static constexpr milliseconds outdatedHold{100};
 
-    /// \param mirror outlives this.
+    /// \param mirror must outlive this object.
     row_server(asio::io_context &context, row_mirror &mirror, metric_registry &metrics);
     ~row_server();
     row_server(const row_server &) = delete;
     row_server &operator=(const row_server &) = delete;
 
-    /// \returns an empty string, or what failed.
+    /// \returns an empty string, or an error message.
     std::string open(const std::string &host, std::uint16_t port);
 
-    /// The port in use, after open().
+    /// \returns the port in use, after open().
     std::uint16_t port() const;
 
-    /// \param listener is told of entries that ask to be listed.
+    /// \param listener called for each announcement of an entry that is not listed.
     void setAnnouncementListener(std::function<void(const entry_announcement &)> listener);
 
 private:
--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RowTimings.h - how often rows are read -------------*- C++ -*-===//
+//===-- Proxy/RowTimings.h - intervals of row reads -------------*- C++ -*-===//
 //
-// All times between the store's word and an entry's knowing it, as parts of the time in which a
-// change must be in force: a contract, an endpoint that leaves, an evacuation.
+// Read intervals, hold times and age limits of rows, as fractions of the time within which a change
+// must be in force: a new contract, a leaving endpoint, an evacuation.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROWTIMINGS_H
@@ -11,34 +11,34 @@
 
 namespace laurelcroft {
 
-/// The paces for one bound.
+/// Timings for one bound.
 ///
-/// An entry that the others read for may lose the store at any moment, and its stand-ins with it.
-/// Then the others believe their rows for \c maxRowAge and wait for a stand-in for \c staleWait,
-/// and ask the store themselves well within the bound. With 0.7 and 0.75 of it, both readers and
-/// their stand-ins cut off together, entries acted on contracts that were older than the bound on 3
-/// of 100 days of 34 s with faults (21 entries); with 0.55 and 0.2 on none of the same days.
+/// An entry that the others read from may lose the store at any time, and its standbys with it. The
+/// others then trust their rows for \c maxRowAge, wait for a standby for \c staleWait, and read the
+/// store themselves well within the bound. With 0.7 and 0.75 of the bound, and both readers and
+/// their standbys cut off together, entries used contracts older than the bound on 3 of 100 days of
+/// 34 s with faults (21 entries); with 0.55 and 0.2 on none of the same days.
 struct row_timings
 {
-    /// \param bound time in which a change must be in force.
+    /// \param bound time within which a change must be in force.
     explicit row_timings(milliseconds bound);
 
-    /// From one read of the endpoints to the next, at an entry that reads the store: they heartbeat
-    /// all the time, so that their feed is not held.
+    /// Time between two reads of the endpoints at an entry that reads the store. Endpoints send
+    /// heartbeats all the time, so the store would not hold a read of their changes.
     milliseconds endpointReadInterval;
-    /// How long the store may hold a call for rows that seldom change. A held call whose answer is
-    /// lost costs this time once more.
+    /// How long the store may hold a read of rows that seldom change. If the answer to a held call
+    /// is lost, this time is spent once more.
     milliseconds maxStoreHold;
     /// How long another entry may hold a read that has no news.
     milliseconds maxEntryHold;
-    /// Rows that the store has not confirmed for longer are not given on.
+    /// Maximum time since the store last confirmed rows; older rows are not passed on.
     milliseconds maxRowAge;
-    /// How long an entry whose sources say that their rows are outdated waits for one of them
-    /// before it asks the store.
+    /// How long an entry whose sources report outdated rows waits for one of them before it reads
+    /// the store itself.
     milliseconds staleWait;
-    /// Since the rows were confirmed last, how long an endpoint whose row is removed may be kept
-    /// where only other entries have lost the store. The grace after an own loss, 2.2 s, sent 15
-    /// requests to endpoints 3.2 s after they had begun to leave.
+    /// How long after the last confirmation of the rows an endpoint whose row was removed may be
+    /// kept when only other entries have lost the store. With the 2.2 s grace that applies after an
+    /// entry's own loss, 15 requests were sent to endpoints 3.2 s after they had begun to leave.
     milliseconds removalGrace;
 };
 
--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RowWire.h - how entries tell each other rows -------*- C++ -*-===//
+//===-- Proxy/RowWire.h - encoding of rows between entries ------*- C++ -*-===//
 //
-// One answer carries the news of several tables, in MessagePack; the rows of a table are packed
-// apart and deflated when they are many.
+// One answer carries the changes of several tables as MessagePack. The rows of each table are
+// packed separately, and deflated when they are large.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROWWIRE_H
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// Rows of a table, ready to be sent.
+/// Encoded rows of a table.
 struct packed_rows
 {
     std::string bytes;
@@ -26,20 +26,20 @@
 
 packed_rows packRows(std::span<const store_row> rows);
 
-/// News of one table, ready to be sent.
+/// Changes of one table with encoded rows.
 struct packed_news
 {
     std::string table;
-    aged_news about; ///< but for the rows
+    aged_news about; ///< everything but the rows
     packed_rows rows;
 };
 
 std::string encodeNews(std::span<const packed_news> tables);
 
-/// News by table.
+/// Changes keyed by table.
 using table_news = std::map<std::string, aged_news>;
 
-/// \returns the news, or what is wrong with \p bytes.
+/// \returns the changes, or an error message when \p bytes are malformed.
 outcome<table_news, std::string> decodeNews(std::string_view bytes);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Proxy/StoreReaders.h
+++ b/include/laurelcroft/Proxy/StoreReaders.h
@@ -1,8 +1,8 @@
-//===-- Proxy/StoreReaders.h - which entries read the store ------*- C++ -*-===//
+//===-- Proxy/StoreReaders.h - which entries read the store -----*- C++ -*-===//
 //
-// Two entries read the store for all, whatever the size; every entry ranks them alike. On a large
-// site relays stand between them and the others, so that neither the calls to the store nor what
-// one entry gives away grow with the number of entries.
+// Two entries read the store for all others, whatever the size of the site; every entry computes
+// the same ranking. On a large site relays stand between them and the others, so that neither the
+// calls to the store nor the load of one entry grow with the number of entries.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STOREREADERS_H
@@ -16,32 +16,33 @@
 
 namespace laurelcroft {
 
-/// Entries that read the store for the others. Calls to it have a price, and two may be
-/// asked by turns, so that one may be gone or cut off.
+/// Number of entries that read the store for the others. Calls to the store cost money. Entries
+/// alternate between the two, so one may be down or cut off.
 inline constexpr std::size_t storeReaderCount = 2;
-/// Entries that one asks by turns.
+/// Number of sources that an entry reads from in turn.
 inline constexpr std::size_t sourcesPerEntry = 2;
-/// Entries for each relay of a data centre at most: each asks once or twice a second, so that a
-/// relay spends less than a hundredth of a core on them. The relays of 4,600 entries are as many as
-/// two readers bear.
+/// Maximum number of entries per relay in a data centre. Each entry reads once or twice per second,
+/// so a relay spends less than a hundredth of a core on them. At 4,600 entries the relays are as
+/// many as two readers can serve.
 inline constexpr std::size_t maxEntriesPerRelay = 48;
 
 /// \returns the names of the entries that read the store.
 std::vector<std::string> storeReaders(const entry_map &entries);
 
-/// Whom an entry asks for rows; addresses.
+/// Addresses that an entry reads rows from.
 struct row_sources
 {
-    /// Two that read the store, or relays on a large site, those of its own data centre first;
-    /// empty when it reads the store itself.
+    /// Two readers, or two relays on a large site, those of the own data centre first; empty when
+    /// the entry reads the store itself.
     std::vector<std::string> readers;
-    /// One that takes their place while they hear nothing; empty when it does so itself.
+    /// Used when the readers have no current rows; empty when this entry reads the store itself in
+    /// that case.
     std::vector<std::string> standbys;
 
     bool operator==(const row_sources &) const = default;
 };
 
-/// \returns whom \p own asks; nobody when it is not listed.
+/// \returns the sources of \p own; none when it is not listed.
 row_sources sourcesFor(const entry_map &entries, const std::string &own);
 
 } // namespace laurelcroft
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -1,7 +1,7 @@
-//===-- PeerRows.cpp - rows from other entries ------------------------------===//
+//===-- PeerRows.cpp - reads rows from peer entries -----------------------===//
 //
-// What several followers ask for goes as one request: first to a reader, then to another one, then
-// to a standby.
+// Reads of several followers are sent as one request: first to a reader, then to the other reader,
+// then to a standby.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/PeerRows.h"
@@ -22,17 +22,18 @@
 
 namespace {
 
-/// Peers are near; one that doesn't answer is not asked for longer than a retry takes.
+/// Timeout of a request beyond its hold time. Peers are near, so a retry at another peer is faster
+/// than a longer wait.
 constexpr milliseconds peerTimeout{400};
-/// A peer that did not answer is left out this long: a restart takes about as much.
+/// How long a peer that did not answer is avoided: about as long as a restart takes.
 constexpr milliseconds peerAvoidTime{3000};
-/// The same of a peer that takes no connection while this process starts: all may start together,
-/// some a little later.
+/// The same for a peer that refuses connections while this process starts: all may be starting
+/// together, some slightly later.
 constexpr milliseconds startAvoidTime{40};
-/// Readers that one read is sent to, one after the other; a standby comes after them.
+/// Number of readers tried per read before a standby is tried.
 constexpr unsigned maxReaderTries = 2;
 
-/// One read that waits for another entry's answer.
+/// A read that waits for another entry's answer.
 struct pending_read
 {
     table_since what;
@@ -85,7 +86,8 @@
     milliseconds hold;
     row_server server;
 
-    std::function<std::optional<entry_announcement>()> announced; ///< by this entry
+    /// Returns the announcement of this entry.
+    std::function<std::optional<entry_announcement>()> announced;
     std::vector<std::string> peers;
     row_sources sources;
     bool asksFirstPeers = false;
@@ -93,8 +95,8 @@
     std::size_t next = 0;
     std::map<std::string, time_point> avoidedUntil; ///< peers that did not answer
     std::vector<pending_read> pending;
-    unsigned tries = 0; ///< of what is asked
-    bool hasReachablePeer = false; ///< among those that were asked
+    unsigned tries = 0; ///< attempts to send the pending reads
+    bool hasReachablePeer = false; ///< one of the peers tried has answered
     std::optional<http_call_id> call;
     bool askPosted = false;
 };
@@ -161,8 +163,8 @@
         self.noteSources(sources);
     self.asksFirstPeers = false;
     self.sources = std::move(sources);
-    // A first peer that is silent is not waited for when the readers are known, and nobody when
-    // this entry is one of them, or stands by for them.
+    // Once the readers are known, do not wait for a silent first peer. Do not wait for any peer if
+    // this entry is a reader or a standby.
     if (self.starting && self.call) {
         self.http.cancel(*self.call);
         self.call.reset();
@@ -196,7 +198,7 @@
 {
     state &self = *m_state;
     self.pending.push_back({{table, since}, std::move(done)});
-    // What is under way is asked again together with this one.
+    // Restart the request in progress so that it includes this read.
     if (self.call) {
         self.http.cancel(*self.call);
         self.call.reset();
@@ -234,7 +236,7 @@
 
 milliseconds peer_rows::state::holdOfTry() const
 {
-    // The first one has taken its time.
+    // Only the first attempt holds for the full time.
     if (tries == 0)
         return hold;
     return tries < maxReaderTries ? milliseconds(0) : row_server::outdatedHold;
@@ -282,7 +284,7 @@
 
 void peer_rows::state::avoid(const std::string &peer, const outcome<http_reply, http_error> &reply)
 {
-    // One that is up may have heard from the store by the next time.
+    // Don't avoid a peer that is up: it may have current rows by the next attempt.
     if (reply)
         return;
     const bool startsLater = starting && reply.error() == http_error::notSent;
@@ -319,7 +321,7 @@
                    {{"peer", peer}, {"fault", tables.error()}});
         return;
     }
-    // What this peer has not heard of for too long stays for the next one.
+    // Tables for which this peer has only outdated rows stay pending for the next peer.
     std::vector<pending_read> answered;
     for (pending_read &item : std::exchange(pending, {})) {
         const auto it = tables.value().find(item.what.table);
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -1,6 +1,6 @@
-//===-- RowMirror.cpp - tables as this entry last read them -----------------===//
+//===-- RowMirror.cpp - tables as last read -------------------------------===//
 //
-// Rows and removals keep the store's versions, which say what is new to whom.
+// Rows and removals keep the store's versions, which tell what is new to a reader.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowMirror.h"
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -1,6 +1,7 @@
-//===-- RowServer.cpp - rows for other entries ------------------------------===//
+//===-- RowServer.cpp - serves rows to other entries ----------------------===//
 //
-// Rows that come together leave together, and a whole table is packed once for all who start.
+// Changes that arrive together are sent together, and a whole table is packed once for all entries
+// that start.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowServer.h"
@@ -25,10 +26,11 @@
 namespace {
 
 constexpr int decimal = 10;
-/// Rows that come to an entry together leave it together: a start of many entries, a roll-out.
+/// Delay that collects rows arriving together into one answer, as when many entries start or a
+/// roll-out proceeds.
 constexpr milliseconds batchDelay{20};
 
-/// Another entry's read that has no news yet.
+/// A held read of another entry.
 struct held_read
 {
     std::vector<table_since> tables;
@@ -39,13 +41,13 @@
 /// The packed rows of a whole table.
 struct packed_table
 {
-    std::optional<std::uint64_t> changedAt; ///< version of its newest row or removal
+    std::optional<std::uint64_t> changedAt; ///< version of the newest row or removal in the table
     packed_rows rows;
 };
 
 } // namespace
 
-/// \returns the tables of a query; a part that can't be read is left out.
+/// \returns the tables of a query; malformed items are left out.
 static std::vector<table_since> parseTables(std::string_view text)
 {
     std::vector<table_since> tables;
@@ -91,7 +93,7 @@
     caller_server server;
     std::function<void(const entry_announcement &)> onAnnounced;
     std::list<held_read> held;
-    std::map<std::string, packed_table> packed; ///< whole tables, by name
+    std::map<std::string, packed_table> packed; ///< whole tables, keyed by name
     bool changeNoted = false;
 };
 
@@ -162,8 +164,9 @@
         answer(tables, exchange);
 }
 
-/// \returns how long an answer may wait: until the rows would be outdated when no table has news,
-/// or one was not read yet by this process, which starts; a moment when one is outdated.
+/// \returns how long an answer may be held: until the rows become outdated, when no table has news
+/// or this process has just started and has not read one yet; \c outdatedHold when a table is
+/// outdated.
 milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
     bool hasNews = false;
@@ -205,7 +208,7 @@
         result.rows = packRows(batch.rows);
         return result;
     }
-    // Entries that start together ask for the same table.
+    // Entries that start together read the same table.
     packed_table &kept = packed[table];
     if (kept.changedAt != result.about.changedAt)
         kept = {result.about.changedAt, packRows(batch.rows)};
@@ -225,7 +228,7 @@
     std::optional<aged_news> head = mirror.headForStart(asked.table, now);
     if (!head)
         return std::nullopt;
-    // Of a hundred entries that start together the first one's rows are copied and packed.
+    // When a hundred entries start together the rows are copied and packed once.
     const auto kept = packed.find(asked.table);
     if (kept != packed.end() && kept->second.changedAt == head->changedAt)
         return packed_news{asked.table, std::move(*head), kept->second.rows};
--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -1,6 +1,7 @@
-//===-- RowTimings.cpp - how often rows are read ----------------------------===//
+//===-- RowTimings.cpp - intervals of row reads ---------------------------===//
 //
-// Parts of the bound. Whatever reads must confirm its rows more often than they lose freshness.
+// All values are fractions of the bound. Every reader must confirm its rows more often than they
+// become outdated.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowTimings.h"
--- a/lib/Proxy/StoreReaders.cpp
+++ b/lib/Proxy/StoreReaders.cpp
@@ -1,6 +1,6 @@
-//===-- StoreReaders.cpp - which entries read the store ---------------------===//
+//===-- StoreReaders.cpp - which entries read the store -------------------===//
 //
-// Rendezvous ranking: an entry that leaves moves only its own duty.
+// Uses rendezvous ranking: when an entry leaves, only its own role moves to another one.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/StoreReaders.h"
@@ -16,21 +16,22 @@
 
 namespace {
 
-/// An entry is strong when its instance gives this part of what the strongest gives. Reading
-/// thousands of heartbeats and giving on whole tables took 57% of an instance of 0.09 cores, where
-/// others had 0.5: endpoints that leave were known after 3.8 s.
+/// An entry is strong when its instance has at least this fraction of the CPU of the strongest.
+/// Reading thousands of heartbeats and passing on whole tables took 57% of an instance with 0.09
+/// cores, while others had 0.5: leaving endpoints became known only after 3.8 s.
 constexpr double strongFraction = 0.5;
 
 } // namespace
 
 namespace {
 
-/// Entries that others ask, by name.
+/// Names of the entries that others read from.
 struct source_ranks
 {
     std::vector<std::string> readers;
-    std::vector<std::string> standbys; ///< take the readers' place
-    std::vector<std::string> relays; ///< ask the readers, for all others; none on a small site
+    std::vector<std::string> standbys; ///< replace the readers when their rows are outdated
+    /// Read from the readers for all other entries; none on a small site.
+    std::vector<std::string> relays;
 };
 
 } // namespace
@@ -40,7 +41,8 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// \returns the first \p count of \p names: strong entries, and others where those are too few.
+/// \returns the first \p count of \p names in rank order: strong entries, then others if there are
+/// too few.
 static std::vector<std::string> rankStrongFirst(const std::vector<std::string> &names,
                                                 const entry_map &entries, std::size_t count)
 {
@@ -59,8 +61,8 @@
     return ranked;
 }
 
-/// \returns relays for all entries but \p others. Each data centre has its own, so that rows cross
-/// to it once for each relay, not once for each entry.
+/// \returns relays for all entries except \p others. Each data centre has its own relays, so that
+/// rows are sent there once per relay, not once per entry.
 static std::vector<std::string> rankRelays(const std::vector<std::string> &names,
                                            const entry_map &entries,
                                            const std::vector<std::string> &others)
@@ -70,8 +72,8 @@
         if (!isAmong(others, name))
             byDataCentre[entries.at(name).dataCentre].push_back(name);
     }
-    // Beside the two that an entry asks there is a third one, in another data centre if there is
-    // one.
+    // Besides the two relays that an entry reads from there is a third, in another data centre if
+    // there is one.
     const std::size_t fewest = byDataCentre.size() > 1 ? sourcesPerEntry : sourcesPerEntry + 1;
     std::vector<std::string> relays;
     for (const auto &[dataCentre, there] : byDataCentre) {
@@ -83,7 +85,7 @@
     return relays;
 }
 
-/// \returns names of the entries that may be asked.
+/// \returns the names of the entries that have an address.
 static std::vector<std::string> reachable(const entry_map &entries)
 {
     std::vector<std::string> names;
@@ -94,7 +96,7 @@
     return names;
 }
 
-/// \returns the readers, then as many standbys, of \p names.
+/// \returns the readers, then as many standbys, from \p names.
 static std::vector<std::string> rankReaders(const std::vector<std::string> &names,
                                             const entry_map &entries)
 {
@@ -115,7 +117,7 @@
     return ranks;
 }
 
-/// \returns the addresses of the first \p count of \p names in the order of \p own, those of its
+/// \returns the addresses of the first \p count of \p names in rank order for \p own, those of its
 /// data centre first.
 static std::vector<std::string> nearestOf(const std::vector<std::string> &names,
                                           const entry_map &entries, const std::string &own,
@@ -127,7 +129,7 @@
         const bool isNear = entries.at(name).dataCentre == entries.at(own).dataCentre;
         (isNear ? near : far).push_back(name);
     }
-    // Ranked by the asking entry, so that the readers share the others between them.
+    // Ranked per reading entry, which distributes the entries over the sources.
     std::vector<std::string> asked = rankFirst(near, own, count);
     for (std::string &name : rankFirst(far, own, count - asked.size()))
         asked.push_back(std::move(name));
@@ -160,10 +162,10 @@
             sources.standbys = nearestOf(ranks.standbys, entries, own, 1);
         return sources;
     }
-    // A third relay takes the place of the first two: there are three at least where there are any,
-    // and when all hear nothing the standbys help them, not each entry.
+    // A third relay stands in for the first two. A site with relays has at least three, and when
+    // all of them have outdated rows the standbys read the store for them instead of every entry.
     std::vector<std::string> asked = nearestOf(ranks.relays, entries, own, sourcesPerEntry + 1);
-    assert(asked.size() > sourcesPerEntry && "a site with relays has three at least");
+    assert(asked.size() > sourcesPerEntry && "a site with relays has at least three");
     sources.standbys = {std::move(asked.back())};
     asked.pop_back();
     sources.readers = std::move(asked);
