--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -1,8 +1,8 @@
-//===-- RowWire.cpp - how entries tell each other rows ----------------------===//
+//===-- RowWire.cpp - encoding of rows between entries --------------------===//
 //
-// An answer is an array of tables; a table is an array of its name, whether the rows are all, the
-// version, the store's time and the age in milliseconds, whether the rows are deflated, and the
-// rows. A row is an array of key, version and value; one without a value was removed.
+// An answer is an array of tables. A table is an array of its name, whether it has all rows, the
+// version, the store time and the age in milliseconds, whether the rows are deflated, and the rows.
+// A row is an array of key, version and value; a removed row has no value.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowWire.h"
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// Rows of fewer bytes than this stay as they are: one packet carries them either way.
+/// Smaller rows are not deflated: they fit into one packet either way.
 constexpr std::size_t minDeflatedSize = 1000;
-/// Rows of one table have at most this many bytes: a tenth of an entry's memory.
+/// Maximum size of one table's rows: a tenth of an entry's memory.
 constexpr std::size_t maxRowBytes = 16U << 20;
 constexpr std::size_t tableFieldCount = 7;
 constexpr std::size_t rowFieldCount = 3;
@@ -83,7 +83,7 @@
     return rows;
 }
 
-/// \returns nothing when deflated rows can't be read.
+/// \returns the changes of one table; nothing when deflated rows are malformed.
 static std::optional<aged_news> decodeTable(const json &item)
 {
     aged_news result;
@@ -109,13 +109,13 @@
         table_news tables;
         const json items = json::from_msgpack(bytes.begin(), bytes.end());
         if (!items.is_array())
-            return failure(std::string("not an array"));
+            return failure(std::string("not an array of tables"));
         for (const json &item : items) {
             if (item.size() != tableFieldCount)
-                return failure(std::string("a table has another number of fields"));
+                return failure(std::string("table has the wrong number of fields"));
             std::optional<aged_news> news = decodeTable(item);
             if (!news)
-                return failure(std::string("rows can't be inflated"));
+                return failure(std::string("rows cannot be inflated"));
             tables[item.at(0).get<std::string>()] = std::move(*news);
         }
         return tables;
