--- a/include/laurelcroft/Proxy/RolloutRows.h
+++ b/include/laurelcroft/Proxy/RolloutRows.h
@@ -1,6 +1,6 @@
-//===-- Proxy/RolloutRows.h - rows that entries share ------------*- C++ -*-===//
+//===-- Proxy/RolloutRows.h - rows that entries share -----------*- C++ -*-===//
 //
-// Keys and values of the table that belongs to laurelcroft itself.
+// Keys and values of laurelcroft's internal table.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROLLOUTROWS_H
@@ -18,7 +18,7 @@
 
 namespace laurelcroft {
 
-/// Answers of a version under roll-out.
+/// Counts the answers of a version under roll-out.
 struct version_answers
 {
     std::uint64_t good = 0;
@@ -30,54 +30,53 @@
     bool operator==(const version_answers &) const = default;
 };
 
-/// What one entry has seen of a version under roll-out.
+/// Answers of a version under roll-out that one entry has seen.
 struct rollout_evidence
 {
-    std::uint64_t orderedAt = 0; ///< as in the order
+    std::uint64_t orderedAt = 0; ///< rollout_order::orderedAt
     std::map<std::string, version_answers> byRoute;
-    std::uint64_t incarnation
-            = 0; ///< random for each process, which counts from nothing; 0: not told
+    std::uint64_t incarnation = 0; ///< random per process, whose counts start from 0; 0: unknown
     bool operator==(const rollout_evidence &) const = default;
 
     std::uint64_t bad() const;
     std::uint64_t all() const;
 };
 
-/// The table of laurelcroft's own rows.
+/// Name of the table that holds laurelcroft's internal rows.
 inline constexpr std::string_view internalTable = "laurelcroft";
 
 std::string rolloutKey(std::string_view service);
 std::string entryKey(std::string_view entry);
 std::string evidenceKey(std::string_view entry, std::string_view service);
 
-/// \returns the service of a roll-out's key; nothing for other keys.
+/// \returns the service of a roll-out row's key; nothing for other keys.
 std::optional<std::string> serviceOfKey(std::string_view key);
-/// \returns the entry of an entry's key; nothing for other keys.
+/// \returns the entry of an entry row's key; nothing for other keys.
 std::optional<std::string> entryOfKey(std::string_view key);
 
-/// Whose evidence a row holds.
+/// Entry and service that an evidence row belongs to.
 struct evidence_row_key
 {
     std::string entry;
     std::string service;
 };
-/// \returns the place of an evidence row's key; nothing for other keys.
+/// \returns the entry and service of an evidence row's key; nothing for other keys.
 std::optional<evidence_row_key> evidenceOfKey(std::string_view key);
 
-/// Where an entry is.
+/// Address and state of an entry, as stored in its row.
 struct entry_info
 {
-    std::string address; ///< "host:port" where other entries may read its rows; empty: nowhere
+    std::string address; ///< "host:port" that serves this entry's rows to others; empty: none
     std::string dataCentre;
-    milliseconds writtenAt{0}; ///< on the store's clock
-    double processorShare = 0; ///< of a core, that the instance gives; 0: not told
-    /// The instance's time of day, less the store's clock, when the row was written.
+    milliseconds writtenAt{0}; ///< time on the store's clock
+    double processorShare = 0; ///< CPU cores available to the instance; 0: unknown
+    /// Wall-clock time of the instance minus the store's clock when the row was written.
     std::optional<milliseconds> wallClockOffset = std::nullopt;
 };
-using entry_map = std::map<std::string, entry_info>; ///< by name
+using entry_map = std::map<std::string, entry_info>; ///< keyed by name
 
 std::string encodeEntry(const entry_info &place);
-/// \returns an empty place for a row that can't be read: it is an entry all the same.
+/// \returns an empty info for an unreadable row, which still counts as an entry.
 entry_info decodeEntry(const std::string &value);
 
 std::string encodeRollout(const rollout_row &row);
--- a/lib/Proxy/RolloutRows.cpp
+++ b/lib/Proxy/RolloutRows.cpp
@@ -1,6 +1,6 @@
-//===-- RolloutRows.cpp - rows that entries share ---------------------------===//
+//===-- RolloutRows.cpp - rows that entries share -------------------------===//
 //
-// JSON, so that operators can read them.
+// Values are JSON, so that operators can read them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RolloutRows.h"
@@ -98,7 +98,7 @@
             place.wallClockOffset = milliseconds(json.at("wall_ahead_ms").get<std::int64_t>());
         return place;
     } catch (const nlohmann::json::exception &) {
-        return {}; // a field of another type: as a row that can't be read
+        return {}; // a field has the wrong type: treated as an unreadable row
     }
 }
 
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -1,7 +1,7 @@
-//===-- RolloutTracker.cpp - versions of one service ------------------------===//
+//===-- RolloutTracker.cpp - versions of one service ----------------------===//
 //
-// Which version a request gets, by the row that all entries share. The first entry that is sure
-// moves it.
+// The row that all entries share decides which version a request gets. The first entry with enough
+// evidence changes the row.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RolloutTracker.h"
@@ -77,8 +77,8 @@
 {
     if (!m_order || !m_row)
         return false;
-    // Until the first row of an order that is written again, the last one's stage holds: sessions
-    // would go back to the old version in between.
+    // Until the first row of a rewritten order the stage of the previous row stays in force.
+    // Otherwise sessions would return to the old version in between.
     const bool goesOn = m_row->targetVersion == m_order->targetVersion
             && m_row->stage != rollout_stage::reverted;
     return m_row->orderedAt == m_order->orderedAt || goesOn;
@@ -103,8 +103,8 @@
 {
     if (m_row->stage == rollout_stage::completed || !m_evaluator.isFoundBad())
         return false;
-    // While the store is away the row may be long in coming: two versions in a session are then
-    // better than a bad one.
+    // While the store is unavailable the reverted row may take long to arrive: two versions within
+    // a session are then better than a bad version.
     if (!m_foundBadAt)
         m_foundBadAt = now;
     return now - *m_foundBadAt >= localRevertDelay;
@@ -137,7 +137,7 @@
         ++counts[endpoint->record().softwareVersion];
     if (counts.empty() || counts.count(m_settled) != 0)
         return m_settled;
-    // Nothing of the version in force is left: the most frequent one takes its place.
+    // No endpoint has the version in force any more: the most frequent version replaces it.
     const auto most
             = std::max_element(counts.begin(), counts.end(),
                                [](const auto &a, const auto &b) { return a.second < b.second; });
@@ -172,8 +172,8 @@
 std::vector<endpoint_ptr>
 rollout_tracker::endpointsOfOldVersion(const std::vector<endpoint_ptr> &endpoints)
 {
-    // Endpoints of a version that was taken back last stay for some seconds: they are no more in
-    // force than the target is.
+    // Endpoints of a version that was just reverted stay for some seconds. They are not of the
+    // version in force either.
     std::vector<endpoint_ptr> notTarget;
     for (const endpoint_ptr &endpoint : endpoints) {
         if (!isTarget(endpoint->record().softwareVersion))
@@ -192,7 +192,7 @@
     if (!m_order)
         return {endpointsOfOldVersion(endpoints), version_reason::settled};
     if (!isCurrent()) {
-        // An order that was carried out long ago, and this entry has just started.
+        // The order was probably carried out long ago, and this entry has just started.
         std::vector<endpoint_ptr> onOld = endpointsOfOldVersion(endpoints);
         return {onOld.empty() ? endpointsOfTarget(endpoints) : onOld, version_reason::stageUnknown};
     }
@@ -230,7 +230,7 @@
     if (share >= 1)
         return;
     const std::size_t count = trialEndpoints(share, onTarget.size());
-    // Ranked by a hash of the id, so that all entries keep the same ones.
+    // Ranked by a hash of the id, so that all entries choose the same endpoints.
     const auto ranksBefore = [](const endpoint_ptr &a, const endpoint_ptr &b) {
         return stableHash(a->record().id) < stableHash(b->record().id);
     };
--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -1,6 +1,6 @@
-//===-- VersionEvaluator.cpp - whether a version is worse than the old one --===//
+//===-- VersionEvaluator.cpp - evaluates a version ------------------------===//
 //
-// Failures and slowness are judged apart, for each route and for all together.
+// Failures and slowness are judged separately, for each route and for all routes together.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/VersionEvaluator.h"
@@ -12,25 +12,26 @@
 
 namespace {
 
-/// Part of the evidence that stops a version from which the old one is not let go. A good
-/// version seldom has it.
+/// Fraction of the evidence that stops a version above which the old version may not end. A good
+/// version seldom reaches it.
 constexpr double suspicionFraction = 0.01;
-/// Name of the guard over all routes; no route has it.
+/// Name of the guard over all routes; no route has this name.
 constexpr std::string_view allRoutes = "*";
-/// An answer counts as bad when its first part takes this many times the settled mean.
+/// An answer is slow when its slowness is more than this multiple of the settled mean.
 constexpr double slowFactor = 4.0;
-/// What no prompt explains: the way there and a step or two. A wait is compared with this
-/// and the reading that is before it, so that an endpoint with long prompts, or one that has to
-/// read anew what others keep, doesn't look slow for it.
+/// Part of a wait that prompts do not explain: the network and one or two generation steps. A wait
+/// is divided by this plus the processing time of the prompts before it, so that an endpoint does
+/// not look slow because of long prompts, or because it must process prefixes that others have
+/// cached.
 constexpr milliseconds minExpectedWait{50};
-/// Standard deviations by which the bad share of the new version may be above what is tolerated
-/// when the old version is let go.
+/// Standard deviations of the bad share of the new version above the tolerated share from which the
+/// old version may not end.
 constexpr double suspicionDeviations = 2;
-/// Answers of the new version from which on half of them must be no failures.
+/// Minimum number of answers of the new version before it can count as mostly failing.
 constexpr std::uint64_t minAnswersForMajority = 10;
-/// Answers of a kind from which its mean is known.
+/// Minimum number of answers of a kind before its mean is used.
 constexpr unsigned minAnswersForMean = 10;
-/// Weight of one answer in the running mean.
+/// Minimum weight of one answer in the running mean.
 constexpr double meanWeight = 0.05;
 
 } // namespace
@@ -43,9 +44,9 @@
     m_slowAt.reset();
     m_own = {orderedAt, {}};
     m_addedEvidence.clear();
-    // Evidence of earlier orders counts no more; each restart of an entry left some.
+    // Drop evidence of earlier orders; each restart of an entry left some.
     std::erase_if(m_received, [&](const auto &item) { return item.second.orderedAt < orderedAt; });
-    // Rows of evidence may have been read before their order.
+    // Evidence rows may have been read before their order.
     addReceivedEvidence();
 }
 
@@ -94,7 +95,7 @@
         m_targetAnswers += seen.all();
 }
 
-/// \returns what answers of a pair of route and model are compared by.
+/// \returns the key under which answers of this route and model are compared.
 static std::string kindOf(std::string_view route, std::string_view model)
 {
     return std::string(route) + "/" + std::string(model);
@@ -162,15 +163,16 @@
     return 1;
 }
 
-/// \returns the part of \p seen that is newer than \p before.
+/// \returns the answers in \p seen that are not in \p before.
+/// \param sameIncarnation whether both are from the same process of the entry.
 static version_answers newerThan(const version_answers &before, const version_answers &seen,
-                                 bool sameLife)
+                                 bool sameIncarnation)
 {
     const bool isLess
             = seen.good < before.good || seen.failed < before.failed || seen.slow < before.slow;
-    // An entry that was restarted counts from 0 again; the same incarnation's lower counts are old.
+    // A restarted entry counts from 0 again; lower counts from the same process are outdated.
     if (isLess)
-        return sameLife ? version_answers() : seen;
+        return sameIncarnation ? version_answers() : seen;
     return {seen.good - before.good, seen.failed - before.failed, seen.slow - before.slow};
 }
 
@@ -178,7 +180,7 @@
 {
     const std::string source = entry + "#" + std::to_string(evidence.incarnation);
     rollout_evidence &last = m_received[source];
-    // A row may come later than a datagram that says more.
+    // A row may arrive after a datagram that reports more.
     const bool isOld = evidence.incarnation != 0 && evidence.orderedAt == last.orderedAt
             && evidence.all() < last.all();
     if (!isOld)
@@ -262,8 +264,8 @@
 
 bool version_evaluator::isSuspected() const
 {
-    // Where endpoints of the old version fail as well, few answers tell no difference: 13 of 17
-    // that failed were no doubt.
+    // When endpoints of the old version fail too, few answers show no significant difference: 13
+    // failures of 17 answers raised no suspicion.
     return mostlyFails() || anyGuard([](const version_guard &guard) {
                return guard.certainty() >= suspicionFraction
                        || guard.deviationsAbove() >= suspicionDeviations;
