--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -1,7 +1,7 @@
-//===-- Proxy/RoutingState.h - what all requests decide by -------*- C++ -*-===//
+//===-- Proxy/RoutingState.h - state that routing uses ----------*- C++ -*-===//
 //
-// The contract in force, the endpoints, the roll-outs and the budgets of one entry.
-// One thread.
+// The contract in force, the endpoints, the roll-outs and the retry budgets of one entry. Not
+// thread-safe.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROUTINGSTATE_H
@@ -33,13 +33,14 @@
 
 namespace laurelcroft {
 
-/// Bounds that the site gives.
+/// Bounds from the site settings.
 struct routing_bounds
 {
     send_budget_bounds repeats;
-    double rolloutExposure = 0.1; ///< share of requests for a version under roll-out
-    std::string dataCentre; ///< of this entry
-    std::map<std::string, std::string> regions; ///< by data centre
+    /// Share of requests that a version under roll-out may get on trial.
+    double rolloutExposure = 0.1;
+    std::string dataCentre; ///< data centre of this entry
+    std::map<std::string, std::string> regions; ///< keyed by data centre
 };
 
 /// A request that an endpoint runs for a customer.
@@ -47,7 +48,7 @@
 {
     std::string customer;
     time_point began{};
-    bool hasRun = true; ///< false: it was told before, and has not run after all
+    bool hasRun = true; ///< false: withdraws an earlier report, because the request was not run
 };
 
 /// State shared by all requests of an entry.
@@ -64,8 +65,8 @@
 
     const contract_ptr &contract() const { return m_contract; }
 
-    /// Puts a contract in force. \returns false, and keeps the one in force, when
-    /// \p contract is not newer.
+    /// Puts a contract in force.
+    /// \returns false, and keeps the current contract, when \p contract is not newer.
     bool setContract(contract_ptr contract);
 
     service_directory &directory() { return m_directory; }
@@ -94,8 +95,8 @@
     const cascade_settings &cascade() const { return m_cascade; }
     const std::string &dataCentre() const { return m_bounds.dataCentre; }
 
-    /// \returns true when \p dataCentre lies in one of \p regions; always where none is named. One
-    /// of which no region is known lies in none.
+    /// \returns true when \p dataCentre is in one of \p regions, or \p regions is empty. A data
+    /// centre whose region is unknown is in none.
     bool isInRegions(const std::string &dataCentre, std::span<const std::string> regions) const
     {
         if (regions.empty())
@@ -111,17 +112,17 @@
     send_budget &repeats(std::string_view service);
     std::map<std::string, send_budget, std::less<>> &allRepeats() { return m_repeats; }
 
-    /// How the last attempts at endpoints of \p service ended.
+    /// \returns the outcomes of the last attempts at endpoints of \p service.
     repeat_outlook &outlook(std::string_view service);
 
-    /// Recent waits for first parts at endpoints of \p service.
+    /// \returns recent waits for the first part of an answer at endpoints of \p service.
     recent_wait &waits(std::string_view service);
 
-    /// How fast \p model reads prompts.
+    /// \returns the estimated prompt processing rate of \p model.
     prompt_rate &promptRate(std::string_view model);
 
-    /// Is told of each send, with the time that its prompt is thought to take to read and the
-    /// prompt's shared prefixes.
+    /// Called for each request sent, with the expected prompt processing time and the shared
+    /// prefixes of the prompt.
     using send_listener = std::function<void(const service_endpoint &endpoint, double readingMs,
                                              std::span<const prompt_prefix> prefixes)>;
     void setSendListener(send_listener listener) { m_onSend = std::move(listener); }
@@ -132,7 +133,7 @@
             m_onSend(endpoint, readingMs, prefixes);
     }
 
-    /// Is told of each request that an endpoint runs for a customer.
+    /// Called for each request that an endpoint runs for a customer.
     using run_listener = std::function<void(const customer_run &run)>;
     void setRunListener(run_listener listener) { m_onRun = std::move(listener); }
     void noteRun(const customer_run &run) const
@@ -141,24 +142,24 @@
             m_onRun(run);
     }
 
-    /// Another entry sent a prompt to \p endpoint: it reads for so long, and then keeps the
-    /// prefixes. An endpoint that is not listed is passed over.
+    /// Records that another entry sent a prompt to \p endpoint, which processes it for \p reading
+    /// and then caches the prefixes. Ignored for an unlisted endpoint.
     void noteSendElsewhere(std::string_view endpoint, milliseconds reading,
                            std::span<const prompt_prefix> prefixes, time_point now);
 
-    /// \returns what a choice must know to leave out some of the usable endpoints of \p service, in
-    /// their order. Worked out when they change: at 3,000 endpoints that takes longer than the
-    /// choice.
+    /// \returns the data for sampling among the usable endpoints of \p service, in their order.
+    /// Cached until the endpoints change: computing it for 3,000 endpoints takes longer than the
+    /// choice itself.
     const std::vector<sampled_endpoint> &sampled(std::string_view service);
 
-    /// \returns what a choice must know to leave out some of \p endpoints.
+    /// \returns the data for sampling among \p endpoints.
     std::vector<sampled_endpoint> sampledOf(std::span<const endpoint_ptr> endpoints) const;
 
-    /// \returns requests a second that this entry may send to \p endpoint while it is cold; nothing
-    /// when there is no such bound now.
+    /// \returns requests per second that this entry may send to \p endpoint while it is cold;
+    /// nothing when no such bound applies now.
     std::optional<double> coldShare(const service_endpoint &endpoint, time_point now);
 
-    /// \returns requests a second that this entry may send to \p endpoint, which states a rate
+    /// \returns requests per second that this entry may send to \p endpoint, which states a rate
     /// limit.
     double limitShare(const service_endpoint &endpoint);
 
@@ -169,16 +170,17 @@
     /// Applies a rate limit that was stated to another entry. Ignored for an unlisted endpoint.
     void noteRateLimitElsewhere(const rate_limit_notice &notice, time_point now);
 
-    /// Number of entries that share connections and duties, this one included; 1 while none is
-    /// known.
+    /// \returns the number of entries that share connections and duties, including this one; 1
+    /// while none is known.
     std::size_t entries() const { return std::max<std::size_t>(1, m_entries.size()); }
 
-    /// \returns this entry's part of what all entries share; 0 while its own row is not known,
-    /// since others don't count it then.
+    /// \returns this entry's fraction of what all entries share; 0 while its own row is unknown,
+    /// because the other entries don't count it then.
     double shareOfEntries() const { return m_share; }
 
-    /// \param names of all entries; \param own this one's.
-    /// \param dataCentres by entry, where known.
+    /// \param names of all entries.
+    /// \param own name of this entry.
+    /// \param dataCentres keyed by entry, where known.
     void setEntries(std::vector<std::string> names, std::string own,
                     std::map<std::string, std::string> dataCentres = {});
 
@@ -186,7 +188,8 @@
     routing_bounds m_bounds;
     cascade_settings m_cascade;
     random_source m_random;
-    random_source m_roundingRandom; ///< of budgets; apart from what decisions draw
+    /// For budgets, separate from the source that decisions draw from.
+    random_source m_roundingRandom;
     contract_ptr m_contract;
     service_directory m_directory;
     crash_watch m_crashes;
@@ -199,23 +202,24 @@
     std::map<std::string, prompt_rate, std::less<>> m_promptRates;
     struct sample_list
     {
-        std::uint64_t revision = 0; ///< of the directory
+        std::uint64_t revision = 0; ///< of the service directory
         std::vector<sampled_endpoint> items;
     };
-    std::map<std::string, sample_list, std::less<>> m_sampled; ///< by service
+    std::map<std::string, sample_list, std::less<>> m_sampled; ///< keyed by service
     std::vector<std::string> m_entries;
-    std::map<std::string, std::string> m_dataCentres; ///< by entry
+    std::map<std::string, std::string> m_dataCentres; ///< keyed by entry
     std::string m_own;
-    double m_share = 0; ///< of what all entries share
-    std::map<std::string, double, std::less<>> m_coldShares; ///< by endpoint, for these entries
+    double m_share = 0; ///< fraction of what all entries share
+    /// Keyed by endpoint; valid for m_entries.
+    std::map<std::string, double, std::less<>> m_coldShares;
     struct limit_share
     {
-        double limit = 0; ///< requests a second, from all entries
+        double limit = 0; ///< requests per second from all entries
         double share = 0;
-        limit_check_delays check; ///< without a share
+        limit_check_delays check; ///< used when this entry has no share
     };
     const limit_share &limitShareAt(const service_endpoint &endpoint);
-    std::map<std::string, limit_share, std::less<>> m_limitShares; ///< by endpoint
+    std::map<std::string, limit_share, std::less<>> m_limitShares; ///< keyed by endpoint
     send_listener m_onSend;
     run_listener m_onRun;
 };
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -1,7 +1,6 @@
-//===-- RoutingState.cpp - what all requests decide by ----------------------===//
+//===-- RoutingState.cpp - state that routing uses ------------------------===//
 //
-// Services come and go with contracts; their roll-outs and budgets are made when first
-// asked for.
+// The roll-outs and budgets of a service are created on first use.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RoutingState.h"
@@ -19,7 +18,7 @@
     return true;
 }
 
-/// \returns the item of \p name, made from \p arguments when first asked for.
+/// \returns the item of \p name, constructed from \p arguments on first use.
 template <class T, class... Args>
 static T &findOrCreate(std::map<std::string, T, std::less<>> &items, std::string_view name,
                        const Args &...arguments)
@@ -68,9 +67,9 @@
 void routing_state::setEntries(std::vector<std::string> names, std::string own,
                                std::map<std::string, std::string> dataCentres)
 {
-    // Entries that start renew their rows, which changes no share: ranking a hundred entries for
-    // each of a thousand cold endpoints again would take a small instance a tenth of a second each
-    // time.
+    // Entries that start rewrite their rows, which changes no share. Ranking a hundred entries
+    // again for each of a thousand cold endpoints would take a tenth of a second on a small
+    // instance each time.
     if (names == m_entries && own == m_own && dataCentres == m_dataCentres)
         return;
     m_dataCentres = std::move(dataCentres);
