--- a/include/laurelcroft/Proxy/StoreClock.h
+++ b/include/laurelcroft/Proxy/StoreClock.h
@@ -1,7 +1,8 @@
-//===-- Proxy/StoreClock.h - the store's clock at an entry -------*- C++ -*-===//
+//===-- Proxy/StoreClock.h - estimates the store's clock --------*- C++ -*-===//
 //
-// Entries do some things at one moment of the store's clock, such as going over to another stage
-// of a roll-out. Each works that moment out from the readings that come with rows.
+// Entries do some things at the same time of the store's clock, such as a switch to another stage
+// of a roll-out. Each entry converts that time to its own clock with the readings that come with
+// rows.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORECLOCK_H
@@ -11,21 +12,21 @@
 
 namespace laurelcroft {
 
-/// The store's clock, as far as this process knows it. A reading says how late it was at least when
-/// it was taken: of several the one that was fastest on its way tells best.
+/// Estimates the store's clock. A reading is late by the unknown time it took to arrive; the one
+/// with the shortest delay is the most accurate.
 class store_clock
 {
 public:
-    /// A reading that is this much behind is of another clock: the store has begun anew. One that
-    /// was held up on its way is less late.
+    /// A reading this far behind the estimate comes from a store that was restarted with another
+    /// clock. Delays in transit are shorter.
     static constexpr milliseconds resetThreshold{10000};
-    /// So long a reading is trusted more than later ones that are behind it. Two clocks drift apart
-    /// by some 50 us a second, which makes 2 ms.
+    /// How long a reading is preferred to later ones that are behind it. Two clocks drift apart by
+    /// about 50 us per second, which is 2 ms in this time.
     static constexpr milliseconds trustPeriod{30000};
 
     bool isKnown() const { return m_isKnown; }
 
-    /// Takes a reading that came at \p now.
+    /// Adds a reading that arrived at \p now.
     void note(milliseconds reading, time_point now)
     {
         const milliseconds behind = m_isKnown ? at(now) - reading : milliseconds(0);
@@ -37,14 +38,14 @@
         m_takenAt = now;
     }
 
-    /// \returns what the store's clock shows at \p now; 0 and the time since the start of this
-    /// process's clock while nothing is known.
+    /// \returns the estimated store time at \p now; while no reading is known, the time since the
+    /// epoch of this process's clock.
     milliseconds at(time_point now) const
     {
         return m_reading + std::chrono::duration_cast<milliseconds>(now - m_takenAt);
     }
 
-    /// \returns the moment of this process's clock at which the store's shows \p reading.
+    /// \returns the time on this process's clock at which the store's clock shows \p reading.
     time_point localTimeOf(milliseconds reading) const { return m_takenAt + (reading - m_reading); }
 
 private:
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -1,8 +1,8 @@
-//===-- Proxy/StoreSync.h - routing state from a store -----------*- C++ -*-===//
+//===-- Proxy/StoreSync.h - routing state from a store ----------*- C++ -*-===//
 //
-// Keeps the contract, the endpoints and the roll-outs of an entry in step with rows of
-// a store, and writes the steps of roll-outs. Nothing is kept here that the store does
-// not have: a new process reads it all again.
+// Updates the contract, the endpoints and the roll-outs of an entry from the rows of a store, and
+// writes the steps of roll-outs. Holds no state that is not in the store: a new process reads all
+// of it again.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNC_H
@@ -31,101 +31,104 @@
 
 namespace laurelcroft {
 
-/// A decoded value, or what is wrong with it.
+/// A decoded value, or an error message.
 template <class T>
 using decoded = outcome<T, std::string>;
 
-/// How rows are read and written. Plain functions without state.
+/// Encodes and decodes rows. The functions have no state.
 struct row_codec
 {
-    std::string operatorTable; ///< the contract and the orders
+    std::string operatorTable; ///< holds the contract and the orders
     std::string endpointTable;
-    std::string statusTable; ///< what operators read
-    /// \returns true when an operator's row of this key holds the contract.
+    std::string statusTable; ///< holds the status rows for operators
+    /// \returns true when the operator row of this key holds the contract.
     std::function<bool(std::string_view key)> isContract;
-    /// \returns the service that an operator's row of this key orders a roll-out for.
+    /// \returns the service for which the operator row of this key orders a roll-out.
     std::function<std::optional<std::string>(std::string_view key)> orderedService;
-    /// \returns the data centre that an operator's row of this key asks to be left alone.
+    /// \returns the data centre that the operator row of this key evacuates.
     std::function<std::optional<std::string>(std::string_view key)> evacuatedDataCentre;
     std::function<decoded<service_contract>(const std::string &value)> decodeContract;
     std::function<decoded<endpoint_record>(const std::string &key, const std::string &value)>
             decodeEndpoint;
     std::function<decoded<rollout_order>(const std::string &value)> decodeOrder;
-    /// \returns the row that tells operators how far a roll-out is.
+    /// \returns the status row that shows operators the stage of a roll-out.
     std::function<row_write(const rollout_order &order, rollout_stage stage)> encodeStatus;
 };
 
-/// What a follower needs to know of the entries.
+/// Identity of an entry and its connections to other entries.
 struct entry_links
 {
     std::string entry; ///< name of this entry
-    entry_info place; ///< where other entries may read this one's rows
-    row_relay relay; ///< asks other entries
+    entry_info place; ///< address and state written to this entry's row
+    row_relay relay; ///< reads rows from other entries
     row_timings timings{milliseconds(2000)};
-    /// The whole system starts for the first time: there are no callers yet who wait for an entry.
+    /// The whole system starts for the first time, so no callers are waiting for an entry yet.
     bool isFirstStart = false;
     std::function<void(const entry_map &entries)> onEntries;
-    std::function<void()> onContract; ///< another contract is in force
-    /// Tells the entries that read the store what this one has seen of a version under roll-out;
-    /// false when not all could be told. May be empty.
+    std::function<void()> onContract; ///< called when another contract is in force
+    /// Sends this entry's evidence about a version under roll-out to the entries that read the
+    /// store.
+    /// \returns false when it could not be sent to all of them. May be empty.
     std::function<bool(const evidence_notice &notice)> tellReaders;
 };
 
-/// Follows the store for one entry.
+/// Keeps the routing state of one entry up to date with the store.
 template <row_store_like Store, runtime_like Runtime>
 class store_sync
 {
 public:
-    /// Least time between two calls for what operators and entries write.
+    /// Minimum time between two reads of the operator table and of the internal table.
     static constexpr milliseconds operatorReadInterval{20};
     static constexpr milliseconds internalReadInterval{300};
-    /// The own rows are few and tell which entries read the others: they are read after this
-    /// time when no first peer answers. When all entries are restarted together the first peers
-    /// may come last: 400 ms later, 237 callers of 103 entries were refused in that time.
+    /// How long to wait for a first peer before the internal table is read from the store. The
+    /// table is small and tells which entries read the store for the others. When all entries are
+    /// restarted together the first peers may come up last: when they came 400 ms later, 237
+    /// callers of 103 entries were refused in that time.
     static constexpr milliseconds internalFirstWait{60};
-    /// The same at the first start of the whole system: first peers have what all need by then, and
-    /// a call of each entry to the store is saved.
+    /// The same at the first start of the whole system. By then the first peers have the rows that
+    /// all entries need, which saves one store call per entry.
     static constexpr milliseconds internalFirstWaitAtFirstStart{1000};
-    /// How often roll-outs are looked at; each entry takes a due step with this chance, so
-    /// that seldom two write at once.
+    /// How often roll-outs are checked. Each entry writes a due step with probability \c
+    /// stepChance, so that two entries seldom write at once.
     static constexpr milliseconds stepInterval{200};
     static constexpr double stepChance = 0.5;
-    /// Entries that write at the same look, on average, where there are many. Of the first steps
-    /// of a roll-out one counts, the others are calls for nothing, 50 of them at 103 entries. Rows
-    /// of evidence are for readers that no datagram reaches: 78 of them came in the two seconds in
-    /// which all sessions had gone over to a good version.
+    /// Mean number of entries that write in the same check when there are many. Only one of the
+    /// first steps of a roll-out takes effect; the others are wasted calls, 50 of them with 103
+    /// entries. Evidence rows are for readers that datagrams cannot reach: 78 were written in the
+    /// two seconds in which all sessions had moved to a good version.
     static constexpr double meanConcurrentWriters = 4;
-    /// From one write of an entry's row to the next: the time in which it comes back by the feed,
-    /// or a call that hangs has ended.
+    /// Minimum time between two writes of this entry's row: enough for the row to come back by the
+    /// feed, or for a hanging call to end.
     static constexpr milliseconds ownRowWriteInterval{2500};
-    /// How long an entry that others give rows to waits for one of them to write its row, and how
-    /// long such a one gathers rows before it writes them.
+    /// How long an entry that reads from others waits for one of them to write its row, and how
+    /// long the other collects announcements before it writes their rows.
     static constexpr milliseconds listedByOthersTimeout{1200};
     static constexpr milliseconds announcementBatchDelay{150};
-    /// From one announcement to the next: a row comes back by then.
+    /// Time between two announcements of this entry; a written row comes back within it.
     static constexpr milliseconds announcementInterval{700};
-    /// Rows of one write: the store takes a hundred entries of a transaction.
+    /// Maximum number of rows per write: the store accepts a hundred rows in a transaction.
     static constexpr std::size_t maxAnnouncedRows = 90;
-    /// After a write that the store did not take.
+    /// Delay after a failed write.
     static constexpr milliseconds writeRetryDelay{1000};
-    /// An endpoint that is cold for this much longer than was known has turned cold again; less is
-    /// the way of its row.
+    /// An endpoint whose cold period ends this much later than was known has become cold again.
+    /// Smaller differences come from the transit time of its row.
     static constexpr milliseconds coldChangeThreshold{500};
-    /// Lines a second that tell of single endpoints. Each entry hears of each endpoint: when all
-    /// start, or many are replaced, the lines of a fleet would be as many as entries times
-    /// endpoints.
+    /// Maximum log lines per second about single endpoints. Every entry reads every endpoint's row,
+    /// so a start or replacement of many endpoints would log entries times endpoints lines across a
+    /// fleet.
     static constexpr double maxEndpointLinesPerSecond = 20;
-    /// Refused records of endpoints whose faults are remembered, so that each is logged once.
+    /// Maximum number of refused endpoint records whose error is remembered, so that each is logged
+    /// once.
     static constexpr std::size_t maxRefusedRecords = 1000;
-    /// Least time between two rows of evidence; it is written only when it tells of more bad
+    /// Minimum time between two evidence rows. A row is written only when it reports more bad
     /// answers.
     static constexpr milliseconds evidenceRowInterval{500};
-    /// The same between two datagrams of evidence, which are told for good answers as well.
+    /// Minimum time between two evidence datagrams, which report good answers as well.
     static constexpr milliseconds evidenceNoticeInterval{500};
 
-    /// A roll-out goes on only where the rows of other entries were read this short a time ago
-    /// (a held call and its answer), and without a failure for so long that whoever could not
-    /// write meanwhile has done it: a call that hangs, a pause, and a call.
+    /// A roll-out advances only if the rows of other entries were read within \c maxEvidenceAge (a
+    /// held call and its answer), and reads have not failed for \c evidenceSettleTime, in which an
+    /// entry that could not write before has written (a hanging call, a delay, and another call).
     static constexpr milliseconds maxEvidenceAge{2500};
     static constexpr milliseconds evidenceSettleTime{2500};
 
@@ -134,18 +137,19 @@
 
     void start();
 
-    /// \returns what this entry asks another one to write for it, now and then while it is not
-    /// listed: of several that were asked each would write it.
+    /// \returns the announcement that asks another entry to list this one, at most once per \c
+    /// announcementInterval and only while this entry is not listed. If several entries were asked,
+    /// each would write the row.
     std::optional<entry_announcement> nextAnnouncement();
 
-    /// Another entry asks to be listed.
+    /// Handles another entry's request to be listed.
     void takeAnnouncement(const entry_announcement &announcement);
 
-    /// \returns true time since the start of 1970, alike at all entries; nothing before the store's
-    /// clock and the entries' rows are known.
+    /// \returns the time since the start of 1970, the same at all entries; nothing before the
+    /// store's clock and the entries' rows are known.
     std::optional<milliseconds> trueTime();
 
-    /// Takes what another entry has told by datagram.
+    /// Handles evidence that another entry sent by datagram.
     void takeEvidence(const evidence_notice &notice);
 
 private:
@@ -156,57 +160,62 @@
     std::unique_ptr<follower> follow(const std::string &table, follow_pace pace,
                                      void (store_sync::*apply)(row_news &));
     void applyOperator(row_news &news);
-    /// Leaves in \p news the rows that say more than that an endpoint still lives.
+    /// Removes from \p news the rows that are only heartbeats.
     void applyEndpoints(row_news &news);
     void applyEndpointTable(row_batch &batch);
-    /// \returns removals of the endpoints that are known and not in \p batch.
+    /// \returns removal rows for the known endpoints that are not in \p batch.
     std::vector<store_row> removalsOfMissingEndpoints(const row_batch &batch) const;
     bool takeEndpointRow(const store_row &row);
     std::optional<endpoint_record> endpointIn(const store_row &row);
     bool takeEndpoint(endpoint_record &&record);
-    /// \returns true when the contract in force names \p service, or none is known.
+    /// \returns true when the contract in force names \p service, or no services are known.
     bool isNamed(const std::string &service) const;
     void logEndpoint(const char *what, const endpoint_record &record);
-    /// Says how many lines of endpoints were left out.
+    /// Logs how many log lines about endpoints were omitted.
     void logOmittedEndpointLines();
-    /// \returns true when an endpoint has turned cold, or is cold no more, and logs it.
+    /// \returns true when an endpoint has become cold or is no longer cold, and logs it.
     bool hasColdStateChanged(const endpoint_record &record, const service_endpoint &known);
     void applyInternal(row_news &news);
     void takeContract(const store_row &row);
     void takeOrder(const std::string &service, const store_row &row);
     void setEvacuated(std::set<std::string> dataCentres, std::uint64_t version);
-    /// Whether a removal means that an endpoint is gone is not known for a while.
+    /// Treats removals as uncertain for a while: an endpoint's row may have expired because the
+    /// store was unavailable, not because the endpoint is gone.
     void doubtRemovals(row_failure why);
     void noteTime(const row_batch &batch);
     milliseconds storeNow();
     void maintainEntryRows();
-    /// \returns true while others, who give rows to this entry, have the time to write its row.
+    /// \returns true while the entries that this one reads from still have time to write its row.
     bool isAwaitingListing();
-    /// \returns the row that lists \p entry from now on. \param wallTime its time of day.
+    /// \returns the row that lists \p entry.
+    /// \param wallTime wall-clock time of the entry.
     row_write entryRow(const std::string &entry, entry_info place, milliseconds wallTime);
     void writeOwnRow();
     void writeAnnouncedRows();
     void removeExpiredEntry(const listed_entry &entry);
-    /// \returns true when what other entries have found is known up to a moment ago: this entry
-    /// reads the store itself, so that the others tell it all.
+    /// \returns true when the evidence of other entries is up to date: this entry reads the store
+    /// itself, so the others send it all of theirs.
     bool isPeerEvidenceCurrent();
     void runChecks();
-    /// \returns true when this entry writes a step that is due at this look.
+    /// \returns true when this entry writes a due step in this check.
     bool mayWriteStepNow(const rollout_row &next, bool knowsOthers);
-    /// \returns true for a few entries at a time, by chance.
+    /// \returns true with a probability that lets \c meanConcurrentWriters entries write on
+    /// average.
     bool isSampledWriter();
     void sendEvidence(const std::string &service, const rollout_tracker &tracker);
     void writeStep(const std::string &service, const rollout_order &order, const rollout_row &row);
     bool writeEvidence(const std::string &service, const rollout_tracker &tracker);
     void takeInternalRow(const store_row &row);
     void takeWithheldRow(request_key key, const store_row &row);
-    /// Releases the requests whose rows are not in \p rows any more; a whole table was read.
+    /// Releases the withheld requests whose rows are not in \p rows, which is the whole table.
     void retainWithheld(const std::vector<store_row> &rows);
-    /// \returns true when the row of a finding on a request is being written.
+    /// Writes the row of the next finding on a request.
+    /// \returns true when a write was started.
     bool writeFinding();
-    /// \returns true when the row of \p key in \p current tells all that is known here.
+    /// \returns true when the row of \p key in \p current includes everything that is known here.
     bool isCoveredByRow(request_key key, const std::vector<table_entry> &current);
-    /// Drops the row of a request that is withheld no more, now and then.
+    /// Removes the row of a request that is no longer withheld, with a probability that spreads
+    /// this work over the entries.
     void removeStaleFinding();
 
     Store &m_store;
@@ -216,20 +225,23 @@
     metric_registry &m_metrics;
     row_codec m_codec;
     entry_links m_links;
-    std::map<std::string, std::unique_ptr<follower>> m_followers; ///< by table
-    std::map<std::string, std::string> m_refused; ///< faults of endpoints' records, by key
-    std::map<std::string, std::uint64_t> m_rowVersions; ///< of roll-out rows, by service
+    std::map<std::string, std::unique_ptr<follower>> m_followers; ///< keyed by table
+    std::map<std::string, std::string> m_refused; ///< errors of refused endpoint records, by key
+    std::map<std::string, std::uint64_t> m_rowVersions; ///< versions of roll-out rows, by service
     entry_roster m_roster;
-    /// Row of a withheld request as the store has it.
+    /// A withheld request's row in the store.
     struct finding_row
     {
         std::uint64_t version = 0;
-        milliseconds until{0}; ///< on the store's clock
+        milliseconds until{0}; ///< time on the store's clock
     };
     std::map<request_key, finding_row> m_findingRows;
-    std::map<std::string, rollout_evidence> m_writtenEvidence; ///< in a row, by service
-    std::map<std::string, rollout_evidence> m_sentEvidence; ///< by datagram, by service
-    std::uint64_t m_incarnation; ///< tells this process's evidence from an earlier one's
+    /// Last evidence written as a row, by service.
+    std::map<std::string, rollout_evidence> m_writtenEvidence;
+    /// Last evidence sent by datagram, by service.
+    std::map<std::string, rollout_evidence> m_sentEvidence;
+    /// Distinguishes this process's evidence from that of earlier processes.
+    std::uint64_t m_incarnation;
     time_point m_nextNoticeAt{};
     bool m_internalTableRead = false;
     bool m_endpointsRead = false;
@@ -245,8 +257,8 @@
         time_point at{};
     };
     std::map<std::string, received_announcement>
-            m_receivedAnnouncements; ///< by entries that are not listed yet
-    std::optional<milliseconds> m_wallClockOffset; ///< as the roster says
+            m_receivedAnnouncements; ///< keyed by entry; entries not listed yet
+    std::optional<milliseconds> m_wallClockOffset; ///< as computed by the roster
     bool m_isBatchPending = false;
     time_point m_evidenceWrittenAt{};
     time_point m_nextWriteAt{};
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -1,7 +1,7 @@
-//===-- Proxy/StoreSyncEndpoints.h - members of store_sync -------*- C++ -*-===//
+//===-- Proxy/StoreSyncEndpoints.h - endpoint rows --------------*- C++ -*-===//
 //
-// Endpoints, cold ones, those that vanish with the store, and evacuated data centres. Included by
-// StoreSync.h only.
+// Members of store_sync that handle endpoints, their cold state, removals during a store outage,
+// and evacuated data centres. Included by StoreSync.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCENDPOINTS_H
@@ -17,8 +17,8 @@
         m_state.directory().storeLost(now);
         return;
     }
-    // The store may have been there for all others: an endpoint that left after the rows were
-    // confirmed last must still be left alone in time.
+    // Other entries may have reached the store all the time: requests to an endpoint that left
+    // after the last confirmation of the rows must still stop in time.
     const milliseconds age = m_mirror.stateOf(m_codec.endpointTable, nothingKnown, now).age;
     m_state.directory().doubtRemovals(now - age + m_links.timings.removalGrace);
 }
@@ -58,14 +58,14 @@
         applyEndpointTable(news.batch);
         return;
     }
-    // A table that is read again is mostly heartbeats, too: where the store drops its history
-    // all the time, other entries would get all rows with each read.
+    // A table that is read again consists mostly of heartbeats. If the store keeps dropping its
+    // history, other entries would otherwise get all rows with each read.
     if (news.whole) {
         for (store_row &row : removalsOfMissingEndpoints(news.batch))
             news.batch.rows.push_back(std::move(row));
         news.whole = false;
     }
-    // In order: one batch may list an endpoint and remove it again.
+    // Apply in order: one batch may list an endpoint and remove it again.
     std::vector<store_row> changes;
     for (store_row &row : news.batch.rows) {
         if (takeEndpointRow(row))
@@ -104,8 +104,9 @@
 bool store_sync<Store, Runtime>::takeEndpointRow(const store_row &row)
 {
     if (row.removed) {
-        // Told to other entries whether this one believes it or not: kept back for a grace of this
-        // entry's, it was missed by others that had lost nothing.
+        // Passed on to other entries whether or not this one keeps the endpoint. When removals were
+        // held back during this entry's grace period, entries that had not lost the store missed
+        // them.
         const bool isBelieved = m_state.directory().remove(row.key, m_runtime.now(), row.version);
         if (m_endpointLines.allows(m_runtime.now()))
             logInfo(log_part::fleet, "endpoint's record removed",
@@ -125,7 +126,7 @@
         record.value().heardAt = row.version;
         return std::move(record.value());
     }
-    // A table that is read again would tell of each again.
+    // Log each error once, not on every read of the table.
     const bool isKnown = m_refused.count(row.key) != 0 && m_refused.at(row.key) == record.error();
     if (isKnown)
         return std::nullopt;
@@ -147,7 +148,7 @@
     if (!isNew && known->second->record().isLaterStart(record))
         return false;
     const bool isRestarted = !isNew && record.isLaterStart(known->second->record());
-    // The others have heard of a record that lapsed as removed.
+    // Other entries were told that the expired record was removed.
     const bool isBack = m_state.directory().isLapsed(record.id);
     const bool saysMore = isNew || isBack || !record.saysTheSame(known->second->record())
             || hasColdStateChanged(record, *known->second);
@@ -207,7 +208,7 @@
     const bool isColder
             = m_runtime.now() + record.coldLeft > known.coldUntil() + coldChangeThreshold
             && record.coldLeft.count() > 0;
-    // Told as well, so that an entry that starts later doesn't take an old row's word.
+    // Passed on as well, so that an entry that starts later does not use an old row.
     const bool isWarm = record.coldLeft.count() == 0 && known.record().coldLeft.count() > 0;
     if ((isColder || isWarm) && m_endpointLines.allows(m_runtime.now()))
         logInfo(log_part::fleet, isWarm ? "endpoint is warm" : "endpoint is cold",
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -1,6 +1,6 @@
-//===-- Proxy/StoreSyncFindings.h - members of store_sync --------*- C++ -*-===//
+//===-- Proxy/StoreSyncFindings.h - rows of withheld requests ---*- C++ -*-===//
 //
-// Rows of requests that are withheld. Included by StoreSync.h only.
+// Members of store_sync that handle the rows of withheld requests. Included by StoreSync.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCFINDINGS_H
@@ -72,7 +72,7 @@
             m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         logInfo(log_part::routing, "finding on a request written",
                 {{"request_key", textOf(key)}, {"result", textOf(result)}});
-        // What somebody else's row lacks is written again.
+        // Otherwise another entry's row lacks some of the finding, which is then written again.
         if (result && (result.value().done || isCoveredByRow(key, result.value().current)))
             m_state.crashes().wasWritten(key);
         if (!result || result.value().done)
@@ -87,20 +87,21 @@
 void store_sync<Store, Runtime>::removeStaleFinding()
 {
     const std::optional<request_key> wrong = m_state.crashes().wronglyListed();
-    const auto old = std::find_if(m_findingRows.begin(), m_findingRows.end(), [&](const auto &row) {
-        return storeNow() >= row.second.until || row.first == wrong;
-    });
-    // Any entry may do it; the chance keeps most of them from doing it at once.
+    const auto stale
+            = std::find_if(m_findingRows.begin(), m_findingRows.end(), [&](const auto &row) {
+                  return storeNow() >= row.second.until || row.first == wrong;
+              });
+    // Any entry may remove the row; the probability keeps most of them from writing at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
-    if (old == m_findingRows.end() || !m_state.random().chance(chance))
+    if (stale == m_findingRows.end() || !m_state.random().chance(chance))
         return;
     m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
-    m_store.write(
-            {{std::string(internalTable), withheldKey(old->first), "", old->second.version, true}},
-            [key = old->first](outcome<conditional_write, row_failure> result) {
-                logInfo(log_part::routing, "row of a finding removed",
-                        {{"request_key", textOf(key)}, {"result", textOf(result)}});
-            });
+    m_store.write({{std::string(internalTable), withheldKey(stale->first), "",
+                    stale->second.version, true}},
+                  [key = stale->first](outcome<conditional_write, row_failure> result) {
+                      logInfo(log_part::routing, "row of a finding removed",
+                              {{"request_key", textOf(key)}, {"result", textOf(result)}});
+                  });
 }
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -1,6 +1,7 @@
-//===-- Proxy/StoreSyncImpl.h - members of store_sync ------------*- C++ -*-===//
+//===-- Proxy/StoreSyncImpl.h - members of store_sync -----------*- C++ -*-===//
 //
-// Included by StoreSync.h only.
+// Members of store_sync that follow tables, apply rows and list entries. Included by StoreSync.h
+// only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCIMPL_H
@@ -11,8 +12,7 @@
 
 namespace laurelcroft {
 
-/// Under this name evidence counts that this entry wrote before it was restarted; no entry has
-/// an empty name.
+/// Entry name for evidence that an earlier process of this entry wrote. No entry has an empty name.
 inline constexpr std::string_view earlierIncarnation;
 
 template <row_store_like Store, runtime_like Runtime>
@@ -73,11 +73,11 @@
 {
     const bool listsEndpoints = table == m_codec.endpointTable;
     follow_events events;
-    // What a batch leaves after it was applied is what other entries need of it.
+    // The rows left in the batch by apply are those that other entries need.
     const auto take = [this, table, apply](row_news news) {
         noteTime(news.batch);
         (this->*apply)(news);
-        // The relay's news are in the mirror already, with the age that the relay told.
+        // A relay's changes are in the mirror already, with the age that the relay reported.
         const follower &reader = *m_followers.at(table);
         if (!reader.isNewsRelayed())
             m_mirror.take(table, news.batch, news.whole, reader.confirmedAt());
@@ -97,7 +97,7 @@
                 {{"table", table}, {"away_ms", std::int64_t(away.count())}});
         if (listsEndpoints)
             m_state.directory().storeRegained(m_runtime.now());
-        // What waited for the store goes out at once.
+        // Writes that waited for the store are sent at once.
         m_nextWriteAt = m_runtime.now();
     };
     return std::make_unique<follower>(m_store, m_runtime, table, pace, std::move(events),
@@ -299,7 +299,7 @@
     m_unlistedSince.reset();
     removeStaleFinding();
     const std::optional<listed_entry> gone = m_roster.expired(storeNow());
-    // Any entry may do it; the chance keeps most of them from doing it at once.
+    // Any entry may remove the row; the probability keeps most of them from writing at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
     if (gone && m_state.random().chance(chance))
         removeExpiredEntry(*gone);
@@ -351,14 +351,15 @@
         logInfo(log_part::fleet, "entries listed for others",
                 {{"entries", std::int64_t(rows.size())}});
         m_store.write(std::exchange(rows, {}), [](outcome<conditional_write, row_failure> result) {
-            // They write their rows themselves after a while.
+            // Entries that are not listed write their own rows after a while.
             if (!result)
                 logWarning(log_part::platform, "entries not listed",
                            {{"why", textOf(result.error())}});
         });
     };
     for (const auto &[name, item] : announced) {
-        // It asked before it had read that it is listed.
+        // Skip entries that are listed already: they sent the announcement before they read their
+        // row.
         if (!knows || !m_roster.isDue(name, storeNow()))
             continue;
         const auto waited = std::chrono::duration_cast<milliseconds>(m_runtime.now() - item.at);
@@ -382,7 +383,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::writeOwnRow()
 {
-    // The own row comes back by the feed; until then it is not written again.
+    // Do not write the row again until it can have come back by the feed.
     m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
     const row_write row = entryRow(m_links.entry, m_links.place, milliseconds(wallMilliseconds()));
     m_store.write({row}, [](outcome<conditional_write, row_failure> result) {
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -1,6 +1,7 @@
-//===-- Proxy/StoreSyncRollouts.h - members of store_sync --------*- C++ -*-===//
+//===-- Proxy/StoreSyncRollouts.h - steps of roll-outs ----------*- C++ -*-===//
 //
-// Steps of roll-outs and what is told of them. Included by StoreSync.h only.
+// Members of store_sync that write the steps of roll-outs and report evidence. Included by
+// StoreSync.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCROLLOUTS_H
@@ -16,25 +17,26 @@
                                                const rollout_tracker &tracker)
 {
     const rollout_evidence &own = tracker.evaluator().ownEvidence();
-    const rollout_evidence &told = m_writtenEvidence[service];
-    const bool sameOrder = told.orderedAt == own.orderedAt;
-    const bool news = own.bad() > (sameOrder ? told.bad() : 0);
-    if (!news || m_runtime.now() - m_evidenceWrittenAt < evidenceRowInterval || !isSampledWriter())
+    const rollout_evidence &written = m_writtenEvidence[service];
+    const bool sameOrder = written.orderedAt == own.orderedAt;
+    const bool hasMoreBad = own.bad() > (sameOrder ? written.bad() : 0);
+    if (!hasMoreBad || m_runtime.now() - m_evidenceWrittenAt < evidenceRowInterval
+        || !isSampledWriter())
         return false;
     m_isWriting = true;
     m_evidenceWrittenAt = m_runtime.now();
     m_writtenEvidence[service] = own;
     logInfo(log_part::bundle, "evidence told",
             {{"service", service}, {"bad", std::int64_t(own.bad())}});
-    rollout_evidence signedOwn = own;
-    signedOwn.incarnation = m_incarnation;
+    rollout_evidence ownWithIncarnation = own;
+    ownWithIncarnation.incarnation = m_incarnation;
     const row_write row{std::string(internalTable), evidenceKey(m_links.entry, service),
-                        encodeEvidence(signedOwn), std::nullopt};
+                        encodeEvidence(ownWithIncarnation), std::nullopt};
     m_store.write({row}, [this, service](outcome<conditional_write, row_failure> result) {
         m_isWriting = false;
         if (result)
             return;
-        // The next look tells it again.
+        // The next check writes it again.
         m_writtenEvidence[service] = {};
         logWarning(log_part::platform, "evidence not written",
                    {{"service", service}, {"why", textOf(result.error())}});
@@ -83,11 +85,11 @@
 template <row_store_like Store, runtime_like Runtime>
 bool store_sync<Store, Runtime>::mayWriteStepNow(const rollout_row &next, bool knowsOthers)
 {
-    // A finding that waits for its turn leaves bad answers to callers: 3 s on average at 32
-    // entries.
+    // A delayed revert sends bad answers to callers: the wait for a turn took 3 s on average with
+    // 32 entries.
     if (next.stage == rollout_stage::reverted)
         return true;
-    // Those that read the store are few already; most steps are theirs alone.
+    // Few entries read the store, and they take most steps, so they need no further sampling.
     return (knowsOthers || isSampledWriter()) && m_state.random().chance(stepChance);
 }
 
@@ -153,12 +155,12 @@
                  {"target", row.targetVersion},
                  {"stage", textOf(row.stage)},
                  {"result", textOf(result)}});
-        // The row comes back by the feed; taking it at once saves a read's time.
+        // The row also comes back by the feed; applying it now saves the time of a read.
         if (done)
             m_state.rollouts(service).setRow(row, m_clock.localTimeOf(row.stageSince));
         if (!result || done)
             return;
-        // Somebody else was first: the next step goes on from that row.
+        // Another entry wrote first: the next step starts from its row.
         for (const table_entry &entry : result.value().current) {
             if (entry.table == internalTable)
                 takeInternalRow(entry.row);
