--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -1,7 +1,7 @@
-//===-- LapseTests.cpp - endpoints whose rows lapse with the store ----------===//
+//===-- LapseTests.cpp - endpoint rows that expire ------------------------===//
 //
-// The store is away for some seconds and the rows of all endpoints lapse meanwhile, although each
-// endpoint lives. What every entry may send to is looked at all the time.
+// The store is unavailable for some seconds, and the rows of all endpoints expire meanwhile
+// although the endpoints are alive. The tests check which endpoints each entry may use throughout.
 //
 //===----------------------------------------------------------------------===//
 #include "EntryFleet.h"
@@ -17,7 +17,7 @@
 constexpr unsigned endpoints = 60;
 constexpr std::size_t fewEntries = 40;
 constexpr milliseconds heartbeat{1200};
-/// Rows of living endpoints are back this long after the store.
+/// Rows of live endpoints are written again within this time after the store returns.
 constexpr milliseconds recoveryBound{2000};
 constexpr milliseconds checkInterval{50};
 
@@ -26,11 +26,12 @@
     return "p" + std::to_string(number);
 }
 
-/// A fleet before endpoints that heartbeat, each at its own moment.
+/// A fleet of entries and endpoints that send heartbeats, each at its own time.
 struct lapse_world
 {
     fleet entries;
-    std::size_t minUsable = std::numeric_limits<std::size_t>::max(); ///< usable at any entry, ever
+    /// Lowest number of usable endpoints seen at any entry.
+    std::size_t minUsable = std::numeric_limits<std::size_t>::max();
 
     explicit lapse_world(std::size_t count = fewEntries)
     {
@@ -41,7 +42,8 @@
         entries.runtime.advance(seconds(5));
     }
 
-    /// The endpoint writes its row from \p wait on, as long as it lives and the store is there.
+    /// Writes the endpoint's row after \p wait and then once per heartbeat, while the endpoint is
+    /// alive and the store available.
     void beat(unsigned number, duration wait)
     {
         entries.runtime.after(wait, [this, number] {
@@ -53,12 +55,12 @@
 
     std::size_t usableAt(fleet_entry &entry)
     {
-        // As before each send.
+        // Expire lapsed records first, as is done before each send.
         entry.routing.directory().expire(entries.runtime.now());
         return entry.routing.directory().usable("pool").size();
     }
 
-    /// Lets time pass and notes the minUsable usable endpoints of any entry that is up.
+    /// Advances the clock and records the lowest number of usable endpoints at any running entry.
     void pass(duration time)
     {
         for (duration passed{0}; passed < time; passed += checkInterval) {
@@ -76,7 +78,7 @@
             entries.store.remove("endpoints", idOf(i));
     }
 
-    /// The store goes, all rows lapse, and it comes back.
+    /// Makes the store unavailable, expires all rows, and makes it available again.
     void outage(duration time)
     {
         entries.store.away = true;
@@ -91,10 +93,10 @@
 
 } // namespace
 
-TEST_CASE("endpoints whose rows lapse in an outage and return stay usable at every entry")
+TEST_CASE("endpoints whose rows expire in an outage and return stay usable at every entry")
 {
-    // Before readers told of the return, entries that they read for kept none of 60 endpoints
-    // from the outage on.
+    // Entries that read from others once kept none of 60 endpoints after an outage, because the
+    // readers did not tell them that the store was back.
     lapse_world world;
     for (const int ms : {4000, 9000}) {
         CAPTURE(ms);
@@ -104,11 +106,11 @@
     }
 }
 
-TEST_CASE("after an outage too short to be noticed by all, every entry knows all endpoints with "
-          "their rows")
+TEST_CASE("after an outage too short for all entries to notice, every entry knows all endpoints "
+          "once their rows are back")
 {
-    // Only the readers notice it. The others can't tell it from a reader that is cut off, and leave
-    // alone what is said to be gone until its row is back.
+    // Only the readers notice the outage. The other entries cannot distinguish it from a reader
+    // that is cut off, and stop using removed endpoints until their rows are back.
     lapse_world world;
     for (const int ms : {600, 1500}) {
         CAPTURE(ms);
@@ -119,7 +121,7 @@
     }
 }
 
-TEST_CASE("the same when calls hang while the store is away")
+TEST_CASE("endpoints stay usable when calls hang during the outage")
 {
     lapse_world world;
     world.entries.store.awayDelay = milliseconds(900);
@@ -128,7 +130,7 @@
     CHECK(world.minUsable == endpoints);
 }
 
-TEST_CASE("the same when the store forgets its history at its return")
+TEST_CASE("endpoints stay usable when the store drops its history as it returns")
 {
     lapse_world world;
     world.entries.store.hasLostHistory = true;
@@ -139,7 +141,7 @@
     CHECK(world.minUsable == endpoints);
 }
 
-TEST_CASE("the same when all but the readers are turned away, and then the readers are")
+TEST_CASE("endpoints stay usable when first the other entries and then the readers lose the store")
 {
     lapse_world world;
     for (const bool readersAway : {false, true}) {
@@ -154,7 +156,7 @@
     }
 }
 
-TEST_CASE("the same when an entry starts while the store is away")
+TEST_CASE("endpoints stay usable when an entry starts during the outage")
 {
     lapse_world world;
     world.entries.store.away = true;
@@ -166,7 +168,7 @@
     CHECK(world.minUsable == endpoints);
 }
 
-TEST_CASE("an entry that starts late in an outage goes by what the others still believe")
+TEST_CASE("an entry that starts late in an outage uses the rows that the others still trust")
 {
     lapse_world world;
     world.entries.store.away = true;
@@ -180,7 +182,7 @@
     CHECK(world.minUsable == endpoints);
 }
 
-TEST_CASE("when the readers lose power in the outage, all entries know all endpoints soon after")
+TEST_CASE("all entries know all endpoints soon after an outage in which the readers lost power")
 {
     lapse_world world;
     world.entries.store.away = true;
@@ -197,15 +199,15 @@
     }
 }
 
-TEST_CASE("an endpoint that died in the outage is left alone by all entries")
+TEST_CASE("no entry uses an endpoint that died in the outage")
 {
     lapse_world world;
     world.dead.insert(7);
     world.outage(seconds(4));
     world.pass(recoveryBound);
-    // The dead one may go before; those that live stay.
+    // The dead endpoint may go earlier; the live ones stay.
     CHECK(world.minUsable >= endpoints - 1);
-    // The grace, one read of a reader, and one of the others.
+    // The grace period, one read of a reader, and one read of the other entries.
     world.pass(milliseconds(200) + seconds(2));
     for (fleet_entry &entry : world.entries.entries) {
         CHECK(world.usableAt(entry) == endpoints - 1);
@@ -226,10 +228,11 @@
         CHECK(world.usableAt(entry) == endpoints);
 }
 
-TEST_CASE("where only the readers lose the store, an endpoint that leaves is left alone in time")
+TEST_CASE("an endpoint that leaves while only the readers have lost the store is no longer used "
+          "within the bound")
 {
-    // It never says that it leaves: its row goes. The others can't know that the store was there
-    // all the time, but for how long they have not heard of it.
+    // The endpoint never announces that it leaves: its row is removed. The other entries cannot
+    // know that the store was available all the time, only how long ago they last heard from it.
     for (int i = 0; i < 10; ++i) {
         lapse_world world;
         world.pass(milliseconds(170 * i));
@@ -246,8 +249,9 @@
     }
 }
 
-/// Plays one of two readers that loses the store for some seconds while an endpoint leaves without
-/// a word. \returns how many of the other entries still send there when the bound has passed.
+/// Makes one of two readers lose the store for some seconds while an endpoint leaves without
+/// announcing it.
+/// \returns how many of the other entries still use the endpoint after the bound.
 static std::size_t sendersAfterBound(std::size_t count, milliseconds phase)
 {
     lapse_world world(count);
@@ -258,7 +262,7 @@
     world.pass(seconds(3) + phase);
     world.dead.insert(7);
     world.entries.store.remove("endpoints", idOf(7));
-    // It is back just before it would have heard in time.
+    // The reader regains the store just before it would have learned of the removal in time.
     world.pass(milliseconds(50));
     reader->store.isTurnedAway = false;
     world.pass(changeBound - milliseconds(50));
@@ -270,11 +274,11 @@
     return senders;
 }
 
-TEST_CASE("where one reader loses the store for a while, an endpoint that leaves is left alone in "
-          "time")
+TEST_CASE("an endpoint that leaves while one reader has lost the store is no longer used within "
+          "the bound")
 {
-    // That reader keeps the endpoint after its own loss. The others ask both by turns for what is
-    // newer than they have, so that the removal may fall between two turns.
+    // That reader keeps the endpoint after its own loss. The other entries read changes from both
+    // readers in turn, so the removal may fall between two reads.
     constexpr int phases = 30;
     for (int i = 0; i < phases; ++i) {
         CHECK(sendersAfterBound(3, milliseconds(47 * i)) == 0);
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -1,6 +1,6 @@
-//===-- PeerRowsTests.cpp - rows from and for other entries -----------------===//
+//===-- PeerRowsTests.cpp - rows exchanged between entries ----------------===//
 //
-// Who reads the store, and two entries on loopback sockets.
+// Selection of store readers, and row reads between two entries on loopback sockets.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/PeerRows.h"
@@ -15,7 +15,7 @@
 
 using namespace laurelcroft;
 
-/// \returns entries e0, e1, ... by turns in the data centres a, b and c.
+/// \returns entries e0, e1, ... distributed over the data centres a, b and c.
 static entry_map entriesOf(std::size_t count)
 {
     entry_map entries;
@@ -26,7 +26,7 @@
     return entries;
 }
 
-TEST_CASE("strong instances read the store, weak ones where those are too few")
+TEST_CASE("strong instances read the store, and weak ones only if there are too few strong ones")
 {
     entry_map entries = entriesOf(103);
     for (auto &[name, place] : entries)
@@ -37,7 +37,7 @@
     CHECK(readers.size() == storeReaderCount);
     for (const std::string &name : readers)
         CHECK(entries[name].processorShare == 0.5);
-    // The other two strong ones stand by, and weak ones are relays.
+    // The other two strong entries are standbys; the relays are weak.
     std::size_t standbys = 0;
     for (const auto &[name, place] : entries) {
         const row_sources sources = sourcesFor(entries, name);
@@ -47,11 +47,11 @@
             CHECK(place.processorShare == 0.5);
     }
     CHECK(standbys == storeReaderCount);
-    // A release that does not tell its share is as strong as any while nobody tells.
+    // Entries of a release that does not report its share all count as strong.
     CHECK(storeReaders(entriesOf(103)).size() == storeReaderCount);
 }
 
-TEST_CASE("as many entries as read the store stand by for them, and all others know one")
+TEST_CASE("there are as many standbys as readers, and all other entries know one")
 {
     for (const std::size_t count : {3, 4, 32, 103, 380}) {
         const entry_map entries = entriesOf(count);
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_CASE("two entries read the store for a site of any size, and nobody gives rows to many")
+TEST_CASE("two entries read the store at any site size, and no entry serves too many others")
 {
     for (const std::size_t count : {1, 2, 3, 4, 9, 32, 33, 96, 97, 103, 380, 800, 1600}) {
         INFO(count, " entries");
@@ -87,7 +87,7 @@
         }
         CHECK(readers == std::min(count, storeReaderCount));
         for (const auto &[address, askers] : asked)
-            CHECK(askers <= 4 * maxEntriesPerRelay); // each asks two by turns; data centres differ
+            CHECK(askers <= 4 * maxEntriesPerRelay); // two sources per entry; data centres differ
     }
     CHECK(sourcesFor(entriesOf(8), "unknown").readers.empty());
 }
@@ -106,7 +106,7 @@
     }
 }
 
-TEST_CASE("on a large site an entry is two steps from a reader, however it asks")
+TEST_CASE("on a large site all sources of an entry read directly from a reader")
 {
     const entry_map entries = entriesOf(380);
     std::map<std::string, std::string> nameOf;
@@ -140,8 +140,7 @@
     CHECK(relays == 9);
 }
 
-TEST_CASE(
-        "a reader of the own data centre is asked before others, and an entry without address none")
+TEST_CASE("nearby sources come first, and entries without addresses have no sources")
 {
     entry_map entries = entriesOf(144);
     for (const auto &[name, place] : entries) {
@@ -177,27 +176,28 @@
 
 } // namespace
 
-TEST_CASE("rows go from one entry to another, and a silent one is left out for a while")
+TEST_CASE("an entry reads rows from a peer, and avoids a silent peer for a while")
 {
     asio::io_context context;
-    one_entry teller(context, "127.0.0.1:0");
-    REQUIRE(teller.rows.open().empty());
-    one_entry asker(context, "127.0.0.1:1");
-    asker.rows.setPeers({"127.0.0.1:" + std::to_string(teller.rows.port()), "127.0.0.1:1"});
-    teller.mirror.take("t", {{{"k", "v", 3, false}}, 3, {}}, true, bootNow());
+    one_entry server(context, "127.0.0.1:0");
+    REQUIRE(server.rows.open().empty());
+    one_entry client(context, "127.0.0.1:1");
+    client.rows.setPeers({"127.0.0.1:" + std::to_string(server.rows.port()), "127.0.0.1:1"});
+    server.mirror.take("t", {{{"k", "v", 3, false}}, 3, {}}, true, bootNow());
 
     std::optional<outcome<row_news, row_failure>> result;
-    asker.rows.read("t", 0, [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+    client.rows.read("t", 0,
+                     [&](outcome<row_news, row_failure> news) { result = std::move(news); });
     while (!result)
         context.run_one();
     REQUIRE(*result);
     CHECK(result->value().batch.rows.at(0).value == "v");
-    CHECK(asker.mirror.read("t", 0, bootNow()));
+    CHECK(client.mirror.read("t", 0, bootNow()));
 
     for (int i = 0; i < 2; ++i) {
         result.reset();
-        asker.rows.read("unknown", 0,
-                        [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+        client.rows.read("unknown", 0,
+                         [&](outcome<row_news, row_failure> news) { result = std::move(news); });
         while (!result)
             context.run_one();
         CHECK(!*result);
@@ -206,7 +206,7 @@
 
 namespace {
 
-/// Two entries on loopback sockets, of which one asks the other.
+/// Two entries on loopback sockets, one of which reads from the other.
 struct two_entries
 {
     two_entries()
@@ -238,22 +238,24 @@
 
 } // namespace
 
-TEST_CASE("a read tells who wants to be listed, and what is no announcement is refused")
+TEST_CASE("a read carries the announcement of an unlisted entry, and malformed announcements are "
+          "refused")
 {
     asio::io_context context;
-    one_entry teller(context, "127.0.0.1:0");
-    REQUIRE(teller.rows.open().empty());
-    teller.mirror.take("t", {{{"k", "v", 3, false}}, 3, {}}, true, bootNow());
+    one_entry server(context, "127.0.0.1:0");
+    REQUIRE(server.rows.open().empty());
+    server.mirror.take("t", {{{"k", "v", 3, false}}, 3, {}}, true, bootNow());
     std::vector<entry_announcement> heard;
-    teller.rows.setAnnouncements(
+    server.rows.setAnnouncements(
             {}, [&](const entry_announcement &announced) { heard.push_back(announced); });
-    one_entry asker(context, "127.0.0.1:1");
-    asker.rows.setPeers({"127.0.0.1:" + std::to_string(teller.rows.port())});
+    one_entry client(context, "127.0.0.1:1");
+    client.rows.setPeers({"127.0.0.1:" + std::to_string(server.rows.port())});
     entry_announcement own{"edge-7", {"10.0.0.7:5", "hall"}, milliseconds(1'700'000'000'000)};
     own.place.processorShare = 0.5;
-    asker.rows.setAnnouncements([&] { return std::optional(own); }, {});
+    client.rows.setAnnouncements([&] { return std::optional(own); }, {});
     std::optional<outcome<row_news, row_failure>> result;
-    asker.rows.read("t", 0, [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+    client.rows.read("t", 0,
+                     [&](outcome<row_news, row_failure> news) { result = std::move(news); });
     while (!result)
         context.run_one();
     REQUIRE(heard.size() == 1);
@@ -266,7 +268,7 @@
         CHECK_FALSE(decodeAnnouncement(text));
 }
 
-TEST_CASE("reads that come together are one request, and each gets its table")
+TEST_CASE("simultaneous reads are sent as one request, and each gets its table")
 {
     two_entries two;
     two.tell("a", 3);
@@ -274,7 +276,7 @@
     two.ask("a", 0);
     two.ask("b", 0);
     two.ask("c", 0);
-    // One that does not start with the others joins what is under way.
+    // A later read joins the request in progress.
     two.context.poll();
     two.ask("d", 0);
     two.runUntil(4);
@@ -286,7 +288,7 @@
     CHECK(told.find("peer_reads_total{result=\"ok\"} 1\n") != std::string::npos);
 }
 
-TEST_CASE("a table without rows is given on as well, and its first row after it")
+TEST_CASE("an empty table is passed on, and so is its first row later")
 {
     two_entries two;
     two.server.mirror.take("a", {{}, 3, {}}, true, bootNow());
@@ -304,7 +306,7 @@
     CHECK(two.results.at("a").value().batch.rows.size() == 1);
 }
 
-TEST_CASE("a read without news is held, and answered when there are some")
+TEST_CASE("a read without news is held and answered when there is some")
 {
     two_entries two;
     two.tell("a", 3);
@@ -327,7 +329,7 @@
     CHECK(two.results.at("a").value().batch.rows[0].key == "l");
 }
 
-TEST_CASE("an entry that starts too is waited for, one whose rows are old says so")
+TEST_CASE("a read waits for a peer that is starting, and fails at one whose rows are outdated")
 {
     two_entries two;
     asio_runtime runtime(two.context);
@@ -345,7 +347,7 @@
     CHECK(two.results.at("b").error() == row_failure::outdated);
 }
 
-TEST_CASE("while the readers are outdated a standby is asked, and has the time for its own call")
+TEST_CASE("a standby is read while the readers are outdated, and has time for a store call")
 {
     two_entries two;
     one_entry standby{two.context, "127.0.0.1:0"};
@@ -360,19 +362,19 @@
     two.ask("a", 6);
     two.ask("b", 0);
     asio_runtime runtime(two.context);
-    // The readers hold what is outdated for 100 ms, and the standby as long again.
+    // The reader holds outdated rows for 100 ms, then the standby for as long.
     runtime.after(milliseconds(150), [&] {
         standby.mirror.take("a", {{{"k", "v", 7, false}}, 7, {}}, false, bootNow());
     });
     two.runUntil(2);
     REQUIRE(two.results.at("a"));
     CHECK(two.results.at("a").value().batch.rows.size() == 1);
-    // What the reader knows is taken from it all the same.
+    // Tables that are current at the reader are still taken from it.
     REQUIRE(two.results.at("b"));
     CHECK(two.results.at("b").value().batch.version == 4);
 }
 
-TEST_CASE("a peer that is gone is passed over for the next one within the same read")
+TEST_CASE("a read skips a dead peer and succeeds at the next one")
 {
     two_entries two;
     two.tell("a", 3);
@@ -382,7 +384,7 @@
     CHECK(two.results.at("a"));
 }
 
-TEST_CASE("an entry that finds itself a reader waits for no peer any more")
+TEST_CASE("an entry that becomes a reader stops waiting for peers")
 {
     two_entries two;
     CHECK(two.client.rows.arePreferred());
@@ -396,7 +398,7 @@
     CHECK(!two.client.rows.arePreferred());
 }
 
-TEST_CASE("outdated rows are for an entry that knows nothing yet, and for nobody else")
+TEST_CASE("outdated rows are served only to an entry that knows nothing yet")
 {
     two_entries two;
     two.server.mirror.take("t", {{{"k", "v", 9, false}}, 9, {}}, true, bootNow() - seconds(10));
@@ -405,7 +407,7 @@
     REQUIRE(two.results.at("t"));
     CHECK(two.results.at("t").value().batch.rows.at(0).value == "v");
     two.results.clear();
-    // It lost the history of changes, but knows newer rows.
+    // The entry lost the history of changes but has newer rows.
     two.ask("t", readAnew);
     two.runUntil(1);
     CHECK(!two.results.at("t"));
--- a/unittests/Proxy/RowMirrorTests.cpp
+++ b/unittests/Proxy/RowMirrorTests.cpp
@@ -1,6 +1,6 @@
-//===-- RowMirrorTests.cpp - tables as an entry last read them --------------===//
+//===-- RowMirrorTests.cpp - tables as last read --------------------------===//
 //
-// What is given on, how old it may be, and what is left of removed rows.
+// Which rows a mirror serves, how old they may be, and how it remembers removals.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowMirror.h"
@@ -9,7 +9,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("a mirror tells what is new since a version, removals included")
+TEST_CASE("a mirror returns the changes since a version, including removals")
 {
     row_mirror mirror(milliseconds(1500));
     const time_point now{seconds(100)};
@@ -32,7 +32,7 @@
     CHECK(whole->news.batch.rows.size() == 2);
 }
 
-TEST_CASE("a mirror gives away only what the store confirmed a moment ago")
+TEST_CASE("a mirror serves only rows that the store confirmed recently")
 {
     row_mirror mirror(milliseconds(1500));
     const time_point now{seconds(100)};
@@ -40,12 +40,13 @@
     CHECK(mirror.read("t", 0, now + milliseconds(1500)));
     CHECK(!mirror.read("t", 0, now + milliseconds(1501)));
     CHECK(!mirror.read("u", 0, now));
-    // What another entry gave on keeps its age: two of them can't confirm each other.
+    // Rows passed on by another entry keep their age, so two entries cannot keep confirming each
+    // other's rows.
     mirror.take("t", {{}, 6, milliseconds(10)}, false, now - seconds(1));
     CHECK(!mirror.read("t", 0, now + milliseconds(1501)));
 }
 
-TEST_CASE("a whole table that is read again leaves traces of what vanished")
+TEST_CASE("a table that is read again records removals of missing rows")
 {
     row_mirror mirror(milliseconds(1500));
     const time_point now{seconds(100)};
@@ -59,7 +60,7 @@
     CHECK(news->news.batch.rows[1].removed);
 }
 
-TEST_CASE("the store's clock is the same however many entries its rows have passed")
+TEST_CASE("the store's clock is correct after any number of hops between entries")
 {
     constexpr milliseconds reading{1000};
     constexpr milliseconds held{300};
@@ -81,7 +82,7 @@
     }
 }
 
-TEST_CASE("an older word of the store does not set its clock back")
+TEST_CASE("an older confirmation does not set the store clock back")
 {
     const time_point now{seconds(100)};
     row_mirror mirror(milliseconds(1500));
--- a/unittests/Proxy/RowTimingsTests.cpp
+++ b/unittests/Proxy/RowTimingsTests.cpp
@@ -1,7 +1,7 @@
-//===-- RowTimingsTests.cpp - how often rows are read -----------------------===//
+//===-- RowTimingsTests.cpp - intervals of row reads ----------------------===//
 //
-// The paces fit together at every bound, and a change is in force in time where all entries that
-// the others read for are cut off from the store.
+// The intervals are consistent at every bound, and a change is in force in time when all readers
+// are cut off from the store.
 //
 //===----------------------------------------------------------------------===//
 #include "EntryFleet.h"
@@ -10,22 +10,22 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("rows are confirmed before they lose freshness, and the store is asked before the bound")
+TEST_CASE("rows are confirmed before they become outdated, and the store is read before the bound")
 {
     using sync = store_sync<fake_store, manual_runtime>;
     for (const int ms : {1500, 2000, 3000, 4000, 10'000}) {
         CAPTURE(ms);
         const milliseconds bound(ms);
-        const row_timings paces(bound);
-        CHECK(paces.maxStoreHold + sync::internalReadInterval < paces.maxRowAge);
-        CHECK(paces.endpointReadInterval < paces.maxRowAge);
-        CHECK(paces.maxEntryHold < paces.maxRowAge);
-        // What is left is for a call that gets no answer from one silent entry.
-        CHECK(paces.maxRowAge + paces.staleWait <= bound * 0.8);
+        const row_timings timings(bound);
+        CHECK(timings.maxStoreHold + sync::internalReadInterval < timings.maxRowAge);
+        CHECK(timings.endpointReadInterval < timings.maxRowAge);
+        CHECK(timings.maxEntryHold < timings.maxRowAge);
+        // The remainder is for a call to one entry that does not answer.
+        CHECK(timings.maxRowAge + timings.staleWait <= bound * 0.8);
     }
 }
 
-TEST_CASE("a contract is in force in time where all readers are cut off from the store")
+TEST_CASE("a contract is in force within the bound when all readers are cut off from the store")
 {
     constexpr std::size_t count = 40;
     for (int i = 0; i < 10; ++i) {
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -1,6 +1,6 @@
-//===-- RowWireTests.cpp - how entries tell each other rows -----------------===//
+//===-- RowWireTests.cpp - encoding of rows -------------------------------===//
 //
-// What is written comes back, and what is malformed is refused.
+// Rows round-trip through the encoding, and malformed bytes are refused.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowWire.h"
@@ -16,7 +16,7 @@
     return news;
 }
 
-TEST_CASE("news of several tables come back as they were, removals included")
+TEST_CASE("changes of several tables round-trip, including removals")
 {
     const std::vector<packed_news> tables{
             newsOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
@@ -38,7 +38,7 @@
     CHECK(back.value().at("endpoints").news.batch.rows.empty());
 }
 
-TEST_CASE("a table of 160 endpoints takes less than a tenth of its bytes")
+TEST_CASE("a table of 160 endpoints is encoded in less than a tenth of its size")
 {
     std::vector<store_row> rows;
     std::size_t plain = 0;
@@ -59,7 +59,7 @@
     CHECK(back.value().at("endpoints").news.batch.rows[159].value == rows[159].value);
 }
 
-TEST_CASE("bytes that are no news are refused, wherever they are cut or changed")
+TEST_CASE("truncated and corrupted bytes are refused or decoded safely")
 {
     std::vector<store_row> rows;
     for (unsigned i = 0; i < 100; ++i)
@@ -72,7 +72,7 @@
     for (std::size_t i = 0; i < whole.size(); ++i) {
         std::string changed = whole;
         changed[i] = static_cast<char>(changed[i] ^ 0x5a);
-        // Either refused or read as other news; never more rows than there were bytes for.
+        // Either refused or decoded as other rows; never more rows than were encoded.
         const outcome<table_news, std::string> back = decodeNews(changed);
         if (!back)
             continue;
