--- a/unittests/Proxy/RolloutExamples.h
+++ b/unittests/Proxy/RolloutExamples.h
@@ -1,6 +1,6 @@
-//===-- RolloutExamples.h - an order, its row, endpoints ---------*- C++ -*-===//
+//===-- RolloutExamples.h - roll-out test data ------------------*- C++ -*-===//
 //
-// What tests of roll-outs start from.
+// An example order, its row and endpoints for tests of roll-outs.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_UNITTESTS_PROXY_ROLLOUTEXAMPLES_H
@@ -13,7 +13,7 @@
 
 namespace laurelcroft {
 
-/// \returns moments far enough apart that each slow answer counts.
+/// \returns increasing times, far enough apart that each slow answer counts.
 inline time_point nextMoment()
 {
     static time_point moment{};
--- a/unittests/Proxy/RolloutTests.cpp
+++ b/unittests/Proxy/RolloutTests.cpp
@@ -1,6 +1,6 @@
-//===-- RolloutTests.cpp - versions under roll-out --------------------------===//
+//===-- RolloutTests.cpp - roll-outs of versions --------------------------===//
 //
-// The tracker of one service, and the rows that entries share.
+// Tests of the tracker of one service and of the rows that entries share.
 //
 //===----------------------------------------------------------------------===//
 #include "RolloutExamples.h"
@@ -39,7 +39,7 @@
     CHECK(onTarget(tracker, both) == 0);
 }
 
-TEST_CASE("a session has one version at every entry while a trial lasts")
+TEST_CASE("a session has the same version at every entry during a trial")
 {
     rollout_tracker one(0.15);
     rollout_tracker other(0.15);
@@ -55,7 +55,7 @@
     }
 }
 
-TEST_CASE("a reverted version stays out although nothing else is left")
+TEST_CASE("a reverted version is not used even if no other endpoints are left")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -82,7 +82,7 @@
     }
 }
 
-TEST_CASE("failures that both versions share revert nothing")
+TEST_CASE("failures of both versions at the same rate do not revert the new version")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -118,7 +118,7 @@
     CHECK(next->stage == rollout_stage::reverted);
 }
 
-TEST_CASE("a trial keeps to few endpoints of the new version, the same at every entry")
+TEST_CASE("a trial uses few endpoints of the new version, the same at every entry")
 {
     rollout_tracker one(0.15);
     rollout_tracker other(0.15);
@@ -138,7 +138,7 @@
     CHECK(first == second);
 }
 
-TEST_CASE("a good version goes from pilot over trial and full to completed")
+TEST_CASE("a good version goes through waiting, trial and full to completed")
 {
     rollout_tracker tracker(0.15);
     const std::vector<endpoint_ptr> both = {endpointOf("a", "v1"), endpointOf("b", "v2")};
@@ -158,7 +158,7 @@
                                         rollout_stage::full, rollout_stage::completed});
 }
 
-TEST_CASE("a row of an earlier order says nothing about the next one")
+TEST_CASE("a row of an earlier order is ignored for the next one")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -173,7 +173,7 @@
     CHECK(next->orderedAt == 9);
 }
 
-TEST_CASE("shared rows survive the way to the store and back; wrong ones are refused")
+TEST_CASE("shared rows round-trip through their encoding; malformed ones are refused")
 {
     const rollout_row row = rowAt(rollout_stage::full);
     const auto back = decodeRollout(encodeRollout(row));
@@ -188,7 +188,7 @@
     CHECK(entryOfKey(entryKey("e1")) == "e1");
 }
 
-TEST_CASE("slow events betray a version whose answers begin in time")
+TEST_CASE("slow stream events revert a version whose answers begin in time")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -205,7 +205,7 @@
     CHECK(next->stage == rollout_stage::reverted);
 }
 
-TEST_CASE("in doubt the old version is not let go")
+TEST_CASE("a suspected version is not completed")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -221,7 +221,7 @@
     CHECK(next->stage == rollout_stage::reverted);
 }
 
-TEST_CASE("an entry that has seen nothing of the new version doesn't let the old one go")
+TEST_CASE("an entry that has seen no answers of the new version does not complete it")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -229,7 +229,7 @@
     CHECK(!tracker.nextRow(milliseconds(20900), {endpointOf("b", "v2")}, 3));
 }
 
-TEST_CASE("an entry that is sure stops sending when the shared row doesn't say so in time")
+TEST_CASE("an entry that found the version bad reverts locally when the shared row is late")
 {
     rollout_tracker tracker(0.15);
     const std::vector<endpoint_ptr> both = {endpointOf("a", "v1"), endpointOf("b", "v2")};
@@ -240,18 +240,18 @@
     }
     for (int i = 0; i < 20; ++i)
         tracker.observe("v2", "route", "m", std::nullopt, nextMoment());
-    // The others hear of it first: sessions keep one version meanwhile.
+    // Other entries must learn of it first: sessions keep one version meanwhile.
     const time_point found = nextMoment();
     CHECK(onTarget(tracker, both, found) == 100);
     CHECK(onTarget(tracker, both, found + rollout_tracker::localRevertDelay - milliseconds(1))
           == 100);
     CHECK(onTarget(tracker, both, found + rollout_tracker::localRevertDelay) == 0);
-    // Once the old version may end, nothing else is left to send to.
+    // Once the old version may end, there may be no other endpoints to send to.
     tracker.setRow(rowAt(rollout_stage::completed));
     CHECK(onTarget(tracker, both) == 100);
 }
 
-TEST_CASE("a version whose bad share is clearly above the settled one's is not completed")
+TEST_CASE("a version with a significantly higher bad share than the settled one is not completed")
 {
     const auto stageAfter = [](int every) {
         rollout_tracker tracker(0.15);
@@ -268,7 +268,7 @@
     CHECK(stageAfter(3) == rollout_stage::reverted);
 }
 
-TEST_CASE("without the others' word a roll-out goes back, but not on")
+TEST_CASE("without evidence of other entries a roll-out may be reverted but not advanced")
 {
     rollout_tracker tracker(0.15);
     const std::vector<endpoint_ptr> both = {endpointOf("a", "v1"), endpointOf("b", "v2")};
--- a/unittests/Proxy/VersionEvaluatorTests.cpp
+++ b/unittests/Proxy/VersionEvaluatorTests.cpp
@@ -1,6 +1,6 @@
-//===-- VersionEvaluatorTests.cpp - whether a version is bad ----------------===//
+//===-- VersionEvaluatorTests.cpp - evaluates a version -------------------===//
 //
-// Answers of both versions, and what other entries tell of theirs.
+// Answers of both versions, and evidence of other entries.
 //
 //===----------------------------------------------------------------------===//
 #include "RolloutExamples.h"
@@ -9,9 +9,9 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("what no entry could tell alone, all tell together")
+TEST_CASE("evidence too weak at each entry suffices when combined")
 {
-    const auto judge = [](bool together) {
+    const auto hasNextRow = [](bool together) {
         rollout_tracker tracker(0.15);
         tracker.setOrder(exampleOrder());
         tracker.setRow(rowAt(rollout_stage::trial));
@@ -25,11 +25,11 @@
             tracker.evaluator().takeEvidence("e" + std::to_string(entry), seen);
         return tracker.nextRow(milliseconds(3000), {endpointOf("b", "v2")}, 6).has_value();
     };
-    CHECK(!judge(false));
-    CHECK(judge(true));
+    CHECK(!hasNextRow(false));
+    CHECK(hasNextRow(true));
 }
 
-TEST_CASE("evidence that comes twice, or of another order, counts once or not at all")
+TEST_CASE("repeated evidence counts once, and evidence of another order does not count")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -41,10 +41,10 @@
     CHECK(!tracker.nextRow(milliseconds(3000), {endpointOf("b", "v2")}, 3));
 }
 
-TEST_CASE("an entry that hears of bad answers only doesn't judge by them, until it hears all")
+TEST_CASE("evidence of other entries counts only where all of it arrives")
 {
-    // One answer of twenty is slow, as of the settled version. Of a hundred entries each has seen
-    // one or two, and only those with a slow one have written a row.
+    // One answer in twenty is slow, as with the settled version. Each of a hundred entries has seen
+    // one or two answers, and only those with a slow one have written a row.
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
     tracker.setRow(rowAt(rollout_stage::trial));
@@ -59,7 +59,7 @@
     const std::vector<endpoint_ptr> target{endpointOf("b", "v2")};
     CHECK(!tracker.nextRow(milliseconds(3000), target, 100));
 
-    // Whoever reads the store is told by all of them.
+    // All entries send their evidence to an entry that reads the store.
     for (int entry = 0; entry < 100; ++entry) {
         const std::uint64_t slowOnes = entry % 15 == 0 ? 1 : 0;
         tracker.evaluator().takeEvidence("e" + std::to_string(entry),
@@ -67,7 +67,7 @@
     }
     tracker.evaluator().setUsesPeerEvidence(true);
     CHECK(!tracker.nextRow(milliseconds(3000), target, 100));
-    // A version that fails each third answer is found all the same.
+    // A version that fails every third answer is still found bad.
     for (int entry = 0; entry < 100; ++entry) {
         const std::uint64_t failed = entry % 3 == 0 ? 1 : 0;
         tracker.evaluator().takeEvidence("e" + std::to_string(entry),
@@ -78,7 +78,7 @@
     CHECK(next->stage == rollout_stage::reverted);
 }
 
-TEST_CASE("evidence that comes late counts nothing, that of a restarted entry counts again")
+TEST_CASE("outdated evidence does not count, and evidence of a restarted entry is added")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -92,7 +92,7 @@
     CHECK(tracker.evaluator().strongestSuspicion().all == 11);
 }
 
-TEST_CASE("evidence survives the way to the store and back")
+TEST_CASE("evidence round-trips through its encoding")
 {
     const rollout_evidence evidence{7, {{"a", {3, 1, 0}}, {"b", {0, 1, 1}}}, ~0ULL};
     CHECK(evidence.all() == 6);
@@ -106,7 +106,7 @@
     CHECK(!evidenceOfKey("evidence/x"));
 }
 
-TEST_CASE("slow answers of both versions don't hide the failures of the new one")
+TEST_CASE("slow answers of both versions do not hide failures of the new one")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -121,9 +121,9 @@
     CHECK(next->stage == rollout_stage::reverted);
 }
 
-TEST_CASE("slow answers that one long prompt explains count once")
+TEST_CASE("slow answers close together count once")
 {
-    const auto judge = [](milliseconds apart, bool silent) {
+    const auto hasNextRow = [](milliseconds apart, bool silent) {
         rollout_tracker tracker(0.15);
         tracker.setOrder(exampleOrder());
         tracker.setRow(rowAt(rollout_stage::trial));
@@ -141,12 +141,12 @@
         return tracker.nextRow(milliseconds(3000), {endpointOf("b", "v2")}, 3).has_value();
     };
     for (const bool silent : {false, true}) {
-        CHECK(!judge(milliseconds(30), silent));
-        CHECK(judge(milliseconds(600), silent));
+        CHECK(!hasNextRow(milliseconds(30), silent));
+        CHECK(hasNextRow(milliseconds(600), silent));
     }
 }
 
-TEST_CASE("of the slow answers that an entry tells of at once, one counts")
+TEST_CASE("slow answers in one report of an entry count once")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(exampleOrder());
@@ -159,9 +159,9 @@
     CHECK(tracker.evaluator().strongestSuspicion().fault == "failures");
 }
 
-TEST_CASE("a wait that long prompts explain is not slow")
+TEST_CASE("a wait explained by long prompts is not slow")
 {
-    const auto judge = [](milliseconds reading) {
+    const auto hasNextRow = [](milliseconds reading) {
         rollout_tracker tracker(0.15);
         tracker.setOrder(exampleOrder());
         tracker.setRow(rowAt(rollout_stage::trial));
@@ -173,11 +173,11 @@
                             nextMoment());
         return tracker.nextRow(milliseconds(3000), {endpointOf("b", "v2")}, 3).has_value();
     };
-    CHECK(judge(milliseconds(0)));
-    CHECK(!judge(milliseconds(500)));
+    CHECK(hasNextRow(milliseconds(0)));
+    CHECK(!hasNextRow(milliseconds(500)));
 }
 
-TEST_CASE("a version that mostly fails is not completed, whatever the old one does")
+TEST_CASE("a version that mostly fails is not completed even if the old one fails too")
 {
     const auto stageAfter = [](unsigned failures) {
         rollout_tracker tracker(0.15);
@@ -196,30 +196,30 @@
     CHECK(stageAfter(13) == rollout_stage::reverted);
 }
 
-TEST_CASE("an answer counts as slow once it is late, not only when it has come")
+TEST_CASE("an answer counts as slow while it is still awaited")
 {
-    version_evaluator judge;
-    judge.begin(7);
+    version_evaluator evaluator;
+    evaluator.begin(7);
     const answer_timing usual{milliseconds(100), {}, {}};
     for (int i = 0; i < 60; ++i)
-        judge.observe(false, "route", "m", usual, nextMoment());
+        evaluator.observe(false, "route", "m", usual, nextMoment());
     const answer_timing late{milliseconds(900), {}, {}};
-    CHECK(!judge.observeWait(true, "route", "m", usual, nextMoment()));
+    CHECK(!evaluator.observeWait(true, "route", "m", usual, nextMoment()));
     for (int i = 0; i < 12; ++i) {
-        CHECK(judge.observeWait(true, "route", "m", late, nextMoment()));
-        // The fast ones have ended by then.
-        judge.observe(true, "route", "m", usual, nextMoment());
+        CHECK(evaluator.observeWait(true, "route", "m", late, nextMoment()));
+        // Fast answers have ended by then.
+        evaluator.observe(true, "route", "m", usual, nextMoment());
     }
-    CHECK(judge.strongestSuspicion().bad == 12);
-    CHECK(judge.isFoundBad());
-    // When it ends it counts no second time.
-    const std::uint64_t known = judge.targetAnswers();
-    judge.observe(true, "route", "m", answer_timing{milliseconds(4000), {}, {}, true},
-                  nextMoment());
-    CHECK(judge.targetAnswers() == known);
+    CHECK(evaluator.strongestSuspicion().bad == 12);
+    CHECK(evaluator.isFoundBad());
+    // It is not counted again when it ends.
+    const std::uint64_t known = evaluator.targetAnswers();
+    evaluator.observe(true, "route", "m", answer_timing{milliseconds(4000), {}, {}, true},
+                      nextMoment());
+    CHECK(evaluator.targetAnswers() == known);
 }
 
-TEST_CASE("full share doesn't begin while a trial leaves doubt, and the version goes at the end")
+TEST_CASE("a suspected trial does not go to full share and is reverted at its end")
 {
     const rollout_order order = exampleOrder();
     rollout_view view;
--- a/unittests/Proxy/VersionInForceTests.cpp
+++ b/unittests/Proxy/VersionInForceTests.cpp
@@ -1,7 +1,7 @@
-//===-- VersionInForceTests.cpp - which version is the old one --------------===//
+//===-- VersionInForceTests.cpp - the version in force --------------------===//
 //
-// Orders that follow each other, are written again, or were carried out before an entry started;
-// stages that are yet to begin.
+// Orders that follow each other, are rewritten, or were carried out before an entry started, and
+// stages that have not begun yet.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RolloutTracker.h"
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr time_point start{seconds(100)};
-constexpr std::uint64_t session = 1ULL << 63U; ///< in the middle of all
+constexpr std::uint64_t session = 1ULL << 63U; ///< in the middle of the hash range
 
 std::vector<endpoint_ptr> endpointsOf(std::initializer_list<const char *> versions)
 {
@@ -52,7 +52,7 @@
     return versions;
 }
 
-/// A tracker that knew one version before the first order.
+/// \returns a tracker that saw only \p version before the first order.
 rollout_tracker trackerWith(const std::string &version)
 {
     rollout_tracker tracker(0.15);
@@ -62,7 +62,7 @@
 
 } // namespace
 
-TEST_CASE("endpoints of a version that was taken back get nothing while the next order waits")
+TEST_CASE("endpoints of a reverted version get no requests while the next order waits")
 {
     rollout_tracker tracker = trackerWith("v1");
     const auto endpoints = endpointsOf({"v1", "v2", "v2", "v2", "v3"});
@@ -74,17 +74,17 @@
     tracker.setRow(rowOf("v3", 9, rollout_stage::waiting));
     CHECK(versionsOf(tracker.eligible(endpoints, {session, start, start}))
           == std::set<std::string>{"v1"});
-    // Nor do they where attempts on the next trial have failed.
+    // They also get no requests when attempts on the next trial have failed.
     tracker.setRow(rowOf("v3", 9, rollout_stage::trial));
     CHECK(versionsOf({tracker.settled(endpoints)}) == std::set<std::string>{"v1"});
-    // After a completion the version that took over is the old one.
+    // After completion the new version is the version in force.
     tracker.setRow(rowOf("v3", 9, rollout_stage::completed));
     tracker.setOrder(orderOf("v4", 11));
     CHECK(versionsOf(tracker.eligible(endpoints, {session, start, start}))
           == std::set<std::string>{"v3"});
 }
 
-TEST_CASE("an order that is written again leaves sessions where they are")
+TEST_CASE("a rewritten order does not move sessions")
 {
     for (const rollout_stage stage : {rollout_stage::full, rollout_stage::completed}) {
         rollout_tracker tracker = trackerWith("v1");
@@ -102,7 +102,7 @@
         CHECK(versionsOf(tracker.eligible(endpoints, {session, start, start}))
               == std::set<std::string>{"v2"});
     }
-    // One that was taken back begins anew.
+    // A rewritten order after a revert starts from the beginning.
     rollout_tracker tracker = trackerWith("v1");
     tracker.setOrder(orderOf("v2", 7));
     tracker.setRow(rowOf("v2", 7, rollout_stage::reverted));
@@ -112,7 +112,8 @@
     CHECK(next->stage == rollout_stage::waiting);
 }
 
-TEST_CASE("an entry that knows an order but not its stage serves by the version that is left")
+TEST_CASE("an entry that knows an order but not its stage uses the old version, or the new one if "
+          "it is the only one left")
 {
     rollout_tracker tracker(0.15);
     tracker.setOrder(orderOf("v2", 7));
@@ -125,7 +126,7 @@
     CHECK(versionsOf(both) == std::set<std::string>{"v1"});
 }
 
-TEST_CASE("a stage holds from its beginning on, and the one before until then")
+TEST_CASE("a stage applies from its start, and the previous one until then")
 {
     rollout_tracker tracker = trackerWith("v1");
     const auto endpoints = endpointsOf({"v1", "v2"});
@@ -141,7 +142,7 @@
     CHECK(versionAt(session, start + seconds(1)) == "v2");
 }
 
-TEST_CASE("stages are written ahead of their beginning, and none is left before it has begun")
+TEST_CASE("stages are written before they begin, and none ends before it has begun")
 {
     const rollout_order order = orderOf("v2", 7);
     rollout_view view;
@@ -167,7 +168,7 @@
     CHECK(row->stage == rollout_stage::completed);
 }
 
-TEST_CASE("a request that is sent again keeps the version of the moment at which it came")
+TEST_CASE("a request that is sent again keeps the version in force when it arrived")
 {
     rollout_tracker tracker = trackerWith("v1");
     const auto endpoints = endpointsOf({"v1", "v2"});
@@ -177,7 +178,8 @@
     tracker.setRow(row, start);
     const session_request earlier{session, start - seconds(2), start + seconds(1)};
     CHECK(versionsOf(tracker.eligible(endpoints, earlier)) == std::set<std::string>{"v1"});
-    // Once the old version may have ended, or the new one is taken back, that goes first.
+    // A completed or reverted roll-out overrides this: the old version may have ended, or the new
+    // one is bad.
     rollout_view view;
     view.now = seconds(2);
     view.foundBad = true;
