--- a/unittests/Proxy/FakeStore.h
+++ b/unittests/Proxy/FakeStore.h
@@ -1,6 +1,7 @@
-//===-- FakeStore.h - a store in memory --------------------------*- C++ -*-===//
+//===-- FakeStore.h - in-memory store ---------------------------*- C++ -*-===//
 //
-// Loses answers, forgets its history and goes away when told to, under a paused clock.
+// An in-memory store on a paused clock that can lose answers, drop its history and become
+// unavailable on request.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_UNITTESTS_PROXY_FAKESTORE_H
@@ -15,7 +16,7 @@
 
 namespace laurelcroft {
 
-/// Rows in memory; answers come after one millisecond.
+/// Holds rows in memory; answers arrive after one millisecond.
 class fake_store
 {
 public:
@@ -74,7 +75,7 @@
     static constexpr milliseconds callDelay{1};
 
     bool away = false;
-    milliseconds awayDelay = callDelay; ///< until a call fails while the store is away
+    milliseconds awayDelay = callDelay; ///< time until a call fails while the store is unavailable
     bool hasLostHistory = false;
     unsigned lists = 0;
     unsigned follows = 0;
@@ -107,7 +108,8 @@
         m_history[table].push_back(row);
     }
 
-    /// The feed tells every change in order, also several of one row.
+    /// Returns every change since \p since for a feed, in order, with several changes of one row;
+    /// otherwise the current rows.
     row_batch rowsOf(const std::string &table, std::uint64_t since, bool feed)
     {
         row_batch batch;
--- a/unittests/Proxy/PlainCodec.h
+++ b/unittests/Proxy/PlainCodec.h
@@ -1,6 +1,6 @@
-//===-- PlainCodec.h - rows that tests can read ------------------*- C++ -*-===//
+//===-- PlainCodec.h - readable test rows -----------------------*- C++ -*-===//
 //
-// Values are short texts, so that a test says all of a row in one word.
+// A row codec whose values are short texts, so that a test writes a row as one word.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_UNITTESTS_PROXY_PLAINCODEC_H
@@ -14,9 +14,9 @@
 
 namespace laurelcroft {
 
-/// A contract's value is its version; an endpoint's its software version, "-" when leaving; it
-/// stands in the data centre that its id ends with, behind a '@', and is cold for the
-/// milliseconds behind a '*' of its value. "evacuate X" empties X.
+/// A contract's value is its version. An endpoint's value is its software version, followed by "-"
+/// when it is leaving or by "*" and the milliseconds for which it is cold. Its id may end with "@"
+/// and its data centre. The key "evacuate X" evacuates data centre X.
 inline row_codec plainCodec()
 {
     row_codec codec;
--- a/unittests/Proxy/StoreClockTests.cpp
+++ b/unittests/Proxy/StoreClockTests.cpp
@@ -1,6 +1,6 @@
-//===-- StoreClockTests.cpp - the store's clock at an entry -----------------===//
+//===-- StoreClockTests.cpp - estimates the store's clock -----------------===//
 //
-// Readings that are late by unlike times, and clocks that drift or begin anew.
+// Readings with different delays, and store clocks that drift or are reset.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/StoreClock.h"
@@ -13,7 +13,7 @@
 
 static constexpr time_point start{seconds(100)};
 
-TEST_CASE("of several readings the one that was fastest on its way counts")
+TEST_CASE("the reading with the shortest delay determines the estimate")
 {
     store_clock clock;
     CHECK(!clock.isKnown());
@@ -26,7 +26,7 @@
     CHECK(clock.localTimeOf(milliseconds(6100)) == start + seconds(1));
 }
 
-TEST_CASE("a clock that runs faster than the store's is set right in time")
+TEST_CASE("the estimate follows a store clock that runs slower than the local one")
 {
     store_clock clock;
     const double drift = 0.999;
@@ -40,7 +40,7 @@
     CHECK(furthest <= milliseconds(31));
 }
 
-TEST_CASE("a store that begins anew is believed at once")
+TEST_CASE("a reset of the store clock is accepted at once")
 {
     store_clock clock;
     clock.note(milliseconds(500000), start);
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -1,7 +1,7 @@
-//===-- StoreSyncTests.cpp - routing state from a store ---------------------===//
+//===-- StoreSyncTests.cpp - routing state from a store -------------------===//
 //
-// A store in memory that loses answers, forgets its history and goes away, under a
-// paused clock.
+// One entry and an in-memory store that loses answers, drops its history and becomes unavailable,
+// on a paused clock.
 //
 //===----------------------------------------------------------------------===//
 #include "FakeStore.h"
@@ -34,15 +34,14 @@
     metric_registry metrics;
     unsigned contracts = 0;
     row_mirror mirror{milliseconds(1500)};
-    std::optional<row_news> ordersOfPeer; ///< what another entry has
+    std::optional<row_news> ordersOfPeer; ///< rows of the operator table that another entry has
     bool relayed = false; ///< another entry reads the store for this one
     unsigned relayReads = 0;
     entry_map entries;
     store_sync<fake_store, manual_runtime> sync{store,   runtime,      routing, mirror,
                                                 metrics, plainCodec(), links()};
 
-    /// Starts, and reads all tables once.
-    /// Endpoints of two versions are listed, and the newer one is to take over.
+    /// Lists endpoints of two versions and orders a roll-out of the newer one.
     void orderRollout()
     {
         store.put("endpoints", "a", "v1");
@@ -50,6 +49,7 @@
         store.put("orders", "pool", "v2");
     }
 
+    /// Starts, and reads all tables once.
     void begin()
     {
         sync.start();
@@ -101,7 +101,7 @@
     CHECK(world.contracts == 2);
 }
 
-TEST_CASE("a wrong contract leaves the last good one in force, an older one never returns")
+TEST_CASE("a malformed or older contract leaves the current one in force")
 {
     sync_world world;
     world.store.put("orders", "contract", "3");
@@ -114,7 +114,7 @@
     CHECK(world.routing.contract()->version == 3);
 }
 
-TEST_CASE("a leaving endpoint is left alone within a second of its row")
+TEST_CASE("a leaving endpoint is no longer used within a second of its row")
 {
     sync_world world;
     world.store.put("endpoints", "a", "v1");
@@ -124,7 +124,7 @@
     CHECK(world.routing.directory().usable("pool").empty());
 }
 
-TEST_CASE("a site that gives a leaving endpoint less time is read more often")
+TEST_CASE("endpoints are read more often on a site with a shorter bound")
 {
     sync_world world("e1", milliseconds(500));
     world.store.put("endpoints", "a", "v1");
@@ -147,7 +147,7 @@
     CHECK(usable[0]->record().id == "b");
 }
 
-TEST_CASE("history that is gone is read anew, removals included")
+TEST_CASE("a table is read again after the store drops its history, including removals")
 {
     sync_world world;
     world.store.put("endpoints", "a", "v1");
@@ -161,7 +161,7 @@
     CHECK(usable[0]->record().id == "b");
 }
 
-TEST_CASE("endpoints that lapsed while the store was away get two seconds to come back")
+TEST_CASE("endpoints whose rows expired in an outage get two seconds to return")
 {
     sync_world world;
     world.store.put("endpoints", "a", "v1");
@@ -182,7 +182,7 @@
     CHECK(usable[0]->record().id == "a");
 }
 
-TEST_CASE("an outage costs few calls, and its end is noticed within a second")
+TEST_CASE("the end of an outage is noticed within a second")
 {
     sync_world world;
     world.store.put("orders", "contract", "1");
@@ -195,7 +195,7 @@
     CHECK(world.routing.contract()->version == 2);
 }
 
-TEST_CASE("an order is carried out to its end and the operator is told")
+TEST_CASE("an order is carried out to completion, and the operator status follows")
 {
     sync_world world;
     world.orderRollout();
@@ -216,7 +216,7 @@
     CHECK(world.store.writes == writes);
 }
 
-TEST_CASE("after an outage a roll-out waits for what the other entries have found")
+TEST_CASE("after an outage a roll-out waits for the evidence of other entries")
 {
     sync_world world;
     world.orderRollout();
@@ -226,7 +226,8 @@
     for (int i = 0; i < 20; ++i)
         world.routing.rollouts("pool").observe("v2", "route", "m", answer_timing{},
                                                world.runtime.now());
-    // The deadline passes meanwhile; another entry has found the version bad and writes it late.
+    // The deadline passes during the outage. Another entry has found the version bad and writes its
+    // evidence late.
     world.store.away = true;
     world.runtime.advance(seconds(9));
     world.store.away = false;
@@ -239,7 +240,8 @@
     CHECK(world.store.valueOf("status", "pool") == "reverted");
 }
 
-/// \returns how long after the store's return a version that was found bad meanwhile is reverted.
+/// \returns how long after the store's return a version that was found bad during the outage is
+/// reverted.
 static milliseconds revertedAfter(milliseconds outage)
 {
     sync_world world;
@@ -261,17 +263,18 @@
     return waited;
 }
 
-TEST_CASE("a finding that could not be written goes out when the store is back")
+TEST_CASE("a revert that could not be written is written when the store is back")
 {
     milliseconds sum{0};
     constexpr int outages = 20;
     for (int i = 0; i < outages; ++i)
         sum += revertedAfter(milliseconds(2500 + 70 * i));
-    // Half of a read's longest retry and two looks, not half of the pause after a refused write.
+    // Expected: half of the longest read retry and two checks, not half of the delay after a failed
+    // write.
     CHECK(sum / outages <= milliseconds(500));
 }
 
-TEST_CASE("an entry that starts in the middle of a roll-out goes on from the row")
+TEST_CASE("an entry that starts during a roll-out continues from its row")
 {
     sync_world world;
     world.orderRollout();
@@ -301,7 +304,7 @@
     CHECK(world.entries.at("e2").dataCentre == "hall");
 }
 
-TEST_CASE("rows of entries that are gone are removed, and whoever lives comes back")
+TEST_CASE("rows of dead entries are removed, and a live entry writes its removed row again")
 {
     sync_world world("e1");
     const auto storeNow
@@ -317,11 +320,11 @@
     world.store.remove("laurelcroft", "entry/e1");
     world.runtime.advance(seconds(6));
     CHECK(world.entries.count("e1") == 1);
-    // Three renewals, one removal, one return.
+    // Three renewals, one removal, one new row.
     CHECK(world.store.writes <= 7);
 }
 
-TEST_CASE("an entry that the store turns away learns from another one, and never goes back")
+TEST_CASE("an entry without the store learns from another one, and ignores older rows")
 {
     sync_world world;
     world.store.put("orders", "contract", "3");
@@ -338,7 +341,7 @@
     CHECK(world.contracts == contracts);
 }
 
-TEST_CASE("an entry that starts while the store is away learns from another one")
+TEST_CASE("an entry that starts during an outage learns from another one")
 {
     sync_world world;
     world.store.away = true;
@@ -349,7 +352,7 @@
     CHECK(world.routing.contract()->version == 7);
 }
 
-TEST_CASE("writes that the store refuses are not repeated at every look")
+TEST_CASE("failed writes are not repeated at every check")
 {
     sync_world world;
     world.store.put("endpoints", "b", "v2");
@@ -362,7 +365,7 @@
     CHECK(world.store.writes - before <= 18);
 }
 
-TEST_CASE("an entry with readers asks them and leaves the store alone, until they fail")
+TEST_CASE("an entry with readers reads from them, and from the store only when they fail")
 {
     sync_world world;
     world.relayed = true;
@@ -372,18 +375,18 @@
     world.runtime.advance(seconds(1));
     REQUIRE(world.routing.contract());
     CHECK(world.routing.contract()->version == 7);
-    // The peer has no endpoints: those are read from the store.
+    // The peer has no endpoints: they are read from the store.
     CHECK(world.routing.directory().usable("pool").size() == 1);
     CHECK(world.store.lists == 2);
 }
 
-TEST_CASE("an entry that lost a race goes on from the winner's row at once")
+TEST_CASE("an entry whose write conflicts continues from the current row")
 {
     sync_world world;
     world.store.put("endpoints", "b", "v2");
     world.store.put("orders", "pool", "v2");
     world.begin();
-    // Another entry was first; this one's feed of the shared rows is slow to tell.
+    // Another entry wrote first; this entry's feed has not delivered that row yet.
     const rollout_row row{3, "v2", rollout_stage::reverted, milliseconds(1), milliseconds(1), 0};
     world.store.put("laurelcroft", "rollout/pool", encodeRollout(row));
     world.runtime.advance(milliseconds(1900));
@@ -391,7 +394,7 @@
     CHECK(world.routing.rollouts("pool").row()->stage == rollout_stage::reverted);
 }
 
-TEST_CASE("a restarted entry takes up what it had told before")
+TEST_CASE("a restarted entry uses the evidence that it wrote before")
 {
     sync_world world;
     world.store.put("endpoints", "b", "v2");
@@ -403,7 +406,7 @@
     CHECK(world.store.valueOf("status", "pool") == "reverted");
 }
 
-TEST_CASE("bare heartbeats are not given on, changes are")
+TEST_CASE("heartbeats are not passed on, changes are")
 {
     sync_world world;
     world.store.put("endpoints", "a", "v1");
@@ -411,7 +414,7 @@
     world.begin();
     const auto first = world.mirror.read("endpoints", 0, world.runtime.now());
     REQUIRE(first);
-    world.store.put("endpoints", "a", "v1"); // the same words again
+    world.store.put("endpoints", "a", "v1"); // same value again
     world.store.put("endpoints", "b", "v1-");
     world.runtime.advance(milliseconds(900));
     const auto news
@@ -422,7 +425,7 @@
     CHECK(news->news.batch.version > first->news.batch.version);
 }
 
-TEST_CASE("a record that can't be read disturbs no other one, and is told of once")
+TEST_CASE("an unreadable record does not affect others and is counted once")
 {
     sync_world world;
     world.store.put("endpoints", "a", "v1");
@@ -435,7 +438,7 @@
     CHECK(world.routing.directory().usable("pool").size() == 2);
     CHECK(world.metrics.prometheusText().find("endpoint_records_refused_total 1\n")
           != std::string::npos);
-    // One under the key of an endpoint that is known leaves that as it was.
+    // An unreadable record of a known endpoint leaves the endpoint unchanged.
     world.store.put("endpoints", "a", "foreign");
     world.runtime.advance(milliseconds(2100));
     CHECK(world.routing.directory().usable("pool").size() == 2);
