--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -212,9 +212,9 @@
     two_entries()
     {
         REQUIRE(server.rows.open().empty());
-        client.rows.setFirstPeers({tellerAddress()});
+        client.rows.setFirstPeers({serverAddress()});
     }
-    std::string tellerAddress() const { return "127.0.0.1:" + std::to_string(server.rows.port()); }
+    std::string serverAddress() const { return "127.0.0.1:" + std::to_string(server.rows.port()); }
     void tell(const std::string &table, std::uint64_t version)
     {
         server.mirror.take(table, {{{"k", "v", version, false}}, version, {}}, true, bootNow());
@@ -353,7 +353,7 @@
     one_entry standby{two.context, "127.0.0.1:0"};
     REQUIRE(standby.rows.open().empty());
     const std::string standbyAddress = "127.0.0.1:" + std::to_string(standby.rows.port());
-    two.client.rows.setSources({{two.tellerAddress()}, {standbyAddress}});
+    two.client.rows.setSources({{two.serverAddress()}, {standbyAddress}});
     CHECK(!two.client.rows.isStandby());
     const time_point old = bootNow() - seconds(2);
     two.server.mirror.take("a", {{}, 6, {}}, true, old);
@@ -378,7 +378,7 @@
 {
     two_entries two;
     two.tell("a", 3);
-    two.client.rows.setSources({{"127.0.0.1:2", two.tellerAddress()}, {}});
+    two.client.rows.setSources({{"127.0.0.1:2", two.serverAddress()}, {}});
     two.ask("a", 0);
     two.runUntil(1);
     CHECK(two.results.at("a"));
