--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -49,8 +49,8 @@
     }
     milliseconds freshness() const { return m_freshness; }
 
-    /// Number of removals remembered per table. A reader that is further behind gets the whole
-    /// table.
+    /// Maximum number of removals remembered per table. A reader that is further behind gets the
+    /// whole table.
     static constexpr std::size_t maxRemovedRows = 500;
 
     /// Applies a whole table or changes to it.
