--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -89,9 +89,10 @@
     // the few moved 1 to 3 requests per day back to the old version on 5 of 7 days. A version that
     // was found bad is not tried again.
     rollout_tracker &rollouts = m_env.routing().rollouts(m_service);
-    if (m_request->session.empty() || rollouts.judge().isFoundBad())
+    if (m_request->session.empty() || rollouts.evaluator().isFoundBad())
         return std::nullopt;
-    std::optional<endpoint_pick> other = pickAmong(rollouts.beyondTrial(usable, sessionRequest()));
+    std::optional<endpoint_pick> other
+            = pickAmong(rollouts.targetEndpointsBeyondTrial(usable, sessionRequest()));
     if (other || !m_mayHaveRun)
         return other;
     m_tried.clear();
@@ -107,7 +108,7 @@
     // trial: such a version failed the last attempt of one of 106,000 streams, which then had to be
     // aborted.
     const bool isLast = m_sends + 1 >= m_route->mostEndpoints;
-    if (isLast && m_env.routing().rollouts(m_service).judge().isSuspected()) {
+    if (isLast && m_env.routing().rollouts(m_service).evaluator().isSuspected()) {
         std::optional<endpoint_pick> settled
                 = pickAmong(m_env.routing().rollouts(m_service).settled(usable));
         if (settled)
@@ -216,8 +217,8 @@
     std::vector<endpoint_ptr> within;
     for (const endpoint_ptr &endpoint : endpoints) {
         const std::string &place = endpoint->record().dataCentre;
-        const bool mayServe = state.liesIn(place, m_route->homeRegions)
-                && (!m_customer || state.liesIn(place, m_customer->homeRegions));
+        const bool mayServe = state.isInRegions(place, m_route->homeRegions)
+                && (!m_customer || state.isInRegions(place, m_customer->homeRegions));
         if (mayServe)
             within.push_back(endpoint);
     }
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -1,7 +1,7 @@
-//===-- Proxy/StoreSyncEndpoints.h - members of store_sync -------*- C++ -*-===//
+//===-- Proxy/StoreSyncEndpoints.h - endpoint rows --------------*- C++ -*-===//
 //
-// Endpoints, cold ones, those that vanish with the store, and evacuated data centres. Included by
-// StoreSync.h only.
+// Members of store_sync that handle endpoints, their cold state, removals during a store outage,
+// and evacuated data centres. Included by StoreSync.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCENDPOINTS_H
@@ -17,10 +17,10 @@
         m_state.directory().storeLost(now);
         return;
     }
-    // The store may have been there for all others: an endpoint that left after the rows were
-    // confirmed last must still be left alone in time.
-    const milliseconds age = m_mirror.look(m_codec.endpointTable, nothingKnown, now).age;
-    m_state.directory().deferRemovalsUntil(now - age + m_links.paces.removalDoubt);
+    // Other entries may have reached the store all the time: requests to an endpoint that left
+    // after the last confirmation of the rows must still stop in time.
+    const milliseconds age = m_mirror.stateOf(m_codec.endpointTable, nothingKnown, now).age;
+    m_state.directory().deferRemovalsUntil(now - age + m_links.timings.removalGrace);
 }
 
 template <row_store_like Store, runtime_like Runtime>
@@ -58,14 +58,14 @@
         applyEndpointTable(news.batch);
         return;
     }
-    // A table that is read again is mostly heartbeats, too: where the store drops its history
-    // all the time, other entries would get all rows with each read.
+    // A table that is read again consists mostly of heartbeats. If the store keeps dropping its
+    // history, other entries would otherwise get all rows with each read.
     if (news.whole) {
-        for (store_row &row : vanishedEndpoints(news.batch))
+        for (store_row &row : removalsOfMissingEndpoints(news.batch))
             news.batch.rows.push_back(std::move(row));
         news.whole = false;
     }
-    // In order: one batch may list an endpoint and remove it again.
+    // Apply in order: one batch may list an endpoint and remove it again.
     std::vector<store_row> changes;
     for (store_row &row : news.batch.rows) {
         if (takeEndpointRow(row))
@@ -86,7 +86,8 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-std::vector<store_row> store_sync<Store, Runtime>::vanishedEndpoints(const row_batch &batch) const
+std::vector<store_row>
+store_sync<Store, Runtime>::removalsOfMissingEndpoints(const row_batch &batch) const
 {
     std::set<std::string_view> listed;
     for (const store_row &row : batch.rows)
@@ -103,8 +104,9 @@
 bool store_sync<Store, Runtime>::takeEndpointRow(const store_row &row)
 {
     if (row.removed) {
-        // Told to other entries whether this one believes it or not: kept back for a grace of this
-        // entry's, it was missed by others that had lost nothing.
+        // Passed on to other entries whether or not this one keeps the endpoint. When removals were
+        // held back during this entry's grace period, entries that had not lost the store missed
+        // them.
         const bool isBelieved = m_state.directory().remove(row.key, m_runtime.now(), row.version);
         if (m_endpointLines.allows(m_runtime.now()))
             logInfo(log_part::fleet, "endpoint's record removed",
@@ -124,11 +126,11 @@
         record.value().rowVersion = row.version;
         return std::move(record.value());
     }
-    // A table that is read again would tell of each again.
+    // Log each error once, not on every read of the table.
     const bool isKnown = m_refused.count(row.key) != 0 && m_refused.at(row.key) == record.error();
     if (isKnown)
         return std::nullopt;
-    if (m_refused.size() >= mostRefused)
+    if (m_refused.size() >= maxRefusedRecords)
         m_refused.clear();
     m_refused[row.key] = record.error();
     m_metrics.add("endpoint_records_refused_total");
@@ -146,10 +148,10 @@
     if (!isNew && known->second->record().isLaterIncarnationThan(record))
         return false;
     const bool isRestarted = !isNew && record.isLaterIncarnationThan(known->second->record());
-    // The others have heard of a record that lapsed as removed.
+    // Other entries were told that the expired record was removed.
     const bool isBack = m_state.directory().isLapsed(record.id);
     const bool saysMore = isNew || isBack || !record.isEquivalentTo(known->second->record())
-            || isOtherwiseCold(record, *known->second);
+            || hasColdStateChanged(record, *known->second);
     if (isNew || isRestarted || known->second->record().leaving != record.leaving) {
         logEndpoint(isNew                 ? "endpoint listed"
                             : isRestarted ? "endpoint started again"
@@ -176,11 +178,11 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::logHeldEndpoints()
+void store_sync<Store, Runtime>::logOmittedEndpointLines()
 {
-    if (m_runtime.now() < m_nextHeldLineAt)
+    if (m_runtime.now() < m_nextOmittedLineAt)
         return;
-    m_nextHeldLineAt = m_runtime.now() + seconds(1);
+    m_nextOmittedLineAt = m_runtime.now() + seconds(1);
     const std::uint64_t held = m_endpointLines.takeHeld();
     if (held == 0)
         return;
@@ -200,12 +202,13 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isOtherwiseCold(const endpoint_record &record,
-                                                 const service_endpoint &known)
+bool store_sync<Store, Runtime>::hasColdStateChanged(const endpoint_record &record,
+                                                     const service_endpoint &known)
 {
-    const bool isColder = m_runtime.now() + record.coldLeft > known.coldUntil() + coldDifference
+    const bool isColder
+            = m_runtime.now() + record.coldLeft > known.coldUntil() + coldChangeThreshold
             && record.coldLeft.count() > 0;
-    // Told as well, so that an entry that starts later doesn't take an old row's word.
+    // Passed on as well, so that an entry that starts later does not use an old row.
     const bool isWarm = record.coldLeft.count() == 0 && known.record().coldLeft.count() > 0;
     if ((isColder || isWarm) && m_endpointLines.allows(m_runtime.now()))
         logInfo(log_part::fleet, isWarm ? "endpoint is warm" : "endpoint is cold",
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -1,6 +1,6 @@
-//===-- Proxy/StoreSyncFindings.h - members of store_sync --------*- C++ -*-===//
+//===-- Proxy/StoreSyncFindings.h - rows of withheld requests ---*- C++ -*-===//
 //
-// Rows of requests that are withheld. Included by StoreSync.h only.
+// Members of store_sync that handle the rows of withheld requests. Included by StoreSync.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCFINDINGS_H
@@ -26,12 +26,12 @@
         return;
     }
     m_findingRows[key] = {row.version, value.value().until};
-    m_state.crashes().takeRow(key, value.value(), m_clock.momentOf(value.value().until),
+    m_state.crashes().takeRow(key, value.value(), m_clock.localTimeOf(value.value().until),
                               m_runtime.now());
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::keepWithheld(const std::vector<store_row> &rows)
+void store_sync<Store, Runtime>::retainWithheld(const std::vector<store_row> &rows)
 {
     std::vector<request_key> listed;
     for (const store_row &row : rows) {
@@ -43,7 +43,8 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isTold(request_key key, const std::vector<table_entry> &current)
+bool store_sync<Store, Runtime>::isCoveredByRow(request_key key,
+                                                const std::vector<table_entry> &current)
 {
     return std::any_of(current.begin(), current.end(), [&](const table_entry &entry) {
         const outcome<withheld_row, std::string> row = decodeWithheldRow(entry.row.value);
@@ -62,40 +63,42 @@
     finding->row.until = storeNow() + finding->left;
     const auto known = m_findingRows.find(key);
     const std::uint64_t expected = known == m_findingRows.end() ? 0 : known->second.version;
-    m_writing = true;
-    const row_write row{std::string(ownTable), withheldKey(key), encodeWithheldRow(finding->row),
-                        expected};
+    m_isWriting = true;
+    const row_write row{std::string(internalTable), withheldKey(key),
+                        encodeWithheldRow(finding->row), expected};
     m_store.write({row}, [this, key](outcome<conditional_write, row_failure> result) {
-        m_writing = false;
+        m_isWriting = false;
         if (!result)
-            m_nextWriteAt = m_runtime.now() + writeRetry;
+            m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         logInfo(log_part::routing, "finding on a request written",
                 {{"request_key", textOf(key)}, {"result", textOf(result)}});
-        // What somebody else's row lacks is written again.
-        if (result && (result.value().done || isTold(key, result.value().current)))
+        // Otherwise another entry's row lacks some of the finding, which is then written again.
+        if (result && (result.value().done || isCoveredByRow(key, result.value().current)))
             m_state.crashes().wasWritten(key);
         if (!result || result.value().done)
             return;
         for (const table_entry &entry : result.value().current)
-            takeOwnRow(entry.row);
+            takeInternalRow(entry.row);
     });
     return true;
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::dropOldFinding()
+void store_sync<Store, Runtime>::removeStaleFinding()
 {
     const std::optional<request_key> wrong = m_state.crashes().wronglyListed();
-    const auto old = std::find_if(m_findingRows.begin(), m_findingRows.end(), [&](const auto &row) {
-        return storeNow() >= row.second.until || row.first == wrong;
-    });
-    // Any entry may do it; the chance keeps most of them from doing it at once.
+    const auto stale
+            = std::find_if(m_findingRows.begin(), m_findingRows.end(), [&](const auto &row) {
+                  return storeNow() >= row.second.until || row.first == wrong;
+              });
+    // Any entry may remove the row; the probability keeps most of them from writing at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
-    if (old == m_findingRows.end() || !m_state.random().chance(chance))
+    if (stale == m_findingRows.end() || !m_state.random().chance(chance))
         return;
-    m_nextAnnounceAt = m_runtime.now() + announcePause;
-    m_store.write({{std::string(ownTable), withheldKey(old->first), "", old->second.version, true}},
-                  [key = old->first](outcome<conditional_write, row_failure> result) {
+    m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
+    m_store.write({{std::string(internalTable), withheldKey(stale->first), "",
+                    stale->second.version, true}},
+                  [key = stale->first](outcome<conditional_write, row_failure> result) {
                       logInfo(log_part::routing, "row of a finding removed",
                               {{"request_key", textOf(key)}, {"result", textOf(result)}});
                   });
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -1,6 +1,7 @@
-//===-- Proxy/StoreSyncImpl.h - members of store_sync ------------*- C++ -*-===//
+//===-- Proxy/StoreSyncImpl.h - members of store_sync -----------*- C++ -*-===//
 //
-// Included by StoreSync.h only.
+// Members of store_sync that follow tables, apply rows and list entries. Included by StoreSync.h
+// only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCIMPL_H
@@ -11,9 +12,8 @@
 
 namespace laurelcroft {
 
-/// Under this name evidence counts that this entry wrote before it was restarted; no entry has
-/// an empty name.
-inline constexpr std::string_view earlierLife;
+/// Entry name for evidence that an earlier process of this entry wrote. No entry has an empty name.
+inline constexpr std::string_view earlierIncarnation;
 
 template <row_store_like Store, runtime_like Runtime>
 store_sync<Store, Runtime>::store_sync(Store &store, Runtime &runtime, routing_state &state,
@@ -27,32 +27,32 @@
     , m_codec(std::move(codec))
     , m_links(std::move(links))
     , m_roster(m_links.entry)
-    , m_life(m_state.random().bits())
+    , m_incarnation(m_state.random().bits())
 {
 }
 
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::start()
 {
-    const std::string own(ownTable);
+    const std::string own(internalTable);
     m_followers[m_codec.endpointTable]
             = follow(m_codec.endpointTable, endpointPace(), &store_sync::applyEndpoints);
-    m_followers[m_codec.operatorTable]
-            = follow(m_codec.operatorTable, heldPace(operatorPause), &store_sync::applyOperator);
-    follow_pace ownPace = heldPace(ownPause);
-    ownPace.firstWait = m_links.isFirstStart ? ownFirstWaitAtFirstStart : ownFirstWait;
-    m_followers[own] = follow(own, ownPace, &store_sync::applyOwn);
+    m_followers[m_codec.operatorTable] = follow(
+            m_codec.operatorTable, heldPace(operatorReadInterval), &store_sync::applyOperator);
+    follow_pace ownPace = heldPace(internalReadInterval);
+    ownPace.firstWait = m_links.isFirstStart ? internalFirstWaitAtFirstStart : internalFirstWait;
+    m_followers[own] = follow(own, ownPace, &store_sync::applyInternal);
     for (const auto &[table, item] : m_followers)
         item->start();
-    step();
+    runChecks();
 }
 
 template <row_store_like Store, runtime_like Runtime>
 follow_pace store_sync<Store, Runtime>::endpointPace() const
 {
     follow_pace pace;
-    pace.between = m_links.paces.endpointRead;
-    pace.staleWait = m_links.paces.staleWait;
+    pace.between = m_links.timings.endpointReadInterval;
+    pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
 
@@ -61,8 +61,8 @@
 {
     follow_pace pace;
     pace.between = between;
-    pace.held = m_links.paces.heldByStore;
-    pace.staleWait = m_links.paces.staleWait;
+    pace.held = m_links.timings.maxStoreHold;
+    pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
 
@@ -73,11 +73,11 @@
 {
     const bool listsEndpoints = table == m_codec.endpointTable;
     follow_events events;
-    // What a batch leaves after it was applied is what other entries need of it.
+    // The rows left in the batch by apply are those that other entries need.
     const auto take = [this, table, apply](row_news news) {
         noteTime(news.batch);
         (this->*apply)(news);
-        // The relay's news are in the mirror already, with the age that the relay told.
+        // A relay's changes are in the mirror already, with the age that the relay reported.
         const follower &reader = *m_followers.at(table);
         if (!reader.isNewsRelayed())
             m_mirror.take(table, news.batch, news.whole, reader.confirmedAt());
@@ -97,7 +97,7 @@
                 {{"table", table}, {"away_ms", std::int64_t(away.count())}});
         if (listsEndpoints)
             m_state.directory().storeRegained(m_runtime.now());
-        // What waited for the store goes out at once.
+        // Writes that waited for the store are sent at once.
         m_nextWriteAt = m_runtime.now();
     };
     return std::make_unique<follower>(m_store, m_runtime, table, pace, std::move(events),
@@ -119,10 +119,10 @@
 template <row_store_like Store, runtime_like Runtime>
 std::optional<milliseconds> store_sync<Store, Runtime>::trueTime()
 {
-    if (!m_clock.isKnown() || !m_ownTableRead)
+    if (!m_clock.isKnown() || !m_internalTableRead)
         return std::nullopt;
-    if (m_wallAhead)
-        return storeNow() + *m_wallAhead;
+    if (m_wallClockOffset)
+        return storeNow() + *m_wallClockOffset;
     return milliseconds(wallMilliseconds());
 }
 
@@ -207,22 +207,22 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyOwn(row_news &news)
+void store_sync<Store, Runtime>::applyInternal(row_news &news)
 {
     const std::vector<store_row> &rows = news.batch.rows;
-    m_ownTableRead = true;
+    m_internalTableRead = true;
     if (news.whole) {
         m_roster.clear();
-        keepWithheld(rows);
+        retainWithheld(rows);
     }
     for (const store_row &row : rows)
-        takeOwnRow(row);
+        takeInternalRow(row);
     const bool tellsOfEntries = std::any_of(rows.begin(), rows.end(), [](const store_row &row) {
         return entryOfKey(row.key).has_value();
     });
     if (!news.whole && !tellsOfEntries)
         return;
-    m_wallAhead = m_roster.wallAhead();
+    m_wallClockOffset = m_roster.wallAhead();
     std::vector<std::string> names;
     std::map<std::string, std::string> dataCentres;
     for (const auto &[name, place] : m_roster.entries()) {
@@ -234,7 +234,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::takeOwnRow(const store_row &row)
+void store_sync<Store, Runtime>::takeInternalRow(const store_row &row)
 {
     if (const std::optional<std::string> entry = entryOfKey(row.key)) {
         if (row.removed)
@@ -243,17 +243,19 @@
             m_roster.take(*entry, decodeEntry(row.value), row.version);
         return;
     }
-    if (const std::optional<evidence_place> place = evidenceOfKey(row.key)) {
+    if (const std::optional<evidence_row_key> place = evidenceOfKey(row.key)) {
         const auto evidence = decodeEvidence(row.value);
         if (!evidence)
             logWarning(log_part::bundle, "evidence refused",
                        {{"entry", place->entry}, {"fault", evidence.error()}});
         else if (place->entry != m_links.entry)
-            m_state.rollouts(place->service).judge().takeEvidence(place->entry, evidence.value());
-        else if (m_told.count(place->service) == 0)
             m_state.rollouts(place->service)
-                    .judge()
-                    .takeEvidence(std::string(earlierLife), evidence.value());
+                    .evaluator()
+                    .takeEvidence(place->entry, evidence.value());
+        else if (m_writtenEvidence.count(place->service) == 0)
+            m_state.rollouts(place->service)
+                    .evaluator()
+                    .takeEvidence(std::string(earlierIncarnation), evidence.value());
         return;
     }
     if (const std::optional<request_key> key = withheldOfKey(row.key)) {
@@ -273,7 +275,7 @@
         return;
     }
     const milliseconds begin = value.value().stageSince;
-    if (!m_state.rollouts(*service).setRow(value.value(), m_clock.momentOf(begin)))
+    if (!m_state.rollouts(*service).setRow(value.value(), m_clock.localTimeOf(begin)))
         return;
     logInfo(log_part::bundle, "roll-out stage",
             {{"service", *service},
@@ -285,41 +287,42 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::keepListed()
+void store_sync<Store, Runtime>::maintainEntryRows()
 {
-    if (!m_clock.isKnown() || !m_ownTableRead || m_runtime.now() < m_nextAnnounceAt)
+    if (!m_clock.isKnown() || !m_internalTableRead || m_runtime.now() < m_nextOwnRowWriteAt)
         return;
     if (m_roster.isOwnDue(storeNow())) {
-        if (!isListedByOthers())
-            announce();
+        if (!isAwaitingListing())
+            writeOwnRow();
         return;
     }
     m_unlistedSince.reset();
-    dropOldFinding();
+    removeStaleFinding();
     const std::optional<listed_entry> gone = m_roster.expired(storeNow());
-    // Any entry may do it; the chance keeps most of them from doing it at once.
+    // Any entry may remove the row; the probability keeps most of them from writing at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
     if (gone && m_state.random().chance(chance))
-        dropGone(*gone);
+        removeExpiredEntry(*gone);
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isListedByOthers()
+bool store_sync<Store, Runtime>::isAwaitingListing()
 {
     if (!m_links.relay.isPreferred || !m_links.relay.isPreferred())
         return false;
     if (!m_unlistedSince)
         m_unlistedSince = m_runtime.now();
-    return m_runtime.now() - *m_unlistedSince < listedByOthers;
+    return m_runtime.now() - *m_unlistedSince < listedByOthersTimeout;
 }
 
 template <row_store_like Store, runtime_like Runtime>
 std::optional<entry_announcement> store_sync<Store, Runtime>::nextAnnouncement()
 {
-    const bool isListed = m_ownTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
+    const bool isListed
+            = m_internalTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
     if (isListed || m_runtime.now() < m_nextAnnouncementAt)
         return std::nullopt;
-    m_nextAnnouncementAt = m_runtime.now() + announcedEvery;
+    m_nextAnnouncementAt = m_runtime.now() + announcementInterval;
     return entry_announcement{m_links.entry, m_links.place, milliseconds(wallMilliseconds())};
 }
 
@@ -328,38 +331,40 @@
 {
     if (announcement.entry == m_links.entry)
         return;
-    m_announced[announcement.entry] = {announcement, m_runtime.now()};
-    if (std::exchange(m_isGathering, true))
+    m_receivedAnnouncements[announcement.entry] = {announcement, m_runtime.now()};
+    if (std::exchange(m_isBatchPending, true))
         return;
-    m_runtime.after(announcementsGather, [this] {
-        m_isGathering = false;
-        writeAnnounced();
+    m_runtime.after(announcementBatchDelay, [this] {
+        m_isBatchPending = false;
+        writeAnnouncedRows();
     });
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::writeAnnounced()
+void store_sync<Store, Runtime>::writeAnnouncedRows()
 {
-    const bool knows = m_clock.isKnown() && m_ownTableRead;
-    const std::map<std::string, heard_announcement> announced = std::exchange(m_announced, {});
+    const bool knows = m_clock.isKnown() && m_internalTableRead;
+    const std::map<std::string, received_announcement> announced
+            = std::exchange(m_receivedAnnouncements, {});
     std::vector<row_write> rows;
     const auto write = [&] {
         logInfo(log_part::fleet, "entries listed for others",
                 {{"entries", std::int64_t(rows.size())}});
         m_store.write(std::exchange(rows, {}), [](outcome<conditional_write, row_failure> result) {
-            // They write their rows themselves after a while.
+            // Entries that are not listed write their own rows after a while.
             if (!result)
                 logWarning(log_part::platform, "entries not listed",
                            {{"why", textOf(result.error())}});
         });
     };
     for (const auto &[name, item] : announced) {
-        // It asked before it had read that it is listed.
+        // Skip entries that are listed already: they sent the announcement before they read their
+        // row.
         if (!knows || !m_roster.isDue(name, storeNow()))
             continue;
         const auto waited = std::chrono::duration_cast<milliseconds>(m_runtime.now() - item.at);
         rows.push_back(entryRow(name, item.what.place, item.what.wallTime + waited));
-        if (rows.size() == mostAnnounced)
+        if (rows.size() == maxAnnouncedRows)
             write();
     }
     if (!rows.empty())
@@ -367,19 +372,19 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-row_write store_sync<Store, Runtime>::entryRow(const std::string &entry, entry_place place,
+row_write store_sync<Store, Runtime>::entryRow(const std::string &entry, entry_info place,
                                                milliseconds wallTime)
 {
     place.writtenAt = storeNow();
-    place.wallAhead = wallTime - place.writtenAt;
-    return {std::string(ownTable), entryKey(entry), encodeEntry(place), std::nullopt};
+    place.wallClockOffset = wallTime - place.writtenAt;
+    return {std::string(internalTable), entryKey(entry), encodeEntry(place), std::nullopt};
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::announce()
+void store_sync<Store, Runtime>::writeOwnRow()
 {
-    // The own row comes back by the feed; until then it is not written again.
-    m_nextAnnounceAt = m_runtime.now() + announcePause;
+    // Do not write the row again until it can have come back by the feed.
+    m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
     const row_write row = entryRow(m_links.entry, m_links.place, milliseconds(wallMilliseconds()));
     m_store.write({row}, [](outcome<conditional_write, row_failure> result) {
         if (!result)
@@ -389,10 +394,10 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::dropGone(const listed_entry &entry)
+void store_sync<Store, Runtime>::removeExpiredEntry(const listed_entry &entry)
 {
-    m_nextAnnounceAt = m_runtime.now() + announcePause;
-    const std::string own(ownTable);
+    m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
+    const std::string own(internalTable);
     std::vector<row_write> removals{{own, entryKey(entry.name), "", entry.version, true}};
     for (const auto &[service, tracker] : m_state.allRollouts())
         removals.push_back({own, evidenceKey(entry.name, service), "", std::nullopt, true});
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -1,6 +1,7 @@
-//===-- Proxy/StoreSyncRollouts.h - members of store_sync --------*- C++ -*-===//
+//===-- Proxy/StoreSyncRollouts.h - steps of roll-outs ----------*- C++ -*-===//
 //
-// Steps of roll-outs and what is told of them. Included by StoreSync.h only.
+// Members of store_sync that write the steps of roll-outs and report evidence. Included by
+// StoreSync.h only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_STORESYNCROLLOUTS_H
@@ -12,30 +13,31 @@
 namespace laurelcroft {
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::tellEvidence(const std::string &service,
-                                              const rollout_tracker &tracker)
+bool store_sync<Store, Runtime>::writeEvidence(const std::string &service,
+                                               const rollout_tracker &tracker)
 {
-    const rollout_evidence &own = tracker.judge().ownEvidence();
-    const rollout_evidence &told = m_told[service];
-    const bool sameOrder = told.orderedAt == own.orderedAt;
-    const bool news = own.bad() > (sameOrder ? told.bad() : 0);
-    if (!news || m_runtime.now() - m_toldAt < evidencePause || !isAmongFew())
+    const rollout_evidence &own = tracker.evaluator().ownEvidence();
+    const rollout_evidence &written = m_writtenEvidence[service];
+    const bool sameOrder = written.orderedAt == own.orderedAt;
+    const bool hasMoreBad = own.bad() > (sameOrder ? written.bad() : 0);
+    if (!hasMoreBad || m_runtime.now() - m_evidenceWrittenAt < evidenceRowInterval
+        || !isSampledWriter())
         return false;
-    m_writing = true;
-    m_toldAt = m_runtime.now();
-    m_told[service] = own;
+    m_isWriting = true;
+    m_evidenceWrittenAt = m_runtime.now();
+    m_writtenEvidence[service] = own;
     logInfo(log_part::bundle, "evidence told",
             {{"service", service}, {"bad", std::int64_t(own.bad())}});
-    rollout_evidence signedOwn = own;
-    signedOwn.life = m_life;
-    const row_write row{std::string(ownTable), evidenceKey(m_links.entry, service),
-                        encodeEvidence(signedOwn), std::nullopt};
+    rollout_evidence ownWithIncarnation = own;
+    ownWithIncarnation.incarnation = m_incarnation;
+    const row_write row{std::string(internalTable), evidenceKey(m_links.entry, service),
+                        encodeEvidence(ownWithIncarnation), std::nullopt};
     m_store.write({row}, [this, service](outcome<conditional_write, row_failure> result) {
-        m_writing = false;
+        m_isWriting = false;
         if (result)
             return;
-        // The next look tells it again.
-        m_told[service] = {};
+        // The next check writes it again.
+        m_writtenEvidence[service] = {};
         logWarning(log_part::platform, "evidence not written",
                    {{"service", service}, {"why", textOf(result.error())}});
     });
@@ -43,69 +45,70 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::othersKnown()
+bool store_sync<Store, Runtime>::isPeerEvidenceCurrent()
 {
-    const follower &own = *m_followers.at(std::string(ownTable));
+    const follower &own = *m_followers.at(std::string(internalTable));
     const time_point now = m_runtime.now();
-    if (now - own.relayedAt() < evidenceGrace)
+    if (now - own.relayedAt() < evidenceSettleTime)
         return false;
-    return now - own.confirmedAt() <= evidenceAge && now - own.steadySince() >= evidenceGrace;
+    return now - own.confirmedAt() <= maxEvidenceAge
+            && now - own.steadySince() >= evidenceSettleTime;
 }
 
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::takeEvidence(const evidence_notice &notice)
 {
     if (notice.entry != m_links.entry)
-        m_state.rollouts(notice.service).judge().takeEvidence(notice.entry, notice.evidence);
+        m_state.rollouts(notice.service).evaluator().takeEvidence(notice.entry, notice.evidence);
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::tellReaders(const std::string &service,
-                                             const rollout_tracker &tracker)
+void store_sync<Store, Runtime>::sendEvidence(const std::string &service,
+                                              const rollout_tracker &tracker)
 {
-    const rollout_evidence &own = tracker.judge().ownEvidence();
-    if (!m_links.tellReaders || own.byRoute.empty() || m_toldReaders[service] == own)
+    const rollout_evidence &own = tracker.evaluator().ownEvidence();
+    if (!m_links.tellReaders || own.byRoute.empty() || m_sentEvidence[service] == own)
         return;
     evidence_notice notice{m_links.entry, service, own};
-    notice.evidence.life = m_life;
+    notice.evidence.incarnation = m_incarnation;
     if (m_links.tellReaders(notice))
-        m_toldReaders[service] = own;
+        m_sentEvidence[service] = own;
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::isAmongFew()
+bool store_sync<Store, Runtime>::isSampledWriter()
 {
     const double entries = static_cast<double>(std::max<std::size_t>(1, m_state.entries()));
-    return m_state.random().chance(std::min(1.0, writersAtOnce / entries));
+    return m_state.random().chance(std::min(1.0, meanConcurrentWriters / entries));
 }
 
 template <row_store_like Store, runtime_like Runtime>
-bool store_sync<Store, Runtime>::mayStepNow(const rollout_row &next, bool knowsOthers)
+bool store_sync<Store, Runtime>::mayWriteStepNow(const rollout_row &next, bool knowsOthers)
 {
-    // A finding that waits for its turn leaves bad answers to callers: 3 s on average at 32
-    // entries.
+    // A delayed revert sends bad answers to callers: the wait for a turn took 3 s on average with
+    // 32 entries.
     if (next.stage == rollout_stage::reverted)
         return true;
-    // Those that read the store are few already; most steps are theirs alone.
-    return (knowsOthers || isAmongFew()) && m_state.random().chance(stepChance);
+    // Few entries read the store, and they take most steps, so they need no further sampling.
+    return (knowsOthers || isSampledWriter()) && m_state.random().chance(stepChance);
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::step()
+void store_sync<Store, Runtime>::runChecks()
 {
-    m_runtime.after(stepEvery, [this] { step(); });
-    keepListed();
-    logHeldEndpoints();
+    m_runtime.after(stepInterval, [this] { runChecks(); });
+    maintainEntryRows();
+    logOmittedEndpointLines();
     const bool isNoticeDue = m_runtime.now() >= m_nextNoticeAt;
     if (isNoticeDue)
-        m_nextNoticeAt = m_runtime.now() + evidenceNoticePause;
-    const bool knowsOthers = othersKnown();
+        m_nextNoticeAt = m_runtime.now() + evidenceNoticeInterval;
+    const bool knowsOthers = isPeerEvidenceCurrent();
     for (auto &[service, tracker] : m_state.allRollouts()) {
-        tracker.judge().setJudgesOthers(knowsOthers);
+        tracker.evaluator().setUsesPeerEvidence(knowsOthers);
         if (isNoticeDue && tracker.order() && !tracker.isOver())
-            tellReaders(service, tracker);
+            sendEvidence(service, tracker);
     }
-    if (m_writing || !m_clock.isKnown() || m_runtime.now() < m_nextWriteAt)
+    if (m_isWriting || !m_clock.isKnown() || m_runtime.now() < m_nextWriteAt)
         return;
     if (writeFinding())
         return;
@@ -114,21 +117,21 @@
             continue;
         const std::optional<rollout_row> next = tracker.nextRow(
                 storeNow(), m_state.directory().usable(service), m_state.entries(), knowsOthers);
-        if (!next && tracker.row() && tellEvidence(service, tracker))
+        if (!next && tracker.row() && writeEvidence(service, tracker))
             return;
-        if (!next || !mayStepNow(*next, knowsOthers))
+        if (!next || !mayWriteStepNow(*next, knowsOthers))
             continue;
-        write(service, *tracker.order(), *next);
+        writeStep(service, *tracker.order(), *next);
         return;
     }
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::write(const std::string &service, const rollout_order &order,
-                                       const rollout_row &row)
+void store_sync<Store, Runtime>::writeStep(const std::string &service, const rollout_order &order,
+                                           const rollout_row &row)
 {
-    m_writing = true;
-    const rollout_doubt doubt = m_state.rollouts(service).judge().strongestDoubt();
+    m_isWriting = true;
+    const rollout_suspicion doubt = m_state.rollouts(service).evaluator().strongestSuspicion();
     logInfo(log_part::bundle, "roll-out step is due",
             {{"service", service},
              {"target", row.targetVersion},
@@ -139,28 +142,28 @@
              {"answers", std::int64_t(doubt.all)},
              {"evidence_percent", std::lround(doubt.evidence * 100)},
              {"deviations_percent", std::lround(doubt.deviations * 100)}});
-    const row_write own{std::string(ownTable), rolloutKey(service), encodeRollout(row),
+    const row_write own{std::string(internalTable), rolloutKey(service), encodeRollout(row),
                         m_rowVersions[service]};
     const std::vector<row_write> writes{own, m_codec.encodeStatus(order, row.stage)};
     m_store.write(writes, [this, service, row](outcome<conditional_write, row_failure> result) {
-        m_writing = false;
+        m_isWriting = false;
         if (!result)
-            m_nextWriteAt = m_runtime.now() + writeRetry;
+            m_nextWriteAt = m_runtime.now() + writeRetryDelay;
         const bool done = result && result.value().done;
         logInfo(log_part::bundle, "roll-out step written",
                 {{"service", service},
                  {"target", row.targetVersion},
                  {"stage", textOf(row.stage)},
                  {"result", textOf(result)}});
-        // The row comes back by the feed; taking it at once saves a read's time.
+        // The row also comes back by the feed; applying it now saves the time of a read.
         if (done)
-            m_state.rollouts(service).setRow(row, m_clock.momentOf(row.stageSince));
+            m_state.rollouts(service).setRow(row, m_clock.localTimeOf(row.stageSince));
         if (!result || done)
             return;
-        // Somebody else was first: the next step goes on from that row.
+        // Another entry wrote first: the next step starts from its row.
         for (const table_entry &entry : result.value().current) {
-            if (entry.table == ownTable)
-                takeOwnRow(entry.row);
+            if (entry.table == internalTable)
+                takeInternalRow(entry.row);
         }
     });
 }
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -16,7 +16,7 @@
     m_versions.clear();
 }
 
-void entry_roster::take(const std::string &name, entry_place place, std::uint64_t version)
+void entry_roster::take(const std::string &name, entry_info place, std::uint64_t version)
 {
     m_entries[name] = std::move(place);
     m_versions[name] = version;
@@ -49,8 +49,8 @@
 {
     std::vector<milliseconds> told;
     for (const auto &[name, place] : m_entries) {
-        if (place.wallAhead)
-            told.push_back(*place.wallAhead);
+        if (place.wallClockOffset)
+            told.push_back(*place.wallClockOffset);
     }
     if (told.empty())
         return std::nullopt;
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -1,7 +1,7 @@
-//===-- PeerRows.cpp - rows from other entries ------------------------------===//
+//===-- PeerRows.cpp - reads rows from peer entries -----------------------===//
 //
-// What several followers ask for goes as one request: first to a reader, then to another one, then
-// to a standby.
+// Reads of several followers are sent as one request: first to a reader, then to the other reader,
+// then to a standby.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/PeerRows.h"
@@ -22,18 +22,19 @@
 
 namespace {
 
-/// Peers are near; one that doesn't answer is not asked for longer than a retry takes.
+/// Timeout of a request beyond its hold time. Peers are near, so a retry at another peer is faster
+/// than a longer wait.
 constexpr milliseconds peerTimeout{400};
-/// A peer that did not answer is left out this long: a restart takes about as much.
-constexpr milliseconds peerAvoidance{3000};
-/// The same of a peer that takes no connection while this process starts: all may start together,
-/// some a little later.
-constexpr milliseconds startAvoidance{40};
-/// Readers that one read is sent to, one after the other; a standby comes after them.
-constexpr unsigned readersOfRead = 2;
-
-/// One read that waits for another entry's answer.
-struct asked_table
+/// How long a peer that did not answer is avoided: about as long as a restart takes.
+constexpr milliseconds peerAvoidTime{3000};
+/// The same for a peer that refuses connections while this process starts: all may be starting
+/// together, some slightly later.
+constexpr milliseconds startAvoidTime{40};
+/// Number of readers tried per read before a standby is tried.
+constexpr unsigned maxReaderTries = 2;
+
+/// A read that waits for another entry's answer.
+struct pending_read
 {
     table_since what;
     row_callback<row_news> done;
@@ -41,7 +42,7 @@
 
 } // namespace
 
-static std::string joined(const std::vector<std::string> &addresses)
+static std::string joinAddresses(const std::vector<std::string> &addresses)
 {
     std::string text;
     for (const std::string &address : addresses)
@@ -49,10 +50,10 @@
     return text;
 }
 
-static std::string queryOf(const std::vector<asked_table> &asked)
+static std::string tablesQuery(const std::vector<pending_read> &asked)
 {
     std::string text;
-    for (const asked_table &item : asked) {
+    for (const pending_read &item : asked) {
         text += text.empty() ? "" : ",";
         text += percentEncoded(item.what.table) + ":" + std::to_string(item.what.since);
     }
@@ -65,7 +66,7 @@
           metric_registry &metrics, std::string ownAddress, milliseconds hold);
 
     void noteSources(const row_sources &chosen);
-    std::optional<std::string> pick();
+    std::optional<std::string> pickPeer();
     void postAsk();
     void ask();
     milliseconds holdOfTry() const;
@@ -74,7 +75,7 @@
     void avoid(const std::string &peer, const outcome<http_reply, http_error> &reply);
     void failAll();
     void takeReply(const std::string &peer, const std::string &body);
-    row_news taken(const std::string &table, const aged_news &found);
+    row_news takeTable(const std::string &table, const aged_news &found);
 
     asio::io_context &context;
     asio_runtime runtime;
@@ -85,16 +86,17 @@
     milliseconds hold;
     row_server server;
 
-    std::function<std::optional<entry_announcement>()> announced; ///< by this entry
+    /// Returns the announcement of this entry.
+    std::function<std::optional<entry_announcement>()> announced;
     std::vector<std::string> peers;
     row_sources sources;
     bool asksFirstPeers = false;
     bool starting = true; ///< no peer has answered yet
     std::size_t next = 0;
     std::map<std::string, time_point> avoidedUntil; ///< peers that did not answer
-    std::vector<asked_table> asked;
-    unsigned tries = 0; ///< of what is asked
-    bool isAnyoneUp = false; ///< among those that were asked
+    std::vector<pending_read> pending;
+    unsigned tries = 0; ///< attempts to send the pending reads
+    bool hasReachablePeer = false; ///< one of the peers tried has answered
     std::optional<http_call_id> call;
     bool askPosted = false;
 };
@@ -161,8 +163,8 @@
         self.noteSources(sources);
     self.asksFirstPeers = false;
     self.sources = std::move(sources);
-    // A first peer that is silent is not waited for when the readers are known, and nobody when
-    // this entry is one of them, or stands by for them.
+    // Once the readers are known, do not wait for a silent first peer. Do not wait for any peer if
+    // this entry is a reader or a standby.
     if (self.starting && self.call) {
         self.http.cancel(*self.call);
         self.call.reset();
@@ -178,7 +180,8 @@
     const bool reads = chosen.readers.empty();
     metrics.set("reads_store", reads ? 1 : 0);
     logInfo(log_part::fleet, reads ? "rows are read from the store" : "rows are read from entries",
-            {{"readers", joined(chosen.readers)}, {"standbys", joined(chosen.standbys)}});
+            {{"readers", joinAddresses(chosen.readers)},
+             {"standbys", joinAddresses(chosen.standbys)}});
 }
 
 bool peer_rows::arePreferred() const
@@ -194,8 +197,8 @@
 void peer_rows::read(const std::string &table, std::uint64_t since, row_callback<row_news> done)
 {
     state &self = *m_state;
-    self.asked.push_back({{table, since}, std::move(done)});
-    // What is under way is asked again together with this one.
+    self.pending.push_back({{table, since}, std::move(done)});
+    // Restart the request in progress so that it includes this read.
     if (self.call) {
         self.http.cancel(*self.call);
         self.call.reset();
@@ -210,14 +213,14 @@
     asio::post(context, [this] {
         askPosted = false;
         tries = 0;
-        isAnyoneUp = false;
+        hasReachablePeer = false;
         ask();
     });
 }
 
-std::optional<std::string> peer_rows::state::pick()
+std::optional<std::string> peer_rows::state::pickPeer()
 {
-    const bool asksStandby = tries >= readersOfRead;
+    const bool asksStandby = tries >= maxReaderTries;
     const std::vector<std::string> &readersOrPeers
             = sources.readers.empty() ? peers : sources.readers;
     const std::vector<std::string> &from = asksStandby ? sources.standbys : readersOrPeers;
@@ -233,23 +236,23 @@
 
 milliseconds peer_rows::state::holdOfTry() const
 {
-    // The first one has taken its time.
+    // Only the first attempt holds for the full time.
     if (tries == 0)
         return hold;
-    return tries < readersOfRead ? milliseconds(0) : row_server::outdatedHold;
+    return tries < maxReaderTries ? milliseconds(0) : row_server::outdatedHold;
 }
 
 bool peer_rows::state::mayTryAgain() const
 {
-    return tries < readersOfRead + sources.standbys.size();
+    return tries < maxReaderTries + sources.standbys.size();
 }
 
 void peer_rows::state::ask()
 {
-    std::optional<std::string> peer = pick();
+    std::optional<std::string> peer = pickPeer();
     while (!peer && mayTryAgain()) {
         ++tries;
-        peer = pick();
+        peer = pickPeer();
     }
     if (!peer) {
         failAll();
@@ -258,8 +261,8 @@
     const milliseconds holdWanted = holdOfTry();
     ++tries;
     http_call request;
-    request.url = "http://" + *peer + std::string(row_server::path) + "?tables=" + queryOf(asked)
-            + "&hold=" + std::to_string(holdWanted.count());
+    request.url = "http://" + *peer + std::string(row_server::path)
+            + "?tables=" + tablesQuery(pending) + "&hold=" + std::to_string(holdWanted.count());
     if (const auto own = announced ? announced() : std::nullopt)
         request.headers.push_back({std::string(announcementHeader), encodeAnnouncement(*own)});
     request.timeout = holdWanted + peerTimeout;
@@ -273,19 +276,19 @@
 
 void peer_rows::state::failAll()
 {
-    const std::vector<asked_table> failed = std::exchange(asked, {});
-    const row_failure why = isAnyoneUp ? row_failure::outdated : row_failure::notDone;
-    for (const asked_table &item : failed)
+    const std::vector<pending_read> failed = std::exchange(pending, {});
+    const row_failure why = hasReachablePeer ? row_failure::outdated : row_failure::notDone;
+    for (const pending_read &item : failed)
         item.done(failure(why));
 }
 
 void peer_rows::state::avoid(const std::string &peer, const outcome<http_reply, http_error> &reply)
 {
-    // One that is up may have heard from the store by the next time.
+    // Don't avoid a peer that is up: it may have current rows by the next attempt.
     if (reply)
         return;
     const bool startsLater = starting && reply.error() == http_error::notSent;
-    avoidedUntil[peer] = bootNow() + (startsLater ? startAvoidance : peerAvoidance);
+    avoidedUntil[peer] = bootNow() + (startsLater ? startAvoidTime : peerAvoidTime);
     logDebug(log_part::fleet, "peer does not answer", {{"peer", peer}});
 }
 
@@ -295,12 +298,12 @@
     const bool answered = reply && reply.value().status == http_status::ok;
     metrics.add(answered ? "peer_reads_total{result=\"ok\"}"
                          : "peer_reads_total{result=\"failed\"}");
-    isAnyoneUp = isAnyoneUp || reply;
+    hasReachablePeer = hasReachablePeer || reply;
     if (answered)
         takeReply(peer, reply.value().body);
     else
         avoid(peer, reply);
-    if (asked.empty() || call)
+    if (pending.empty() || call)
         return;
     if (mayTryAgain())
         ask();
@@ -318,22 +321,22 @@
                    {{"peer", peer}, {"fault", tables.error()}});
         return;
     }
-    // What this peer has not heard of for too long stays for the next one.
-    std::vector<asked_table> answered;
-    for (asked_table &item : std::exchange(asked, {})) {
+    // Tables for which this peer has only outdated rows stay pending for the next peer.
+    std::vector<pending_read> answered;
+    for (pending_read &item : std::exchange(pending, {})) {
         const auto it = tables.value().find(item.what.table);
         const bool isTold = it != tables.value().end();
         const bool isTaken = isTold
                 && (it->second.age <= mirror.freshness() || item.what.since == nothingKnown);
-        (isTaken ? answered : asked).push_back(std::move(item));
+        (isTaken ? answered : pending).push_back(std::move(item));
     }
-    for (const asked_table &item : answered)
-        item.done(taken(item.what.table, tables.value().at(item.what.table)));
+    for (const pending_read &item : answered)
+        item.done(takeTable(item.what.table, tables.value().at(item.what.table)));
 }
 
-row_news peer_rows::state::taken(const std::string &table, const aged_news &found)
+row_news peer_rows::state::takeTable(const std::string &table, const aged_news &found)
 {
     metrics.set("rows_age_ms{table=\"" + table + "\"}", static_cast<double>(found.age.count()));
-    mirror.takeRelayed(table, found, bootNow());
+    mirror.takeFromPeer(table, found, bootNow());
     return found.news;
 }
--- a/lib/Proxy/RolloutRows.cpp
+++ b/lib/Proxy/RolloutRows.cpp
@@ -1,6 +1,6 @@
-//===-- RolloutRows.cpp - rows that entries share ---------------------------===//
+//===-- RolloutRows.cpp - rows that entries share -------------------------===//
 //
-// JSON, so that operators can read them.
+// Values are JSON, so that operators can read them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RolloutRows.h"
@@ -55,13 +55,13 @@
     return total;
 }
 
-std::optional<evidence_place> laurelcroft::evidenceOfKey(std::string_view key)
+std::optional<evidence_row_key> laurelcroft::evidenceOfKey(std::string_view key)
 {
     const std::optional<std::string> rest = afterPrefix(key, evidencePrefix);
     const std::size_t slash = rest ? rest->find('/') : std::string::npos;
     if (slash == std::string::npos)
         return std::nullopt;
-    return evidence_place{rest->substr(0, slash), rest->substr(slash + 1)};
+    return evidence_row_key{rest->substr(0, slash), rest->substr(slash + 1)};
 }
 
 std::optional<std::string> laurelcroft::serviceOfKey(std::string_view key)
@@ -74,31 +74,31 @@
     return afterPrefix(key, entryPrefix);
 }
 
-std::string laurelcroft::encodeEntry(const entry_place &place)
+std::string laurelcroft::encodeEntry(const entry_info &place)
 {
     nlohmann::json json{{"address", place.address},
                         {"data_centre", place.dataCentre},
                         {"written_ms", place.writtenAt.count()},
                         {"processor_share", place.processorShare}};
-    if (place.wallAhead)
-        json["wall_ahead_ms"] = place.wallAhead->count();
+    if (place.wallClockOffset)
+        json["wall_ahead_ms"] = place.wallClockOffset->count();
     return json.dump();
 }
 
-entry_place laurelcroft::decodeEntry(const std::string &value)
+entry_info laurelcroft::decodeEntry(const std::string &value)
 {
     const nlohmann::json json = nlohmann::json::parse(value, nullptr, false);
     if (!json.is_object())
         return {};
     try {
-        entry_place place{json.value("address", ""), json.value("data_centre", ""),
-                          milliseconds(json.value("written_ms", std::int64_t(0))),
-                          json.value("processor_share", 0.0), std::nullopt};
+        entry_info place{json.value("address", ""), json.value("data_centre", ""),
+                         milliseconds(json.value("written_ms", std::int64_t(0))),
+                         json.value("processor_share", 0.0), std::nullopt};
         if (json.contains("wall_ahead_ms"))
-            place.wallAhead = milliseconds(json.at("wall_ahead_ms").get<std::int64_t>());
+            place.wallClockOffset = milliseconds(json.at("wall_ahead_ms").get<std::int64_t>());
         return place;
     } catch (const nlohmann::json::exception &) {
-        return {}; // a field of another type: as a row that can't be read
+        return {}; // a field has the wrong type: treated as an unreadable row
     }
 }
 
@@ -142,7 +142,7 @@
     for (const auto &[route, seen] : evidence.byRoute)
         routes[route] = {{"good", seen.good}, {"failed", seen.failed}, {"slow", seen.slow}};
     return nlohmann::json{
-            {"ordered_at", evidence.orderedAt}, {"routes", routes}, {"life", evidence.life}}
+            {"ordered_at", evidence.orderedAt}, {"routes", routes}, {"life", evidence.incarnation}}
             .dump();
 }
 
@@ -152,7 +152,7 @@
         const nlohmann::json json = nlohmann::json::parse(value);
         rollout_evidence evidence;
         evidence.orderedAt = json.at("ordered_at").get<std::uint64_t>();
-        evidence.life = json.value("life", std::uint64_t(0));
+        evidence.incarnation = json.value("life", std::uint64_t(0));
         for (const auto &[route, seen] : json.at("routes").items()) {
             evidence.byRoute[route]
                     = {seen.at("good").get<std::uint64_t>(), seen.at("failed").get<std::uint64_t>(),
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -1,7 +1,7 @@
-//===-- RolloutTracker.cpp - versions of one service ------------------------===//
+//===-- RolloutTracker.cpp - versions of one service ----------------------===//
 //
-// Which version a request gets, by the row that all entries share. The first entry that is sure
-// moves it.
+// The row that all entries share decides which version a request gets. The first entry with enough
+// evidence changes the row.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RolloutTracker.h"
@@ -47,13 +47,13 @@
     if (!isNew)
         return;
     m_foundBadAt.reset();
-    m_judge.begin(order.orderedAt);
+    m_evaluator.begin(order.orderedAt);
 }
 
 void rollout_tracker::clearOrder()
 {
     noteCompletion();
-    m_judge.end();
+    m_evaluator.end();
     m_order.reset();
 }
 
@@ -77,8 +77,8 @@
 {
     if (!m_order || !m_row)
         return false;
-    // Until the first row of an order that is written again, the last one's stage holds: sessions
-    // would go back to the old version in between.
+    // Until the first row of a rewritten order the stage of the previous row stays in force.
+    // Otherwise sessions would return to the old version in between.
     const bool goesOn = m_row->targetVersion == m_order->targetVersion
             && m_row->stage != rollout_stage::reverted;
     return m_row->orderedAt == m_order->orderedAt || goesOn;
@@ -99,31 +99,31 @@
     return isCurrent() && isInShare(shareAt(request.arrivedAt), request.session);
 }
 
-bool rollout_tracker::stopsAlone(time_point now)
+bool rollout_tracker::revertsLocally(time_point now)
 {
-    if (m_row->stage == rollout_stage::completed || !m_judge.isFoundBad())
+    if (m_row->stage == rollout_stage::completed || !m_evaluator.isFoundBad())
         return false;
-    // While the store is away the row may be long in coming: two versions in a session are then
-    // better than a bad one.
+    // While the store is unavailable the reverted row may take long to arrive: two versions within
+    // a session are then better than a bad version.
     if (!m_foundBadAt)
         m_foundBadAt = now;
-    return now - *m_foundBadAt >= aloneAfter;
+    return now - *m_foundBadAt >= localRevertDelay;
 }
 
 void rollout_tracker::observe(std::string_view version, std::string_view route,
                               std::string_view model, std::optional<answer_timing> timing,
                               time_point now)
 {
-    m_judge.observe(isTarget(version), route, model, timing, now);
+    m_evaluator.observe(isTarget(version), route, model, timing, now);
 }
 
 void rollout_tracker::observeSilence(std::string_view version, std::string_view route,
                                      time_point now)
 {
-    m_judge.observeSilence(isTarget(version), route, now);
+    m_evaluator.observeSilence(isTarget(version), route, now);
 }
 
-void rollout_tracker::arrived(time_point now)
+void rollout_tracker::noteArrival(time_point now)
 {
     m_arrivals.push_back(now);
     while (now - m_arrivals.front() > seconds(1))
@@ -137,7 +137,7 @@
         ++counts[endpoint->record().softwareVersion];
     if (counts.empty() || counts.count(m_settled) != 0)
         return m_settled;
-    // Nothing of the version in force is left: the most frequent one takes its place.
+    // No endpoint has the version in force any more: the most frequent version replaces it.
     const auto most
             = std::max_element(counts.begin(), counts.end(),
                                [](const auto &a, const auto &b) { return a.second < b.second; });
@@ -159,7 +159,7 @@
 }
 
 std::vector<endpoint_ptr>
-rollout_tracker::ofTarget(const std::vector<endpoint_ptr> &endpoints) const
+rollout_tracker::endpointsOfTarget(const std::vector<endpoint_ptr> &endpoints) const
 {
     std::vector<endpoint_ptr> onTarget;
     for (const endpoint_ptr &endpoint : endpoints) {
@@ -169,10 +169,11 @@
     return onTarget;
 }
 
-std::vector<endpoint_ptr> rollout_tracker::ofOldVersion(const std::vector<endpoint_ptr> &endpoints)
+std::vector<endpoint_ptr>
+rollout_tracker::endpointsOfOldVersion(const std::vector<endpoint_ptr> &endpoints)
 {
-    // Endpoints of a version that was taken back last stay for some seconds: they are no more in
-    // force than the target is.
+    // Endpoints of a version that was just reverted stay for some seconds. They are not of the
+    // version in force either.
     std::vector<endpoint_ptr> notTarget;
     for (const endpoint_ptr &endpoint : endpoints) {
         if (!isTarget(endpoint->record().softwareVersion))
@@ -189,45 +190,47 @@
                                          const session_request &request)
 {
     if (!m_order)
-        return {ofOldVersion(endpoints), version_reason::settled};
+        return {endpointsOfOldVersion(endpoints), version_reason::settled};
     if (!isCurrent()) {
-        // An order that was carried out long ago, and this entry has just started.
-        std::vector<endpoint_ptr> onOld = ofOldVersion(endpoints);
-        return {onOld.empty() ? ofTarget(endpoints) : onOld, version_reason::stageUnknown};
+        // The order was probably carried out long ago, and this entry has just started.
+        std::vector<endpoint_ptr> onOld = endpointsOfOldVersion(endpoints);
+        return {onOld.empty() ? endpointsOfTarget(endpoints) : onOld, version_reason::stageUnknown};
     }
     if (!isForTarget(request))
-        return {ofOldVersion(endpoints), version_reason::stage};
-    if (stopsAlone(request.now))
-        return {ofOldVersion(endpoints), version_reason::foundBadHere};
-    std::vector<endpoint_ptr> onTarget = ofTarget(endpoints);
+        return {endpointsOfOldVersion(endpoints), version_reason::stage};
+    if (revertsLocally(request.now))
+        return {endpointsOfOldVersion(endpoints), version_reason::foundBadHere};
+    std::vector<endpoint_ptr> onTarget = endpointsOfTarget(endpoints);
     if (onTarget.empty())
-        return {ofOldVersion(endpoints), version_reason::noTarget};
-    keepTrialEndpoints(onTarget, request.arrivedAt);
+        return {endpointsOfOldVersion(endpoints), version_reason::noTarget};
+    limitToTrialEndpoints(onTarget, request.arrivedAt);
     return {std::move(onTarget), version_reason::stage};
 }
 
-std::vector<endpoint_ptr> rollout_tracker::beyondTrial(const std::vector<endpoint_ptr> &endpoints,
-                                                       const session_request &request)
+std::vector<endpoint_ptr>
+rollout_tracker::targetEndpointsBeyondTrial(const std::vector<endpoint_ptr> &endpoints,
+                                            const session_request &request)
 {
-    if (!isForTarget(request) || stopsAlone(request.now))
+    if (!isForTarget(request) || revertsLocally(request.now))
         return {};
-    return ofTarget(endpoints);
+    return endpointsOfTarget(endpoints);
 }
 
 std::vector<endpoint_ptr> rollout_tracker::settled(const std::vector<endpoint_ptr> &endpoints)
 {
     if (!isCurrent() || !isOnTrial(m_row->stage))
         return {};
-    return ofOldVersion(endpoints);
+    return endpointsOfOldVersion(endpoints);
 }
 
-void rollout_tracker::keepTrialEndpoints(std::vector<endpoint_ptr> &onTarget, time_point now) const
+void rollout_tracker::limitToTrialEndpoints(std::vector<endpoint_ptr> &onTarget,
+                                            time_point now) const
 {
     const double share = shareAt(now);
     if (share >= 1)
         return;
     const std::size_t count = trialEndpoints(share, onTarget.size());
-    // Ranked by a hash of the id, so that all entries keep the same ones.
+    // Ranked by a hash of the id, so that all entries choose the same endpoints.
     const auto ranksBefore = [](const endpoint_ptr &a, const endpoint_ptr &b) {
         return stableHash(a->record().id) < stableHash(b->record().id);
     };
@@ -246,9 +249,9 @@
     view.now = storeNow;
     view.exposure = m_exposure;
     view.requestsPerSecond = static_cast<double>(m_arrivals.size() * entries);
-    view.evaluatedAnswers = m_judge.judged();
-    view.suspected = m_judge.isSuspected();
-    view.foundBad = m_judge.isFoundBad();
+    view.evaluatedAnswers = m_evaluator.targetAnswers();
+    view.suspected = m_evaluator.isSuspected();
+    view.foundBad = m_evaluator.isFoundBad();
     view.othersKnown = othersKnown;
     view.targetListed = std::any_of(endpoints.begin(), endpoints.end(), [&](const auto &endpoint) {
         return isTarget(endpoint->record().softwareVersion);
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -1,7 +1,6 @@
-//===-- RoutingState.cpp - what all requests decide by ----------------------===//
+//===-- RoutingState.cpp - state that routing uses ------------------------===//
 //
-// Services come and go with contracts; their roll-outs and budgets are made when first
-// asked for.
+// The roll-outs and budgets of a service are created on first use.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RoutingState.h"
@@ -19,10 +18,10 @@
     return true;
 }
 
-/// \returns the item of \p name, made from \p arguments when first asked for.
+/// \returns the item of \p name, constructed from \p arguments on first use.
 template <class T, class... Args>
-static T &itemOf(std::map<std::string, T, std::less<>> &items, std::string_view name,
-                 const Args &...arguments)
+static T &findOrCreate(std::map<std::string, T, std::less<>> &items, std::string_view name,
+                       const Args &...arguments)
 {
     const auto it = items.find(name);
     return it != items.end() ? it->second : items.emplace(name, T(arguments...)).first->second;
@@ -30,22 +29,22 @@
 
 rollout_tracker &routing_state::rollouts(std::string_view service)
 {
-    return itemOf(m_rollouts, service, m_bounds.rolloutExposure);
+    return findOrCreate(m_rollouts, service, m_bounds.rolloutExposure);
 }
 
 send_budget &routing_state::repeats(std::string_view service)
 {
-    return itemOf(m_repeats, service, m_bounds.repeats, m_roundings.uniform());
+    return findOrCreate(m_repeats, service, m_bounds.repeats, m_roundingRandom.uniform());
 }
 
 failure_streak &routing_state::outlook(std::string_view service)
 {
-    return itemOf(m_outlooks, service);
+    return findOrCreate(m_outlooks, service);
 }
 
 recent_wait &routing_state::waits(std::string_view service)
 {
-    return itemOf(m_waits, service);
+    return findOrCreate(m_waits, service);
 }
 
 void routing_state::noteSendElsewhere(std::string_view endpoint, milliseconds reading,
@@ -68,9 +67,9 @@
 void routing_state::setEntries(std::vector<std::string> names, std::string own,
                                std::map<std::string, std::string> dataCentres)
 {
-    // Entries that start renew their rows, which changes no share: ranking a hundred entries for
-    // each of a thousand cold endpoints again would take a small instance a tenth of a second each
-    // time.
+    // Entries that start rewrite their rows, which changes no share. Ranking a hundred entries
+    // again for each of a thousand cold endpoints would take a tenth of a second on a small
+    // instance each time.
     if (names == m_entries && own == m_own && dataCentres == m_dataCentres)
         return;
     m_dataCentres = std::move(dataCentres);
@@ -94,7 +93,7 @@
 
 const std::vector<sampled_endpoint> &routing_state::sampled(std::string_view service)
 {
-    sample_list &list = itemOf(m_sampled, service);
+    sample_list &list = findOrCreate(m_sampled, service);
     const std::vector<endpoint_ptr> &usable = m_directory.usable(service);
     const bool isCurrent
             = list.revision == m_directory.revision() && list.items.size() == usable.size();
@@ -182,5 +181,5 @@
 
 prefill_rate &routing_state::promptRate(std::string_view model)
 {
-    return itemOf(m_promptRates, model);
+    return findOrCreate(m_promptRates, model);
 }
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -1,6 +1,6 @@
-//===-- RowMirror.cpp - tables as this entry last read them -----------------===//
+//===-- RowMirror.cpp - tables as last read -------------------------------===//
 //
-// Rows and removals keep the store's versions, which say what is new to whom.
+// Rows and removals keep the store's versions, which tell what is new to a reader.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowMirror.h"
@@ -10,7 +10,7 @@
 
 using namespace laurelcroft;
 
-void row_mirror::forget(copy &known, const std::string &key)
+void row_mirror::erase(table_copy &known, const std::string &key)
 {
     if (const auto row = known.rows.find(key); row != known.rows.end()) {
         known.changes.erase({row->second.version, key});
@@ -22,28 +22,28 @@
     }
 }
 
-void row_mirror::setRow(copy &known, const store_row &row)
+void row_mirror::setRow(table_copy &known, const store_row &row)
 {
-    forget(known, row.key);
+    erase(known, row.key);
     known.rows[row.key] = row;
     known.changes.insert({row.version, row.key});
 }
 
-void row_mirror::setRemoved(copy &known, const std::string &key, std::uint64_t version)
+void row_mirror::setRemoved(table_copy &known, const std::string &key, std::uint64_t version)
 {
-    forget(known, key);
+    erase(known, key);
     known.removed[key] = version;
     known.changes.insert({version, key});
 }
 
-void row_mirror::forgetRemoved(copy &known)
+void row_mirror::trimRemovedRows(table_copy &known)
 {
-    while (known.removed.size() > mostRemoved) {
+    while (known.removed.size() > maxRemovedRows) {
         const auto oldest = std::min_element(
                 known.removed.begin(), known.removed.end(),
                 [](const auto &a, const auto &b) { return a.second < b.second; });
         known.changesFrom = std::max(known.changesFrom, oldest->second);
-        forget(known, std::string(oldest->first));
+        erase(known, std::string(oldest->first));
     }
 }
 
@@ -53,7 +53,7 @@
     take(table, batch, whole, batch.storeTime, confirmedAt);
 }
 
-void row_mirror::takeRelayed(const std::string &table, const aged_news &found, time_point now)
+void row_mirror::takeFromPeer(const std::string &table, const aged_news &found, time_point now)
 {
     const row_batch &batch = found.news.batch;
     take(table, batch, found.news.whole, batch.storeTime - found.age, now - found.age);
@@ -62,7 +62,7 @@
 void row_mirror::take(const std::string &table, const row_batch &batch, bool whole,
                       milliseconds storeTime, time_point confirmedAt)
 {
-    copy &known = m_tables[table];
+    table_copy &known = m_tables[table];
     if (batch.version < known.version)
         return;
     const bool isFirst = known.version == 0;
@@ -81,7 +81,7 @@
         else
             setRow(known, row);
     }
-    forgetRemoved(known);
+    trimRemovedRows(known);
     known.version = batch.version;
     if (confirmedAt >= known.confirmedAt) {
         known.storeTime = storeTime;
@@ -91,13 +91,13 @@
         m_onChange();
 }
 
-news_state row_mirror::look(const std::string &table, std::uint64_t since, time_point now) const
+news_state row_mirror::stateOf(const std::string &table, std::uint64_t since, time_point now) const
 {
     news_state state;
     const auto it = m_tables.find(table);
     if (it == m_tables.end())
         return state;
-    const copy &known = it->second;
+    const table_copy &known = it->second;
     state.isKnown = true;
     state.isOutdated = now - known.confirmedAt > m_freshness;
     state.age = std::chrono::duration_cast<milliseconds>(now - known.confirmedAt);
@@ -109,7 +109,7 @@
 std::optional<aged_news> row_mirror::read(const std::string &table, std::uint64_t since,
                                           time_point now) const
 {
-    const news_state state = look(table, since, now);
+    const news_state state = stateOf(table, since, now);
     if (!state.isKnown || state.isOutdated)
         return std::nullopt;
     return newsSince(m_tables.at(table), since, state);
@@ -117,7 +117,7 @@
 
 std::optional<aged_news> row_mirror::readForStart(const std::string &table, time_point now) const
 {
-    const news_state state = look(table, nothingKnown, now);
+    const news_state state = stateOf(table, nothingKnown, now);
     if (!state.isKnown)
         return std::nullopt;
     return newsSince(m_tables.at(table), nothingKnown, state);
@@ -125,13 +125,14 @@
 
 std::optional<aged_news> row_mirror::headForStart(const std::string &table, time_point now) const
 {
-    const news_state state = look(table, nothingKnown, now);
+    const news_state state = stateOf(table, nothingKnown, now);
     if (!state.isKnown)
         return std::nullopt;
     return headSince(m_tables.at(table), nothingKnown, state);
 }
 
-aged_news row_mirror::headSince(const copy &known, std::uint64_t since, const news_state &state)
+aged_news row_mirror::headSince(const table_copy &known, std::uint64_t since,
+                                const news_state &state)
 {
     aged_news result;
     result.age = state.age;
@@ -142,7 +143,8 @@
     return result;
 }
 
-aged_news row_mirror::newsSince(const copy &known, std::uint64_t since, const news_state &state)
+aged_news row_mirror::newsSince(const table_copy &known, std::uint64_t since,
+                                const news_state &state)
 {
     aged_news result = headSince(known, since, state);
     row_batch &batch = result.news.batch;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -1,6 +1,7 @@
-//===-- RowServer.cpp - rows for other entries ------------------------------===//
+//===-- RowServer.cpp - serves rows to other entries ----------------------===//
 //
-// Rows that come together leave together, and a whole table is packed once for all who start.
+// Changes that arrive together are sent together, and a whole table is packed once for all entries
+// that start.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowServer.h"
@@ -25,10 +26,11 @@
 namespace {
 
 constexpr int decimal = 10;
-/// Rows that come to an entry together leave it together: a start of many entries, a roll-out.
-constexpr milliseconds gathering{20};
+/// Delay that collects rows arriving together into one answer, as when many entries start or a
+/// roll-out proceeds.
+constexpr milliseconds batchDelay{20};
 
-/// Another entry's read that has no news yet.
+/// A held read of another entry.
 struct held_read
 {
     std::vector<table_since> tables;
@@ -39,14 +41,14 @@
 /// The packed rows of a whole table.
 struct packed_table
 {
-    std::optional<std::uint64_t> changedAt; ///< version of its newest row or removal
+    std::optional<std::uint64_t> changedAt; ///< version of the newest row or removal in the table
     packed_rows rows;
 };
 
 } // namespace
 
-/// \returns the tables of a query; a part that can't be read is left out.
-static std::vector<table_since> tablesIn(std::string_view text)
+/// \returns the tables of a query; malformed items are left out.
+static std::vector<table_since> parseTables(std::string_view text)
 {
     std::vector<table_since> tables;
     while (!text.empty()) {
@@ -64,7 +66,7 @@
     return tables;
 }
 
-static milliseconds holdIn(const std::string &text)
+static milliseconds parseHold(const std::string &text)
 {
     std::int64_t hold = 0;
     std::from_chars(text.data(), text.data() + text.size(), hold, decimal);
@@ -78,7 +80,7 @@
     void serve(const message_head &head, caller_exchange &exchange);
     void noteAnnouncement(const message_head &head) const;
     void holdRead(std::vector<table_since> tables, caller_exchange &exchange, milliseconds time);
-    milliseconds longestHoldOf(const std::vector<table_since> &tables) const;
+    milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
     std::optional<packed_news> newsFor(const table_since &asked);
     packed_news packedNews(const std::string &table, aged_news news);
@@ -91,7 +93,7 @@
     caller_server server;
     std::function<void(const entry_announcement &)> onAnnounced;
     std::list<held_read> held;
-    std::map<std::string, packed_table> packed; ///< whole tables, by name
+    std::map<std::string, packed_table> packed; ///< whole tables, keyed by name
     bool changeNoted = false;
 };
 
@@ -153,25 +155,26 @@
     }
     noteAnnouncement(head);
     const std::string_view parameters = target.substr(query + 1);
-    std::vector<table_since> tables = tablesIn(queryValue(parameters, "tables"));
-    const milliseconds wanted = holdIn(queryValue(parameters, "hold"));
-    const milliseconds time = std::min(wanted, longestHoldOf(tables));
+    std::vector<table_since> tables = parseTables(queryValue(parameters, "tables"));
+    const milliseconds wanted = parseHold(queryValue(parameters, "hold"));
+    const milliseconds time = std::min(wanted, maxHoldFor(tables));
     if (time.count() > 0)
         holdRead(std::move(tables), exchange, time);
     else
         answer(tables, exchange);
 }
 
-/// \returns how long an answer may wait: until the rows would be outdated when no table has news,
-/// or one was not read yet by this process, which starts; a moment when one is outdated.
-milliseconds row_server::state::longestHoldOf(const std::vector<table_since> &tables) const
+/// \returns how long an answer may be held: \c outdatedHold when a table is outdated; until the
+/// rows become outdated when no table has news, or when this process has just started and has not
+/// read one of the tables yet; otherwise 0.
+milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
     bool hasNews = false;
     bool isOutdated = false;
     bool isUnknown = false;
     milliseconds oldest{0};
     for (const table_since &item : tables) {
-        const news_state state = mirror.look(item.table, item.since, bootNow());
+        const news_state state = mirror.stateOf(item.table, item.since, bootNow());
         isUnknown = isUnknown || !state.isKnown;
         isOutdated = isOutdated || state.isOutdated;
         hasNews = hasNews || state.hasNews;
@@ -205,7 +208,7 @@
         result.rows = packRows(batch.rows);
         return result;
     }
-    // Entries that start together ask for the same table.
+    // Entries that start together read the same table.
     packed_table &kept = packed[table];
     if (kept.changedAt != result.about.changedAt)
         kept = {result.about.changedAt, packRows(batch.rows)};
@@ -225,7 +228,7 @@
     std::optional<aged_news> head = mirror.headForStart(asked.table, now);
     if (!head)
         return std::nullopt;
-    // Of a hundred entries that start together the first one's rows are copied and packed.
+    // When a hundred entries start together the rows are copied and packed once.
     const auto kept = packed.find(asked.table);
     if (kept != packed.end() && kept->second.changedAt == head->changedAt)
         return packed_news{asked.table, std::move(*head), kept->second.rows};
@@ -252,7 +255,7 @@
 {
     if (held.empty() || std::exchange(changeNoted, true))
         return;
-    runtime.after(gathering, [this] {
+    runtime.after(batchDelay, [this] {
         changeNoted = false;
         answerHeld();
     });
@@ -262,7 +265,7 @@
 {
     for (auto item = held.begin(); item != held.end();) {
         const auto current = item++;
-        if (longestHoldOf(current->tables).count() > 0)
+        if (maxHoldFor(current->tables).count() > 0)
             continue;
         runtime.cancel(current->timer);
         answer(current->tables, current->exchange);
--- a/lib/Proxy/RowPaces.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -1,9 +1,10 @@
-//===-- RowPaces.cpp - how often rows are read ------------------------------===//
+//===-- RowTimings.cpp - intervals of row reads ---------------------------===//
 //
-// Parts of the bound. Whatever reads must confirm its rows more often than they lose freshness.
+// All values are fractions of the bound. Every reader must confirm its rows more often than they
+// become outdated.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/RowPaces.h"
+#include "laurelcroft/Proxy/RowTimings.h"
 
 #include <algorithm>
 
@@ -27,13 +28,13 @@
     return std::chrono::duration_cast<milliseconds>(bound * share);
 }
 
-row_paces::row_paces(milliseconds bound)
-    : endpointRead(
+row_timings::row_timings(milliseconds bound)
+    : endpointReadInterval(
             std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
-    , heldByStore(part(bound, heldByStorePart))
-    , heldByEntry(part(bound, heldByEntryPart))
-    , fresh(part(bound, freshPart))
+    , maxStoreHold(part(bound, heldByStorePart))
+    , maxEntryHold(part(bound, heldByEntryPart))
+    , maxRowAge(part(bound, freshPart))
     , staleWait(part(bound, staleWaitPart))
-    , removalDoubt(part(bound, removalDoubtPart))
+    , removalGrace(part(bound, removalDoubtPart))
 {
 }
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -1,8 +1,8 @@
-//===-- RowWire.cpp - how entries tell each other rows ----------------------===//
+//===-- RowWire.cpp - encoding of rows between entries --------------------===//
 //
-// An answer is an array of tables; a table is an array of its name, whether the rows are all, the
-// version, the store's time and the age in milliseconds, whether the rows are deflated, and the
-// rows. A row is an array of key, version and value; one without a value was removed.
+// An answer is an array of tables. A table is an array of its name, whether it has all rows, the
+// version, the store time and the age in milliseconds, whether the rows are deflated, and the rows.
+// A row is an array of key, version and value; a removed row has no value.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RowWire.h"
@@ -17,22 +17,22 @@
 
 namespace {
 
-/// Rows of fewer bytes than this stay as they are: one packet carries them either way.
-constexpr std::size_t leastDeflated = 1000;
-/// Rows of one table have at most this many bytes: a tenth of an entry's memory.
-constexpr std::size_t mostRowBytes = 16U << 20;
-constexpr std::size_t fieldsOfTable = 7;
-constexpr std::size_t fieldsOfRow = 3;
-constexpr std::size_t fieldsOfRemoved = 2;
+/// Smaller rows are not deflated: they fit into one packet either way.
+constexpr std::size_t minDeflatedSize = 1000;
+/// Maximum size of one table's rows: a tenth of an entry's memory.
+constexpr std::size_t maxRowBytes = 16U << 20;
+constexpr std::size_t tableFieldCount = 7;
+constexpr std::size_t rowFieldCount = 3;
+constexpr std::size_t removedRowFieldCount = 2;
 
 } // namespace
 
-static json::binary_t binaryOf(std::string_view text)
+static json::binary_t toBinary(std::string_view text)
 {
     return json::binary_t({text.begin(), text.end()});
 }
 
-static std::string textIn(const json &value)
+static std::string toText(const json &value)
 {
     const json::binary_t &bytes = value.get_binary();
     return {bytes.begin(), bytes.end()};
@@ -44,11 +44,11 @@
     for (const store_row &row : rows) {
         json item = json::array({row.key, row.version});
         if (!row.removed)
-            item.push_back(binaryOf(row.value));
+            item.push_back(toBinary(row.value));
         items.push_back(std::move(item));
     }
     packed_rows result{packed(items), false};
-    if (result.bytes.size() < leastDeflated)
+    if (result.bytes.size() < minDeflatedSize)
         return result;
     std::optional<std::string> smaller = deflated(result.bytes);
     if (!smaller)
@@ -63,28 +63,28 @@
         const row_batch &batch = news.about.news.batch;
         items.push_back(json::array({news.table, news.about.news.whole, batch.version,
                                      batch.storeTime.count(), news.about.age.count(),
-                                     news.rows.isDeflated, binaryOf(news.rows.bytes)}));
+                                     news.rows.isDeflated, toBinary(news.rows.bytes)}));
     }
     return packed(items);
 }
 
-static std::vector<store_row> rowsIn(const std::string &bytes)
+static std::vector<store_row> decodeRows(const std::string &bytes)
 {
     std::vector<store_row> rows;
     for (const json &item : json::from_msgpack(bytes)) {
         store_row row;
         row.key = item.at(0).get<std::string>();
         row.version = item.at(1).get<std::uint64_t>();
-        row.removed = item.size() == fieldsOfRemoved;
+        row.removed = item.size() == removedRowFieldCount;
         if (!row.removed)
-            row.value = textIn(item.at(fieldsOfRow - 1));
+            row.value = toText(item.at(rowFieldCount - 1));
         rows.push_back(std::move(row));
     }
     return rows;
 }
 
-/// \returns nothing when deflated rows can't be read.
-static std::optional<aged_news> newsIn(const json &item)
+/// \returns the changes of one table; nothing when deflated rows are malformed.
+static std::optional<aged_news> decodeTable(const json &item)
 {
     aged_news result;
     row_batch &batch = result.news.batch;
@@ -94,12 +94,12 @@
     batch.storeTime = milliseconds(item.at(field++).get<std::int64_t>());
     result.age = milliseconds(item.at(field++).get<std::int64_t>());
     const bool isDeflated = item.at(field++).get<bool>();
-    std::optional<std::string> rows = textIn(item.at(field));
+    std::optional<std::string> rows = toText(item.at(field));
     if (isDeflated)
-        rows = inflated(*rows, mostRowBytes);
+        rows = inflated(*rows, maxRowBytes);
     if (!rows)
         return std::nullopt;
-    batch.rows = rowsIn(*rows);
+    batch.rows = decodeRows(*rows);
     return result;
 }
 
@@ -109,13 +109,13 @@
         table_news tables;
         const json items = json::from_msgpack(bytes.begin(), bytes.end());
         if (!items.is_array())
-            return failure(std::string("not an array"));
+            return failure(std::string("not an array of tables"));
         for (const json &item : items) {
-            if (item.size() != fieldsOfTable)
-                return failure(std::string("a table has another number of fields"));
-            std::optional<aged_news> news = newsIn(item);
+            if (item.size() != tableFieldCount)
+                return failure(std::string("table has the wrong number of fields"));
+            std::optional<aged_news> news = decodeTable(item);
             if (!news)
-                return failure(std::string("rows can't be inflated"));
+                return failure(std::string("rows cannot be inflated"));
             tables[item.at(0).get<std::string>()] = std::move(*news);
         }
         return tables;
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -54,7 +54,7 @@
     bool mayCall(const row_callback<T> &done)
     {
         if (isUp && isTurnedAway)
-            runtime.after(fake_store::way, [done] { done(failure(row_failure::unknown)); });
+            runtime.after(fake_store::callDelay, [done] { done(failure(row_failure::unknown)); });
         return isUp && !isTurnedAway;
     }
 
@@ -86,7 +86,7 @@
     unsigned reads = 0;
     gated_store store;
     routing_state routing;
-    row_mirror mirror{row_paces(changeBound).fresh};
+    row_mirror mirror{row_timings(changeBound).maxRowAge};
     metric_registry metrics;
     store_sync<gated_store, manual_runtime> sync;
 };
@@ -169,18 +169,19 @@
     };
     const auto news = peer ? newsOf(peer->mirror) : std::nullopt;
     const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
-    const bool isStarting = peer && !peer->mirror.look(table, since, all.runtime.now()).isKnown;
+    const bool isStarting = peer && !peer->mirror.stateOf(table, since, all.runtime.now()).isKnown;
     if ((isStarting || (news && !isNews)) && all.runtime.now() < until) {
         all.runtime.after(lookAgain,
                           [this, table, since, done, until] { read(table, since, done, until); });
         return;
     }
-    const bool isOutdated = peer && peer->mirror.look(table, since, all.runtime.now()).isOutdated;
+    const bool isOutdated
+            = peer && peer->mirror.stateOf(table, since, all.runtime.now()).isOutdated;
     const milliseconds delay = ++reads % 3 == 0 ? way : way + late;
     all.runtime.after(delay, [this, table, news, isOutdated, done] {
         if (!news)
             return done(failure(isOutdated ? row_failure::outdated : row_failure::notDone));
-        mirror.takeRelayed(table, *news, all.runtime.now());
+        mirror.takeFromPeer(table, *news, all.runtime.now());
         done(news->news);
     });
 }
@@ -190,7 +191,7 @@
     entry_links links;
     links.entry = name;
     links.place = {address, "hall"};
-    links.paces = row_paces(changeBound);
+    links.timings = row_timings(changeBound);
     links.isFirstStart = all.isFirstStart;
     links.relay.isPreferred = [this] { return !asked().empty(); };
     links.relay.read
--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -86,7 +86,7 @@
     evacuation_fixture fixture;
     fixture.entries.store.put("orders", "evacuate east", "{}");
     fixture.entries.runtime.advance(propagationLimit);
-    fixture.entries.store.forgetful = true;
+    fixture.entries.store.hasLostHistory = true;
     fixture.entries.store.remove("orders", "evacuate east");
     fixture.entries.runtime.advance(propagationLimit + propagationLimit);
     CHECK(fixture.entriesThatSee(4) == entryCount);
--- a/unittests/Proxy/FakeStore.h
+++ b/unittests/Proxy/FakeStore.h
@@ -1,6 +1,7 @@
-//===-- FakeStore.h - a store in memory --------------------------*- C++ -*-===//
+//===-- FakeStore.h - in-memory store ---------------------------*- C++ -*-===//
 //
-// Loses answers, forgets its history and goes away when told to, under a paused clock.
+// An in-memory store on a paused clock that can lose answers, drop its history and become
+// unavailable on request.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_UNITTESTS_PROXY_FAKESTORE_H
@@ -15,7 +16,7 @@
 
 namespace laurelcroft {
 
-/// Rows in memory; answers come after one millisecond.
+/// Holds rows in memory; answers arrive after one millisecond.
 class fake_store
 {
 public:
@@ -34,12 +35,13 @@
                 row_callback<row_batch> done)
     {
         ++follows;
-        if (forgetful) {
-            m_runtime.after(way, [done] { done(failure(row_failure::historyGone)); });
+        if (hasLostHistory) {
+            m_runtime.after(callDelay, [done] { done(failure(row_failure::historyGone)); });
             return;
         }
         const bool news = changedSince(table, since);
-        const milliseconds delay = away ? awayDelay : (news || wait.count() == 0 ? way : wait);
+        const milliseconds delay
+                = away ? awayDelay : (news || wait.count() == 0 ? callDelay : wait);
         m_runtime.after(delay, [this, table, since, done] {
             if (away)
                 done(failure(row_failure::unknown));
@@ -70,11 +72,11 @@
     }
 
     /// Time from a call to its answer.
-    static constexpr milliseconds way{1};
+    static constexpr milliseconds callDelay{1};
 
     bool away = false;
-    milliseconds awayDelay = way; ///< until a call fails while the store is away
-    bool forgetful = false;
+    milliseconds awayDelay = callDelay; ///< time until a call fails while the store is unavailable
+    bool hasLostHistory = false;
     unsigned lists = 0;
     unsigned follows = 0;
     unsigned writes = 0;
@@ -83,7 +85,7 @@
     template <class T>
     void answer(row_callback<T> done, std::function<T()> result)
     {
-        m_runtime.after(away ? awayDelay : way, [this, done, result] {
+        m_runtime.after(away ? awayDelay : callDelay, [this, done, result] {
             if (away)
                 done(failure(row_failure::unknown));
             else
@@ -106,7 +108,8 @@
         m_history[table].push_back(row);
     }
 
-    /// The feed tells every change in order, also several of one row.
+    /// Returns every change since \p since for a feed, in order, with several changes of one row;
+    /// otherwise the current rows.
     row_batch rowsOf(const std::string &table, std::uint64_t since, bool feed)
     {
         row_batch batch;
