--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -31,7 +31,7 @@
 };
 
 /// An endpoint has ended without being asked to.
-struct end_notice
+struct crash_notice
 {
     /// Requests that are told at most, those with the most ends first: a datagram is one packet.
     static constexpr std::size_t mostRequests = 48;
@@ -45,7 +45,7 @@
     /// ended endpoint had is innocent and needs no hurry.
     bool isUrgent() const;
 
-    bool operator==(const end_notice &) const = default;
+    bool operator==(const crash_notice &) const = default;
 };
 
 /// A request is withheld.
@@ -69,10 +69,10 @@
     bool operator==(const cleared_notice &) const = default;
 };
 
-std::string encodeEndNotice(const end_notice &notice);
+std::string encodeEndNotice(const crash_notice &notice);
 std::string encodeWithheldNotice(const withheld_notice &notice);
 /// \returns nothing for bytes that are no such notice.
-std::optional<end_notice> decodeEndNotice(std::string_view bytes);
+std::optional<crash_notice> decodeEndNotice(std::string_view bytes);
 std::optional<withheld_notice> decodeWithheldNotice(std::string_view bytes);
 std::string encodeClearedNotice(const cleared_notice &notice);
 std::optional<cleared_notice> decodeClearedNotice(std::string_view bytes);
--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -30,7 +30,7 @@
 /// Ways to the other entries. Each may be empty.
 struct crash_links
 {
-    std::function<void(const end_notice &notice)> tellEnd;
+    std::function<void(const crash_notice &notice)> tellEnd;
     std::function<void(const withheld_notice &notice)> tellWithheld;
     std::function<void(const cleared_notice &notice)> tellCleared;
 };
@@ -59,7 +59,7 @@
     void endpointEnded(const service_endpoint &endpoint, time_point at);
 
     /// Take what other entries tell.
-    void take(const end_notice &notice, time_point now);
+    void take(const crash_notice &notice, time_point now);
     void take(const withheld_notice &notice, time_point now);
     void take(const cleared_notice &notice, time_point now);
 
@@ -94,7 +94,7 @@
 private:
     std::vector<std::uint64_t> earlierEnds(request_key key, const endpoint_end &end) const;
     void withheldHere(request_key key, const endpoint_run &run, const endpoint_end &end);
-    void passOn(const end_notice &notice, std::span<const unsigned> before);
+    void passOn(const crash_notice &notice, std::span<const unsigned> before);
     void tell(request_key key, time_point now);
     void enqueue(request_key key, const endpoint_run &run, const std::string &service);
     /// \returns true when a row has to tell of \p key: it is withheld, or strongly suspected.
--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -51,7 +51,7 @@
 {
     std::function<void(const send_notice &notice)> onSend;
     std::function<void(const evidence_notice &notice)> onEvidence;
-    std::function<void(const end_notice &notice)> onEnd;
+    std::function<void(const crash_notice &notice)> onEnd;
     std::function<void(const withheld_notice &notice)> onWithheld;
     std::function<void(const cleared_notice &notice)> onCleared;
     std::function<void(const rate_limit_notice &notice)> onRateLimit = nullptr;
@@ -109,7 +109,7 @@
     void send(const std::string &entry, std::string_view bytes);
 
     /// Tell other entries, \c mostListeners of them, and others the next time.
-    void tellEnd(const end_notice &notice);
+    void tellEnd(const crash_notice &notice);
     void tellWithheld(const withheld_notice &notice);
     void tellCleared(const cleared_notice &notice);
     void tellRateLimit(const rate_limit_notice &notice);
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -34,20 +34,20 @@
     return item.is_string() && item.get_ref<const std::string &>() == kind;
 }
 
-bool end_notice::isUrgent() const
+bool crash_notice::isUrgent() const
 {
     return std::any_of(requests.begin(), requests.end(), [](const noticed_request &request) {
         return request.ends >= crash_suspects::endsThatExplain;
     });
 }
 
-std::string laurelcroft::encodeEndNotice(const end_notice &notice)
+std::string laurelcroft::encodeEndNotice(const crash_notice &notice)
 {
     std::vector<noticed_request> requests = notice.requests;
     std::stable_sort(requests.begin(), requests.end(),
                      [](const auto &a, const auto &b) { return a.ends > b.ends; });
-    if (requests.size() > end_notice::mostRequests)
-        requests.resize(end_notice::mostRequests);
+    if (requests.size() > crash_notice::mostRequests)
+        requests.resize(crash_notice::mostRequests);
     json item = json::array({endKind, notice.endpoint, notice.service, notice.version});
     for (const noticed_request &request : requests) {
         item.push_back(request.key);
@@ -83,16 +83,16 @@
             std::min<std::uint64_t>(item.get<std::uint64_t>(), std::uint64_t(longest.count())));
 }
 
-std::optional<end_notice> laurelcroft::decodeEndNotice(std::string_view bytes)
+std::optional<crash_notice> laurelcroft::decodeEndNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
     const bool hasForm = item.is_array() && item.size() >= fieldsOfEnd && isKind(item[0], endKind)
             && item[1].is_number_unsigned() && isName(item[2]) && isName(item[3])
             && (item.size() - fieldsOfEnd) % fieldsOfRequest == 0
-            && (item.size() - fieldsOfEnd) / fieldsOfRequest <= end_notice::mostRequests;
+            && (item.size() - fieldsOfEnd) / fieldsOfRequest <= crash_notice::mostRequests;
     if (!hasForm)
         return std::nullopt;
-    end_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
+    crash_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
     for (std::size_t i = fieldsOfEnd; i < item.size(); i += fieldsOfRequest) {
         if (!isRequest(&item[i]))
             return std::nullopt;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -77,7 +77,7 @@
         return;
     const endpoint_end end{hashOf(record), record.service, record.softwareVersion, at};
     const std::vector<request_key> found = m_suspects.ended(end, young);
-    end_notice notice{end.endpoint, end.service, end.version, {}};
+    crash_notice notice{end.endpoint, end.service, end.version, {}};
     for (const young_request &request : young) {
         const auto age = std::chrono::duration_cast<milliseconds>(at - request.sentAt);
         const auto lasted
@@ -143,7 +143,7 @@
     m_links.tellWithheld({key, known.service, known.versions, known.ended, left});
 }
 
-void crash_watch::take(const end_notice &notice, time_point now)
+void crash_watch::take(const crash_notice &notice, time_point now)
 {
     std::vector<young_request> young;
     young.reserve(notice.requests.size());
@@ -172,11 +172,11 @@
     }
 }
 
-void crash_watch::passOn(const end_notice &notice, std::span<const unsigned> before)
+void crash_watch::passOn(const crash_notice &notice, std::span<const unsigned> before)
 {
     // Among a hundred entries the next try comes to one that the first teller has not told: where
     // half of the datagrams were lost, 8 endpoints ended instead of 6 before it was passed on.
-    end_notice news{notice.endpoint, notice.service, notice.version, {}};
+    crash_notice news{notice.endpoint, notice.service, notice.version, {}};
     for (std::size_t i = 0; i < notice.requests.size(); ++i) {
         const noticed_request &request = notice.requests[i];
         if (m_suspects.endsOf(request.key) > before[i])
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -62,7 +62,7 @@
 
 TEST_CASE("findings survive their way; other bytes are refused")
 {
-    const end_notice end{
+    const crash_notice end{
             ~0ULL,
             "pool",
             "v1",
@@ -93,7 +93,7 @@
 
 TEST_CASE("an end tells of those that most speaks against, in one packet")
 {
-    end_notice notice{1, "pool", "v1", {}};
+    crash_notice notice{1, "pool", "v1", {}};
     for (request_key key = 0; key < 200; ++key)
         notice.requests.push_back(
                 {~key, milliseconds(1000), milliseconds(1000), key == 150 ? 3U : 1U, {}});
@@ -101,7 +101,7 @@
     CHECK(bytes.size() < 1400);
     const auto heard = decodeEndNotice(bytes);
     REQUIRE(heard);
-    CHECK(heard->requests.size() == end_notice::mostRequests);
+    CHECK(heard->requests.size() == crash_notice::mostRequests);
     CHECK(heard->requests.front().key == ~request_key(150));
 }
 
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -19,14 +19,14 @@
         : notices(context, metrics, "127.0.0.1:0",
                   {[this](const send_notice &notice) { heard.push_back(notice); },
                    [this](const evidence_notice &notice) { evidence.push_back(notice); },
-                   [this](const end_notice &notice) { ends.push_back(notice); },
+                   [this](const crash_notice &notice) { ends.push_back(notice); },
                    [this](const withheld_notice &notice) { withheld.push_back(notice); }})
     {
     }
     metric_registry metrics;
     std::vector<send_notice> heard;
     std::vector<evidence_notice> evidence;
-    std::vector<end_notice> ends;
+    std::vector<crash_notice> ends;
     std::vector<withheld_notice> withheld;
     send_notices notices;
 };
