--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -19,7 +19,7 @@
 namespace laurelcroft {
 
 /// A request that an endpoint had just begun when it ended.
-struct noticed_request
+struct reported_request
 {
     request_key key = 0;
     milliseconds age{0}; ///< from its send to the end
@@ -27,7 +27,7 @@
     unsigned ends = 0; ///< endpoints that have ended under it
     std::vector<std::uint64_t> earlier; ///< hashes of the others
 
-    bool operator==(const noticed_request &) const = default;
+    bool operator==(const reported_request &) const = default;
 };
 
 /// An endpoint has ended without being asked to.
@@ -39,7 +39,7 @@
     std::uint64_t endpoint = 0; ///< hash of its id and start
     std::string service;
     std::string version;
-    std::vector<noticed_request> requests;
+    std::vector<reported_request> requests;
 
     /// \returns true when it speaks against a request that has ended others before: most of what an
     /// ended endpoint had is innocent and needs no hurry.
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -36,20 +36,20 @@
 
 bool crash_notice::isUrgent() const
 {
-    return std::any_of(requests.begin(), requests.end(), [](const noticed_request &request) {
+    return std::any_of(requests.begin(), requests.end(), [](const reported_request &request) {
         return request.ends >= crash_suspects::endsThatExplain;
     });
 }
 
 std::string laurelcroft::encodeEndNotice(const crash_notice &notice)
 {
-    std::vector<noticed_request> requests = notice.requests;
+    std::vector<reported_request> requests = notice.requests;
     std::stable_sort(requests.begin(), requests.end(),
                      [](const auto &a, const auto &b) { return a.ends > b.ends; });
     if (requests.size() > crash_notice::mostRequests)
         requests.resize(crash_notice::mostRequests);
     json item = json::array({endKind, notice.endpoint, notice.service, notice.version});
-    for (const noticed_request &request : requests) {
+    for (const reported_request &request : requests) {
         item.push_back(request.key);
         for (const milliseconds time : {request.age, request.lasted})
             item.push_back(static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.count())));
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -147,7 +147,7 @@
 {
     std::vector<young_request> young;
     young.reserve(notice.requests.size());
-    for (const noticed_request &request : notice.requests) {
+    for (const reported_request &request : notice.requests) {
         // Whoever doesn't know it yet, since it has just started or was cut off, is told.
         if (m_suspects.isWithheld(request.key, notice.version, now))
             tell(request.key, now);
@@ -178,7 +178,7 @@
     // half of the datagrams were lost, 8 endpoints ended instead of 6 before it was passed on.
     crash_notice news{notice.endpoint, notice.service, notice.version, {}};
     for (std::size_t i = 0; i < notice.requests.size(); ++i) {
-        const noticed_request &request = notice.requests[i];
+        const reported_request &request = notice.requests[i];
         if (m_suspects.endsOf(request.key) > before[i])
             news.requests.push_back(request);
     }
