--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -69,7 +69,7 @@
     bool operator==(const cleared_notice &) const = default;
 };
 
-std::string encodeEndNotice(const crash_notice &notice);
+std::string encodeCrashNotice(const crash_notice &notice);
 std::string encodeWithheldNotice(const withheld_notice &notice);
 /// \returns nothing for bytes that are no such notice.
 std::optional<crash_notice> decodeEndNotice(std::string_view bytes);
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -41,7 +41,7 @@
     });
 }
 
-std::string laurelcroft::encodeEndNotice(const crash_notice &notice)
+std::string laurelcroft::encodeCrashNotice(const crash_notice &notice)
 {
     std::vector<reported_request> requests = notice.requests;
     std::stable_sort(requests.begin(), requests.end(),
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -233,7 +233,7 @@
 
 void send_notices::tellEnd(const crash_notice &notice)
 {
-    m_state->tellFinding(encodeEndNotice(notice), notice.isUrgent());
+    m_state->tellFinding(encodeCrashNotice(notice), notice.isUrgent());
 }
 
 void send_notices::tellWithheld(const withheld_notice &notice)
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -68,7 +68,7 @@
             "v1",
             {{known, milliseconds(120), milliseconds(60), 2, {5}}, {7, {}, {}, 1, {}}}};
     const withheld_notice withheld{known, "pool", {"v1", "v2"}, {1, ~0ULL}, seconds(3600)};
-    const std::string endBytes = encodeEndNotice(end);
+    const std::string endBytes = encodeCrashNotice(end);
     const std::string withheldBytes = encodeWithheldNotice(withheld);
     CHECK(endBytes.size() < 60);
     CHECK(withheldBytes.size() < 60);
@@ -88,7 +88,7 @@
             CHECK(!decodeClearedNotice(std::string_view(bytes).substr(0, cut)));
         }
     }
-    CHECK(!decodeEndNotice(encodeEndNotice({1, std::string(300, 's'), "v1", {}})));
+    CHECK(!decodeEndNotice(encodeCrashNotice({1, std::string(300, 's'), "v1", {}})));
 }
 
 TEST_CASE("an end tells of those that most speaks against, in one packet")
@@ -97,7 +97,7 @@
     for (request_key key = 0; key < 200; ++key)
         notice.requests.push_back(
                 {~key, milliseconds(1000), milliseconds(1000), key == 150 ? 3U : 1U, {}});
-    const std::string bytes = encodeEndNotice(notice);
+    const std::string bytes = encodeCrashNotice(notice);
     CHECK(bytes.size() < 1400);
     const auto heard = decodeEndNotice(bytes);
     REQUIRE(heard);
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -153,7 +153,7 @@
     {
         crash_links links;
         links.tellEnd = [this, &entry](const crash_notice &notice) {
-            tell(entry, notice, encodeEndNotice(notice).size(), notice.isUrgent());
+            tell(entry, notice, encodeCrashNotice(notice).size(), notice.isUrgent());
         };
         links.tellWithheld = [this, &entry](const withheld_notice &notice) {
             tell(entry, notice, encodeWithheldNotice(notice).size(), true);
