--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -72,7 +72,7 @@
 std::string encodeCrashNotice(const crash_notice &notice);
 std::string encodeWithheldNotice(const withheld_notice &notice);
 /// \returns nothing for bytes that are no such notice.
-std::optional<crash_notice> decodeEndNotice(std::string_view bytes);
+std::optional<crash_notice> decodeCrashNotice(std::string_view bytes);
 std::optional<withheld_notice> decodeWithheldNotice(std::string_view bytes);
 std::string encodeClearedNotice(const cleared_notice &notice);
 std::optional<cleared_notice> decodeClearedNotice(std::string_view bytes);
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -83,7 +83,7 @@
             std::min<std::uint64_t>(item.get<std::uint64_t>(), std::uint64_t(longest.count())));
 }
 
-std::optional<crash_notice> laurelcroft::decodeEndNotice(std::string_view bytes)
+std::optional<crash_notice> laurelcroft::decodeCrashNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
     const bool hasForm = item.is_array() && item.size() >= fieldsOfEnd && isKind(item[0], endKind)
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -201,7 +201,7 @@
 bool send_notices::state::takeFinding(std::string_view bytes)
 {
     // Each decoder reads the whole datagram: the most frequent kind is tried first.
-    const bool isFinding = giveTo(handlers.onEnd, decodeEndNotice(bytes))
+    const bool isFinding = giveTo(handlers.onEnd, decodeCrashNotice(bytes))
             || giveTo(handlers.onWithheld, decodeWithheldNotice(bytes))
             || giveTo(handlers.onCleared, decodeClearedNotice(bytes))
             || giveTo(handlers.onRateLimit, decodeRateLimitNotice(bytes))
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -72,23 +72,23 @@
     const std::string withheldBytes = encodeWithheldNotice(withheld);
     CHECK(endBytes.size() < 60);
     CHECK(withheldBytes.size() < 60);
-    CHECK(decodeEndNotice(endBytes) == end);
+    CHECK(decodeCrashNotice(endBytes) == end);
     CHECK(decodeWithheldNotice(withheldBytes) == withheld);
     const cleared_notice cleared{known, "v1"};
     const std::string clearedBytes = encodeClearedNotice(cleared);
     CHECK(decodeClearedNotice(clearedBytes) == cleared);
     CHECK(!decodeWithheldNotice(endBytes));
-    CHECK(!decodeEndNotice(withheldBytes));
+    CHECK(!decodeCrashNotice(withheldBytes));
     for (const std::string &bytes : {endBytes, withheldBytes, clearedBytes}) {
         CHECK(!decodeNotice(bytes));
         CHECK(!decodeEvidenceNotice(bytes));
         for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-            CHECK(!decodeEndNotice(std::string_view(bytes).substr(0, cut)));
+            CHECK(!decodeCrashNotice(std::string_view(bytes).substr(0, cut)));
             CHECK(!decodeWithheldNotice(std::string_view(bytes).substr(0, cut)));
             CHECK(!decodeClearedNotice(std::string_view(bytes).substr(0, cut)));
         }
     }
-    CHECK(!decodeEndNotice(encodeCrashNotice({1, std::string(300, 's'), "v1", {}})));
+    CHECK(!decodeCrashNotice(encodeCrashNotice({1, std::string(300, 's'), "v1", {}})));
 }
 
 TEST_CASE("an end tells of those that most speaks against, in one packet")
@@ -99,7 +99,7 @@
                 {~key, milliseconds(1000), milliseconds(1000), key == 150 ? 3U : 1U, {}});
     const std::string bytes = encodeCrashNotice(notice);
     CHECK(bytes.size() < 1400);
-    const auto heard = decodeEndNotice(bytes);
+    const auto heard = decodeCrashNotice(bytes);
     REQUIRE(heard);
     CHECK(heard->requests.size() == crash_notice::mostRequests);
     CHECK(heard->requests.front().key == ~request_key(150));
