--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -30,7 +30,7 @@
 /// Ways to the other entries. Each may be empty.
 struct crash_links
 {
-    std::function<void(const crash_notice &notice)> tellEnd;
+    std::function<void(const crash_notice &notice)> sendCrashNotice;
     std::function<void(const withheld_notice &notice)> tellWithheld;
     std::function<void(const cleared_notice &notice)> tellCleared;
 };
--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -109,7 +109,7 @@
     void send(const std::string &entry, std::string_view bytes);
 
     /// Tell other entries, \c mostListeners of them, and others the next time.
-    void tellEnd(const crash_notice &notice);
+    void sendCrashNotice(const crash_notice &notice);
     void tellWithheld(const withheld_notice &notice);
     void tellCleared(const cleared_notice &notice);
     void tellRateLimit(const rate_limit_notice &notice);
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -86,8 +86,8 @@
             notice.requests.push_back(
                     {request.key, age, lasted, request.ends, earlierEnds(request.key, end)});
     }
-    if (m_links.tellEnd && !notice.requests.empty())
-        m_links.tellEnd(notice);
+    if (m_links.sendCrashNotice && !notice.requests.empty())
+        m_links.sendCrashNotice(notice);
     for (std::size_t i = 0; i < young.size(); ++i) {
         const request_key key = young[i].key;
         if (young[i].ends < crash_suspects::endsThatExplain)
@@ -182,8 +182,8 @@
         if (m_suspects.endsOf(request.key) > before[i])
             news.requests.push_back(request);
     }
-    if (m_links.tellEnd && !news.requests.empty())
-        m_links.tellEnd(news);
+    if (m_links.sendCrashNotice && !news.requests.empty())
+        m_links.sendCrashNotice(news);
 }
 
 void crash_watch::take(const withheld_notice &notice, time_point now)
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -231,7 +231,7 @@
     }
 }
 
-void send_notices::tellEnd(const crash_notice &notice)
+void send_notices::sendCrashNotice(const crash_notice &notice)
 {
     m_state->tellFinding(encodeCrashNotice(notice), notice.isUrgent());
 }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -152,7 +152,7 @@
     void link(fleet_entry &entry)
     {
         crash_links links;
-        links.tellEnd = [this, &entry](const crash_notice &notice) {
+        links.sendCrashNotice = [this, &entry](const crash_notice &notice) {
             tell(entry, notice, encodeCrashNotice(notice).size(), notice.isUrgent());
         };
         links.tellWithheld = [this, &entry](const withheld_notice &notice) {
