--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -31,7 +31,7 @@
 struct crash_links
 {
     std::function<void(const crash_notice &notice)> sendCrashNotice;
-    std::function<void(const withheld_notice &notice)> tellWithheld;
+    std::function<void(const withheld_notice &notice)> sendWithheldNotice;
     std::function<void(const cleared_notice &notice)> tellCleared;
 };
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -136,11 +136,11 @@
 void crash_watch::tell(request_key key, time_point now)
 {
     const auto it = m_suspects.withheld().find(key);
-    if (it == m_suspects.withheld().end() || !m_links.tellWithheld)
+    if (it == m_suspects.withheld().end() || !m_links.sendWithheldNotice)
         return;
     const withheld_request &known = it->second;
     const auto left = std::chrono::duration_cast<milliseconds>(known.until - now);
-    m_links.tellWithheld({key, known.service, known.versions, known.ended, left});
+    m_links.sendWithheldNotice({key, known.service, known.versions, known.ended, left});
 }
 
 void crash_watch::take(const crash_notice &notice, time_point now)
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -236,7 +236,7 @@
     m_state->tellFinding(encodeCrashNotice(notice), notice.isUrgent());
 }
 
-void send_notices::tellWithheld(const withheld_notice &notice)
+void send_notices::sendWithheldNotice(const withheld_notice &notice)
 {
     m_state->tellFinding(encodeWithheldNotice(notice), true);
 }
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -123,11 +123,11 @@
     }
     entries[0]->setEntries(places, "e0");
     const withheld_notice notice{known, "pool", {"v1"}, {1, 2, 3}, seconds(3600)};
-    entries[0]->tellWithheld(notice);
+    entries[0]->sendWithheldNotice(notice);
     context.run_for(milliseconds(20));
     CHECK(heard == 3);
     for (int i = 0; i < 2000; ++i)
-        entries[0]->tellWithheld(notice);
+        entries[0]->sendWithheldNotice(notice);
     context.restart();
     context.run_for(milliseconds(50));
     const double bytes = heard * double(encodeWithheldNotice(notice).size() + 28);
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -155,7 +155,7 @@
         links.sendCrashNotice = [this, &entry](const crash_notice &notice) {
             tell(entry, notice, encodeCrashNotice(notice).size(), notice.isUrgent());
         };
-        links.tellWithheld = [this, &entry](const withheld_notice &notice) {
+        links.sendWithheldNotice = [this, &entry](const withheld_notice &notice) {
             tell(entry, notice, encodeWithheldNotice(notice).size(), true);
         };
         links.tellCleared = [this, &entry](const cleared_notice &notice) {
