--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -32,7 +32,7 @@
 {
     std::function<void(const crash_notice &notice)> sendCrashNotice;
     std::function<void(const withheld_notice &notice)> sendWithheldNotice;
-    std::function<void(const cleared_notice &notice)> tellCleared;
+    std::function<void(const cleared_notice &notice)> sendClearedNotice;
 };
 
 /// A finding that is to be written.
--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -111,7 +111,7 @@
     /// Tell other entries, \c mostListeners of them, and others the next time.
     void sendCrashNotice(const crash_notice &notice);
     void sendWithheldNotice(const withheld_notice &notice);
-    void tellCleared(const cleared_notice &notice);
+    void sendClearedNotice(const cleared_notice &notice);
     void tellRateLimit(const rate_limit_notice &notice);
     void tellLeaving(const leaving_notice &notice);
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -214,8 +214,8 @@
                {{"request_key", textOf(key)},
                 {"version", version},
                 {"was_withheld", wasWithheld ? "yes" : "no"}});
-    if (m_links.tellCleared)
-        m_links.tellCleared({key, version});
+    if (m_links.sendClearedNotice)
+        m_links.sendClearedNotice({key, version});
 }
 
 void crash_watch::take(const cleared_notice &notice, time_point now)
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -241,7 +241,7 @@
     m_state->tellFinding(encodeWithheldNotice(notice), true);
 }
 
-void send_notices::tellCleared(const cleared_notice &notice)
+void send_notices::sendClearedNotice(const cleared_notice &notice)
 {
     m_state->tellFinding(encodeClearedNotice(notice), true);
 }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -158,7 +158,7 @@
         links.sendWithheldNotice = [this, &entry](const withheld_notice &notice) {
             tell(entry, notice, encodeWithheldNotice(notice).size(), true);
         };
-        links.tellCleared = [this, &entry](const cleared_notice &notice) {
+        links.sendClearedNotice = [this, &entry](const cleared_notice &notice) {
             tell(entry, notice, encodeClearedNotice(notice).size(), true);
         };
         entry.routing.crashes().setLinks(std::move(links));
