--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -112,7 +112,7 @@
     void sendCrashNotice(const crash_notice &notice);
     void sendWithheldNotice(const withheld_notice &notice);
     void sendClearedNotice(const cleared_notice &notice);
-    void tellRateLimit(const rate_limit_notice &notice);
+    void sendRateLimitNotice(const rate_limit_notice &notice);
     void tellLeaving(const leaving_notice &notice);
 
 private:
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -246,7 +246,7 @@
     m_state->tellFinding(encodeClearedNotice(notice), true);
 }
 
-void send_notices::tellRateLimit(const rate_limit_notice &notice)
+void send_notices::sendRateLimitNotice(const rate_limit_notice &notice)
 {
     m_state->tellFinding(encodeRateLimitNotice(notice), false);
 }
