--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -113,7 +113,7 @@
     void sendWithheldNotice(const withheld_notice &notice);
     void sendClearedNotice(const cleared_notice &notice);
     void sendRateLimitNotice(const rate_limit_notice &notice);
-    void tellLeaving(const leaving_notice &notice);
+    void sendLeavingNotice(const leaving_notice &notice);
 
 private:
     struct state;
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -251,7 +251,7 @@
     m_state->tellFinding(encodeRateLimitNotice(notice), false);
 }
 
-void send_notices::tellLeaving(const leaving_notice &notice)
+void send_notices::sendLeavingNotice(const leaving_notice &notice)
 {
     m_state->tellFinding(encodeLeavingNotice(notice), false);
 }
