--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -28,7 +28,7 @@
 namespace laurelcroft {
 
 /// Ways to the other entries. Each may be empty.
-struct crash_links
+struct crash_notice_senders
 {
     std::function<void(const crash_notice &notice)> sendCrashNotice;
     std::function<void(const withheld_notice &notice)> sendWithheldNotice;
@@ -50,7 +50,7 @@
     /// Findings that wait for the store at most.
     static constexpr std::size_t mostUnwritten = 64;
 
-    void setLinks(crash_links links) { m_links = std::move(links); }
+    void setLinks(crash_notice_senders links) { m_links = std::move(links); }
 
     endpoint_runs &runs() { return m_runs; }
     crash_suspects &suspects() { return m_suspects; }
@@ -104,7 +104,7 @@
 
     endpoint_runs m_runs;
     crash_suspects m_suspects;
-    crash_links m_links;
+    crash_notice_senders m_links;
     std::deque<unwritten_finding> m_unwritten; ///< with what operators read only
     std::set<request_key> m_fromRows; ///< requests that have a row
     std::set<request_key> m_clearedHere; ///< whose rows are to go
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -151,7 +151,7 @@
 
     void link(fleet_entry &entry)
     {
-        crash_links links;
+        crash_notice_senders links;
         links.sendCrashNotice = [this, &entry](const crash_notice &notice) {
             tell(entry, notice, encodeCrashNotice(notice).size(), notice.isUrgent());
         };
