--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -77,7 +77,7 @@
 
     /// \returns the finding that waits longest to be written: a firm one, or that a request is
     /// strongly suspected.
-    std::optional<unwritten_finding> unwritten(time_point now);
+    std::optional<unwritten_finding> nextUnwrittenFinding(time_point now);
 
     /// \returns true when \p row tells all that is known here of \p key.
     bool isToldBy(request_key key, const withheld_row &row) const;
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -55,7 +55,8 @@
 template <row_store_like Store, runtime_like Runtime>
 bool store_sync<Store, Runtime>::writeFinding()
 {
-    std::optional<unwritten_finding> finding = m_state.crashes().unwritten(m_runtime.now());
+    std::optional<unwritten_finding> finding
+            = m_state.crashes().nextUnwrittenFinding(m_runtime.now());
     if (!finding)
         return false;
     const request_key key = finding->key;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -278,7 +278,7 @@
     row.versions = isWithheld ? known->second.versions : std::vector<std::string>();
 }
 
-std::optional<unwritten_finding> crash_watch::unwritten(time_point now)
+std::optional<unwritten_finding> crash_watch::nextUnwrittenFinding(time_point now)
 {
     std::erase_if(m_unwritten, [&](const unwritten_finding &item) { return !isFinding(item.key); });
     if (m_unwritten.empty() || m_suspects.isInDoubt(m_unwritten.front().key, now))
