--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -67,7 +67,7 @@
     void clear(request_key key, const std::string &version, time_point now);
 
     /// Takes a row. \param until the moment up to which it holds.
-    void takeRow(request_key key, const withheld_row &row, time_point until, time_point now);
+    void applyRow(request_key key, const withheld_row &row, time_point until, time_point now);
 
     /// The row of \p key was removed: by an operator, or since it is too old.
     void rowRemoved(request_key key);
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -26,8 +26,8 @@
         return;
     }
     m_findingRows[key] = {row.version, value.value().until};
-    m_state.crashes().takeRow(key, value.value(), m_clock.momentOf(value.value().until),
-                              m_runtime.now());
+    m_state.crashes().applyRow(key, value.value(), m_clock.momentOf(value.value().until),
+                               m_runtime.now());
 }
 
 template <row_store_like Store, runtime_like Runtime>
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -224,8 +224,8 @@
     clear(notice.key, notice.version, now);
 }
 
-void crash_watch::takeRow(request_key key, const withheld_row &row, time_point until,
-                          time_point now)
+void crash_watch::applyRow(request_key key, const withheld_row &row, time_point until,
+                           time_point now)
 {
     if (now >= until)
         return;
