--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -70,7 +70,7 @@
     void applyRow(request_key key, const withheld_row &row, time_point until, time_point now);
 
     /// The row of \p key was removed: by an operator, or since it is too old.
-    void rowRemoved(request_key key);
+    void removeRow(request_key key);
 
     /// Requests whose rows are not in \p listed any more are released; a whole table was read.
     void keepRows(const std::vector<request_key> &listed);
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -16,7 +16,7 @@
 {
     if (row.removed) {
         m_findingRows.erase(key);
-        m_state.crashes().rowRemoved(key);
+        m_state.crashes().removeRow(key);
         return;
     }
     const outcome<withheld_row, std::string> value = decodeWithheldRow(row.value);
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -245,7 +245,7 @@
                 {"told_by", "store"}});
 }
 
-void crash_watch::rowRemoved(request_key key)
+void crash_watch::removeRow(request_key key)
 {
     m_clearedHere.erase(key);
     if (m_fromRows.erase(key) == 0)
@@ -260,7 +260,7 @@
     const std::set<request_key> known = m_fromRows;
     for (const request_key key : known) {
         if (std::find(listed.begin(), listed.end(), key) == listed.end())
-            rowRemoved(key);
+            removeRow(key);
     }
 }
 
