--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -73,7 +73,7 @@
     void removeRow(request_key key);
 
     /// Requests whose rows are not in \p listed any more are released; a whole table was read.
-    void keepRows(const std::vector<request_key> &listed);
+    void removeUnlistedRows(const std::vector<request_key> &listed);
 
     /// \returns the finding that waits longest to be written: a firm one, or that a request is
     /// strongly suspected.
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -39,7 +39,7 @@
             listed.push_back(*key);
     }
     m_findingRows.clear();
-    m_state.crashes().keepRows(listed);
+    m_state.crashes().removeUnlistedRows(listed);
 }
 
 template <row_store_like Store, runtime_like Runtime>
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -255,7 +255,7 @@
                {{"request_key", textOf(key)}, {"told_by", "store"}});
 }
 
-void crash_watch::keepRows(const std::vector<request_key> &listed)
+void crash_watch::removeUnlistedRows(const std::vector<request_key> &listed)
 {
     const std::set<request_key> known = m_fromRows;
     for (const request_key key : known) {
