--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -80,7 +80,7 @@
     std::optional<unwritten_finding> nextUnwrittenFinding(time_point now);
 
     /// \returns true when \p row tells all that is known here of \p key.
-    bool isToldBy(request_key key, const withheld_row &row) const;
+    bool isCoveredBy(request_key key, const withheld_row &row) const;
 
     /// \returns a request that has a row although it was cleared.
     std::optional<request_key> wronglyListed() const;
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -48,7 +48,7 @@
     return std::any_of(current.begin(), current.end(), [&](const table_entry &entry) {
         const outcome<withheld_row, std::string> row = decodeWithheldRow(entry.row.value);
         return entry.row.key == withheldKey(key) && row
-                && m_state.crashes().isToldBy(key, row.value());
+                && m_state.crashes().isCoveredBy(key, row.value());
     });
 }
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -292,7 +292,7 @@
     return finding;
 }
 
-bool crash_watch::isToldBy(request_key key, const withheld_row &row) const
+bool crash_watch::isCoveredBy(request_key key, const withheld_row &row) const
 {
     if (!isFinding(key))
         return true;
