--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -83,7 +83,7 @@
     bool isCoveredBy(request_key key, const withheld_row &row) const;
 
     /// \returns a request that has a row although it was cleared.
-    std::optional<request_key> wronglyListed() const;
+    std::optional<request_key> findStaleRow() const;
 
     /// The finding needs no more to be written.
     void wasWritten(request_key key);
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -86,7 +86,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::dropOldFinding()
 {
-    const std::optional<request_key> wrong = m_state.crashes().wronglyListed();
+    const std::optional<request_key> wrong = m_state.crashes().findStaleRow();
     const auto old = std::find_if(m_findingRows.begin(), m_findingRows.end(), [&](const auto &row) {
         return storeNow() >= row.second.until || row.first == wrong;
     });
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -301,7 +301,7 @@
     return row.versions.size() >= own.versions.size() && row.ended.size() >= own.ended.size();
 }
 
-std::optional<request_key> crash_watch::wronglyListed() const
+std::optional<request_key> crash_watch::findStaleRow() const
 {
     const auto it = std::find_if(m_fromRows.begin(), m_fromRows.end(),
                                  [this](request_key key) { return m_clearedHere.count(key) != 0; });
