--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -86,7 +86,7 @@
     std::optional<request_key> findStaleRow() const;
 
     /// The finding needs no more to be written.
-    void wasWritten(request_key key);
+    void markWritten(request_key key);
 
     /// \returns requests that were withheld since they were asked for last.
     unsigned takeNewlyWithheld() { return std::exchange(m_newlyWithheld, 0); }
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -74,7 +74,7 @@
                 {{"request_key", textOf(key)}, {"result", textOf(result)}});
         // What somebody else's row lacks is written again.
         if (result && (result.value().done || isTold(key, result.value().current)))
-            m_state.crashes().wasWritten(key);
+            m_state.crashes().markWritten(key);
         if (!result || result.value().done)
             return;
         for (const table_entry &entry : result.value().current)
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -100,7 +100,7 @@
 
 void crash_watch::enqueue(request_key key, const endpoint_run &run, const std::string &service)
 {
-    wasWritten(key);
+    markWritten(key);
     if (m_unwritten.size() >= mostUnwritten)
         return;
     unwritten_finding finding;
@@ -308,7 +308,7 @@
     return it == m_fromRows.end() ? std::nullopt : std::optional(*it);
 }
 
-void crash_watch::wasWritten(request_key key)
+void crash_watch::markWritten(request_key key)
 {
     std::erase_if(m_unwritten, [key](const unwritten_finding &item) { return item.key == key; });
 }
