--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -100,7 +100,7 @@
     /// \returns true when a row has to tell of \p key: it is withheld, or strongly suspected.
     bool isFinding(request_key key) const;
     /// Sets the versions and the ended endpoints.
-    void fillIn(withheld_row &row, request_key key) const;
+    void setCrashDetails(withheld_row &row, request_key key) const;
 
     endpoint_runs m_runs;
     crash_suspects m_suspects;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -270,7 +270,7 @@
             || m_suspects.endsOf(key) >= crash_suspects::endsThatExplain;
 }
 
-void crash_watch::fillIn(withheld_row &row, request_key key) const
+void crash_watch::setCrashDetails(withheld_row &row, request_key key) const
 {
     const auto known = m_suspects.withheld().find(key);
     const bool isWithheld = known != m_suspects.withheld().end();
@@ -284,7 +284,7 @@
     if (m_unwritten.empty() || m_suspects.isInDoubt(m_unwritten.front().key, now))
         return std::nullopt;
     unwritten_finding finding = m_unwritten.front();
-    fillIn(finding.row, finding.key);
+    setCrashDetails(finding.row, finding.key);
     const auto known = m_suspects.withheld().find(finding.key);
     finding.left = known == m_suspects.withheld().end()
             ? milliseconds(crash_suspects::memory)
@@ -297,7 +297,7 @@
     if (!isFinding(key))
         return true;
     withheld_row own;
-    fillIn(own, key);
+    setCrashDetails(own, key);
     return row.versions.size() >= own.versions.size() && row.ended.size() >= own.ended.size();
 }
 
