--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -161,7 +161,7 @@
     for (const young_request &request : young)
         before.push_back(m_suspects.endsOf(request.key));
     const std::vector<request_key> found = m_suspects.ended(end, young);
-    passOn(notice, before);
+    forwardNewCrashes(notice, before);
     for (const request_key key : found) {
         ++m_newlyWithheld;
         logWarning(log_part::routing, "request withheld",
@@ -172,7 +172,7 @@
     }
 }
 
-void crash_watch::passOn(const crash_notice &notice, std::span<const unsigned> before)
+void crash_watch::forwardNewCrashes(const crash_notice &notice, std::span<const unsigned> before)
 {
     // Among a hundred entries the next try comes to one that the first teller has not told: where
     // half of the datagrams were lost, 8 endpoints ended instead of 6 before it was passed on.
