--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -93,7 +93,7 @@
 
 private:
     std::vector<std::uint64_t> earlierEnds(request_key key, const endpoint_end &end) const;
-    void withheldHere(request_key key, const endpoint_run &run, const endpoint_end &end);
+    void reportWithheld(request_key key, const endpoint_run &run, const endpoint_end &end);
     void forwardNewCrashes(const crash_notice &notice, std::span<const unsigned> before);
     void tell(request_key key, time_point now);
     void enqueue(request_key key, const endpoint_run &run, const std::string &service);
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -94,7 +94,7 @@
             continue;
         enqueue(key, *runs[i], end.service);
         if (std::find(found.begin(), found.end(), key) != found.end())
-            withheldHere(key, *runs[i], end);
+            reportWithheld(key, *runs[i], end);
     }
 }
 
@@ -118,7 +118,7 @@
     return earlier;
 }
 
-void crash_watch::withheldHere(request_key key, const endpoint_run &run, const endpoint_end &end)
+void crash_watch::reportWithheld(request_key key, const endpoint_run &run, const endpoint_end &end)
 {
     ++m_newlyWithheld;
     logWarning(log_part::routing, "request withheld",
