--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -92,7 +92,7 @@
     unsigned takeNewlyWithheld() { return std::exchange(m_newlyWithheld, 0); }
 
 private:
-    std::vector<std::uint64_t> earlierEnds(request_key key, const endpoint_end &end) const;
+    std::vector<std::uint64_t> otherEndpoints(request_key key, const endpoint_end &end) const;
     void reportWithheld(request_key key, const endpoint_run &run, const endpoint_end &end);
     void forwardNewCrashes(const crash_notice &notice, std::span<const unsigned> before);
     void tell(request_key key, time_point now);
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -84,7 +84,7 @@
                 = std::chrono::duration_cast<milliseconds>(request.leftAt - request.sentAt);
         if (request.ends > 0)
             notice.requests.push_back(
-                    {request.key, age, lasted, request.ends, earlierEnds(request.key, end)});
+                    {request.key, age, lasted, request.ends, otherEndpoints(request.key, end)});
     }
     if (m_links.sendCrashNotice && !notice.requests.empty())
         m_links.sendCrashNotice(notice);
@@ -111,7 +111,8 @@
     m_unwritten.push_back(std::move(finding));
 }
 
-std::vector<std::uint64_t> crash_watch::earlierEnds(request_key key, const endpoint_end &end) const
+std::vector<std::uint64_t> crash_watch::otherEndpoints(request_key key,
+                                                       const endpoint_end &end) const
 {
     std::vector<std::uint64_t> earlier = m_suspects.endpointsOf(key);
     std::erase(earlier, end.endpoint);
