--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -58,7 +58,7 @@
     /// The process of \p endpoint was found to have ended. \param at the first sign of that.
     void endpointEnded(const service_endpoint &endpoint, time_point at);
 
-    /// Take what other entries tell.
+    /// Take what other entries sendWithheldFinding.
     void take(const crash_notice &notice, time_point now);
     void take(const withheld_notice &notice, time_point now);
     void take(const cleared_notice &notice, time_point now);
@@ -95,9 +95,10 @@
     std::vector<std::uint64_t> otherEndpoints(request_key key, const endpoint_end &end) const;
     void reportWithheld(request_key key, const endpoint_run &run, const endpoint_end &end);
     void forwardNewCrashes(const crash_notice &notice, std::span<const unsigned> before);
-    void tell(request_key key, time_point now);
+    void sendWithheldFinding(request_key key, time_point now);
     void enqueue(request_key key, const endpoint_run &run, const std::string &service);
-    /// \returns true when a row has to tell of \p key: it is withheld, or strongly suspected.
+    /// \returns true when a row has to sendWithheldFinding of \p key: it is withheld, or strongly
+    /// suspected.
     bool isFinding(request_key key) const;
     /// Sets the versions and the ended endpoints.
     void setCrashDetails(withheld_row &row, request_key key) const;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -131,10 +131,10 @@
                 {"version", end.version},
                 {"endpoints_ended", std::int64_t(m_suspects.withheld().at(key).ended.size())},
                 {"told_by", "own"}});
-    tell(key, end.at);
+    sendWithheldFinding(key, end.at);
 }
 
-void crash_watch::tell(request_key key, time_point now)
+void crash_watch::sendWithheldFinding(request_key key, time_point now)
 {
     const auto it = m_suspects.withheld().find(key);
     if (it == m_suspects.withheld().end() || !m_links.sendWithheldNotice)
@@ -151,7 +151,7 @@
     for (const reported_request &request : notice.requests) {
         // Whoever doesn't know it yet, since it has just started or was cut off, is told.
         if (m_suspects.isWithheld(request.key, notice.version, now))
-            tell(request.key, now);
+            sendWithheldFinding(request.key, now);
         const time_point sentAt = now - request.age;
         young.push_back(
                 {request.key, sentAt, sentAt + request.lasted, request.ends, request.earlier});
@@ -200,7 +200,7 @@
                 {"versions", std::int64_t(notice.versions.size())},
                 {"told_by", "entry"}});
     // Whoever hears it first passes it on, so that it reaches all of many in a few steps.
-    tell(notice.key, now);
+    sendWithheldFinding(notice.key, now);
 }
 
 void crash_watch::clear(request_key key, const std::string &version, time_point now)
