--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -59,9 +59,9 @@
     void endpointEnded(const service_endpoint &endpoint, time_point at);
 
     /// Take what other entries sendWithheldFinding.
-    void take(const crash_notice &notice, time_point now);
-    void take(const withheld_notice &notice, time_point now);
-    void take(const cleared_notice &notice, time_point now);
+    void applyNotice(const crash_notice &notice, time_point now);
+    void applyNotice(const withheld_notice &notice, time_point now);
+    void applyNotice(const cleared_notice &notice, time_point now);
 
     /// An endpoint of \p version has answered a request of this entry, or runs it for long.
     void clear(request_key key, const std::string &version, time_point now);
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -144,7 +144,7 @@
     m_links.sendWithheldNotice({key, known.service, known.versions, known.ended, left});
 }
 
-void crash_watch::take(const crash_notice &notice, time_point now)
+void crash_watch::applyNotice(const crash_notice &notice, time_point now)
 {
     std::vector<young_request> young;
     young.reserve(notice.requests.size());
@@ -187,7 +187,7 @@
         m_links.sendCrashNotice(news);
 }
 
-void crash_watch::take(const withheld_notice &notice, time_point now)
+void crash_watch::applyNotice(const withheld_notice &notice, time_point now)
 {
     const withheld_request request{
             notice.service, notice.versions, notice.ended, now + notice.left, {}};
@@ -219,7 +219,7 @@
         m_links.sendClearedNotice({key, version});
 }
 
-void crash_watch::take(const cleared_notice &notice, time_point now)
+void crash_watch::applyNotice(const cleared_notice &notice, time_point now)
 {
     // Told on by whoever it is news for.
     clear(notice.key, notice.version, now);
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -202,7 +202,8 @@
     CHECK(world.knowing() == 3);
     // As other entries are told by datagram.
     for (fleet_entry &entry : world.entries.entries)
-        entry.routing.crashes().take(cleared_notice{world.key, "v1"}, world.entries.runtime.now());
+        entry.routing.crashes().applyNotice(cleared_notice{world.key, "v1"},
+                                            world.entries.runtime.now());
     CHECK(world.knowing() == 0);
     world.entries.runtime.advance(seconds(10));
     CHECK(world.knowing() == 0);
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -144,7 +144,7 @@
             others.erase(others.begin() + std::ptrdiff_t(index));
             if (!random.chance(lostDatagrams))
                 later(way, [this, to, notice] {
-                    to->routing.crashes().take(notice, entries.runtime.now());
+                    to->routing.crashes().applyNotice(notice, entries.runtime.now());
                 });
         }
     }
