--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -48,7 +48,7 @@
 {
 public:
     /// Findings that wait for the store at most.
-    static constexpr std::size_t mostUnwritten = 64;
+    static constexpr std::size_t maxUnwritten = 64;
 
     void setLinks(crash_notice_senders links) { m_links = std::move(links); }
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -101,7 +101,7 @@
 void crash_watch::enqueue(request_key key, const endpoint_run &run, const std::string &service)
 {
     markWritten(key);
-    if (m_unwritten.size() >= mostUnwritten)
+    if (m_unwritten.size() >= maxUnwritten)
         return;
     unwritten_finding finding;
     finding.key = key;
@@ -209,7 +209,7 @@
     if (!m_suspects.clear(key, version, now))
         return;
     m_clearedHere.insert(key);
-    if (m_clearedHere.size() > mostUnwritten)
+    if (m_clearedHere.size() > maxUnwritten)
         m_clearedHere.erase(m_clearedHere.begin());
     logWarning(log_part::routing, "request cleared",
                {{"request_key", textOf(key)},
