--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -34,7 +34,7 @@
 struct crash_notice
 {
     /// Requests that are told at most, those with the most ends first: a datagram is one packet.
-    static constexpr std::size_t mostRequests = 48;
+    static constexpr std::size_t maxRequests = 48;
 
     std::uint64_t endpoint = 0; ///< hash of its id and start
     std::string service;
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -46,8 +46,8 @@
     std::vector<reported_request> requests = notice.requests;
     std::stable_sort(requests.begin(), requests.end(),
                      [](const auto &a, const auto &b) { return a.ends > b.ends; });
-    if (requests.size() > crash_notice::mostRequests)
-        requests.resize(crash_notice::mostRequests);
+    if (requests.size() > crash_notice::maxRequests)
+        requests.resize(crash_notice::maxRequests);
     json item = json::array({endKind, notice.endpoint, notice.service, notice.version});
     for (const reported_request &request : requests) {
         item.push_back(request.key);
@@ -89,7 +89,7 @@
     const bool hasForm = item.is_array() && item.size() >= fieldsOfEnd && isKind(item[0], endKind)
             && item[1].is_number_unsigned() && isName(item[2]) && isName(item[3])
             && (item.size() - fieldsOfEnd) % fieldsOfRequest == 0
-            && (item.size() - fieldsOfEnd) / fieldsOfRequest <= crash_notice::mostRequests;
+            && (item.size() - fieldsOfEnd) / fieldsOfRequest <= crash_notice::maxRequests;
     if (!hasForm)
         return std::nullopt;
     crash_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -101,7 +101,7 @@
     CHECK(bytes.size() < 1400);
     const auto heard = decodeCrashNotice(bytes);
     REQUIRE(heard);
-    CHECK(heard->requests.size() == crash_notice::mostRequests);
+    CHECK(heard->requests.size() == crash_notice::maxRequests);
     CHECK(heard->requests.front().key == ~request_key(150));
 }
 
