--- a/include/laurelcroft/Proxy/EvidenceNotice.h
+++ b/include/laurelcroft/Proxy/EvidenceNotice.h
@@ -18,7 +18,7 @@
 struct evidence_notice
 {
     /// Routes that are told at most, those with the most bad answers: a datagram is one packet.
-    static constexpr std::size_t mostRoutes = 24;
+    static constexpr std::size_t maxRoutes = 24;
 
     std::string entry;
     std::string service;
--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -28,8 +28,8 @@
                                                                 notice.evidence.byRoute.end());
     std::stable_sort(routes.begin(), routes.end(),
                      [](const auto &a, const auto &b) { return a.second.bad() > b.second.bad(); });
-    if (routes.size() > evidence_notice::mostRoutes)
-        routes.resize(evidence_notice::mostRoutes);
+    if (routes.size() > evidence_notice::maxRoutes)
+        routes.resize(evidence_notice::maxRoutes);
     json item = json::array(
             {notice.entry, notice.service, notice.evidence.orderedAt, notice.evidence.life});
     for (const auto &[route, seen] : routes) {
--- a/unittests/Proxy/EvidenceNoticeTests.cpp
+++ b/unittests/Proxy/EvidenceNoticeTests.cpp
@@ -43,7 +43,7 @@
     CHECK(bytes.size() < 1000);
     const auto heard = decodeEvidenceNotice(bytes);
     REQUIRE(heard);
-    CHECK(heard->evidence.byRoute.size() == evidence_notice::mostRoutes);
+    CHECK(heard->evidence.byRoute.size() == evidence_notice::maxRoutes);
     CHECK(heard->evidence.byRoute.at("route-77").failed == 2);
 }
 
