--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -71,7 +71,7 @@
     /// Prefixes that are told at most: a prompt of more parts is told by its first ones.
     static constexpr std::size_t mostPrefixes = 8;
     /// Entries that are told at most; the same ones each time.
-    static constexpr std::size_t mostListeners = 12;
+    static constexpr std::size_t maxRecipients = 12;
     /// Bytes a second, headers included, that telling may cost: what the users' first letter
     /// gives a node for control.
     static constexpr double bytesPerSecond = 2000;
@@ -108,7 +108,7 @@
     /// Sends a datagram of another kind to \p entry, if it is known.
     void send(const std::string &entry, std::string_view bytes);
 
-    /// Tell other entries, \c mostListeners of them, and others the next time.
+    /// Tell other entries, \c maxRecipients of them, and others the next time.
     void sendCrashNotice(const crash_notice &notice);
     void sendWithheldNotice(const withheld_notice &notice);
     void sendClearedNotice(const cleared_notice &notice);
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -216,7 +216,7 @@
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     const double reserve = isUrgent ? 0 : findingBytesSaved / 2;
     const time_point now = bootNow();
-    for (std::size_t i = 0; i < std::min(mostListeners, others.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(maxRecipients, others.size()); ++i) {
         if (!findingBytes.has(cost + reserve, now)) {
             metrics.add("finding_notices_total{way=\"held\"}");
             return;
@@ -280,7 +280,7 @@
     setOthers(entries, own);
     m_state->listeners.clear();
     // A small site is told as a whole: its entries send across data centres, too.
-    if (entries.size() <= mostListeners + 1) {
+    if (entries.size() <= maxRecipients + 1) {
         std::vector<std::string> all;
         for (const auto &[dataCentre, others] : names)
             all.insert(all.end(), others.begin(), others.end());
@@ -289,7 +289,7 @@
     }
     for (const auto &[dataCentre, others] : names) {
         // Each entry ranks them in its own way, so that all are told by some.
-        for (const std::string &name : rankFirst(others, own, mostListeners)) {
+        for (const std::string &name : rankFirst(others, own, maxRecipients)) {
             if (const auto listener = udpEndpointIn(entries.at(name).address))
                 m_state->listeners[dataCentre].push_back(*listener);
         }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -135,7 +135,7 @@
             if (&entry != &from)
                 others.push_back(&entry);
         }
-        for (std::size_t i = 0; i < send_notices::mostListeners && !others.empty(); ++i) {
+        for (std::size_t i = 0; i < send_notices::maxRecipients && !others.empty(); ++i) {
             if (!bytes.has(cost + reserve, entries.runtime.now()))
                 return;
             bytes.spend(cost);
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -69,7 +69,7 @@
 /// Adds entries in data centre "c" until a site is too large to be told as a whole.
 static void makeLarge(entry_map &entries)
 {
-    for (std::size_t i = 0; i <= send_notices::mostListeners; ++i)
+    for (std::size_t i = 0; i <= send_notices::maxRecipients; ++i)
         entries["c" + std::to_string(i)] = {"127.0.0.1:9", "c"};
 }
 
