--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -69,7 +69,7 @@
     /// Longer ones are not believed: no prompt takes that long.
     static constexpr milliseconds longestReading{10'000};
     /// Prefixes that are told at most: a prompt of more parts is told by its first ones.
-    static constexpr std::size_t mostPrefixes = 8;
+    static constexpr std::size_t maxPrefixes = 8;
     /// Entries that are told at most; the same ones each time.
     static constexpr std::size_t maxRecipients = 12;
     /// Bytes a second, headers included, that telling may cost: what the users' first letter
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -39,7 +39,7 @@
 std::string laurelcroft::encodeNotice(const send_notice &notice)
 {
     json item = json::array({notice.endpoint, notice.reading.count()});
-    const std::size_t told = std::min(notice.prefixes.size(), send_notices::mostPrefixes);
+    const std::size_t told = std::min(notice.prefixes.size(), send_notices::maxPrefixes);
     for (std::size_t i = 0; i < told; ++i) {
         item.push_back(notice.prefixes[i].hash);
         item.push_back(notice.prefixes[i].tokens);
@@ -51,7 +51,7 @@
 static std::optional<std::vector<prompt_prefix>> prefixesIn(const json &item)
 {
     const std::size_t numbers = item.size() - fieldsBeforePrefixes;
-    if (numbers % 2 != 0 || numbers / 2 > send_notices::mostPrefixes)
+    if (numbers % 2 != 0 || numbers / 2 > send_notices::maxPrefixes)
         return std::nullopt;
     std::vector<prompt_prefix> prefixes;
     for (std::size_t i = fieldsBeforePrefixes; i < item.size(); i += 2) {
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -63,7 +63,7 @@
     const std::vector<prompt_prefix> many(100, {5, 10});
     const auto heard = decodeNotice(encodeNotice({"i-1", milliseconds(50), many}));
     REQUIRE(heard);
-    CHECK(heard->prefixes.size() == send_notices::mostPrefixes);
+    CHECK(heard->prefixes.size() == send_notices::maxPrefixes);
 }
 
 /// Adds entries in data centre "c" until a site is too large to be told as a whole.
