--- a/include/laurelcroft/Proxy/LeavingNotice.h
+++ b/include/laurelcroft/Proxy/LeavingNotice.h
@@ -18,11 +18,11 @@
 struct leaving_notice
 {
     /// How often a notice may be forwarded: each entry tells only some of the others.
-    static constexpr unsigned mostHops = 2;
+    static constexpr unsigned maxHops = 2;
 
     std::string endpoint; ///< its id
     std::uint64_t startedAt = 0; ///< start of the endpoint, as in its record
-    unsigned hops = mostHops; ///< how often it may still be forwarded
+    unsigned hops = maxHops; ///< how often it may still be forwarded
 
     bool operator==(const leaving_notice &) const = default;
 };
--- a/include/laurelcroft/Proxy/RateLimitNotice.h
+++ b/include/laurelcroft/Proxy/RateLimitNotice.h
@@ -20,7 +20,7 @@
 struct rate_limit_notice
 {
     /// How often a notice may be forwarded: each entry tells only some of the others.
-    static constexpr unsigned mostHops = 2;
+    static constexpr unsigned maxHops = 2;
     /// Notices of older statements are rejected.
     static constexpr milliseconds mostAge{5000};
 
@@ -28,7 +28,7 @@
     std::uint64_t startedAt = 0; ///< start of the endpoint, as in its record
     std::optional<double> perSecond; ///< empty when it states no limit
     milliseconds age{0}; ///< time since the answer that stated the limit
-    unsigned hops = mostHops; ///< how often it may still be forwarded
+    unsigned hops = maxHops; ///< how often it may still be forwarded
 
     bool operator==(const rate_limit_notice &) const = default;
 };
--- a/lib/Proxy/LeavingNotice.cpp
+++ b/lib/Proxy/LeavingNotice.cpp
@@ -30,7 +30,7 @@
     if (!hasForm || item[1].get_ref<const std::string &>().empty())
         return std::nullopt;
     const auto hops = item[3].get<std::uint64_t>();
-    if (hops > leaving_notice::mostHops)
+    if (hops > leaving_notice::maxHops)
         return std::nullopt;
     return leaving_notice{item[1].get<std::string>(), item[2].get<std::uint64_t>(),
                           static_cast<unsigned>(hops)};
--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -50,7 +50,7 @@
     const auto age = item[4].get<std::uint64_t>();
     const auto hops = item[5].get<std::uint64_t>();
     const bool isInRange = age <= static_cast<std::uint64_t>(rate_limit_notice::mostAge.count())
-            && hops <= rate_limit_notice::mostHops;
+            && hops <= rate_limit_notice::maxHops;
     if (!isInRange || item[1].get_ref<const std::string &>().empty())
         return std::nullopt;
     rate_limit_notice notice;
