--- a/include/laurelcroft/Proxy/RateLimitNotice.h
+++ b/include/laurelcroft/Proxy/RateLimitNotice.h
@@ -22,7 +22,7 @@
     /// How often a notice may be forwarded: each entry tells only some of the others.
     static constexpr unsigned maxHops = 2;
     /// Notices of older statements are rejected.
-    static constexpr milliseconds mostAge{5000};
+    static constexpr milliseconds maxAge{5000};
 
     std::string endpoint; ///< its id
     std::uint64_t startedAt = 0; ///< start of the endpoint, as in its record
--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -49,7 +49,7 @@
         return std::nullopt;
     const auto age = item[4].get<std::uint64_t>();
     const auto hops = item[5].get<std::uint64_t>();
-    const bool isInRange = age <= static_cast<std::uint64_t>(rate_limit_notice::mostAge.count())
+    const bool isInRange = age <= static_cast<std::uint64_t>(rate_limit_notice::maxAge.count())
             && hops <= rate_limit_notice::maxHops;
     if (!isInRange || item[1].get_ref<const std::string &>().empty())
         return std::nullopt;
