--- a/include/laurelcroft/Proxy/ProxyServer.h
+++ b/include/laurelcroft/Proxy/ProxyServer.h
@@ -31,7 +31,7 @@
     std::string readyPath; ///< answered with 200 while the entry may be sent to
     std::string metricsHost;
     std::uint16_t metricsPort = 0; ///< 0: none
-    std::size_t mostCallers = 3000;
+    std::size_t maxCallers = 3000;
     /// After the stop signal: until the balancer has certainly turned away.
     milliseconds turnAway{2600};
     /// After the stop signal: when requests that still run are ended.
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -461,7 +461,7 @@
     bounds.maxBodyBytes = contract->limits.maxBodyBytes;
     bounds.headerTimeout = contract->limits.headerTimeout;
     bounds.idleTimeout = contract->limits.idleTimeout;
-    bounds.mostConnections = m_state->options.mostCallers;
+    bounds.mostConnections = m_state->options.maxCallers;
     m_state->callers.setBounds(bounds);
 }
 
