--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// Requests that a line names when their endpoint has ended: what a full batch has of one entry.
-constexpr std::size_t mostKeysLogged = 16;
+constexpr std::size_t maxKeysLogged = 16;
 
 /// Young requests of an ended endpoint, each once, and a run of each at the same index.
 struct young_runs
@@ -35,7 +35,7 @@
 static std::string textOfKeys(std::span<const young_request> requests)
 {
     std::string text;
-    for (std::size_t i = 0; i < std::min(requests.size(), mostKeysLogged); ++i)
+    for (std::size_t i = 0; i < std::min(requests.size(), maxKeysLogged); ++i)
         text += (i == 0 ? "" : ",") + textOf(requests[i].key);
     return text;
 }
