--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t fieldsOfWithheld = 6;
 constexpr std::size_t fieldsOfCleared = 3;
 /// Versions and endpoints that are told of one request.
-constexpr std::size_t mostListed = 8;
+constexpr std::size_t maxListed = 8;
 
 } // namespace
 
@@ -61,7 +61,7 @@
 
 static bool areHashes(const json &list)
 {
-    return list.is_array() && list.size() <= mostListed
+    return list.is_array() && list.size() <= maxListed
             && std::all_of(list.begin(), list.end(),
                            [](const json &hash) { return hash.is_number_unsigned(); });
 }
@@ -114,7 +114,7 @@
 /// Reads lists of names and of hashes. \returns false when they are none.
 static bool readLists(const json &versions, const json &ended, withheld_notice &notice)
 {
-    const bool haveForm = versions.is_array() && versions.size() <= mostListed && areHashes(ended)
+    const bool haveForm = versions.is_array() && versions.size() <= maxListed && areHashes(ended)
             && std::all_of(versions.begin(), versions.end(), isName);
     if (!haveForm)
         return false;
