--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -40,7 +40,7 @@
     /// A run that has lasted this long since its first sign has not ended its endpoint. Endpoints
     /// that were ended by a request did so 50 to 121 ms after they had begun it (users' record), or
     /// after two events of a stream, which are up to 0.3 s apart where batches are full.
-    static constexpr milliseconds provenAfter{1000};
+    static constexpr milliseconds clearedAfter{1000};
     /// An endpoint may end this long after this entry cut the run that ends it: 120 ms were seen.
     static constexpr milliseconds afterCut{500};
 
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -154,7 +154,7 @@
         m_env.runtime().cancel(m_progressTimer);
         watchProgress(m_number);
     }
-    if (m_run->beganAt && m_progressAt - *m_run->beganAt > endpoint_runs::provenAfter
+    if (m_run->beganAt && m_progressAt - *m_run->beganAt > endpoint_runs::clearedAfter
         && m_suspicion != suspicion::none) {
         clearOfSuspicion();
         m_suspicion = suspicion::none;
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -49,7 +49,7 @@
     const auto waiting = add();
     const auto cutLongAgo = add();
     cutLongAgo->leftAt = runtime.now();
-    runtime.advance(endpoint_runs::provenAfter);
+    runtime.advance(endpoint_runs::clearedAfter);
     const auto answered = add();
     answered->isOver = true;
     const auto cut = add();
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -109,7 +109,7 @@
     startFlow(world, request);
     world.answer(0, 200, 90);
     unsigned event = 0;
-    for (milliseconds at{0}; at < endpoint_runs::provenAfter; at += milliseconds(250)) {
+    for (milliseconds at{0}; at < endpoint_runs::clearedAfter; at += milliseconds(250)) {
         world.data(0, eventText(++event));
         CHECK_FALSE(world.routing.suspects().isEmpty());
         world.runtime.advance(milliseconds(251));
