--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -42,7 +42,7 @@
     /// after two events of a stream, which are up to 0.3 s apart where batches are full.
     static constexpr milliseconds clearedAfter{1000};
     /// An endpoint may end this long after this entry cut the run that ends it: 120 ms were seen.
-    static constexpr milliseconds afterCut{500};
+    static constexpr milliseconds suspectAfterCancel{500};
 
     /// \p request is sent to the endpoint \p id.
     std::shared_ptr<endpoint_run>
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -12,7 +12,7 @@
 
 static bool isPast(const endpoint_run &run, time_point now)
 {
-    return run.isOver || (run.leftAt && now - *run.leftAt > endpoint_runs::afterCut);
+    return run.isOver || (run.leftAt && now - *run.leftAt > endpoint_runs::suspectAfterCancel);
 }
 
 static bool isProven(const endpoint_run &run, time_point at)
