--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -45,8 +45,8 @@
     static constexpr milliseconds suspectAfterCancel{500};
 
     /// \p request is sent to the endpoint \p id.
-    std::shared_ptr<endpoint_run>
-    began(const std::string &id, std::shared_ptr<const proxy_request> request, time_point now);
+    std::shared_ptr<endpoint_run> add(const std::string &id,
+                                      std::shared_ptr<const proxy_request> request, time_point now);
 
     /// \returns the runs that may have ended the endpoint \p id at \p at: sent before, not over,
     /// not cut long before, and young.
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -189,7 +189,7 @@
 void request_flow<Env>::beginRun()
 {
     crash_watch &crashes = m_env.routing().crashes();
-    m_run = crashes.runs().began(m_endpoint->record().id, m_request, m_attemptAt);
+    m_run = crashes.runs().add(m_endpoint->record().id, m_request, m_attemptAt);
     m_run->route = m_route->name;
     m_run->customer = m_record.customer;
     m_run->suspected = m_suspicion;
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -20,9 +20,9 @@
     return run.beganAt && at - *run.beganAt > endpoint_runs::clearedAfter;
 }
 
-std::shared_ptr<endpoint_run> endpoint_runs::began(const std::string &id,
-                                                   std::shared_ptr<const proxy_request> request,
-                                                   time_point now)
+std::shared_ptr<endpoint_run> endpoint_runs::add(const std::string &id,
+                                                 std::shared_ptr<const proxy_request> request,
+                                                 time_point now)
 {
     run_list &runs = m_runs[id];
     std::erase_if(runs, [now](const auto &run) { return isPast(*run, now); });
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -37,7 +37,7 @@
             auto request = std::make_shared<proxy_request>();
             request->body = "ends whoever runs it";
             record.id = "gone" + std::to_string(i);
-            const auto run = crashes.runs().began(record.id, request, entries.runtime.now());
+            const auto run = crashes.runs().add(record.id, request, entries.runtime.now());
             run->route = "route";
             run->customer = "daan";
             key = keyOf(*request);
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -43,7 +43,7 @@
     manual_runtime runtime;
     endpoint_runs runs;
     const auto request = requestFor(lookupRoute());
-    const auto add = [&] { return runs.began("e1", request, runtime.now()); };
+    const auto add = [&] { return runs.add("e1", request, runtime.now()); };
     const auto proven = add();
     proven->beganAt = runtime.now();
     const auto waiting = add();
@@ -55,7 +55,7 @@
     const auto cut = add();
     cut->beganAt = runtime.now();
     cut->leftAt = runtime.now();
-    runs.began("e2", request, runtime.now());
+    runs.add("e2", request, runtime.now());
     runtime.advance(milliseconds(100));
     const time_point end = runtime.now();
     const auto late = add();
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -19,7 +19,7 @@
         record.id = "gone" + std::to_string(i);
         record.service = "pool";
         record.softwareVersion = "v1";
-        crashes.runs().began(record.id, request, world.runtime.now());
+        crashes.runs().add(record.id, request, world.runtime.now());
         world.runtime.advance(milliseconds(100));
         crashes.endpointEnded(service_endpoint(record), world.runtime.now());
     }
