--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -50,7 +50,8 @@
 
     /// \returns the runs that may have ended the endpoint \p id at \p at: sent before, not over,
     /// not cut long before, and young.
-    std::vector<std::shared_ptr<endpoint_run>> suspectsOf(std::string_view id, time_point at) const;
+    std::vector<std::shared_ptr<endpoint_run>> findSuspects(std::string_view id,
+                                                            time_point at) const;
 
     /// \returns true when a request that was suspected at least as much is under way at \p id.
     bool hasSuspected(std::string_view id, suspicion least) const;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -63,7 +63,7 @@
 void crash_watch::endpointEnded(const service_endpoint &endpoint, time_point at)
 {
     const endpoint_record &record = endpoint.record();
-    auto [young, runs] = youngOf(m_runs.suspectsOf(record.id, at), at);
+    auto [young, runs] = youngOf(m_runs.findSuspects(record.id, at), at);
     m_runs.forget(record.id);
     const bool isPlanned = endpoint.isLeaving() || endpoint.isGone();
     logInfo(log_part::fleet, "endpoint ended",
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -33,8 +33,8 @@
     return run;
 }
 
-std::vector<std::shared_ptr<endpoint_run>> endpoint_runs::suspectsOf(std::string_view id,
-                                                                     time_point at) const
+std::vector<std::shared_ptr<endpoint_run>> endpoint_runs::findSuspects(std::string_view id,
+                                                                       time_point at) const
 {
     std::vector<std::shared_ptr<endpoint_run>> suspects;
     const auto runs = m_runs.find(id);
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -322,7 +322,7 @@
 void proxy_server::state::checkEnded(const endpoint_ptr &endpoint)
 {
     const time_point at = runtime.now();
-    if (routing.runs().suspectsOf(endpoint->record().id, at).empty())
+    if (routing.runs().findSuspects(endpoint->record().id, at).empty())
         return;
     endpoints.checkEnded(endpoint, [this, endpoint, at] {
         metrics.add("endpoint_ends_total");
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -364,7 +364,7 @@
 void crash_environment::checkEnded(const endpoint_ptr &endpoint)
 {
     const time_point at = runtime().now();
-    if (routing().runs().suspectsOf(endpoint->record().id, at).empty())
+    if (routing().runs().findSuspects(endpoint->record().id, at).empty())
         return;
     world->later(probeTime, [world = world, entry = entry, endpoint, at] {
         if (world->alive.count(endpoint->record().id) == 0)
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -61,7 +61,7 @@
     const auto late = add();
     runtime.advance(milliseconds(5));
 
-    const auto suspects = runs.suspectsOf("e1", end);
+    const auto suspects = runs.findSuspects("e1", end);
     REQUIRE(suspects.size() == 2);
     CHECK(suspects[0] == waiting);
     CHECK(suspects[1] == cut);
@@ -69,9 +69,9 @@
     runtime.advance(seconds(1));
     late->leftAt = runtime.now() - seconds(1);
     runs.sweep(runtime.now());
-    CHECK(runs.suspectsOf("e1", runtime.now()) == std::vector{waiting});
+    CHECK(runs.findSuspects("e1", runtime.now()) == std::vector{waiting});
     runs.forget("e1");
-    CHECK(runs.suspectsOf("e1", runtime.now()).empty());
+    CHECK(runs.findSuspects("e1", runtime.now()).empty());
 }
 
 TEST_CASE("a broken attempt and one that found nobody have their endpoint looked at")
@@ -82,9 +82,10 @@
         const std::string first = world.calls[0].attempt.endpoint->record().id;
         world.end(0, how);
         CHECK(world.checked == std::vector{first});
-        const bool isSuspected = !world.routing.runs()
-                                          .suspectsOf(first, world.runtime.now() + milliseconds(1))
-                                          .empty();
+        const bool isSuspected
+                = !world.routing.runs()
+                           .findSuspects(first, world.runtime.now() + milliseconds(1))
+                           .empty();
         CHECK(isSuspected == (how == call_end::broken));
     }
 }
@@ -100,10 +101,13 @@
             world.answer(0, status);
             world.end(0, call_end::complete);
         }
-        CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).empty());
+        CHECK(world.routing.runs()
+                      .findSuspects("e1", world.runtime.now() + milliseconds(1))
+                      .empty());
     }
     flow_world world(fetchRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(fetchRoute()));
     flow->callerLeft();
-    CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).size() == 1);
+    CHECK(world.routing.runs().findSuspects("e1", world.runtime.now() + milliseconds(1)).size()
+          == 1);
 }
