--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -54,7 +54,7 @@
                                                             time_point at) const;
 
     /// \returns true when a request that was suspected at least as much is under way at \p id.
-    bool hasSuspected(std::string_view id, suspicion least) const;
+    bool hasSuspectRun(std::string_view id, suspicion least) const;
 
     /// Forgets the endpoint \p id, which has ended.
     void forget(std::string_view id);
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -230,8 +230,8 @@
     const bool isSuspected = m_suspicion != suspicion::none;
     if (!isSuspected && !crashes.suspects().hasTrials())
         return false;
-    return crashes.runs().hasSuspected(endpoint.record().id,
-                                       isSuspected ? suspicion::weak : suspicion::strong);
+    return crashes.runs().hasSuspectRun(endpoint.record().id,
+                                        isSuspected ? suspicion::weak : suspicion::strong);
 }
 
 template <flow_environment Env>
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -47,7 +47,7 @@
     return suspects;
 }
 
-bool endpoint_runs::hasSuspected(std::string_view id, suspicion least) const
+bool endpoint_runs::hasSuspectRun(std::string_view id, suspicion least) const
 {
     const auto runs = m_runs.find(id);
     if (runs == m_runs.end())
