--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -22,7 +22,7 @@
 {
     m_answer = std::move(answer);
     m_answered = true;
-    m_run->beganAt = now();
+    m_run->answerBeganAt = now();
     endReading();
     m_endpoint->progressed(now());
     noteEndpointState();
@@ -154,7 +154,7 @@
         m_env.runtime().cancel(m_progressTimer);
         watchProgress(m_number);
     }
-    if (m_run->beganAt && m_progressAt - *m_run->beganAt > endpoint_runs::clearedAfter
+    if (m_run->answerBeganAt && m_progressAt - *m_run->answerBeganAt > endpoint_runs::clearedAfter
         && m_suspicion != suspicion::none) {
         clearOfSuspicion();
         m_suspicion = suspicion::none;
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -17,7 +17,7 @@
 
 static bool isProven(const endpoint_run &run, time_point at)
 {
-    return run.beganAt && at - *run.beganAt > endpoint_runs::clearedAfter;
+    return run.answerBeganAt && at - *run.answerBeganAt > endpoint_runs::clearedAfter;
 }
 
 std::shared_ptr<endpoint_run> endpoint_runs::add(const std::string &id,
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -45,7 +45,7 @@
     const auto request = requestFor(lookupRoute());
     const auto add = [&] { return runs.add("e1", request, runtime.now()); };
     const auto proven = add();
-    proven->beganAt = runtime.now();
+    proven->answerBeganAt = runtime.now();
     const auto waiting = add();
     const auto cutLongAgo = add();
     cutLongAgo->leftAt = runtime.now();
@@ -53,7 +53,7 @@
     const auto answered = add();
     answered->isOver = true;
     const auto cut = add();
-    cut->beganAt = runtime.now();
+    cut->answerBeganAt = runtime.now();
     cut->leftAt = runtime.now();
     runs.add("e2", request, runtime.now());
     runtime.advance(milliseconds(100));
