--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -28,7 +28,7 @@
     std::string customer;
     time_point sentAt{};
     std::optional<time_point> answerBeganAt; ///< the first of its answer came
-    std::optional<time_point> leftAt; ///< this entry waits for it no more
+    std::optional<time_point> abandonedAt; ///< this entry waits for it no more
     suspicion suspected = suspicion::none; ///< at its send
     bool isOver = false; ///< the endpoint has answered it, or has never had it
 };
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -257,7 +257,7 @@
 void request_flow<Env>::leaveRun()
 {
     endTrial();
-    m_run->leftAt = now();
+    m_run->abandonedAt = now();
     m_run = nullptr;
 }
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -46,7 +46,7 @@
     young_runs young;
     for (const std::shared_ptr<endpoint_run> &run : runs) {
         const young_request request{
-                keyOf(*run->request), run->sentAt, run->leftAt.value_or(at), 0, {}};
+                keyOf(*run->request), run->sentAt, run->abandonedAt.value_or(at), 0, {}};
         const auto known
                 = std::find_if(young.requests.begin(), young.requests.end(),
                                [&](const young_request &item) { return item.key == request.key; });
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -12,7 +12,8 @@
 
 static bool isPast(const endpoint_run &run, time_point now)
 {
-    return run.isOver || (run.leftAt && now - *run.leftAt > endpoint_runs::suspectAfterCancel);
+    return run.isOver
+            || (run.abandonedAt && now - *run.abandonedAt > endpoint_runs::suspectAfterCancel);
 }
 
 static bool isProven(const endpoint_run &run, time_point at)
@@ -53,7 +54,7 @@
     if (runs == m_runs.end())
         return false;
     return std::any_of(runs->second.begin(), runs->second.end(), [least](const auto &run) {
-        return run->suspected >= least && !run->isOver && !run->leftAt;
+        return run->suspected >= least && !run->isOver && !run->abandonedAt;
     });
 }
 
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -48,13 +48,13 @@
     proven->answerBeganAt = runtime.now();
     const auto waiting = add();
     const auto cutLongAgo = add();
-    cutLongAgo->leftAt = runtime.now();
+    cutLongAgo->abandonedAt = runtime.now();
     runtime.advance(endpoint_runs::clearedAfter);
     const auto answered = add();
     answered->isOver = true;
     const auto cut = add();
     cut->answerBeganAt = runtime.now();
-    cut->leftAt = runtime.now();
+    cut->abandonedAt = runtime.now();
     runs.add("e2", request, runtime.now());
     runtime.advance(milliseconds(100));
     const time_point end = runtime.now();
@@ -67,7 +67,7 @@
     CHECK(suspects[1] == cut);
 
     runtime.advance(seconds(1));
-    late->leftAt = runtime.now() - seconds(1);
+    late->abandonedAt = runtime.now() - seconds(1);
     runs.sweep(runtime.now());
     CHECK(runs.findSuspects("e1", runtime.now()) == std::vector{waiting});
     runs.forget("e1");
