--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -30,7 +30,7 @@
     std::optional<time_point> answerBeganAt; ///< the first of its answer came
     std::optional<time_point> abandonedAt; ///< this entry waits for it no more
     suspicion suspected = suspicion::none; ///< at its send
-    bool isOver = false; ///< the endpoint has answered it, or has never had it
+    bool isFinished = false; ///< the endpoint has answered it, or has never had it
 };
 
 /// The runs of one entry, by endpoint.
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -299,7 +299,7 @@
     if (isLost)
         m_failedPlaces.insert(m_endpoint->record().dataCentre);
     const endpoint_ptr endpoint = m_endpoint;
-    m_run->isOver = end != attempt_end::broken && end != attempt_end::silent;
+    m_run->isFinished = end != attempt_end::broken && end != attempt_end::silent;
     if (end == attempt_end::answered)
         clearOfSuspicion();
     closeAttempt(end);
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -12,7 +12,7 @@
 
 static bool isPast(const endpoint_run &run, time_point now)
 {
-    return run.isOver
+    return run.isFinished
             || (run.abandonedAt && now - *run.abandonedAt > endpoint_runs::suspectAfterCancel);
 }
 
@@ -54,7 +54,7 @@
     if (runs == m_runs.end())
         return false;
     return std::any_of(runs->second.begin(), runs->second.end(), [least](const auto &run) {
-        return run->suspected >= least && !run->isOver && !run->abandonedAt;
+        return run->suspected >= least && !run->isFinished && !run->abandonedAt;
     });
 }
 
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -51,7 +51,7 @@
     cutLongAgo->abandonedAt = runtime.now();
     runtime.advance(endpoint_runs::clearedAfter);
     const auto answered = add();
-    answered->isOver = true;
+    answered->isFinished = true;
     const auto cut = add();
     cut->answerBeganAt = runtime.now();
     cut->abandonedAt = runtime.now();
