--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -47,7 +47,7 @@
 
     /// \param storeNow the store's clock.
     /// \returns true when the own row is not listed, or has to be renewed.
-    bool isOwnDue(milliseconds storeNow) const { return isDue(m_own, storeNow); }
+    bool isOwnRowDue(milliseconds storeNow) const { return isDue(m_own, storeNow); }
 
     /// \returns the same of any entry.
     bool isDue(const std::string &name, milliseconds storeNow) const;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -289,7 +289,7 @@
 {
     if (!m_clock.isKnown() || !m_ownTableRead || m_runtime.now() < m_nextAnnounceAt)
         return;
-    if (m_roster.isOwnDue(storeNow())) {
+    if (m_roster.isOwnRowDue(storeNow())) {
         if (!isListedByOthers())
             announce();
         return;
@@ -316,7 +316,7 @@
 template <row_store_like Store, runtime_like Runtime>
 std::optional<entry_announcement> store_sync<Store, Runtime>::nextAnnouncement()
 {
-    const bool isListed = m_ownTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
+    const bool isListed = m_ownTableRead && m_clock.isKnown() && !m_roster.isOwnRowDue(storeNow());
     if (isListed || m_runtime.now() < m_nextAnnouncementAt)
         return std::nullopt;
     m_nextAnnouncementAt = m_runtime.now() + announcedEvery;
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -14,13 +14,13 @@
 TEST_CASE("the own row is due when it is not listed, and after its time")
 {
     entry_roster roster("e1");
-    CHECK(roster.isOwnDue(milliseconds(0)));
+    CHECK(roster.isOwnRowDue(milliseconds(0)));
     roster.take("e1", {"10.0.0.1:5", "hall", milliseconds(1000)}, 3);
-    CHECK(!roster.isOwnDue(milliseconds(1000)));
-    CHECK(!roster.isOwnDue(milliseconds(999) + entry_roster::renewEvery));
-    CHECK(roster.isOwnDue(milliseconds(1000) + entry_roster::renewEvery));
+    CHECK(!roster.isOwnRowDue(milliseconds(1000)));
+    CHECK(!roster.isOwnRowDue(milliseconds(999) + entry_roster::renewEvery));
+    CHECK(roster.isOwnRowDue(milliseconds(1000) + entry_roster::renewEvery));
     roster.remove("e1");
-    CHECK(roster.isOwnDue(milliseconds(1000)));
+    CHECK(roster.isOwnRowDue(milliseconds(1000)));
 }
 
 TEST_CASE("an entry that was not renewed three times is gone; the own one never is")
