--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -47,10 +47,10 @@
 
     /// \param storeNow the store's clock.
     /// \returns true when the own row is not listed, or has to be renewed.
-    bool isOwnRowDue(milliseconds storeNow) const { return isDue(m_own, storeNow); }
+    bool isOwnRowDue(milliseconds storeNow) const { return isRowDue(m_own, storeNow); }
 
     /// \returns the same of any entry.
-    bool isDue(const std::string &name, milliseconds storeNow) const;
+    bool isRowDue(const std::string &name, milliseconds storeNow) const;
 
     /// \returns how far true time is ahead of the store's clock: the median of what the entries'
     /// times of day say, since some may be wrong by seconds. Nothing while no entry says it.
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -355,7 +355,7 @@
     };
     for (const auto &[name, item] : announced) {
         // It asked before it had read that it is listed.
-        if (!knows || !m_roster.isDue(name, storeNow()))
+        if (!knows || !m_roster.isRowDue(name, storeNow()))
             continue;
         const auto waited = std::chrono::duration_cast<milliseconds>(m_runtime.now() - item.at);
         rows.push_back(entryRow(name, item.what.place, item.what.wallTime + waited));
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -28,7 +28,7 @@
     m_versions.erase(name);
 }
 
-bool entry_roster::isDue(const std::string &name, milliseconds storeNow) const
+bool entry_roster::isRowDue(const std::string &name, milliseconds storeNow) const
 {
     const auto known = m_entries.find(name);
     return known == m_entries.end() || storeNow - known->second.writtenAt >= renewEvery;
