--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -57,7 +57,7 @@
     std::optional<milliseconds> wallAhead() const;
 
     /// \returns an entry that is gone, if there is one.
-    std::optional<listed_entry> expired(milliseconds storeNow) const;
+    std::optional<listed_entry> findExpired(milliseconds storeNow) const;
 
 private:
     std::string m_own;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -296,7 +296,7 @@
     }
     m_unlistedSince.reset();
     dropOldFinding();
-    const std::optional<listed_entry> gone = m_roster.expired(storeNow());
+    const std::optional<listed_entry> gone = m_roster.findExpired(storeNow());
     // Any entry may do it; the chance keeps most of them from doing it at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
     if (gone && m_state.random().chance(chance))
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -34,7 +34,7 @@
     return known == m_entries.end() || storeNow - known->second.writtenAt >= renewEvery;
 }
 
-std::optional<listed_entry> entry_roster::expired(milliseconds storeNow) const
+std::optional<listed_entry> entry_roster::findExpired(milliseconds storeNow) const
 {
     for (const auto &[name, place] : m_entries) {
         // A row without a time was written by an earlier release, which doesn't renew it.
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -29,16 +29,16 @@
     roster.take("e1", {"10.0.0.1:5", "hall", milliseconds(0)}, 3);
     roster.take("e2", {"10.0.0.2:5", "hall", milliseconds(5000)}, 4);
     const milliseconds end = milliseconds(5000) + entry_roster::life;
-    CHECK(!roster.expired(end - milliseconds(1)));
-    const auto gone = roster.expired(end);
+    CHECK(!roster.findExpired(end - milliseconds(1)));
+    const auto gone = roster.findExpired(end);
     REQUIRE(gone);
     CHECK(gone->name == "e2");
     CHECK(gone->version == 4);
     roster.remove("e2");
-    CHECK(!roster.expired(end));
+    CHECK(!roster.findExpired(end));
     CHECK(roster.entries().size() == 1);
     roster.take("e3", {"10.0.0.3:5", "hall", {}}, 5);
-    CHECK(!roster.expired(end));
+    CHECK(!roster.findExpired(end));
 }
 
 TEST_CASE("an entry's place survives the way to the store and back; other rows are nowhere")
