--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -31,8 +31,8 @@
 public:
     /// Rows of 380 entries that are renewed this often are 1.3 writes a second, and 200 bytes a
     /// second at whoever follows them.
-    static constexpr milliseconds renewEvery{std::chrono::minutes(5)};
-    static constexpr milliseconds life = 3 * renewEvery;
+    static constexpr milliseconds renewInterval{std::chrono::minutes(5)};
+    static constexpr milliseconds life = 3 * renewInterval;
 
     explicit entry_roster(std::string own)
         : m_own(std::move(own))
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -31,7 +31,7 @@
 bool entry_roster::isRowDue(const std::string &name, milliseconds storeNow) const
 {
     const auto known = m_entries.find(name);
-    return known == m_entries.end() || storeNow - known->second.writtenAt >= renewEvery;
+    return known == m_entries.end() || storeNow - known->second.writtenAt >= renewInterval;
 }
 
 std::optional<listed_entry> entry_roster::findExpired(milliseconds storeNow) const
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -17,8 +17,8 @@
     CHECK(roster.isOwnRowDue(milliseconds(0)));
     roster.take("e1", {"10.0.0.1:5", "hall", milliseconds(1000)}, 3);
     CHECK(!roster.isOwnRowDue(milliseconds(1000)));
-    CHECK(!roster.isOwnRowDue(milliseconds(999) + entry_roster::renewEvery));
-    CHECK(roster.isOwnRowDue(milliseconds(1000) + entry_roster::renewEvery));
+    CHECK(!roster.isOwnRowDue(milliseconds(999) + entry_roster::renewInterval));
+    CHECK(roster.isOwnRowDue(milliseconds(1000) + entry_roster::renewInterval));
     roster.remove("e1");
     CHECK(roster.isOwnRowDue(milliseconds(1000)));
 }
