--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -32,7 +32,7 @@
     /// Rows of 380 entries that are renewed this often are 1.3 writes a second, and 200 bytes a
     /// second at whoever follows them.
     static constexpr milliseconds renewInterval{std::chrono::minutes(5)};
-    static constexpr milliseconds life = 3 * renewInterval;
+    static constexpr milliseconds rowLifetime = 3 * renewInterval;
 
     explicit entry_roster(std::string own)
         : m_own(std::move(own))
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -39,7 +39,7 @@
     for (const auto &[name, place] : m_entries) {
         // A row without a time was written by an earlier release, which doesn't renew it.
         const bool hasTime = place.writtenAt.count() > 0;
-        if (name != m_own && hasTime && storeNow - place.writtenAt >= life)
+        if (name != m_own && hasTime && storeNow - place.writtenAt >= rowLifetime)
             return listed_entry{name, m_versions.at(name)};
     }
     return std::nullopt;
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -28,7 +28,7 @@
     entry_roster roster("e1");
     roster.take("e1", {"10.0.0.1:5", "hall", milliseconds(0)}, 3);
     roster.take("e2", {"10.0.0.2:5", "hall", milliseconds(5000)}, 4);
-    const milliseconds end = milliseconds(5000) + entry_roster::life;
+    const milliseconds end = milliseconds(5000) + entry_roster::rowLifetime;
     CHECK(!roster.findExpired(end - milliseconds(1)));
     const auto gone = roster.findExpired(end);
     REQUIRE(gone);
