--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -40,7 +40,7 @@
     }
 
     void clear();
-    void take(const std::string &name, entry_place place, std::uint64_t version);
+    void update(const std::string &name, entry_place place, std::uint64_t version);
     void remove(const std::string &name);
 
     const entry_map &entries() const { return m_entries; }
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -240,7 +240,7 @@
         if (row.removed)
             m_roster.remove(*entry);
         else
-            m_roster.take(*entry, decodeEntry(row.value), row.version);
+            m_roster.update(*entry, decodeEntry(row.value), row.version);
         return;
     }
     if (const std::optional<evidence_place> place = evidenceOfKey(row.key)) {
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -16,7 +16,7 @@
     m_versions.clear();
 }
 
-void entry_roster::take(const std::string &name, entry_place place, std::uint64_t version)
+void entry_roster::update(const std::string &name, entry_place place, std::uint64_t version)
 {
     m_entries[name] = std::move(place);
     m_versions[name] = version;
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -15,7 +15,7 @@
 {
     entry_roster roster("e1");
     CHECK(roster.isOwnRowDue(milliseconds(0)));
-    roster.take("e1", {"10.0.0.1:5", "hall", milliseconds(1000)}, 3);
+    roster.update("e1", {"10.0.0.1:5", "hall", milliseconds(1000)}, 3);
     CHECK(!roster.isOwnRowDue(milliseconds(1000)));
     CHECK(!roster.isOwnRowDue(milliseconds(999) + entry_roster::renewInterval));
     CHECK(roster.isOwnRowDue(milliseconds(1000) + entry_roster::renewInterval));
@@ -26,8 +26,8 @@
 TEST_CASE("an entry that was not renewed three times is gone; the own one never is")
 {
     entry_roster roster("e1");
-    roster.take("e1", {"10.0.0.1:5", "hall", milliseconds(0)}, 3);
-    roster.take("e2", {"10.0.0.2:5", "hall", milliseconds(5000)}, 4);
+    roster.update("e1", {"10.0.0.1:5", "hall", milliseconds(0)}, 3);
+    roster.update("e2", {"10.0.0.2:5", "hall", milliseconds(5000)}, 4);
     const milliseconds end = milliseconds(5000) + entry_roster::rowLifetime;
     CHECK(!roster.findExpired(end - milliseconds(1)));
     const auto gone = roster.findExpired(end);
@@ -37,7 +37,7 @@
     roster.remove("e2");
     CHECK(!roster.findExpired(end));
     CHECK(roster.entries().size() == 1);
-    roster.take("e3", {"10.0.0.3:5", "hall", {}}, 5);
+    roster.update("e3", {"10.0.0.3:5", "hall", {}}, 5);
     CHECK(!roster.findExpired(end));
 }
 
