--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRoster.h
@@ -26,7 +26,7 @@
 };
 
 /// The entries' rows.
-class entry_roster
+class entry_registry
 {
 public:
     /// Rows of 380 entries that are renewed this often are 1.3 writes a second, and 200 bytes a
@@ -34,7 +34,7 @@
     static constexpr milliseconds renewInterval{std::chrono::minutes(5)};
     static constexpr milliseconds rowLifetime = 3 * renewInterval;
 
-    explicit entry_roster(std::string own)
+    explicit entry_registry(std::string own)
         : m_own(std::move(own))
     {
     }
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -219,7 +219,7 @@
     std::map<std::string, std::unique_ptr<follower>> m_followers; ///< by table
     std::map<std::string, std::string> m_refused; ///< faults of endpoints' records, by key
     std::map<std::string, std::uint64_t> m_rowVersions; ///< of roll-out rows, by service
-    entry_roster m_roster;
+    entry_registry m_roster;
     /// Row of a withheld request as the store has it.
     struct finding_row
     {
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRoster.cpp
@@ -10,31 +10,31 @@
 
 using namespace laurelcroft;
 
-void entry_roster::clear()
+void entry_registry::clear()
 {
     m_entries.clear();
     m_versions.clear();
 }
 
-void entry_roster::update(const std::string &name, entry_place place, std::uint64_t version)
+void entry_registry::update(const std::string &name, entry_place place, std::uint64_t version)
 {
     m_entries[name] = std::move(place);
     m_versions[name] = version;
 }
 
-void entry_roster::remove(const std::string &name)
+void entry_registry::remove(const std::string &name)
 {
     m_entries.erase(name);
     m_versions.erase(name);
 }
 
-bool entry_roster::isRowDue(const std::string &name, milliseconds storeNow) const
+bool entry_registry::isRowDue(const std::string &name, milliseconds storeNow) const
 {
     const auto known = m_entries.find(name);
     return known == m_entries.end() || storeNow - known->second.writtenAt >= renewInterval;
 }
 
-std::optional<listed_entry> entry_roster::findExpired(milliseconds storeNow) const
+std::optional<listed_entry> entry_registry::findExpired(milliseconds storeNow) const
 {
     for (const auto &[name, place] : m_entries) {
         // A row without a time was written by an earlier release, which doesn't renew it.
@@ -45,7 +45,7 @@
     return std::nullopt;
 }
 
-std::optional<milliseconds> entry_roster::wallAhead() const
+std::optional<milliseconds> entry_registry::wallAhead() const
 {
     std::vector<milliseconds> told;
     for (const auto &[name, place] : m_entries) {
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -13,22 +13,22 @@
 
 TEST_CASE("the own row is due when it is not listed, and after its time")
 {
-    entry_roster roster("e1");
+    entry_registry roster("e1");
     CHECK(roster.isOwnRowDue(milliseconds(0)));
     roster.update("e1", {"10.0.0.1:5", "hall", milliseconds(1000)}, 3);
     CHECK(!roster.isOwnRowDue(milliseconds(1000)));
-    CHECK(!roster.isOwnRowDue(milliseconds(999) + entry_roster::renewInterval));
-    CHECK(roster.isOwnRowDue(milliseconds(1000) + entry_roster::renewInterval));
+    CHECK(!roster.isOwnRowDue(milliseconds(999) + entry_registry::renewInterval));
+    CHECK(roster.isOwnRowDue(milliseconds(1000) + entry_registry::renewInterval));
     roster.remove("e1");
     CHECK(roster.isOwnRowDue(milliseconds(1000)));
 }
 
 TEST_CASE("an entry that was not renewed three times is gone; the own one never is")
 {
-    entry_roster roster("e1");
+    entry_registry roster("e1");
     roster.update("e1", {"10.0.0.1:5", "hall", milliseconds(0)}, 3);
     roster.update("e2", {"10.0.0.2:5", "hall", milliseconds(5000)}, 4);
-    const milliseconds end = milliseconds(5000) + entry_roster::rowLifetime;
+    const milliseconds end = milliseconds(5000) + entry_registry::rowLifetime;
     CHECK(!roster.findExpired(end - milliseconds(1)));
     const auto gone = roster.findExpired(end);
     REQUIRE(gone);
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -311,7 +311,7 @@
     world.sync.start();
     world.runtime.advance(seconds(3));
     CHECK(world.routing.entries() == 2);
-    world.runtime.advance(entry_roster::rowLifetime + seconds(30));
+    world.runtime.advance(entry_registry::rowLifetime + seconds(30));
     CHECK(world.routing.entries() == 1);
     CHECK(world.entries.count("e1") == 1);
     world.store.remove("laurelcroft", "entry/e1");
