--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -65,7 +65,7 @@
 {
 public:
     /// Shorter readings are not told: they are over before they would change a choice.
-    static constexpr milliseconds leastReading{30};
+    static constexpr milliseconds minPrefillTime{30};
     /// Longer ones are not believed: no prompt takes that long.
     static constexpr milliseconds longestReading{10'000};
     /// Prefixes that are told at most: a prompt of more parts is told by its first ones.
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -343,7 +343,7 @@
 
 void send_notices::tell(const send_notice &notice, const std::string &dataCentre)
 {
-    if (notice.reading < leastReading)
+    if (notice.reading < minPrefillTime)
         return;
     const auto it = m_state->listeners.find(dataCentre);
     if (it == m_state->listeners.end())
