--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -67,7 +67,7 @@
     /// Shorter readings are not told: they are over before they would change a choice.
     static constexpr milliseconds minPrefillTime{30};
     /// Longer ones are not believed: no prompt takes that long.
-    static constexpr milliseconds longestReading{10'000};
+    static constexpr milliseconds maxPrefillTime{10'000};
     /// Prefixes that are told at most: a prompt of more parts is told by its first ones.
     static constexpr std::size_t maxPrefixes = 8;
     /// Entries that are told at most; the same ones each time.
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -74,7 +74,7 @@
     if (!hasForm)
         return std::nullopt;
     const auto reading = item[1].get<std::uint64_t>();
-    if (reading > static_cast<std::uint64_t>(send_notices::longestReading.count()))
+    if (reading > static_cast<std::uint64_t>(send_notices::maxPrefillTime.count()))
         return std::nullopt;
     const std::optional<std::vector<prompt_prefix>> prefixes = prefixesIn(item);
     if (!prefixes)
@@ -349,7 +349,7 @@
     if (it == m_state->listeners.end())
         return;
     const std::string bytes = encodeNotice(
-            {notice.endpoint, std::min(notice.reading, longestReading), notice.prefixes});
+            {notice.endpoint, std::min(notice.reading, maxPrefillTime), notice.prefixes});
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     for (const udp::endpoint &listener : it->second) {
         if (!m_state->bytes.take(cost, bootNow())) {
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -53,7 +53,7 @@
     CHECK(!decodeNotice(encodeNotice({"", milliseconds(420), {}})));
     CHECK(!decodeNotice(encodeNotice({std::string(300, 'i'), milliseconds(420), {}})));
     CHECK(!decodeNotice(encodeNotice({"i-1", milliseconds(-1), {}})));
-    CHECK(!decodeNotice(encodeNotice({"i-1", send_notices::longestReading + milliseconds(1), {}})));
+    CHECK(!decodeNotice(encodeNotice({"i-1", send_notices::maxPrefillTime + milliseconds(1), {}})));
     const auto hugeTokens = static_cast<unsigned>(prompt_memory::defaultCapacity + 1);
     CHECK(!decodeNotice(encodeNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
 }
