--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -36,7 +36,7 @@
 struct send_notice
 {
     std::string endpoint; ///< its id
-    milliseconds reading{0}; ///< that the prompt is thought to take
+    milliseconds prefillTime{0}; ///< that the prompt is thought to take
     std::vector<prompt_prefix> prefixes; ///< shared ones of the prompt, shortest first
 
     bool operator==(const send_notice &) const = default;
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -38,7 +38,7 @@
 
 std::string laurelcroft::encodeNotice(const send_notice &notice)
 {
-    json item = json::array({notice.endpoint, notice.reading.count()});
+    json item = json::array({notice.endpoint, notice.prefillTime.count()});
     const std::size_t told = std::min(notice.prefixes.size(), send_notices::maxPrefixes);
     for (std::size_t i = 0; i < told; ++i) {
         item.push_back(notice.prefixes[i].hash);
@@ -343,13 +343,13 @@
 
 void send_notices::tell(const send_notice &notice, const std::string &dataCentre)
 {
-    if (notice.reading < minPrefillTime)
+    if (notice.prefillTime < minPrefillTime)
         return;
     const auto it = m_state->listeners.find(dataCentre);
     if (it == m_state->listeners.end())
         return;
     const std::string bytes = encodeNotice(
-            {notice.endpoint, std::min(notice.reading, maxPrefillTime), notice.prefixes});
+            {notice.endpoint, std::min(notice.prefillTime, maxPrefillTime), notice.prefixes});
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     for (const udp::endpoint &listener : it->second) {
         if (!m_state->bytes.take(cost, bootNow())) {
