--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -42,7 +42,7 @@
     bool operator==(const send_notice &) const = default;
 };
 
-std::string encodeNotice(const send_notice &notice);
+std::string encodeSendNotice(const send_notice &notice);
 /// \returns nothing for bytes that are no notice, or one with a reading out of range.
 std::optional<send_notice> decodeNotice(std::string_view bytes);
 
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string laurelcroft::encodeNotice(const send_notice &notice)
+std::string laurelcroft::encodeSendNotice(const send_notice &notice)
 {
     json item = json::array({notice.endpoint, notice.prefillTime.count()});
     const std::size_t told = std::min(notice.prefixes.size(), send_notices::maxPrefixes);
@@ -348,7 +348,7 @@
     const auto it = m_state->listeners.find(dataCentre);
     if (it == m_state->listeners.end())
         return;
-    const std::string bytes = encodeNotice(
+    const std::string bytes = encodeSendNotice(
             {notice.endpoint, std::min(notice.prefillTime, maxPrefillTime), notice.prefixes});
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     for (const udp::endpoint &listener : it->second) {
--- a/unittests/Proxy/EvidenceNoticeTests.cpp
+++ b/unittests/Proxy/EvidenceNoticeTests.cpp
@@ -26,7 +26,7 @@
     for (std::size_t cut = 0; cut < bytes.size(); ++cut)
         CHECK(!decodeEvidenceNotice(std::string_view(bytes).substr(0, cut)));
     CHECK(!decodeEvidenceNotice(bytes + "x"));
-    CHECK(!decodeEvidenceNotice(encodeNotice({"i-1", milliseconds(42), {{7, 250}}})));
+    CHECK(!decodeEvidenceNotice(encodeSendNotice({"i-1", milliseconds(42), {{7, 250}}})));
     CHECK(!decodeNotice(bytes));
     evidence_notice nameless = notice;
     nameless.entry.clear();
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -41,27 +41,28 @@
 TEST_CASE("a notice survives the way; other bytes are refused")
 {
     const send_notice plain{"i-7f3a91c2", milliseconds(420), {}};
-    CHECK(encodeNotice(plain).size() < 20);
-    CHECK(decodeNotice(encodeNotice(plain)) == plain);
+    CHECK(encodeSendNotice(plain).size() < 20);
+    CHECK(decodeNotice(encodeSendNotice(plain)) == plain);
     const send_notice notice{"i-7f3a91c2", milliseconds(420), {{~0ULL, 13'300}, {7, 250}}};
-    const std::string bytes = encodeNotice(notice);
+    const std::string bytes = encodeSendNotice(notice);
     CHECK(bytes.size() < 40);
     CHECK(decodeNotice(bytes) == notice);
     for (std::size_t cut = 0; cut < bytes.size(); ++cut)
         CHECK(!decodeNotice(std::string_view(bytes).substr(0, cut)));
     CHECK(!decodeNotice(bytes + "x"));
-    CHECK(!decodeNotice(encodeNotice({"", milliseconds(420), {}})));
-    CHECK(!decodeNotice(encodeNotice({std::string(300, 'i'), milliseconds(420), {}})));
-    CHECK(!decodeNotice(encodeNotice({"i-1", milliseconds(-1), {}})));
-    CHECK(!decodeNotice(encodeNotice({"i-1", send_notices::maxPrefillTime + milliseconds(1), {}})));
+    CHECK(!decodeNotice(encodeSendNotice({"", milliseconds(420), {}})));
+    CHECK(!decodeNotice(encodeSendNotice({std::string(300, 'i'), milliseconds(420), {}})));
+    CHECK(!decodeNotice(encodeSendNotice({"i-1", milliseconds(-1), {}})));
+    CHECK(!decodeNotice(
+            encodeSendNotice({"i-1", send_notices::maxPrefillTime + milliseconds(1), {}})));
     const auto hugeTokens = static_cast<unsigned>(prompt_memory::defaultCapacity + 1);
-    CHECK(!decodeNotice(encodeNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
+    CHECK(!decodeNotice(encodeSendNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
 }
 
 TEST_CASE("a prompt of very many parts is told by its first ones")
 {
     const std::vector<prompt_prefix> many(100, {5, 10});
-    const auto heard = decodeNotice(encodeNotice({"i-1", milliseconds(50), many}));
+    const auto heard = decodeNotice(encodeSendNotice({"i-1", milliseconds(50), many}));
     REQUIRE(heard);
     CHECK(heard->prefixes.size() == send_notices::maxPrefixes);
 }
@@ -115,8 +116,8 @@
         teller.notices.tell({"i-7f3a91c2", milliseconds(400), {}}, "a");
     const std::chrono::duration<double> took = bootNow() - begun;
     context.run_for(milliseconds(100));
-    const double bytes
-            = static_cast<double>(encodeNotice({"i-7f3a91c2", milliseconds(400), {}}).size() + 28);
+    const double bytes = static_cast<double>(
+            encodeSendNotice({"i-7f3a91c2", milliseconds(400), {}}).size() + 28);
     // A second's worth that was saved up, and what this loop's time adds.
     const double allowed = send_notices::bytesPerSecond * (1.01 + took.count());
     CHECK(static_cast<double>(near.heard.size()) * bytes <= allowed);
