--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -44,7 +44,7 @@
 
 std::string encodeSendNotice(const send_notice &notice);
 /// \returns nothing for bytes that are no notice, or one with a reading out of range.
-std::optional<send_notice> decodeNotice(std::string_view bytes);
+std::optional<send_notice> decodeSendNotice(std::string_view bytes);
 
 /// What is done with notices of other entries.
 struct notice_handlers
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -66,7 +66,7 @@
     return prefixes;
 }
 
-std::optional<send_notice> laurelcroft::decodeNotice(std::string_view bytes)
+std::optional<send_notice> laurelcroft::decodeSendNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
     const bool hasForm = item.is_array() && item.size() >= fieldsBeforePrefixes
@@ -169,7 +169,7 @@
 void send_notices::state::take(std::string_view bytes)
 {
     // Sends are by far the most frequent; no datagram is both.
-    if (const std::optional<send_notice> notice = decodeNotice(bytes)) {
+    if (const std::optional<send_notice> notice = decodeSendNotice(bytes)) {
         metrics.add("send_notices_total{way=\"received\"}");
         handlers.onSend(*notice);
         return;
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -80,7 +80,7 @@
     CHECK(!decodeWithheldNotice(endBytes));
     CHECK(!decodeCrashNotice(withheldBytes));
     for (const std::string &bytes : {endBytes, withheldBytes, clearedBytes}) {
-        CHECK(!decodeNotice(bytes));
+        CHECK(!decodeSendNotice(bytes));
         CHECK(!decodeEvidenceNotice(bytes));
         for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
             CHECK(!decodeCrashNotice(std::string_view(bytes).substr(0, cut)));
--- a/unittests/Proxy/EvidenceNoticeTests.cpp
+++ b/unittests/Proxy/EvidenceNoticeTests.cpp
@@ -27,7 +27,7 @@
         CHECK(!decodeEvidenceNotice(std::string_view(bytes).substr(0, cut)));
     CHECK(!decodeEvidenceNotice(bytes + "x"));
     CHECK(!decodeEvidenceNotice(encodeSendNotice({"i-1", milliseconds(42), {{7, 250}}})));
-    CHECK(!decodeNotice(bytes));
+    CHECK(!decodeSendNotice(bytes));
     evidence_notice nameless = notice;
     nameless.entry.clear();
     CHECK(!decodeEvidenceNotice(encodeEvidenceNotice(nameless)));
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -42,27 +42,27 @@
 {
     const send_notice plain{"i-7f3a91c2", milliseconds(420), {}};
     CHECK(encodeSendNotice(plain).size() < 20);
-    CHECK(decodeNotice(encodeSendNotice(plain)) == plain);
+    CHECK(decodeSendNotice(encodeSendNotice(plain)) == plain);
     const send_notice notice{"i-7f3a91c2", milliseconds(420), {{~0ULL, 13'300}, {7, 250}}};
     const std::string bytes = encodeSendNotice(notice);
     CHECK(bytes.size() < 40);
-    CHECK(decodeNotice(bytes) == notice);
+    CHECK(decodeSendNotice(bytes) == notice);
     for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-        CHECK(!decodeNotice(std::string_view(bytes).substr(0, cut)));
-    CHECK(!decodeNotice(bytes + "x"));
-    CHECK(!decodeNotice(encodeSendNotice({"", milliseconds(420), {}})));
-    CHECK(!decodeNotice(encodeSendNotice({std::string(300, 'i'), milliseconds(420), {}})));
-    CHECK(!decodeNotice(encodeSendNotice({"i-1", milliseconds(-1), {}})));
-    CHECK(!decodeNotice(
+        CHECK(!decodeSendNotice(std::string_view(bytes).substr(0, cut)));
+    CHECK(!decodeSendNotice(bytes + "x"));
+    CHECK(!decodeSendNotice(encodeSendNotice({"", milliseconds(420), {}})));
+    CHECK(!decodeSendNotice(encodeSendNotice({std::string(300, 'i'), milliseconds(420), {}})));
+    CHECK(!decodeSendNotice(encodeSendNotice({"i-1", milliseconds(-1), {}})));
+    CHECK(!decodeSendNotice(
             encodeSendNotice({"i-1", send_notices::maxPrefillTime + milliseconds(1), {}})));
     const auto hugeTokens = static_cast<unsigned>(prompt_memory::defaultCapacity + 1);
-    CHECK(!decodeNotice(encodeSendNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
+    CHECK(!decodeSendNotice(encodeSendNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
 }
 
 TEST_CASE("a prompt of very many parts is told by its first ones")
 {
     const std::vector<prompt_prefix> many(100, {5, 10});
-    const auto heard = decodeNotice(encodeSendNotice({"i-1", milliseconds(50), many}));
+    const auto heard = decodeSendNotice(encodeSendNotice({"i-1", milliseconds(50), many}));
     REQUIRE(heard);
     CHECK(heard->prefixes.size() == send_notices::maxPrefixes);
 }
