--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -81,7 +81,7 @@
     /// requests of one entry up to 12,000. Half is left to what is urgent. What they take the sends
     /// go without.
     static constexpr double findingBytesPerSecond = 1000;
-    static constexpr double findingBytesSaved = 12000;
+    static constexpr double findingBurstBytes = 12000;
 
     /// \param ownAddress "host:port" that \c open listens on.
     send_notices(asio::io_context &context, metric_registry &metrics, std::string ownAddress,
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -109,7 +109,7 @@
     std::vector<udp::endpoint> others; ///< all entries but this one, in an order of its own
     std::map<std::string, udp::endpoint> byName; ///< the same
     std::size_t nextOther = 0;
-    token_bucket findingBytes{findingBytesPerSecond, findingBytesSaved};
+    token_bucket findingBytes{findingBytesPerSecond, findingBurstBytes};
     std::map<std::string, std::vector<udp::endpoint>> listeners; ///< by data centre
     token_bucket bytes{bytesPerSecond, bytesPerSecond *burstSeconds};
     udp::endpoint from;
@@ -214,7 +214,7 @@
 void send_notices::state::tellFinding(const std::string &bytes, bool isUrgent)
 {
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
-    const double reserve = isUrgent ? 0 : findingBytesSaved / 2;
+    const double reserve = isUrgent ? 0 : findingBurstBytes / 2;
     const time_point now = bootNow();
     for (std::size_t i = 0; i < std::min(maxRecipients, others.size()); ++i) {
         if (!findingBytes.has(cost + reserve, now)) {
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -131,7 +131,7 @@
     context.restart();
     context.run_for(milliseconds(50));
     const double bytes = heard * double(encodeWithheldNotice(notice).size() + 28);
-    CHECK(bytes <= send_notices::findingBytesSaved + send_notices::findingBytesPerSecond);
+    CHECK(bytes <= send_notices::findingBurstBytes + send_notices::findingBytesPerSecond);
 }
 
 TEST_CASE("a row of a withheld request is read as it was written; others are refused")
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -126,10 +126,10 @@
     void tell(const fleet_entry &from, const Notice &notice, std::size_t size, bool isUrgent)
     {
         token_bucket &bytes = budgets.try_emplace(from.name, send_notices::findingBytesPerSecond,
-                                                  send_notices::findingBytesSaved)
+                                                  send_notices::findingBurstBytes)
                                       .first->second;
         const double cost = double(size) + 28;
-        const double reserve = isUrgent ? 0 : send_notices::findingBytesSaved / 2;
+        const double reserve = isUrgent ? 0 : send_notices::findingBurstBytes / 2;
         std::vector<fleet_entry *> others;
         for (fleet_entry &entry : entries.entries) {
             if (&entry != &from)
