--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -190,8 +190,8 @@
 
 /// Gives \p notice to \p handler, if there are both. \returns true when there is a notice.
 template <class Notice>
-static bool giveTo(const std::function<void(const Notice &)> &handler,
-                   const std::optional<Notice> &notice)
+static bool dispatch(const std::function<void(const Notice &)> &handler,
+                     const std::optional<Notice> &notice)
 {
     if (notice && handler)
         handler(*notice);
@@ -201,11 +201,11 @@
 bool send_notices::state::takeFinding(std::string_view bytes)
 {
     // Each decoder reads the whole datagram: the most frequent kind is tried first.
-    const bool isFinding = giveTo(handlers.onEnd, decodeCrashNotice(bytes))
-            || giveTo(handlers.onWithheld, decodeWithheldNotice(bytes))
-            || giveTo(handlers.onCleared, decodeClearedNotice(bytes))
-            || giveTo(handlers.onRateLimit, decodeRateLimitNotice(bytes))
-            || giveTo(handlers.onLeaving, decodeLeavingNotice(bytes));
+    const bool isFinding = dispatch(handlers.onEnd, decodeCrashNotice(bytes))
+            || dispatch(handlers.onWithheld, decodeWithheldNotice(bytes))
+            || dispatch(handlers.onCleared, decodeClearedNotice(bytes))
+            || dispatch(handlers.onRateLimit, decodeRateLimitNotice(bytes))
+            || dispatch(handlers.onLeaving, decodeLeavingNotice(bytes));
     if (isFinding)
         metrics.add("finding_notices_total{way=\"received\"}");
     return isFinding;
