--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -98,7 +98,7 @@
 
     void receive();
     void take(std::string_view bytes);
-    bool takeFinding(std::string_view bytes);
+    bool receiveFinding(std::string_view bytes);
     void tellFinding(const std::string &bytes, bool isUrgent);
 
     udp::socket socket;
@@ -179,7 +179,7 @@
         handlers.onEvidence(*evidence);
         return;
     }
-    if (takeFinding(bytes))
+    if (receiveFinding(bytes))
         return;
     if (handlers.onOther && handlers.onOther(bytes))
         return;
@@ -198,7 +198,7 @@
     return notice.has_value();
 }
 
-bool send_notices::state::takeFinding(std::string_view bytes)
+bool send_notices::state::receiveFinding(std::string_view bytes)
 {
     // Each decoder reads the whole datagram: the most frequent kind is tried first.
     const bool isFinding = dispatch(handlers.onEnd, decodeCrashNotice(bytes))
