--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -99,7 +99,7 @@
     void receive();
     void take(std::string_view bytes);
     bool receiveFinding(std::string_view bytes);
-    void tellFinding(const std::string &bytes, bool isUrgent);
+    void sendFinding(const std::string &bytes, bool isUrgent);
 
     udp::socket socket;
     metric_registry &metrics;
@@ -211,7 +211,7 @@
     return isFinding;
 }
 
-void send_notices::state::tellFinding(const std::string &bytes, bool isUrgent)
+void send_notices::state::sendFinding(const std::string &bytes, bool isUrgent)
 {
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     const double reserve = isUrgent ? 0 : findingBurstBytes / 2;
@@ -233,27 +233,27 @@
 
 void send_notices::sendCrashNotice(const crash_notice &notice)
 {
-    m_state->tellFinding(encodeCrashNotice(notice), notice.isUrgent());
+    m_state->sendFinding(encodeCrashNotice(notice), notice.isUrgent());
 }
 
 void send_notices::sendWithheldNotice(const withheld_notice &notice)
 {
-    m_state->tellFinding(encodeWithheldNotice(notice), true);
+    m_state->sendFinding(encodeWithheldNotice(notice), true);
 }
 
 void send_notices::sendClearedNotice(const cleared_notice &notice)
 {
-    m_state->tellFinding(encodeClearedNotice(notice), true);
+    m_state->sendFinding(encodeClearedNotice(notice), true);
 }
 
 void send_notices::sendRateLimitNotice(const rate_limit_notice &notice)
 {
-    m_state->tellFinding(encodeRateLimitNotice(notice), false);
+    m_state->sendFinding(encodeRateLimitNotice(notice), false);
 }
 
 void send_notices::sendLeavingNotice(const leaving_notice &notice)
 {
-    m_state->tellFinding(encodeLeavingNotice(notice), false);
+    m_state->sendFinding(encodeLeavingNotice(notice), false);
 }
 
 void send_notices::send(const std::string &entry, std::string_view bytes)
