--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -97,7 +97,7 @@
     }
 
     void receive();
-    void take(std::string_view bytes);
+    void handleDatagram(std::string_view bytes);
     bool receiveFinding(std::string_view bytes);
     void sendFinding(const std::string &bytes, bool isUrgent);
 
@@ -161,12 +161,12 @@
                                   if (error)
                                       metrics.add("send_notices_total{way=\"unreachable\"}");
                                   else
-                                      take({buffer.data(), size});
+                                      handleDatagram({buffer.data(), size});
                                   receive();
                               });
 }
 
-void send_notices::state::take(std::string_view bytes)
+void send_notices::state::handleDatagram(std::string_view bytes)
 {
     // Sends are by far the most frequent; no datagram is both.
     if (const std::optional<send_notice> notice = decodeSendNotice(bytes)) {
