--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -100,7 +100,7 @@
     void setEntries(const entry_map &entries, const std::string &own);
 
     /// Tells the entries of \p dataCentre, where the endpoint is; on a site of few entries all.
-    void tell(const send_notice &notice, const std::string &dataCentre);
+    void sendToDataCentre(const send_notice &notice, const std::string &dataCentre);
 
     /// Tells the entries that read the store. \returns false when not all could be told.
     bool tellReaders(const evidence_notice &notice);
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -341,7 +341,7 @@
     return told;
 }
 
-void send_notices::tell(const send_notice &notice, const std::string &dataCentre)
+void send_notices::sendToDataCentre(const send_notice &notice, const std::string &dataCentre)
 {
     if (notice.prefillTime < minPrefillTime)
         return;
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -91,9 +91,9 @@
         if (large)
             makeLarge(entries);
         teller.notices.setEntries(entries, "teller");
-        teller.notices.tell({"long", milliseconds(400), {}}, "a");
-        teller.notices.tell({"short", milliseconds(5), {}}, "a");
-        teller.notices.tell({"unknown", milliseconds(400), {}}, "z");
+        teller.notices.sendToDataCentre({"long", milliseconds(400), {}}, "a");
+        teller.notices.sendToDataCentre({"short", milliseconds(5), {}}, "a");
+        teller.notices.sendToDataCentre({"unknown", milliseconds(400), {}}, "z");
         context.run_for(milliseconds(100));
         REQUIRE(near.heard.size() == 1);
         CHECK(near.heard[0] == send_notice{"long", milliseconds(400), {}});
@@ -113,7 +113,7 @@
     constexpr unsigned tries = 500;
     const time_point begun = bootNow();
     for (unsigned i = 0; i < tries; ++i)
-        teller.notices.tell({"i-7f3a91c2", milliseconds(400), {}}, "a");
+        teller.notices.sendToDataCentre({"i-7f3a91c2", milliseconds(400), {}}, "a");
     const std::chrono::duration<double> took = bootNow() - begun;
     context.run_for(milliseconds(100));
     const double bytes = static_cast<double>(
