--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -103,7 +103,7 @@
     void sendToDataCentre(const send_notice &notice, const std::string &dataCentre);
 
     /// Tells the entries that read the store. \returns false when not all could be told.
-    bool tellReaders(const evidence_notice &notice);
+    bool sendToReaders(const evidence_notice &notice);
 
     /// Sends a datagram of another kind to \p entry, if it is known.
     void send(const std::string &entry, std::string_view bytes);
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -323,7 +323,7 @@
     }
 }
 
-bool send_notices::tellReaders(const evidence_notice &notice)
+bool send_notices::sendToReaders(const evidence_notice &notice)
 {
     const std::string bytes = encodeEvidenceNotice(notice);
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
--- a/unittests/Proxy/EvidenceNoticeTests.cpp
+++ b/unittests/Proxy/EvidenceNoticeTests.cpp
@@ -70,7 +70,7 @@
     unsigned told = 0;
     for (int i = 0; i < 3; ++i) {
         entries[i]->setEntries(places, "e" + std::to_string(i));
-        CHECK(entries[i]->tellReaders(exampleNotice()));
+        CHECK(entries[i]->sendToReaders(exampleNotice()));
     }
     // Two of the three read the store: each is told by the other two.
     constexpr unsigned expected = 4;
