--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/SendNotices.h
@@ -61,7 +61,7 @@
 };
 
 /// The datagrams between entries. One thread.
-class send_notices
+class notice_channel
 {
 public:
     /// Shorter readings are not told: they are over before they would change a choice.
@@ -84,11 +84,11 @@
     static constexpr double findingBurstBytes = 12000;
 
     /// \param ownAddress "host:port" that \c open listens on.
-    send_notices(asio::io_context &context, metric_registry &metrics, std::string ownAddress,
-                 notice_handlers handlers);
-    ~send_notices();
-    send_notices(const send_notices &) = delete;
-    send_notices &operator=(const send_notices &) = delete;
+    notice_channel(asio::io_context &context, metric_registry &metrics, std::string ownAddress,
+                   notice_handlers handlers);
+    ~notice_channel();
+    notice_channel(const notice_channel &) = delete;
+    notice_channel &operator=(const notice_channel &) = delete;
 
     /// \returns an empty string, or what failed.
     std::string open();
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/SendNotices.cpp
@@ -39,7 +39,7 @@
 std::string laurelcroft::encodeSendNotice(const send_notice &notice)
 {
     json item = json::array({notice.endpoint, notice.prefillTime.count()});
-    const std::size_t told = std::min(notice.prefixes.size(), send_notices::maxPrefixes);
+    const std::size_t told = std::min(notice.prefixes.size(), notice_channel::maxPrefixes);
     for (std::size_t i = 0; i < told; ++i) {
         item.push_back(notice.prefixes[i].hash);
         item.push_back(notice.prefixes[i].tokens);
@@ -51,7 +51,7 @@
 static std::optional<std::vector<prompt_prefix>> prefixesIn(const json &item)
 {
     const std::size_t numbers = item.size() - fieldsBeforePrefixes;
-    if (numbers % 2 != 0 || numbers / 2 > send_notices::maxPrefixes)
+    if (numbers % 2 != 0 || numbers / 2 > notice_channel::maxPrefixes)
         return std::nullopt;
     std::vector<prompt_prefix> prefixes;
     for (std::size_t i = fieldsBeforePrefixes; i < item.size(); i += 2) {
@@ -74,7 +74,7 @@
     if (!hasForm)
         return std::nullopt;
     const auto reading = item[1].get<std::uint64_t>();
-    if (reading > static_cast<std::uint64_t>(send_notices::maxPrefillTime.count()))
+    if (reading > static_cast<std::uint64_t>(notice_channel::maxPrefillTime.count()))
         return std::nullopt;
     const std::optional<std::vector<prompt_prefix>> prefixes = prefixesIn(item);
     if (!prefixes)
@@ -85,7 +85,7 @@
     return notice;
 }
 
-struct send_notices::state
+struct notice_channel::state
 {
     state(asio::io_context &context, metric_registry &metrics, std::string ownAddress,
           notice_handlers handlers)
@@ -116,15 +116,15 @@
     std::array<char, 1400> buffer{}; ///< one packet
 };
 
-send_notices::send_notices(asio::io_context &context, metric_registry &metrics,
-                           std::string ownAddress, notice_handlers handlers)
+notice_channel::notice_channel(asio::io_context &context, metric_registry &metrics,
+                               std::string ownAddress, notice_handlers handlers)
     : m_state(std::make_unique<state>(context, metrics, std::move(ownAddress), std::move(handlers)))
 {
 }
 
-send_notices::~send_notices() = default;
+notice_channel::~notice_channel() = default;
 
-std::string send_notices::open()
+std::string notice_channel::open()
 {
     std::string host;
     std::uint16_t port = 0;
@@ -145,13 +145,13 @@
     return {};
 }
 
-std::uint16_t send_notices::port() const
+std::uint16_t notice_channel::port() const
 {
     asio::error_code error;
     return m_state->socket.local_endpoint(error).port();
 }
 
-void send_notices::state::receive()
+void notice_channel::state::receive()
 {
     socket.async_receive_from(asio::buffer(buffer), from,
                               [this](const asio::error_code &error, std::size_t size) {
@@ -166,7 +166,7 @@
                               });
 }
 
-void send_notices::state::handleDatagram(std::string_view bytes)
+void notice_channel::state::handleDatagram(std::string_view bytes)
 {
     // Sends are by far the most frequent; no datagram is both.
     if (const std::optional<send_notice> notice = decodeSendNotice(bytes)) {
@@ -198,7 +198,7 @@
     return notice.has_value();
 }
 
-bool send_notices::state::receiveFinding(std::string_view bytes)
+bool notice_channel::state::receiveFinding(std::string_view bytes)
 {
     // Each decoder reads the whole datagram: the most frequent kind is tried first.
     const bool isFinding = dispatch(handlers.onEnd, decodeCrashNotice(bytes))
@@ -211,7 +211,7 @@
     return isFinding;
 }
 
-void send_notices::state::sendFinding(const std::string &bytes, bool isUrgent)
+void notice_channel::state::sendFinding(const std::string &bytes, bool isUrgent)
 {
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     const double reserve = isUrgent ? 0 : findingBurstBytes / 2;
@@ -231,32 +231,32 @@
     }
 }
 
-void send_notices::sendCrashNotice(const crash_notice &notice)
+void notice_channel::sendCrashNotice(const crash_notice &notice)
 {
     m_state->sendFinding(encodeCrashNotice(notice), notice.isUrgent());
 }
 
-void send_notices::sendWithheldNotice(const withheld_notice &notice)
+void notice_channel::sendWithheldNotice(const withheld_notice &notice)
 {
     m_state->sendFinding(encodeWithheldNotice(notice), true);
 }
 
-void send_notices::sendClearedNotice(const cleared_notice &notice)
+void notice_channel::sendClearedNotice(const cleared_notice &notice)
 {
     m_state->sendFinding(encodeClearedNotice(notice), true);
 }
 
-void send_notices::sendRateLimitNotice(const rate_limit_notice &notice)
+void notice_channel::sendRateLimitNotice(const rate_limit_notice &notice)
 {
     m_state->sendFinding(encodeRateLimitNotice(notice), false);
 }
 
-void send_notices::sendLeavingNotice(const leaving_notice &notice)
+void notice_channel::sendLeavingNotice(const leaving_notice &notice)
 {
     m_state->sendFinding(encodeLeavingNotice(notice), false);
 }
 
-void send_notices::send(const std::string &entry, std::string_view bytes)
+void notice_channel::send(const std::string &entry, std::string_view bytes)
 {
     const auto it = m_state->byName.find(entry);
     if (it == m_state->byName.end())
@@ -267,7 +267,7 @@
                                : "other_notices_total{way=\"sent\"}");
 }
 
-void send_notices::setEntries(const entry_map &entries, const std::string &own)
+void notice_channel::setEntries(const entry_map &entries, const std::string &own)
 {
     std::map<std::string, std::vector<std::string>> names;
     for (const auto &[name, place] : entries) {
@@ -296,7 +296,7 @@
     }
 }
 
-void send_notices::setOthers(const entry_map &entries, const std::string &own)
+void notice_channel::setOthers(const entry_map &entries, const std::string &own)
 {
     std::vector<std::string> names;
     for (const auto &[name, place] : entries) {
@@ -313,7 +313,7 @@
     }
 }
 
-void send_notices::setReaders(const entry_map &entries, const std::string &own)
+void notice_channel::setReaders(const entry_map &entries, const std::string &own)
 {
     m_state->readers.clear();
     for (const std::string &name : storeReaders(entries)) {
@@ -323,7 +323,7 @@
     }
 }
 
-bool send_notices::sendToReaders(const evidence_notice &notice)
+bool notice_channel::sendToReaders(const evidence_notice &notice)
 {
     const std::string bytes = encodeEvidenceNotice(notice);
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
@@ -341,7 +341,7 @@
     return told;
 }
 
-void send_notices::sendToDataCentre(const send_notice &notice, const std::string &dataCentre)
+void notice_channel::sendToDataCentre(const send_notice &notice, const std::string &dataCentre)
 {
     if (notice.prefillTime < minPrefillTime)
         return;
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -110,13 +110,13 @@
     asio::io_context context;
     metric_registry metrics;
     unsigned heard = 0;
-    std::vector<std::unique_ptr<send_notices>> entries;
+    std::vector<std::unique_ptr<notice_channel>> entries;
     entry_map places;
     for (int i = 0; i < 4; ++i) {
         notice_handlers handlers;
         handlers.onWithheld = [&](const withheld_notice &) { ++heard; };
-        entries.push_back(std::make_unique<send_notices>(context, metrics, "127.0.0.1:0",
-                                                         std::move(handlers)));
+        entries.push_back(std::make_unique<notice_channel>(context, metrics, "127.0.0.1:0",
+                                                           std::move(handlers)));
         REQUIRE(entries.back()->open().empty());
         places["e" + std::to_string(i)]
                 = {"127.0.0.1:" + std::to_string(entries.back()->port()), "hall"};
@@ -131,7 +131,7 @@
     context.restart();
     context.run_for(milliseconds(50));
     const double bytes = heard * double(encodeWithheldNotice(notice).size() + 28);
-    CHECK(bytes <= send_notices::findingBurstBytes + send_notices::findingBytesPerSecond);
+    CHECK(bytes <= notice_channel::findingBurstBytes + notice_channel::findingBytesPerSecond);
 }
 
 TEST_CASE("a row of a withheld request is read as it was written; others are refused")
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -125,17 +125,17 @@
     template <class Notice>
     void tell(const fleet_entry &from, const Notice &notice, std::size_t size, bool isUrgent)
     {
-        token_bucket &bytes = budgets.try_emplace(from.name, send_notices::findingBytesPerSecond,
-                                                  send_notices::findingBurstBytes)
+        token_bucket &bytes = budgets.try_emplace(from.name, notice_channel::findingBytesPerSecond,
+                                                  notice_channel::findingBurstBytes)
                                       .first->second;
         const double cost = double(size) + 28;
-        const double reserve = isUrgent ? 0 : send_notices::findingBurstBytes / 2;
+        const double reserve = isUrgent ? 0 : notice_channel::findingBurstBytes / 2;
         std::vector<fleet_entry *> others;
         for (fleet_entry &entry : entries.entries) {
             if (&entry != &from)
                 others.push_back(&entry);
         }
-        for (std::size_t i = 0; i < send_notices::maxRecipients && !others.empty(); ++i) {
+        for (std::size_t i = 0; i < notice_channel::maxRecipients && !others.empty(); ++i) {
             if (!bytes.has(cost + reserve, entries.runtime.now()))
                 return;
             bytes.spend(cost);
--- a/unittests/Proxy/EvidenceNoticeTests.cpp
+++ b/unittests/Proxy/EvidenceNoticeTests.cpp
@@ -53,7 +53,7 @@
     metric_registry metrics;
     unsigned heard = 0;
     std::optional<evidence_notice> last;
-    std::vector<std::unique_ptr<send_notices>> entries;
+    std::vector<std::unique_ptr<notice_channel>> entries;
     entry_map places;
     for (int i = 0; i < 3; ++i) {
         notice_handlers handlers;
@@ -61,8 +61,8 @@
             ++heard;
             last = notice;
         };
-        entries.push_back(std::make_unique<send_notices>(context, metrics, "127.0.0.1:0",
-                                                         std::move(handlers)));
+        entries.push_back(std::make_unique<notice_channel>(context, metrics, "127.0.0.1:0",
+                                                           std::move(handlers)));
         REQUIRE(entries.back()->open().empty());
         places["e" + std::to_string(i)]
                 = {"127.0.0.1:" + std::to_string(entries.back()->port()), "hall"};
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -28,7 +28,7 @@
     std::vector<evidence_notice> evidence;
     std::vector<crash_notice> ends;
     std::vector<withheld_notice> withheld;
-    send_notices notices;
+    notice_channel notices;
 };
 
 entry_place placeOf(const one_entry &entry, const std::string &dataCentre)
@@ -54,7 +54,7 @@
     CHECK(!decodeSendNotice(encodeSendNotice({std::string(300, 'i'), milliseconds(420), {}})));
     CHECK(!decodeSendNotice(encodeSendNotice({"i-1", milliseconds(-1), {}})));
     CHECK(!decodeSendNotice(
-            encodeSendNotice({"i-1", send_notices::maxPrefillTime + milliseconds(1), {}})));
+            encodeSendNotice({"i-1", notice_channel::maxPrefillTime + milliseconds(1), {}})));
     const auto hugeTokens = static_cast<unsigned>(prompt_memory::defaultCapacity + 1);
     CHECK(!decodeSendNotice(encodeSendNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
 }
@@ -64,13 +64,13 @@
     const std::vector<prompt_prefix> many(100, {5, 10});
     const auto heard = decodeSendNotice(encodeSendNotice({"i-1", milliseconds(50), many}));
     REQUIRE(heard);
-    CHECK(heard->prefixes.size() == send_notices::maxPrefixes);
+    CHECK(heard->prefixes.size() == notice_channel::maxPrefixes);
 }
 
 /// Adds entries in data centre "c" until a site is too large to be told as a whole.
 static void makeLarge(entry_map &entries)
 {
-    for (std::size_t i = 0; i <= send_notices::maxRecipients; ++i)
+    for (std::size_t i = 0; i <= notice_channel::maxRecipients; ++i)
         entries["c" + std::to_string(i)] = {"127.0.0.1:9", "c"};
 }
 
@@ -119,7 +119,7 @@
     const double bytes = static_cast<double>(
             encodeSendNotice({"i-7f3a91c2", milliseconds(400), {}}).size() + 28);
     // A second's worth that was saved up, and what this loop's time adds.
-    const double allowed = send_notices::bytesPerSecond * (1.01 + took.count());
+    const double allowed = notice_channel::bytesPerSecond * (1.01 + took.count());
     CHECK(static_cast<double>(near.heard.size()) * bytes <= allowed);
     CHECK(!near.heard.empty());
 }
