--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -106,7 +106,7 @@
     void checkEnded(const endpoint_ptr &endpoint);
     bool hasRoomAt(const service_endpoint &endpoint) const;
     bool isReady() const;
-    void noteReady();
+    void logReadiness();
     void housekeep();
     void setGauges();
     void removeDone();
@@ -338,11 +338,11 @@
     routing.suspects().expire(runtime.now());
     logHeldLines();
     setGauges();
-    noteReady();
+    logReadiness();
     runtime.after(housekeepingEvery, [this] { housekeep(); });
 }
 
-void proxy_server::state::noteReady()
+void proxy_server::state::logReadiness()
 {
     if (isReady() == lastReady)
         return;
@@ -389,7 +389,7 @@
     if (draining)
         return;
     if (isReady() || runtime.now() >= latest) {
-        noteReady();
+        logReadiness();
         callers.accept();
         return;
     }
