--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -109,7 +109,7 @@
     void logReadiness();
     void housekeep();
     void setGauges();
-    void removeDone();
+    void removeFinishedFlows();
     void acceptWhenReady(time_point latest);
     void checkDrained();
     milliseconds untilRestarted();
@@ -221,7 +221,7 @@
     if (sweepPosted)
         return;
     sweepPosted = true;
-    asio::post(context, [this] { removeDone(); });
+    asio::post(context, [this] { removeFinishedFlows(); });
 }
 
 void proxy_server::state::logFinished(const flow_record &record)
@@ -269,7 +269,7 @@
                 {"reader_too_slow", std::int64_t(lost)}});
 }
 
-void proxy_server::state::removeDone()
+void proxy_server::state::removeFinishedFlows()
 {
     sweepPosted = false;
     std::erase_if(flows, [](const std::shared_ptr<flow> &item) { return item->isDone(); });
