--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -127,7 +127,7 @@
     std::unordered_set<std::shared_ptr<flow>> flows;
     log_limiter ordinary{ordinaryLines};
     log_limiter unusual{unusualLines};
-    bool sweepPosted = false;
+    bool removalPosted = false;
     bool draining = false;
     bool turningAway = false; ///< what comes now might not end in time
     time_point giveUpAt{}; ///< when what still runs is ended
@@ -218,9 +218,9 @@
     if ((isOrdinary ? ordinary : unusual).allows(runtime.now()))
         logFinished(record);
     // The flow is still on the stack: it is dropped afterwards.
-    if (sweepPosted)
+    if (removalPosted)
         return;
-    sweepPosted = true;
+    removalPosted = true;
     asio::post(context, [this] { removeFinishedFlows(); });
 }
 
@@ -271,7 +271,7 @@
 
 void proxy_server::state::removeFinishedFlows()
 {
-    sweepPosted = false;
+    removalPosted = false;
     std::erase_if(flows, [](const std::shared_ptr<flow> &item) { return item->isDone(); });
 }
 
