--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -99,7 +99,7 @@
     void onReadyCheck(const message_head &head, caller_exchange &exchange);
     void finished(const flow_record &record);
     void logFinished(const flow_record &record);
-    void logHeldLines();
+    void logSuppressedLines();
     void attemptEnded(const flow_record &record, attempt_end end, next_step step);
     void escalated(const flow_record &record, const std::string &model);
     void sentFurther(const flow_record &record, further_send what);
@@ -254,7 +254,7 @@
              {"total_ms", std::int64_t(record.total.count())}});
 }
 
-void proxy_server::state::logHeldLines()
+void proxy_server::state::logSuppressedLines()
 {
     const std::uint64_t ordinaryHeld = ordinary.takeHeld();
     const std::uint64_t unusualHeld = unusual.takeHeld();
@@ -336,7 +336,7 @@
     routing.runs().sweep(runtime.now());
     routing.directory().expire(runtime.now());
     routing.suspects().expire(runtime.now());
-    logHeldLines();
+    logSuppressedLines();
     setGauges();
     logReadiness();
     runtime.after(housekeepingEvery, [this] { housekeep(); });
