--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -47,7 +47,7 @@
 constexpr double ordinaryLines = 100;
 constexpr double unusualLines = 300;
 /// At least this many, whatever the number of entries.
-constexpr std::size_t leastConnections = 4;
+constexpr std::size_t minConnections = 4;
 
 } // namespace
 
@@ -194,10 +194,10 @@
     const service_description *service = routing.contract()
             ? routing.contract()->findService(endpoint.record().service)
             : nullptr;
-    const std::size_t all = service ? service->maxConnections : leastConnections;
+    const std::size_t all = service ? service->maxConnections : minConnections;
     const double sharers = static_cast<double>(std::max<std::size_t>(1, routing.entries()));
     const auto part = static_cast<std::size_t>(static_cast<double>(all) * connectionPart / sharers);
-    return endpoints.hasRoom(endpoint, std::max(leastConnections, part));
+    return endpoints.hasRoom(endpoint, std::max(minConnections, part));
 }
 
 void proxy_server::state::finished(const flow_record &record)
