--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -28,7 +28,7 @@
 /// How often idle connections are looked at and gauges set.
 constexpr milliseconds housekeepingEvery{1000};
 /// Before the end of the grace: time to write the last answers.
-constexpr milliseconds lastWords{400};
+constexpr milliseconds finalWriteTime{400};
 /// How often an ending process looks whether it is done.
 constexpr milliseconds drainCheckEvery{100};
 /// From the end of a process to its successor's being used: its start and the balancer's next look.
@@ -470,7 +470,7 @@
     m_state->draining = true;
     m_state->drained = std::move(done);
     m_state->callers.closeAfterAnswers();
-    m_state->giveUpAt = m_state->runtime.now() + m_state->options.grace - lastWords;
+    m_state->giveUpAt = m_state->runtime.now() + m_state->options.grace - finalWriteTime;
     m_state->runtime.after(m_state->options.turnAway, [this] {
         m_state->turningAway = true;
         m_state->callers.turnAway();
