--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -41,7 +41,7 @@
 constexpr milliseconds startCheckEvery{5};
 /// An entry opens at most this part of what an endpoint takes, divided by the entries: a
 /// new entry may not be known yet.
-constexpr double connectionPart = 0.8;
+constexpr double connectionShare = 0.8;
 /// Lines a second for requests that were served at the first try, and for all others. At about
 /// 350 bytes a line this bounds the log to 140 kB/s.
 constexpr double ordinaryLines = 100;
@@ -196,7 +196,8 @@
             : nullptr;
     const std::size_t all = service ? service->maxConnections : minConnections;
     const double sharers = static_cast<double>(std::max<std::size_t>(1, routing.entries()));
-    const auto part = static_cast<std::size_t>(static_cast<double>(all) * connectionPart / sharers);
+    const auto part
+            = static_cast<std::size_t>(static_cast<double>(all) * connectionShare / sharers);
     return endpoints.hasRoom(endpoint, std::max(minConnections, part));
 }
 
