--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -37,7 +37,7 @@
 /// second when all start together. Callers that connect meanwhile are accepted just after; later
 /// than this they are refused at once. With 400 ms 401 callers of 103 entries were refused some
 /// tens of milliseconds before there was a contract.
-constexpr milliseconds startPatience{800};
+constexpr milliseconds maxStartWait{800};
 constexpr milliseconds startCheckEvery{5};
 /// An entry opens at most this part of what an endpoint takes, divided by the entries: a
 /// new entry may not be known yet.
@@ -450,7 +450,7 @@
             return "metrics address: " + fault;
     }
     m_state->housekeep();
-    m_state->acceptWhenReady(m_state->runtime.now() + startPatience);
+    m_state->acceptWhenReady(m_state->runtime.now() + maxStartWait);
     return {};
 }
 
