--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -130,7 +130,7 @@
     bool removalPosted = false;
     bool draining = false;
     bool turningAway = false; ///< what comes now might not end in time
-    time_point giveUpAt{}; ///< when what still runs is ended
+    time_point drainDeadline{}; ///< when what still runs is ended
     bool lastReady = false;
     std::function<void()> drained;
 };
@@ -184,7 +184,7 @@
             self->callerLeft();
     });
     if (turningAway)
-        item->startBefore(giveUpAt, untilRestarted());
+        item->startBefore(drainDeadline, untilRestarted());
     else
         item->start();
 }
@@ -400,13 +400,13 @@
 milliseconds proxy_server::state::untilRestarted()
 {
     // Callers still come here when the balancer has no other entry: all are restarted at once.
-    const milliseconds rest = std::chrono::ceil<milliseconds>(giveUpAt - runtime.now());
+    const milliseconds rest = std::chrono::ceil<milliseconds>(drainDeadline - runtime.now());
     return std::max(milliseconds(0), rest) + restartTime;
 }
 
 void proxy_server::state::checkDrained()
 {
-    const bool late = runtime.now() >= giveUpAt;
+    const bool late = runtime.now() >= drainDeadline;
     if (late) {
         const auto left = flows;
         for (const std::shared_ptr<flow> &item : left)
@@ -418,7 +418,7 @@
                 {{"unfinished", std::int64_t(late ? flows.size() : 0)}});
         // What comes from now on would be cut: one or two requests on each of four days of
         // restarts.
-        giveUpAt = std::min(giveUpAt, runtime.now());
+        drainDeadline = std::min(drainDeadline, runtime.now());
         // One more turn of the loop writes the last answers.
         runtime.after(drainCheckEvery, drained);
         return;
@@ -471,7 +471,7 @@
     m_state->draining = true;
     m_state->drained = std::move(done);
     m_state->callers.closeAfterAnswers();
-    m_state->giveUpAt = m_state->runtime.now() + m_state->options.grace - finalWriteTime;
+    m_state->drainDeadline = m_state->runtime.now() + m_state->options.grace - finalWriteTime;
     m_state->runtime.after(m_state->options.turnAway, [this] {
         m_state->turningAway = true;
         m_state->callers.turnAway();
