--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -129,7 +129,7 @@
     log_limiter unusual{unusualLines};
     bool removalPosted = false;
     bool draining = false;
-    bool turningAway = false; ///< what comes now might not end in time
+    bool isPastDrainDelay = false; ///< what comes now might not end in time
     time_point drainDeadline{}; ///< when what still runs is ended
     bool lastReady = false;
     std::function<void()> drained;
@@ -183,7 +183,7 @@
         if (const auto self = weak.lock())
             self->callerLeft();
     });
-    if (turningAway)
+    if (isPastDrainDelay)
         item->startBefore(drainDeadline, untilRestarted());
     else
         item->start();
@@ -473,7 +473,7 @@
     m_state->callers.closeAfterAnswers();
     m_state->drainDeadline = m_state->runtime.now() + m_state->options.grace - finalWriteTime;
     m_state->runtime.after(m_state->options.turnAway, [this] {
-        m_state->turningAway = true;
+        m_state->isPastDrainDelay = true;
         m_state->callers.turnAway();
         m_state->checkDrained();
     });
