--- a/include/laurelcroft/Proxy/ProxyServer.h
+++ b/include/laurelcroft/Proxy/ProxyServer.h
@@ -33,7 +33,7 @@
     std::uint16_t metricsPort = 0; ///< 0: none
     std::size_t maxCallers = 3000;
     /// After the stop signal: until the balancer has certainly turned away.
-    milliseconds turnAway{2600};
+    milliseconds drainDelay{2600};
     /// After the stop signal: when requests that still run are ended.
     milliseconds grace{8000};
 };
--- a/unittests/Proxy/ProxyServerTests.cpp
+++ b/unittests/Proxy/ProxyServerTests.cpp
@@ -78,7 +78,7 @@
         options.readyHost = "127.0.0.1";
         options.readyPort = freePort(context);
         options.readyPath = "/ready";
-        options.turnAway = milliseconds(50);
+        options.drainDelay = milliseconds(50);
         options.grace = milliseconds(5000);
         endpoint.non_blocking(true);
     }
@@ -115,7 +115,7 @@
     server.drain([&] { drained = true; });
     // Nothing runs, so that the entry is drained when it begins to turn callers away, and ends a
     // moment later.
-    world.runFor(world.options.turnAway + milliseconds(30));
+    world.runFor(world.options.drainDelay + milliseconds(30));
     REQUIRE(!drained);
 
     tcp::socket caller(world.context);
