--- a/include/laurelcroft/Proxy/ProxyServer.h
+++ b/include/laurelcroft/Proxy/ProxyServer.h
@@ -35,7 +35,7 @@
     /// After the stop signal: until the balancer has certainly turned away.
     milliseconds drainDelay{2600};
     /// After the stop signal: when requests that still run are ended.
-    milliseconds grace{8000};
+    milliseconds gracePeriod{8000};
 };
 
 /// One entry's direct path; one thread.
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -471,7 +471,7 @@
     m_state->draining = true;
     m_state->drained = std::move(done);
     m_state->callers.closeAfterAnswers();
-    m_state->drainDeadline = m_state->runtime.now() + m_state->options.grace - finalWriteTime;
+    m_state->drainDeadline = m_state->runtime.now() + m_state->options.gracePeriod - finalWriteTime;
     m_state->runtime.after(m_state->options.drainDelay, [this] {
         m_state->isPastDrainDelay = true;
         m_state->callers.turnAway();
--- a/unittests/Proxy/ProxyServerTests.cpp
+++ b/unittests/Proxy/ProxyServerTests.cpp
@@ -79,7 +79,7 @@
         options.readyPort = freePort(context);
         options.readyPath = "/ready";
         options.drainDelay = milliseconds(50);
-        options.grace = milliseconds(5000);
+        options.gracePeriod = milliseconds(5000);
         endpoint.non_blocking(true);
     }
 
