--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -59,7 +59,7 @@
     return packed(item);
 }
 
-static bool areHashes(const json &list)
+static bool isHashList(const json &list)
 {
     return list.is_array() && list.size() <= maxListed
             && std::all_of(list.begin(), list.end(),
@@ -72,7 +72,7 @@
     const bool areNumbers
             = std::all_of(fields, fields + fieldsOfRequest - 1,
                           [](const json &field) { return field.is_number_unsigned(); });
-    return areNumbers && areHashes(fields[fieldsOfRequest - 1]);
+    return areNumbers && isHashList(fields[fieldsOfRequest - 1]);
 }
 
 /// \returns a time of a request that is young: longer ones are cut.
@@ -114,7 +114,7 @@
 /// Reads lists of names and of hashes. \returns false when they are none.
 static bool readLists(const json &versions, const json &ended, withheld_notice &notice)
 {
-    const bool haveForm = versions.is_array() && versions.size() <= maxListed && areHashes(ended)
+    const bool haveForm = versions.is_array() && versions.size() <= maxListed && isHashList(ended)
             && std::all_of(versions.begin(), versions.end(), isName);
     if (!haveForm)
         return false;
