--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -76,7 +76,7 @@
 }
 
 /// \returns a time of a request that is young: longer ones are cut.
-static milliseconds timeIn(const json &item)
+static milliseconds decodeTime(const json &item)
 {
     const milliseconds longest = crash_suspects::endsWindow;
     return milliseconds(
@@ -98,8 +98,8 @@
             return std::nullopt;
         const auto ends = std::min<std::uint64_t>(item[i + 3].get<std::uint64_t>(),
                                                   crash_suspects::enoughAmongEnds);
-        notice.requests.push_back({item[i].get<request_key>(), timeIn(item[i + 1]),
-                                   timeIn(item[i + 2]), static_cast<unsigned>(ends),
+        notice.requests.push_back({item[i].get<request_key>(), decodeTime(item[i + 1]),
+                                   decodeTime(item[i + 2]), static_cast<unsigned>(ends),
                                    item[i + 4].get<std::vector<std::uint64_t>>()});
     }
     return notice;
