--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -20,7 +20,7 @@
 
 namespace laurelcroft {
 
-inline constexpr std::size_t entriesOfFleet = 100;
+inline constexpr std::size_t fleetSize = 100;
 inline constexpr std::size_t firstPeers = 3;
 inline constexpr milliseconds way{1};
 inline constexpr milliseconds changeBound{3000};
--- a/unittests/Proxy/FleetStartTests.cpp
+++ b/unittests/Proxy/FleetStartTests.cpp
@@ -14,11 +14,11 @@
 {
     fleet fleet;
     fill(fleet);
-    fleet.start(0, entriesOfFleet);
+    fleet.start(0, fleetSize);
     fleet.runtime.advance(milliseconds(100));
-    CHECK(fleet.ready() == entriesOfFleet);
+    CHECK(fleet.ready() == fleetSize);
     fleet.runtime.advance(milliseconds(1900));
-    CHECK(fleet.calls() <= 2 * entriesOfFleet);
+    CHECK(fleet.calls() <= 2 * fleetSize);
 }
 
 /// \returns calls to the store in ten seconds of rest at \p entries entries.
@@ -47,9 +47,9 @@
     fleet fleet;
     fleet.isFirstStart = true;
     fill(fleet);
-    fleet.start(0, entriesOfFleet);
+    fleet.start(0, fleetSize);
     fleet.runtime.advance(seconds(2));
-    CHECK(fleet.ready() == entriesOfFleet);
+    CHECK(fleet.ready() == fleetSize);
     CHECK(fleet.store.lists <= 3 * firstPeers);
     CHECK(fleet.store.writes <= 3 * firstPeers);
     CHECK(fleet.calls() <= 50);
@@ -59,7 +59,7 @@
                 = decodeEntry(fleet.store.valueOf(std::string(ownTable), entryKey(entry.name)));
         CHECK(place.address == entry.address);
         CHECK(place.wallAhead);
-        CHECK(entry.routing.entries() == entriesOfFleet);
+        CHECK(entry.routing.entries() == fleetSize);
     }
 }
 
@@ -84,31 +84,31 @@
 {
     fleet fleet;
     fill(fleet);
-    fleet.start(0, entriesOfFleet);
+    fleet.start(0, fleetSize);
     fleet.runtime.advance(seconds(5));
     fleet.powerOff();
     const unsigned before = fleet.calls();
-    fleet.start(firstPeers, entriesOfFleet);
+    fleet.start(firstPeers, fleetSize);
     fleet.runtime.advance(milliseconds(150));
-    CHECK(fleet.ready() == entriesOfFleet - firstPeers);
+    CHECK(fleet.ready() == fleetSize - firstPeers);
     fleet.start(0, firstPeers);
     fleet.runtime.advance(milliseconds(150));
-    CHECK(fleet.ready() == entriesOfFleet);
+    CHECK(fleet.ready() == fleetSize);
     fleet.runtime.advance(milliseconds(1700));
-    CHECK(fleet.calls() - before <= 2 * entriesOfFleet);
+    CHECK(fleet.calls() - before <= 2 * fleetSize);
 }
 
 TEST_CASE("an entry that starts among others takes all from them and writes its own row")
 {
     fleet fleet;
     fill(fleet);
-    fleet.start(0, entriesOfFleet);
+    fleet.start(0, fleetSize);
     fleet.runtime.advance(seconds(5));
     const unsigned lists = fleet.store.lists;
     const unsigned writes = fleet.store.writes;
-    fleet.start(entriesOfFleet, entriesOfFleet + 1);
+    fleet.start(fleetSize, fleetSize + 1);
     fleet.runtime.advance(milliseconds(50));
-    CHECK(fleet.ready() == entriesOfFleet + 1);
+    CHECK(fleet.ready() == fleetSize + 1);
     fleet.runtime.advance(seconds(1));
     CHECK(fleet.store.lists == lists);
     CHECK(fleet.store.writes == writes + 1);
