--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -25,7 +25,7 @@
 inline constexpr milliseconds way{1};
 inline constexpr milliseconds changeBound{3000};
 inline constexpr milliseconds hold{400};
-inline constexpr milliseconds lookAgain{10};
+inline constexpr milliseconds pollInterval{10};
 
 struct fleet;
 
@@ -171,7 +171,7 @@
     const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
     const bool isStarting = peer && !peer->mirror.look(table, since, all.runtime.now()).isKnown;
     if ((isStarting || (news && !isNews)) && all.runtime.now() < until) {
-        all.runtime.after(lookAgain,
+        all.runtime.after(pollInterval,
                           [this, table, since, done, until] { read(table, since, done, until); });
         return;
     }
