--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t firstPeers = 3;
 inline constexpr milliseconds way{1};
 inline constexpr milliseconds changeBound{3000};
-inline constexpr milliseconds hold{400};
+inline constexpr milliseconds longPollTime{400};
 inline constexpr milliseconds pollInterval{10};
 
 struct fleet;
@@ -195,7 +195,7 @@
     links.relay.isPreferred = [this] { return !asked().empty(); };
     links.relay.read
             = [this](const std::string &table, std::uint64_t since, row_callback<row_news> done) {
-                  read(table, since, std::move(done), all.runtime.now() + hold);
+                  read(table, since, std::move(done), all.runtime.now() + longPollTime);
               };
     links.onEntries = [this](const entry_map &known) {
         listed = known.count(name) != 0;
