--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -173,12 +173,12 @@
 {
     finding_fleet world(3);
     for (fleet_entry &entry : world.entries.entries)
-        entry.store.isTurnedAway = true;
+        entry.store.rejectsCalls = true;
     world.find();
     world.entries.runtime.advance(seconds(5));
     CHECK(world.knowing() == 1);
     for (fleet_entry &entry : world.entries.entries)
-        entry.store.isTurnedAway = false;
+        entry.store.rejectsCalls = false;
     world.entries.runtime.advance(seconds(5));
     CHECK(world.knowing() == 3);
 }
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -53,15 +53,15 @@
     template <class T>
     bool mayCall(const row_callback<T> &done)
     {
-        if (isUp && isTurnedAway)
+        if (isUp && rejectsCalls)
             runtime.after(fake_store::way, [done] { done(failure(row_failure::unknown)); });
-        return isUp && !isTurnedAway;
+        return isUp && !rejectsCalls;
     }
 
     fake_store &store;
     manual_runtime &runtime;
     bool isUp = true;
-    bool isTurnedAway = false; ///< the store serves others
+    bool rejectsCalls = false; ///< the store serves others
 };
 
 /// One entry: what it knows, and whom it asks.
--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -104,7 +104,7 @@
     // An odd one out of all, readers among them.
     std::size_t number = 0;
     for (fleet_entry &entry : world.entries.entries)
-        entry.store.isTurnedAway = ++number % 2 == 0 && !entry.readers.empty();
+        entry.store.rejectsCalls = ++number % 2 == 0 && !entry.readers.empty();
     world.entries.store.remove("orders", "evacuate east");
     world.entries.runtime.advance(inForce);
     CHECK(world.entriesThatSee(4) == fewEntries);
--- a/unittests/Proxy/FleetStartTests.cpp
+++ b/unittests/Proxy/FleetStartTests.cpp
@@ -71,7 +71,7 @@
     fleet.runtime.advance(seconds(2));
     // The peers reach no store any more, but give on what they know.
     for (fleet_entry &entry : fleet.entries)
-        entry.store.isTurnedAway = true;
+        entry.store.rejectsCalls = true;
     fleet.start(firstPeers, firstPeers + 1);
     fleet.runtime.advance(seconds(1));
     CHECK(fleet.store.valueOf(std::string(ownTable), entryKey(fleet.entries.back().name)).empty());
--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -144,11 +144,11 @@
     lapse_world world;
     for (const bool readersAway : {false, true}) {
         for (fleet_entry &entry : world.entries.entries)
-            entry.store.isTurnedAway = entry.readers.empty() == readersAway;
+            entry.store.rejectsCalls = entry.readers.empty() == readersAway;
         world.pass(seconds(4));
         world.outage(seconds(3));
         for (fleet_entry &entry : world.entries.entries)
-            entry.store.isTurnedAway = false;
+            entry.store.rejectsCalls = false;
         world.pass(seconds(6));
         CHECK(world.fewest == endpoints);
     }
@@ -234,13 +234,13 @@
         lapse_world world;
         world.pass(milliseconds(170 * i));
         for (fleet_entry &entry : world.entries.entries)
-            entry.store.isTurnedAway = entry.readers.empty();
+            entry.store.rejectsCalls = entry.readers.empty();
         world.pass(milliseconds(400));
         world.dead.insert(7);
         world.entries.store.remove("endpoints", idOf(7));
         world.pass(changeBound);
         for (fleet_entry &entry : world.entries.entries) {
-            if (!entry.store.isTurnedAway)
+            if (!entry.store.rejectsCalls)
                 CHECK(world.usableAt(entry) == endpoints - 1);
         }
     }
@@ -254,13 +254,13 @@
     fleet_entry *reader = nullptr;
     for (fleet_entry &entry : world.entries.entries)
         reader = entry.readers.empty() ? &entry : reader;
-    reader->store.isTurnedAway = true;
+    reader->store.rejectsCalls = true;
     world.pass(seconds(3) + phase);
     world.dead.insert(7);
     world.entries.store.remove("endpoints", idOf(7));
     // It is back just before it would have heard in time.
     world.pass(milliseconds(50));
-    reader->store.isTurnedAway = false;
+    reader->store.rejectsCalls = false;
     world.pass(changeBound - milliseconds(50));
     std::size_t senders = 0;
     for (fleet_entry &entry : world.entries.entries) {
--- a/unittests/Proxy/RowPacesTests.cpp
+++ b/unittests/Proxy/RowPacesTests.cpp
@@ -35,14 +35,14 @@
         fleet.runtime.advance(seconds(5) + milliseconds(170 * i));
         std::size_t others = 0;
         for (fleet_entry &entry : fleet.entries) {
-            entry.store.isTurnedAway = entry.readers.empty();
-            others += entry.store.isTurnedAway ? 0 : 1;
+            entry.store.rejectsCalls = entry.readers.empty();
+            others += entry.store.rejectsCalls ? 0 : 1;
         }
         fleet.store.put("orders", "contract", "9");
         fleet.runtime.advance(changeBound);
         std::size_t inForce = 0;
         for (fleet_entry &entry : fleet.entries) {
-            if (!entry.store.isTurnedAway && entry.routing.contract()->version == 9)
+            if (!entry.store.rejectsCalls && entry.routing.contract()->version == 9)
                 ++inForce;
         }
         CHECK(inForce == others);
