--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -71,7 +71,7 @@
 
     entry_links linksOf();
     bool isReady() { return routing.contract() && !routing.directory().all().empty(); }
-    std::vector<std::string> asked() const;
+    std::vector<std::string> peersToRead() const;
     void read(const std::string &table, std::uint64_t since, row_callback<row_news> done,
               time_point until);
 
@@ -138,7 +138,7 @@
 {
 }
 
-inline std::vector<std::string> fleet_entry::asked() const
+inline std::vector<std::string> fleet_entry::peersToRead() const
 {
     if (listed)
         return readers;
@@ -153,7 +153,7 @@
 {
     if (!store.isUp)
         return;
-    const std::vector<std::string> from = asked();
+    const std::vector<std::string> from = peersToRead();
     // One that takes no connection is passed over at once for the next one, as peer_rows does.
     fleet_entry *peer = nullptr;
     for (std::size_t i = 0; !peer && i < from.size(); ++i)
@@ -192,7 +192,7 @@
     links.place = {address, "hall"};
     links.paces = row_paces(changeBound);
     links.isFirstStart = all.isFirstStart;
-    links.relay.isPreferred = [this] { return !asked().empty(); };
+    links.relay.isPreferred = [this] { return !peersToRead().empty(); };
     links.relay.read
             = [this](const std::string &table, std::uint64_t since, row_callback<row_news> done) {
                   read(table, since, std::move(done), all.runtime.now() + longPollTime);
