--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -82,7 +82,7 @@
     bool listed = false;
     std::vector<std::string> readers;
     std::size_t next = 0;
-    milliseconds late{0}; ///< two of three of its reads from others come this much later
+    milliseconds readDelay{0}; ///< two of three of its reads from others come this much later
     unsigned reads = 0;
     gated_store store;
     routing_state routing;
@@ -176,7 +176,7 @@
         return;
     }
     const bool isOutdated = peer && peer->mirror.look(table, since, all.runtime.now()).isOutdated;
-    const milliseconds delay = ++reads % 3 == 0 ? way : way + late;
+    const milliseconds delay = ++reads % 3 == 0 ? way : way + readDelay;
     all.runtime.after(delay, [this, table, news, isOutdated, done] {
         if (!news)
             return done(failure(isOutdated ? row_failure::outdated : row_failure::notDone));
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -186,7 +186,7 @@
         unsigned number = 0;
         for (fleet_entry &entry : world.entries.entries) {
             if (!entry.readers.empty() && ++number % 2 == 0)
-                entry.late = milliseconds(700);
+                entry.readDelay = milliseconds(700);
         }
         world.order();
         world.pass(seconds(12));
