--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -143,7 +143,7 @@
             fleet_entry *to = others[index];
             others.erase(others.begin() + std::ptrdiff_t(index));
             if (!random.chance(lostDatagrams))
-                later(way, [this, to, notice] {
+                later(networkDelay, [this, to, notice] {
                     to->routing.crashes().applyNotice(notice, entries.runtime.now());
                 });
         }
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -22,7 +22,7 @@
 
 inline constexpr std::size_t fleetSize = 100;
 inline constexpr std::size_t firstPeers = 3;
-inline constexpr milliseconds way{1};
+inline constexpr milliseconds networkDelay{1};
 inline constexpr milliseconds changeBound{3000};
 inline constexpr milliseconds longPollTime{400};
 inline constexpr milliseconds pollInterval{10};
@@ -176,7 +176,7 @@
         return;
     }
     const bool isOutdated = peer && peer->mirror.look(table, since, all.runtime.now()).isOutdated;
-    const milliseconds delay = ++reads % 3 == 0 ? way : way + readDelay;
+    const milliseconds delay = ++reads % 3 == 0 ? networkDelay : networkDelay + readDelay;
     all.runtime.after(delay, [this, table, news, isOutdated, done] {
         if (!news)
             return done(failure(isOutdated ? row_failure::outdated : row_failure::notDone));
--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -83,7 +83,7 @@
                 to = &*std::next(
                         entries.entries.begin(),
                         static_cast<std::ptrdiff_t>(nextListener++ % entries.entries.size()));
-            runtime().after(way, [this, to, notice] {
+            runtime().after(networkDelay, [this, to, notice] {
                 to->routing.noteRateLimitElsewhere(notice, runtime().now());
             });
         }
