--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -213,7 +213,7 @@
 }
 
 /// Fills the store as before traffic begins.
-inline void fill(fleet &fleet)
+inline void addInitialRows(fleet &fleet)
 {
     fleet.store.put("orders", "contract", "7");
     for (unsigned i = 0; i < 60; ++i)
--- a/unittests/Proxy/FleetStartTests.cpp
+++ b/unittests/Proxy/FleetStartTests.cpp
@@ -13,7 +13,7 @@
 TEST_CASE("a hundred entries that start together call the store twice each, not nineteen times")
 {
     fleet fleet;
-    fill(fleet);
+    addInitialRows(fleet);
     fleet.start(0, fleetSize);
     fleet.runtime.advance(milliseconds(100));
     CHECK(fleet.ready() == fleetSize);
@@ -25,7 +25,7 @@
 static unsigned callsAtRest(std::size_t entries)
 {
     fleet fleet;
-    fill(fleet);
+    addInitialRows(fleet);
     fleet.start(0, entries);
     fleet.runtime.advance(seconds(5));
     const unsigned before = fleet.calls();
@@ -46,7 +46,7 @@
 {
     fleet fleet;
     fleet.isFirstStart = true;
-    fill(fleet);
+    addInitialRows(fleet);
     fleet.start(0, fleetSize);
     fleet.runtime.advance(seconds(2));
     CHECK(fleet.ready() == fleetSize);
@@ -66,7 +66,7 @@
 TEST_CASE("an entry whose peers do not write its row writes it itself")
 {
     fleet fleet;
-    fill(fleet);
+    addInitialRows(fleet);
     fleet.start(0, firstPeers);
     fleet.runtime.advance(seconds(2));
     // The peers reach no store any more, but give on what they know.
@@ -83,7 +83,7 @@
 TEST_CASE("entries that are restarted together wait for none of the first peers, which come last")
 {
     fleet fleet;
-    fill(fleet);
+    addInitialRows(fleet);
     fleet.start(0, fleetSize);
     fleet.runtime.advance(seconds(5));
     fleet.powerOff();
@@ -101,7 +101,7 @@
 TEST_CASE("an entry that starts among others takes all from them and writes its own row")
 {
     fleet fleet;
-    fill(fleet);
+    addInitialRows(fleet);
     fleet.start(0, fleetSize);
     fleet.runtime.advance(seconds(5));
     const unsigned lists = fleet.store.lists;
--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -34,7 +34,7 @@
 
     explicit lapse_world(std::size_t count = fewEntries)
     {
-        fill(entries);
+        addInitialRows(entries);
         entries.start(0, count);
         for (unsigned i = 0; i < endpoints; ++i)
             beat(i, heartbeat * i / endpoints);
--- a/unittests/Proxy/RowPacesTests.cpp
+++ b/unittests/Proxy/RowPacesTests.cpp
@@ -30,7 +30,7 @@
     constexpr std::size_t count = 40;
     for (int i = 0; i < 10; ++i) {
         fleet fleet;
-        fill(fleet);
+        addInitialRows(fleet);
         fleet.start(0, count);
         fleet.runtime.advance(seconds(5) + milliseconds(170 * i));
         std::size_t others = 0;
