--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -103,28 +103,29 @@
 }
 
 /// All endpoints refuse from 12 s on, for 7 s.
-played_end refusedForSeconds(repeat_world &, milliseconds at)
+request_outcome refusedForSeconds(repeat_world &, milliseconds at)
 {
-    return at >= seconds(12) && at < seconds(19) ? played_end::refuses : played_end::answers;
+    return at >= seconds(12) && at < seconds(19) ? request_outcome::refuses
+                                                 : request_outcome::answers;
 }
 
 /// Six of each seven seconds.
-played_end refusedMostly(repeat_world &, milliseconds at)
+request_outcome refusedMostly(repeat_world &, milliseconds at)
 {
-    return at % seconds(7) >= seconds(1) ? played_end::refuses : played_end::answers;
+    return at % seconds(7) >= seconds(1) ? request_outcome::refuses : request_outcome::answers;
 }
 
 /// From 11 s on most answers are errors, and others never come.
-played_end failsMostly(repeat_world &world, milliseconds at)
+request_outcome failsMostly(repeat_world &world, milliseconds at)
 {
     if (at < seconds(11))
-        return played_end::answers;
-    const std::array ends{played_end::fails, played_end::fails, played_end::breaks,
-                          played_end::hangs, played_end::answers};
+        return request_outcome::answers;
+    const std::array ends{request_outcome::fails, request_outcome::fails, request_outcome::breaks,
+                          request_outcome::hangs, request_outcome::answers};
     return ends[world.random.index(ends.size())];
 }
 
-using fault = played_end (*)(repeat_world &world, milliseconds at);
+using fault = request_outcome (*)(repeat_world &world, milliseconds at);
 
 struct named_series
 {
--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -43,7 +43,7 @@
         CAPTURE(entries);
         repeat_world world(lookupPlan(entries));
         world.play(before);
-        world.endpointEnds = [](const std::string &) { return played_end::refuses; };
+        world.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
         // An entry with a twelfth of 100 requests a second sees thirty failures in one to two.
         world.play(toKnow);
         const time_point known = world.runtime.now();
@@ -57,7 +57,7 @@
         CHECK(world.retryAfter.back() >= 1.0);
         CHECK(world.retryAfter.back() <= 7.0);
 
-        world.endpointEnds = [](const std::string &) { return played_end::answers; };
+        world.endpointEnds = [](const std::string &) { return request_outcome::answers; };
         const time_point over = world.runtime.now();
         const std::size_t servedBefore = world.served();
         world.play(seconds(2));
@@ -76,7 +76,8 @@
     world.play(before);
     world.endpointEnds = [&](const std::string &endpoint) {
         const bool isSound = endpoint.back() % 5 == 0;
-        return isSound || world.random.chance(0.1) ? played_end::answers : played_end::refuses;
+        return isSound || world.random.chance(0.1) ? request_outcome::answers
+                                                   : request_outcome::refuses;
     };
     const time_point begin = world.runtime.now();
     const std::size_t servedBefore = world.served();
--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -42,19 +42,20 @@
         ++world->arrivals[request];
         if (world->arrivals[request] > 1)
             world->further.push_back(world->runtime.now());
-        const played_end how = world->endpointEnds(endpoint);
+        const request_outcome how = world->endpointEnds(endpoint);
         world->runtime.after(world->plan.answerTime, [world, request, how, events] {
             proxy_answer answer;
             answer.requestId = request;
             answer.signedByEndpoint = true;
-            answer.status = how == played_end::answers ? http_status::ok : http_status::unavailable;
-            answer.notRun = how == played_end::refuses;
+            answer.status
+                    = how == request_outcome::answers ? http_status::ok : http_status::unavailable;
+            answer.notRun = how == request_outcome::refuses;
             answer.confidence = int(world->random.index(100));
-            if (how == played_end::hangs)
+            if (how == request_outcome::hangs)
                 return;
-            if (how != played_end::breaks)
+            if (how != request_outcome::breaks)
                 events.onAnswer(std::move(answer));
-            events.onEnd(how == played_end::breaks ? call_end::broken : call_end::complete);
+            events.onEnd(how == request_outcome::breaks ? call_end::broken : call_end::complete);
         });
     });
     return ++world->lastCall;
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -22,7 +22,7 @@
 namespace laurelcroft {
 
 /// How an endpoint ends a request.
-enum class played_end { answers, refuses, fails, breaks, hangs };
+enum class request_outcome { answers, refuses, fails, breaks, hangs };
 
 struct repeat_world;
 
@@ -104,8 +104,8 @@
     repeat_rule rule;
     manual_runtime runtime;
     random_source random;
-    std::function<played_end(const std::string &endpoint)> endpointEnds
-            = [](const std::string &) { return played_end::answers; };
+    std::function<request_outcome(const std::string &endpoint)> endpointEnds
+            = [](const std::string &) { return request_outcome::answers; };
     std::vector<std::unique_ptr<repeat_entry>> entries; ///< null: not running
     std::optional<std::size_t> favoured;
     std::vector<time_point> requests; ///< when callers sent them
