--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -34,7 +34,7 @@
 constexpr milliseconds step{100};
 
 /// Called each \c step with the time since the play began.
-using series = std::function<void(repeat_world &world, milliseconds at)>;
+using series = std::function<void(retry_world &world, milliseconds at)>;
 
 bool isEach(milliseconds at, milliseconds pause)
 {
@@ -46,9 +46,9 @@
     return std::find(moments.begin(), moments.end(), int(at.count())) != moments.end();
 }
 
-void nothingElse(repeat_world &, milliseconds) { }
+void nothingElse(retry_world &, milliseconds) { }
 
-void killAllAgainAndAgain(repeat_world &world, milliseconds at)
+void killAllAgainAndAgain(retry_world &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {13000, 15000, 17000}))
@@ -58,7 +58,7 @@
     }
 }
 
-void killInTurn(repeat_world &world, milliseconds at)
+void killInTurn(retry_world &world, milliseconds at)
 {
     const std::size_t count = world.entries.size();
     const milliseconds pause{std::max<std::int64_t>(100, 2500 / std::int64_t(count) / 100 * 100)};
@@ -69,14 +69,14 @@
     world.kill(turn % count);
 }
 
-void restartInTurn(repeat_world &world, milliseconds at)
+void restartInTurn(retry_world &world, milliseconds at)
 {
     const milliseconds pause{800};
     if (isEach(at, pause) && at > seconds(5))
         world.restart(std::size_t(at / pause) % world.entries.size());
 }
 
-void joinAsMany(repeat_world &world, milliseconds at)
+void joinAsMany(retry_world &world, milliseconds at)
 {
     if (!isOneOf(at, {14000}))
         return;
@@ -84,7 +84,7 @@
         world.join();
 }
 
-void callersMove(repeat_world &world, milliseconds at)
+void callersMove(retry_world &world, milliseconds at)
 {
     if (isOneOf(at, {5000}))
         world.favour(0);
@@ -92,7 +92,7 @@
         world.favour(1);
 }
 
-void suspendAllTwice(repeat_world &world, milliseconds at)
+void suspendAllTwice(retry_world &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {10000, 15000}))
@@ -103,20 +103,20 @@
 }
 
 /// All endpoints refuse from 12 s on, for 7 s.
-request_outcome refusedForSeconds(repeat_world &, milliseconds at)
+request_outcome refusedForSeconds(retry_world &, milliseconds at)
 {
     return at >= seconds(12) && at < seconds(19) ? request_outcome::refuses
                                                  : request_outcome::answers;
 }
 
 /// Six of each seven seconds.
-request_outcome refusedMostly(repeat_world &, milliseconds at)
+request_outcome refusedMostly(retry_world &, milliseconds at)
 {
     return at % seconds(7) >= seconds(1) ? request_outcome::refuses : request_outcome::answers;
 }
 
 /// From 11 s on most answers are errors, and others never come.
-request_outcome failsMostly(repeat_world &world, milliseconds at)
+request_outcome failsMostly(retry_world &world, milliseconds at)
 {
     if (at < seconds(11))
         return request_outcome::answers;
@@ -125,7 +125,7 @@
     return ends[world.random.index(ends.size())];
 }
 
-using fault = request_outcome (*)(repeat_world &world, milliseconds at);
+using fault = request_outcome (*)(retry_world &world, milliseconds at);
 
 struct named_series
 {
@@ -151,7 +151,7 @@
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
     plan.allowance = size.allowance;
-    repeat_world world(plan);
+    retry_world world(plan);
     const time_point begin = world.runtime.now();
     world.endpointEnds = [&](const std::string &) {
         return ends(world, std::chrono::floor<milliseconds>(world.runtime.now() - begin));
--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -41,7 +41,7 @@
 {
     for (const std::size_t entries : {3, 12}) {
         CAPTURE(entries);
-        repeat_world world(lookupPlan(entries));
+        retry_world world(lookupPlan(entries));
         world.play(before);
         world.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
         // An entry with a twelfth of 100 requests a second sees thirty failures in one to two.
@@ -72,7 +72,7 @@
     // cases, and the budget allows at least 0.7 further attempts a request.
     constexpr double answered = 0.28;
     constexpr double further = 0.7;
-    repeat_world world(lookupPlan(3));
+    retry_world world(lookupPlan(3));
     world.play(before);
     world.endpointEnds = [&](const std::string &endpoint) {
         const bool isSound = endpoint.back() % 5 == 0;
--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -80,7 +80,7 @@
     ++world->statuses[0];
 }
 
-repeat_world::repeat_world(repeat_plan given)
+retry_world::retry_world(repeat_plan given)
     : plan(std::move(given))
     , rule{{0.9, plan.allowance, seconds(10)}}
     , random(plan.seed)
@@ -92,13 +92,13 @@
     tellEachOther();
 }
 
-void repeat_world::learn()
+void retry_world::learn()
 {
     if (!plan.storeAway)
         tellEachOther();
 }
 
-void repeat_world::tellEachOther()
+void retry_world::tellEachOther()
 {
     std::vector<std::string> names;
     for (const auto &entry : entries) {
@@ -111,7 +111,7 @@
     }
 }
 
-void repeat_world::start(std::size_t index)
+void retry_world::start(std::size_t index)
 {
     if (entries[index])
         return;
@@ -125,7 +125,7 @@
     runtime.after(plan.learnTime, [this] { learn(); });
 }
 
-void repeat_world::listEndpoints(routing_state &routing) const
+void retry_world::listEndpoints(routing_state &routing) const
 {
     for (unsigned i = 0; i < plan.endpoints; ++i) {
         endpoint_record record;
@@ -139,19 +139,19 @@
     }
 }
 
-void repeat_world::kill(std::size_t index)
+void retry_world::kill(std::size_t index)
 {
     entries[index].reset();
     runtime.after(plan.learnTime, [this] { learn(); });
 }
 
-void repeat_world::join()
+void retry_world::join()
 {
     entries.emplace_back();
     start(entries.size() - 1);
 }
 
-void repeat_world::restart(std::size_t index)
+void retry_world::restart(std::size_t index)
 {
     constexpr milliseconds drainTime{300};
     if (!entries[index])
@@ -163,7 +163,7 @@
     });
 }
 
-std::vector<std::size_t> repeat_world::taking() const
+std::vector<std::size_t> retry_world::taking() const
 {
     std::vector<std::size_t> indices;
     for (std::size_t i = 0; i < entries.size(); ++i) {
@@ -173,7 +173,7 @@
     return indices;
 }
 
-void repeat_world::request()
+void retry_world::request()
 {
     requests.push_back(runtime.now());
     const std::string id = "r" + std::to_string(++lastRequest);
@@ -192,7 +192,7 @@
     });
 }
 
-void repeat_world::take(repeat_entry &entry, const std::string &id)
+void retry_world::take(repeat_entry &entry, const std::string &id)
 {
     auto item = requestFor(plan.route);
     item->id = id;
@@ -203,13 +203,13 @@
     flow->start();
 }
 
-void repeat_world::suspend(std::size_t index)
+void retry_world::suspend(std::size_t index)
 {
     if (entries[index])
         entries[index]->isSuspended = true;
 }
 
-void repeat_world::wake(std::size_t index)
+void retry_world::wake(std::size_t index)
 {
     if (!entries[index])
         return;
@@ -219,7 +219,7 @@
         take(*entries[index], id);
 }
 
-void repeat_world::play(milliseconds time)
+void retry_world::play(milliseconds time)
 {
     const time_point end = runtime.now() + time;
     while (runtime.now() < end) {
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -24,7 +24,7 @@
 /// How an endpoint ends a request.
 enum class request_outcome { answers, refuses, fails, breaks, hangs };
 
-struct repeat_world;
+struct retry_world;
 
 /// One life of an entry's process.
 struct repeat_entry
@@ -40,7 +40,7 @@
 /// The environment of a flow at one entry.
 struct repeat_environment
 {
-    repeat_world *world;
+    retry_world *world;
     repeat_entry *entry;
 
     manual_runtime &runtime();
@@ -75,9 +75,9 @@
 };
 
 /// Everything around the flows of all entries.
-struct repeat_world
+struct retry_world
 {
-    explicit repeat_world(repeat_plan plan);
+    explicit retry_world(repeat_plan plan);
 
     /// Lets callers ask for \p time.
     void play(milliseconds time);
