--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -118,7 +118,7 @@
     routing_bounds bounds;
     bounds.repeats = rule.bounds;
     const std::string name = "e" + std::to_string(index);
-    entries[index].reset(new repeat_entry{
+    entries[index].reset(new retry_entry{
             name, routing_state(bounds, {0, 50}, random.bits()), {}, true, false, {}});
     entries[index]->routing.setContract(contractOf(plan.route));
     listEndpoints(entries[index]->routing);
@@ -184,7 +184,7 @@
         const bool goesToFavoured
                 = favoured && std::find(places.begin(), places.end(), *favoured) != places.end();
         const std::size_t place = goesToFavoured ? *favoured : places[random.index(places.size())];
-        repeat_entry &entry = *entries[place];
+        retry_entry &entry = *entries[place];
         if (entry.isSuspended)
             entry.unread.push_back(id);
         else
@@ -192,7 +192,7 @@
     });
 }
 
-void retry_world::take(repeat_entry &entry, const std::string &id)
+void retry_world::take(retry_entry &entry, const std::string &id)
 {
     auto item = requestFor(plan.route);
     item->id = id;
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -27,7 +27,7 @@
 struct retry_world;
 
 /// One life of an entry's process.
-struct repeat_entry
+struct retry_entry
 {
     std::string name;
     routing_state routing;
@@ -41,7 +41,7 @@
 struct repeat_environment
 {
     retry_world *world;
-    repeat_entry *entry;
+    retry_entry *entry;
 
     manual_runtime &runtime();
     routing_state &routing() { return entry->routing; }
@@ -106,7 +106,7 @@
     random_source random;
     std::function<request_outcome(const std::string &endpoint)> endpointEnds
             = [](const std::string &) { return request_outcome::answers; };
-    std::vector<std::unique_ptr<repeat_entry>> entries; ///< null: not running
+    std::vector<std::unique_ptr<retry_entry>> entries; ///< null: not running
     std::optional<std::size_t> favoured;
     std::vector<time_point> requests; ///< when callers sent them
     std::vector<time_point> further; ///< arrivals beyond the first of a request
@@ -119,7 +119,7 @@
 private:
     void tellEachOther();
     void request();
-    void take(repeat_entry &entry, const std::string &id);
+    void take(retry_entry &entry, const std::string &id);
     void listEndpoints(routing_state &routing) const;
     std::vector<std::size_t> taking() const;
 };
