--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -29,12 +29,12 @@
 
 } // namespace
 
-manual_runtime &repeat_environment::runtime()
+manual_runtime &retry_environment::runtime()
 {
     return world->runtime;
 }
 
-call_id repeat_environment::call(proxy_attempt attempt, call_events events)
+call_id retry_environment::call(proxy_attempt attempt, call_events events)
 {
     const std::string request = attempt.request->id;
     const std::string endpoint = attempt.endpoint->record().id;
@@ -61,7 +61,7 @@
     return ++world->lastCall;
 }
 
-void repeat_environment::reply(int status, const http_headers &headers, std::string_view)
+void retry_environment::reply(int status, const http_headers &headers, std::string_view)
 {
     ++world->statuses[status];
     for (const http_header &header : headers) {
@@ -70,12 +70,12 @@
     }
 }
 
-void repeat_environment::end()
+void retry_environment::end()
 {
     ++world->statuses[http_status::ok];
 }
 
-void repeat_environment::abort()
+void retry_environment::abort()
 {
     ++world->statuses[0];
 }
@@ -198,7 +198,7 @@
     item->id = id;
     item->key.clear();
     item->session = "s" + std::to_string(random.index(sessions));
-    const auto flow = std::make_shared<repeat_flow>(repeat_environment{this, &entry}, item);
+    const auto flow = std::make_shared<repeat_flow>(retry_environment{this, &entry}, item);
     entry.flows.push_back(flow);
     flow->start();
 }
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -38,7 +38,7 @@
 };
 
 /// The environment of a flow at one entry.
-struct repeat_environment
+struct retry_environment
 {
     retry_world *world;
     retry_entry *entry;
@@ -124,7 +124,7 @@
     std::vector<std::size_t> taking() const;
 };
 
-using repeat_flow = request_flow<repeat_environment>;
+using repeat_flow = request_flow<retry_environment>;
 
 } // namespace laurelcroft
 
