--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -146,7 +146,7 @@
     double allowance;
 };
 
-double worstOf(const fleet_size &size, const series &action, fault ends, repeat_plan plan)
+double worstOf(const fleet_size &size, const series &action, fault ends, retry_plan plan)
 {
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
@@ -191,7 +191,7 @@
                 CAPTURE(std::string(ends.name));
                 CAPTURE(std::string(action.name));
                 CAPTURE(storeAway);
-                repeat_plan plan;
+                retry_plan plan;
                 plan.route = draftRoute();
                 plan.storeAway = storeAway;
                 plan.seed = seed;
--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -26,9 +26,9 @@
                                      [from](time_point at) { return at > from; }));
 }
 
-repeat_plan lookupPlan(std::size_t entries)
+retry_plan lookupPlan(std::size_t entries)
 {
-    repeat_plan plan;
+    retry_plan plan;
     plan.entries = entries;
     plan.route = lookupRoute();
     plan.route.mostEndpoints = 3;
--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -80,7 +80,7 @@
     ++world->statuses[0];
 }
 
-retry_world::retry_world(repeat_plan given)
+retry_world::retry_world(retry_plan given)
     : plan(std::move(given))
     , rule{{0.9, plan.allowance, seconds(10)}}
     , random(plan.seed)
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -61,7 +61,7 @@
 };
 
 /// A deployment that is played.
-struct repeat_plan
+struct retry_plan
 {
     std::size_t entries = 3;
     double perSecond = 100; ///< requests of all callers
@@ -77,7 +77,7 @@
 /// Everything around the flows of all entries.
 struct retry_world
 {
-    explicit retry_world(repeat_plan plan);
+    explicit retry_world(retry_plan plan);
 
     /// Lets callers ask for \p time.
     void play(milliseconds time);
@@ -100,7 +100,7 @@
     double worstShare() const { return rule.worstShare(requests, further); }
     std::size_t served() const { return statuses.count(200) ? statuses.at(200) : 0; }
 
-    repeat_plan plan;
+    retry_plan plan;
     repeat_rule rule;
     manual_runtime runtime;
     random_source random;
