--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -124,7 +124,7 @@
     std::vector<std::size_t> taking() const;
 };
 
-using repeat_flow = request_flow<retry_environment>;
+using retry_flow = request_flow<retry_environment>;
 
 } // namespace laurelcroft
 
