--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -181,9 +181,10 @@
         const std::vector<std::size_t> places = taking();
         if (places.empty())
             return;
-        const bool goesToFavoured
-                = favoured && std::find(places.begin(), places.end(), *favoured) != places.end();
-        const std::size_t place = goesToFavoured ? *favoured : places[random.index(places.size())];
+        const bool goesToFavoured = preferredEntry
+                && std::find(places.begin(), places.end(), *preferredEntry) != places.end();
+        const std::size_t place
+                = goesToFavoured ? *preferredEntry : places[random.index(places.size())];
         retry_entry &entry = *entries[place];
         if (entry.isSuspended)
             entry.unread.push_back(id);
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -93,7 +93,7 @@
     void suspend(std::size_t index);
     void wake(std::size_t index);
     /// All requests go to entry \p index from now on.
-    void favour(std::optional<std::size_t> index) { favoured = index; }
+    void favour(std::optional<std::size_t> index) { preferredEntry = index; }
     /// Entries that live tell each other of themselves, unless the store is away.
     void learn();
 
@@ -107,7 +107,7 @@
     std::function<request_outcome(const std::string &endpoint)> endpointEnds
             = [](const std::string &) { return request_outcome::answers; };
     std::vector<std::unique_ptr<retry_entry>> entries; ///< null: not running
-    std::optional<std::size_t> favoured;
+    std::optional<std::size_t> preferredEntry;
     std::vector<time_point> requests; ///< when callers sent them
     std::vector<time_point> further; ///< arrivals beyond the first of a request
     std::map<std::string, unsigned> arrivals; ///< by request
