--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -87,9 +87,9 @@
 void callersMove(retry_world &world, milliseconds at)
 {
     if (isOneOf(at, {5000}))
-        world.favour(0);
+        world.preferEntry(0);
     if (isOneOf(at, {14000}))
-        world.favour(1);
+        world.preferEntry(1);
 }
 
 void suspendAllTwice(retry_world &world, milliseconds at)
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -93,7 +93,7 @@
     void suspend(std::size_t index);
     void wake(std::size_t index);
     /// All requests go to entry \p index from now on.
-    void favour(std::optional<std::size_t> index) { preferredEntry = index; }
+    void preferEntry(std::optional<std::size_t> index) { preferredEntry = index; }
     /// Entries that live tell each other of themselves, unless the store is away.
     void learn();
 
