--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -163,7 +163,7 @@
     });
 }
 
-std::vector<std::size_t> retry_world::taking() const
+std::vector<std::size_t> retry_world::acceptingEntries() const
 {
     std::vector<std::size_t> indices;
     for (std::size_t i = 0; i < entries.size(); ++i) {
@@ -178,7 +178,7 @@
     requests.push_back(runtime.now());
     const std::string id = "r" + std::to_string(++lastRequest);
     runtime.after(way, [this, id] {
-        const std::vector<std::size_t> places = taking();
+        const std::vector<std::size_t> places = acceptingEntries();
         if (places.empty())
             return;
         const bool goesToFavoured = preferredEntry
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -121,7 +121,7 @@
     void request();
     void take(retry_entry &entry, const std::string &id);
     void listEndpoints(routing_state &routing) const;
-    std::vector<std::size_t> taking() const;
+    std::vector<std::size_t> acceptingEntries() const;
 };
 
 using retry_flow = request_flow<retry_environment>;
