--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -95,7 +95,7 @@
     /// All requests go to entry \p index from now on.
     void preferEntry(std::optional<std::size_t> index) { preferredEntry = index; }
     /// Entries that live tell each other of themselves, unless the store is away.
-    void learn();
+    void updateEntries();
 
     double worstShare() const { return rule.worstShare(requests, further); }
     std::size_t served() const { return statuses.count(200) ? statuses.at(200) : 0; }
