--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -122,7 +122,7 @@
             name, routing_state(bounds, {0, 50}, random.bits()), {}, true, false, {}});
     entries[index]->routing.setContract(contractOf(plan.route));
     listEndpoints(entries[index]->routing);
-    runtime.after(plan.learnTime, [this] { updateEntries(); });
+    runtime.after(plan.discoveryTime, [this] { updateEntries(); });
 }
 
 void retry_world::listEndpoints(routing_state &routing) const
@@ -142,7 +142,7 @@
 void retry_world::kill(std::size_t index)
 {
     entries[index].reset();
-    runtime.after(plan.learnTime, [this] { updateEntries(); });
+    runtime.after(plan.discoveryTime, [this] { updateEntries(); });
 }
 
 void retry_world::join()
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -68,7 +68,7 @@
     double allowance = 52;
     unsigned endpoints = 18;
     milliseconds answerTime{2}; ///< of an endpoint
-    milliseconds learnTime{300}; ///< from a start until all entries know of it
+    milliseconds discoveryTime{300}; ///< from a start until all entries know of it
     bool storeAway = false; ///< entries that start learn of nobody, and nobody of them
     service_route route;
     std::uint64_t seed = 1;
