--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -89,16 +89,16 @@
         entries.emplace_back();
         start(i);
     }
-    tellEachOther();
+    setEntriesOfAll();
 }
 
 void retry_world::updateEntries()
 {
     if (!plan.storeAway)
-        tellEachOther();
+        setEntriesOfAll();
 }
 
-void retry_world::tellEachOther()
+void retry_world::setEntriesOfAll()
 {
     std::vector<std::string> names;
     for (const auto &entry : entries) {
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -117,7 +117,7 @@
     call_id lastCall = 0;
 
 private:
-    void tellEachOther();
+    void setEntriesOfAll();
     void request();
     void take(retry_entry &entry, const std::string &id);
     void listEndpoints(routing_state &routing) const;
