--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -98,7 +98,7 @@
         if (isOneOf(at, {10000, 15000}))
             world.suspend(i);
         if (isOneOf(at, {12000, 17000}))
-            world.wake(i);
+            world.resume(i);
     }
 }
 
--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RepeatWorld.cpp
@@ -210,7 +210,7 @@
         entries[index]->isSuspended = true;
 }
 
-void retry_world::wake(std::size_t index)
+void retry_world::resume(std::size_t index)
 {
     if (!entries[index])
         return;
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RepeatWorld.h
@@ -91,7 +91,7 @@
     void restart(std::size_t index);
     /// Entry \p index reads nothing until it wakes; what has come by then is read at once.
     void suspend(std::size_t index);
-    void wake(std::size_t index);
+    void resume(std::size_t index);
     /// All requests go to entry \p index from now on.
     void preferEntry(std::optional<std::size_t> index) { preferredEntry = index; }
     /// Entries that live tell each other of themselves, unless the store is away.
