--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -176,7 +176,7 @@
 }
 
 /// All faults and sizes with one series, with the store and without.
-void playAll(const named_series &action, std::uint64_t seed)
+void checkAll(const named_series &action, std::uint64_t seed)
 {
     const std::array faults{named_fault{"refuse for seconds", refusedForSeconds},
                             named_fault{"refuse mostly", refusedMostly},
@@ -214,7 +214,7 @@
                              named_series{"callers move to another entry", callersMove}};
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         for (const named_series &action : actions)
-            playAll(action, seed);
+            checkAll(action, seed);
     }
 }
 
