--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -34,7 +34,7 @@
 constexpr milliseconds step{100};
 
 /// Called each \c step with the time since the play began.
-using series = std::function<void(retry_world &world, milliseconds at)>;
+using churn = std::function<void(retry_world &world, milliseconds at)>;
 
 bool isEach(milliseconds at, milliseconds pause)
 {
@@ -130,7 +130,7 @@
 struct named_series
 {
     const char *name;
-    series action;
+    churn action;
 };
 
 struct named_fault
@@ -146,7 +146,7 @@
     double allowance;
 };
 
-double worstOf(const fleet_size &size, const series &action, fault ends, retry_plan plan)
+double worstOf(const fleet_size &size, const churn &action, fault ends, retry_plan plan)
 {
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
