--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -127,7 +127,7 @@
 
 using fault = request_outcome (*)(retry_world &world, milliseconds at);
 
-struct named_series
+struct named_churn
 {
     const char *name;
     churn action;
@@ -176,7 +176,7 @@
 }
 
 /// All faults and sizes with one series, with the store and without.
-void checkAll(const named_series &action, std::uint64_t seed)
+void checkAll(const named_churn &action, std::uint64_t seed)
 {
     const std::array faults{named_fault{"refuse for seconds", refusedForSeconds},
                             named_fault{"refuse mostly", refusedMostly},
@@ -205,15 +205,15 @@
 
 TEST_CASE("repeats stay within their bound through kills, stops, joins and a lost store")
 {
-    const std::array actions{named_series{"nothing else", nothingElse},
-                             named_series{"all killed three times", killAllAgainAndAgain},
-                             named_series{"killed in turn", killInTurn},
-                             named_series{"restarted in turn", restartInTurn},
-                             named_series{"as many join", joinAsMany},
-                             named_series{"all suspended twice", suspendAllTwice},
-                             named_series{"callers move to another entry", callersMove}};
+    const std::array actions{named_churn{"nothing else", nothingElse},
+                             named_churn{"all killed three times", killAllAgainAndAgain},
+                             named_churn{"killed in turn", killInTurn},
+                             named_churn{"restarted in turn", restartInTurn},
+                             named_churn{"as many join", joinAsMany},
+                             named_churn{"all suspended twice", suspendAllTwice},
+                             named_churn{"callers move to another entry", callersMove}};
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        for (const named_series &action : actions)
+        for (const named_churn &action : actions)
             checkAll(action, seed);
     }
 }
