--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -34,7 +34,7 @@
 
 constexpr unsigned endpointCount = 24;
 constexpr unsigned eventCount = 8; ///< of a stream
-constexpr milliseconds untilHead{60}; ///< from a send to the moment at which it begins to run
+constexpr milliseconds runDelay{60}; ///< from a send to the moment at which it begins to run
 constexpr milliseconds untilEnd{100}; ///< from its beginning to the end of its endpoint
 constexpr milliseconds betweenEvents{50};
 constexpr milliseconds rowGoes{1500}; ///< after an endpoint's end
@@ -340,7 +340,7 @@
     const bool crashes = crash_world::endsEndpoints(attempt.request->body);
     if (crashes)
         world->arrivals.push_back(runtime().now());
-    world->later(untilHead,
+    world->later(runDelay,
                  [world = world, number, id, crashes] { world->begins(number, id, crashes); });
     return number;
 }
