--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -35,7 +35,7 @@
 constexpr unsigned endpointCount = 24;
 constexpr unsigned eventCount = 8; ///< of a stream
 constexpr milliseconds runDelay{60}; ///< from a send to the moment at which it begins to run
-constexpr milliseconds untilEnd{100}; ///< from its beginning to the end of its endpoint
+constexpr milliseconds crashDelay{100}; ///< from its beginning to the end of its endpoint
 constexpr milliseconds betweenEvents{50};
 constexpr milliseconds rowGoes{1500}; ///< after an endpoint's end
 constexpr milliseconds comesBack{4000};
@@ -224,7 +224,7 @@
         if (alive.count(id) == 0)
             return;
         if (crashes) {
-            later(untilEnd, [this, id] {
+            later(crashDelay, [this, id] {
                 if (alive.count(id) != 0)
                     endedAt.push_back(entries.runtime.now());
                 endEndpoint(id);
