--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -37,7 +37,7 @@
 constexpr milliseconds runDelay{60}; ///< from a send to the moment at which it begins to run
 constexpr milliseconds crashDelay{100}; ///< from its beginning to the end of its endpoint
 constexpr milliseconds betweenEvents{50};
-constexpr milliseconds rowGoes{1500}; ///< after an endpoint's end
+constexpr milliseconds rowRemovalDelay{1500}; ///< after an endpoint's end
 constexpr milliseconds comesBack{4000};
 constexpr milliseconds rowAnew{600}; ///< heartbeats
 constexpr milliseconds knownAfter{3000}; ///< the bound for entries in touch
@@ -194,7 +194,7 @@
         // Idle connections of all entries that have used it are closed with it.
         for (fleet_entry *entry : users[id])
             later(milliseconds(1), [this, entry, id] { idleClosed(*entry, id); });
-        later(rowGoes, [this, id] { entries.store.remove("endpoints", id); });
+        later(rowRemovalDelay, [this, id] { entries.store.remove("endpoints", id); });
         later(comesBack, [this] { startEndpoint(); });
     }
 
