--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -38,7 +38,7 @@
 constexpr milliseconds crashDelay{100}; ///< from its beginning to the end of its endpoint
 constexpr milliseconds betweenEvents{50};
 constexpr milliseconds rowRemovalDelay{1500}; ///< after an endpoint's end
-constexpr milliseconds comesBack{4000};
+constexpr milliseconds restartDelay{4000};
 constexpr milliseconds rowAnew{600}; ///< heartbeats
 constexpr milliseconds knownAfter{3000}; ///< the bound for entries in touch
 constexpr milliseconds probeTime{3};
@@ -195,7 +195,7 @@
         for (fleet_entry *entry : users[id])
             later(milliseconds(1), [this, entry, id] { idleClosed(*entry, id); });
         later(rowRemovalDelay, [this, id] { entries.store.remove("endpoints", id); });
-        later(comesBack, [this] { startEndpoint(); });
+        later(restartDelay, [this] { startEndpoint(); });
     }
 
     void idleClosed(fleet_entry &entry, const std::string &id)
