--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -39,7 +39,7 @@
 constexpr milliseconds betweenEvents{50};
 constexpr milliseconds rowRemovalDelay{1500}; ///< after an endpoint's end
 constexpr milliseconds restartDelay{4000};
-constexpr milliseconds rowAnew{600}; ///< heartbeats
+constexpr milliseconds heartbeatInterval{600}; ///< heartbeats
 constexpr milliseconds knownAfter{3000}; ///< the bound for entries in touch
 constexpr milliseconds probeTime{3};
 constexpr unsigned mostEnded = 6; ///< the aim, whatever the size
@@ -176,7 +176,7 @@
         if (alive.count(id) == 0)
             return;
         entries.store.put("endpoints", id, version);
-        entries.runtime.after(rowAnew, [this, id] { beat(id); });
+        entries.runtime.after(heartbeatInterval, [this, id] { beat(id); });
     }
 
     /// The process of the endpoint ends; it is back later under another id.
