--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -42,7 +42,7 @@
 constexpr milliseconds heartbeatInterval{600}; ///< heartbeats
 constexpr milliseconds knownAfter{3000}; ///< the bound for entries in touch
 constexpr milliseconds probeTime{3};
-constexpr unsigned mostEnded = 6; ///< the aim, whatever the size
+constexpr unsigned maxEnded = 6; ///< the aim, whatever the size
 constexpr unsigned mostLater = 3;
 
 struct crash_world;
@@ -381,7 +381,7 @@
     crash_world world(entryCount, seed);
     world.play(seconds(20), pause);
     CHECK(world.endedAt.size() >= 1);
-    CHECK(world.endedAt.size() <= mostEnded);
+    CHECK(world.endedAt.size() <= maxEnded);
     CHECK(world.laterArrivals() <= mostLater);
     CHECK(world.outcomes["others"].share() >= 0.99);
     CHECK(world.outcomes["others"].withheld == 0);
@@ -439,7 +439,7 @@
         crash_world world(entryCount);
         world.crashers = 2;
         world.play(seconds(20), milliseconds(200));
-        CHECK(world.endedAt.size() <= 2 * mostEnded);
+        CHECK(world.endedAt.size() <= 2 * maxEnded);
         CHECK(world.outcomes["others"].withheld == 0);
     }
 }
@@ -451,12 +451,12 @@
         crash_world without(entryCount);
         without.entries.store.away = true;
         without.play(seconds(5), milliseconds(400));
-        CHECK(without.endedAt.size() <= mostEnded);
+        CHECK(without.endedAt.size() <= maxEnded);
 
         crash_world lossy(entryCount);
         lossy.lostDatagrams = 0.5;
         lossy.play(seconds(20), milliseconds(400));
-        CHECK(lossy.endedAt.size() <= mostEnded);
+        CHECK(lossy.endedAt.size() <= maxEnded);
         CHECK(lossy.laterArrivals() <= mostLater);
     }
     // Rows alone: two ends at one entry are told to all. Among a hundred entries that may hardly
