--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -43,7 +43,7 @@
 constexpr milliseconds knownAfter{3000}; ///< the bound for entries in touch
 constexpr milliseconds probeTime{3};
 constexpr unsigned maxEnded = 6; ///< the aim, whatever the size
-constexpr unsigned mostLater = 3;
+constexpr unsigned maxLaterArrivals = 3;
 
 struct crash_world;
 
@@ -382,7 +382,7 @@
     world.play(seconds(20), pause);
     CHECK(world.endedAt.size() >= 1);
     CHECK(world.endedAt.size() <= maxEnded);
-    CHECK(world.laterArrivals() <= mostLater);
+    CHECK(world.laterArrivals() <= maxLaterArrivals);
     CHECK(world.outcomes["others"].share() >= 0.99);
     CHECK(world.outcomes["others"].withheld == 0);
 }
@@ -426,7 +426,7 @@
         world.ownEndsPause = milliseconds(500);
         world.popularPause = milliseconds(40);
         world.play(seconds(20), milliseconds(400));
-        CHECK(world.laterArrivals() <= mostLater);
+        CHECK(world.laterArrivals() <= maxLaterArrivals);
         CHECK(world.outcomes["popular"].withheld == 0);
         CHECK(world.outcomes["others"].withheld == 0);
     }
@@ -457,7 +457,7 @@
         lossy.lostDatagrams = 0.5;
         lossy.play(seconds(20), milliseconds(400));
         CHECK(lossy.endedAt.size() <= maxEnded);
-        CHECK(lossy.laterArrivals() <= mostLater);
+        CHECK(lossy.laterArrivals() <= maxLaterArrivals);
     }
     // Rows alone: two ends at one entry are told to all. Among a hundred entries that may hardly
     // send anything again no entry sees two, and 4 to 25 later sends were seen.
@@ -468,7 +468,7 @@
             crash_world silent(entryCount, seed);
             silent.lostDatagrams = 1;
             silent.play(seconds(20), milliseconds(400));
-            CHECK(silent.laterArrivals() <= mostLater);
+            CHECK(silent.laterArrivals() <= maxLaterArrivals);
         }
     }
 }
