--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -168,15 +168,15 @@
     {
         const std::string id = "p" + std::to_string(++lastEndpoint);
         alive.insert(id);
-        beat(id);
+        sendHeartbeat(id);
     }
 
-    void beat(const std::string &id)
+    void sendHeartbeat(const std::string &id)
     {
         if (alive.count(id) == 0)
             return;
         entries.store.put("endpoints", id, version);
-        entries.runtime.after(heartbeatInterval, [this, id] { beat(id); });
+        entries.runtime.after(heartbeatInterval, [this, id] { sendHeartbeat(id); });
     }
 
     /// The process of the endpoint ends; it is back later under another id.
