--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -277,8 +277,8 @@
                 request("crasher", crasher + std::to_string(++lastCrasher % crashers));
             if (popularPause.count() > 0 && at.count() % popularPause.count() == 0)
                 request("popular", "everybody asks this");
-            if (ownEndsPause.count() > 0 && at.count() % ownEndsPause.count() == 0
-                && !alive.empty())
+            if (unrelatedCrashInterval.count() > 0
+                && at.count() % unrelatedCrashInterval.count() == 0 && !alive.empty())
                 endEndpoint(*std::next(alive.begin(), std::ptrdiff_t(random.index(alive.size()))));
             entries.runtime.advance(step);
         }
@@ -300,7 +300,7 @@
     fleet entries;
     random_source random;
     double lostDatagrams = 0.02;
-    milliseconds ownEndsPause{0}; ///< endpoints end by themselves this often; 0: never
+    milliseconds unrelatedCrashInterval{0}; ///< endpoints end by themselves this often; 0: never
     milliseconds popularPause{0}; ///< all send one body this often; 0: never
     std::map<std::string, token_bucket> budgets; ///< of bytes, by entry
     unsigned crashers = 1; ///< different requests that come by turns
@@ -407,7 +407,7 @@
             CAPTURE(entryCount);
             CAPTURE(seed);
             crash_world world(entryCount, seed);
-            world.ownEndsPause = milliseconds(130);
+            world.unrelatedCrashInterval = milliseconds(130);
             world.popularPause = milliseconds(20);
             world.play(seconds(20), milliseconds(0));
             CHECK(world.outcomes["popular"].withheld == 0);
@@ -423,7 +423,7 @@
     for (const std::size_t entryCount : {3, 12, 100}) {
         CAPTURE(entryCount);
         crash_world world(entryCount);
-        world.ownEndsPause = milliseconds(500);
+        world.unrelatedCrashInterval = milliseconds(500);
         world.popularPause = milliseconds(40);
         world.play(seconds(20), milliseconds(400));
         CHECK(world.laterArrivals() <= maxLaterArrivals);
