--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -275,7 +275,8 @@
                 request("others", std::to_string(lastRequest));
             if (crashPause.count() > 0 && at.count() % crashPause.count() == 0)
                 request("crasher", crasher + std::to_string(++lastCrasher % crashers));
-            if (popularPause.count() > 0 && at.count() % popularPause.count() == 0)
+            if (popularRequestInterval.count() > 0
+                && at.count() % popularRequestInterval.count() == 0)
                 request("popular", "everybody asks this");
             if (unrelatedCrashInterval.count() > 0
                 && at.count() % unrelatedCrashInterval.count() == 0 && !alive.empty())
@@ -301,7 +302,7 @@
     random_source random;
     double lostDatagrams = 0.02;
     milliseconds unrelatedCrashInterval{0}; ///< endpoints end by themselves this often; 0: never
-    milliseconds popularPause{0}; ///< all send one body this often; 0: never
+    milliseconds popularRequestInterval{0}; ///< all send one body this often; 0: never
     std::map<std::string, token_bucket> budgets; ///< of bytes, by entry
     unsigned crashers = 1; ///< different requests that come by turns
     service_route route = draftRoute();
@@ -408,7 +409,7 @@
             CAPTURE(seed);
             crash_world world(entryCount, seed);
             world.unrelatedCrashInterval = milliseconds(130);
-            world.popularPause = milliseconds(20);
+            world.popularRequestInterval = milliseconds(20);
             world.play(seconds(20), milliseconds(0));
             CHECK(world.outcomes["popular"].withheld == 0);
             CHECK(world.outcomes["others"].withheld == 0);
@@ -424,7 +425,7 @@
         CAPTURE(entryCount);
         crash_world world(entryCount);
         world.unrelatedCrashInterval = milliseconds(500);
-        world.popularPause = milliseconds(40);
+        world.popularRequestInterval = milliseconds(40);
         world.play(seconds(20), milliseconds(400));
         CHECK(world.laterArrivals() <= maxLaterArrivals);
         CHECK(world.outcomes["popular"].withheld == 0);
