--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -40,7 +40,7 @@
 constexpr milliseconds rowRemovalDelay{1500}; ///< after an endpoint's end
 constexpr milliseconds restartDelay{4000};
 constexpr milliseconds heartbeatInterval{600}; ///< heartbeats
-constexpr milliseconds knownAfter{3000}; ///< the bound for entries in touch
+constexpr milliseconds detectionTime{3000}; ///< the bound for entries in touch
 constexpr milliseconds probeTime{3};
 constexpr unsigned maxEnded = 6; ///< the aim, whatever the size
 constexpr unsigned maxLaterArrivals = 3;
@@ -290,7 +290,7 @@
     {
         if (endedAt.size() < 3)
             return 0;
-        const auto known = endedAt[2] + knownAfter;
+        const auto known = endedAt[2] + detectionTime;
         return unsigned(std::count_if(arrivals.begin(), arrivals.end(),
                                       [known](time_point at) { return at > known; }));
     }
