--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -102,7 +102,7 @@
             version = endpoints.front()->record().softwareVersion;
         }
         judge(session, version, now);
-        const bool fails = &entry == spoiled && version == "v2";
+        const bool fails = &entry == failingEntry && version == "v2";
         const auto timing
                 = fails ? std::nullopt : std::optional<answer_timing>({answerTime, {}, {}});
         rollouts.observe(version, "route", "m", timing, now);
@@ -134,7 +134,7 @@
     std::map<std::uint64_t, std::string> versions; ///< of the last request, by session
     std::map<std::string, unsigned> served; ///< requests by version
     time_point orderedAt{};
-    fleet_entry *spoiled = nullptr; ///< only failures of the new version come to this one
+    fleet_entry *failingEntry = nullptr; ///< only failures of the new version come to this one
     unsigned movedOver = 0; ///< to the new version in the first half
     unsigned movedBack = 0; ///< to the old one while the new one is not taken back
 };
@@ -165,11 +165,11 @@
         // One of the busiest of those that read the rows from others.
         for (fleet_entry &entry : world.entries.entries) {
             if (!entry.readers.empty()) {
-                world.spoiled = &entry;
+                world.failingEntry = &entry;
                 break;
             }
         }
-        REQUIRE(world.spoiled);
+        REQUIRE(world.failingEntry);
         world.order();
         world.pass(seconds(12));
         CHECK(world.isTakenBack());
