--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -31,7 +31,7 @@
 namespace {
 
 constexpr std::size_t entryCount = 32;
-constexpr unsigned perVersion = 20; ///< endpoints
+constexpr unsigned endpointsPerVersion = 20; ///< endpoints
 constexpr milliseconds stepLength{10};
 constexpr double startsPerStep = 0.9; ///< sessions that begin, of all entries
 constexpr double followShare = 0.6; ///< of the requests, that another one of the session follows
@@ -45,7 +45,7 @@
     explicit session_world(std::uint64_t seed)
         : random(seed)
     {
-        for (unsigned i = 0; i < perVersion; ++i)
+        for (unsigned i = 0; i < endpointsPerVersion; ++i)
             entries.store.put("endpoints", "p" + std::to_string(i), "v1");
         entries.store.put("orders", "contract", "7");
         entries.start(0, entryCount);
@@ -54,7 +54,7 @@
 
     void order()
     {
-        for (unsigned i = 0; i < perVersion; ++i)
+        for (unsigned i = 0; i < endpointsPerVersion; ++i)
             entries.store.put("endpoints", "n" + std::to_string(i), "v2");
         entries.store.put("orders", "pool", "v2");
         orderedAt = entries.runtime.now();
