--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -33,7 +33,7 @@
 constexpr std::size_t entryCount = 32;
 constexpr unsigned endpointsPerVersion = 20; ///< endpoints
 constexpr milliseconds stepLength{10};
-constexpr double startsPerStep = 0.9; ///< sessions that begin, of all entries
+constexpr double newSessionsPerStep = 0.9; ///< sessions that begin, of all entries
 constexpr double followShare = 0.6; ///< of the requests, that another one of the session follows
 constexpr milliseconds longestPause{3000};
 constexpr milliseconds answerTime{300};
@@ -63,7 +63,7 @@
     void pass(milliseconds time)
     {
         for (milliseconds at{0}; at < time; at += stepLength) {
-            for (double left = startsPerStep; left > 0; left -= 1) {
+            for (double left = newSessionsPerStep; left > 0; left -= 1) {
                 if (random.chance(left))
                     due.emplace(entries.runtime.now(), ++lastSession);
             }
