--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -34,7 +34,7 @@
 constexpr unsigned endpointsPerVersion = 20; ///< endpoints
 constexpr milliseconds stepLength{10};
 constexpr double newSessionsPerStep = 0.9; ///< sessions that begin, of all entries
-constexpr double followShare = 0.6; ///< of the requests, that another one of the session follows
+constexpr double followUpChance = 0.6; ///< of the requests, that another one of the session follows
 constexpr milliseconds longestPause{3000};
 constexpr milliseconds answerTime{300};
 constexpr milliseconds window{10000}; ///< as the codec of these tests decodes an order
@@ -106,7 +106,7 @@
         const auto timing
                 = fails ? std::nullopt : std::optional<answer_timing>({answerTime, {}, {}});
         rollouts.observe(version, "route", "m", timing, now);
-        if (random.chance(followShare)) {
+        if (random.chance(followUpChance)) {
             const auto pause = std::chrono::duration_cast<milliseconds>(
                     random.uniform() * std::chrono::duration<double, std::milli>(longestPause));
             due.emplace(now + answerTime + pause, session);
