--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -101,7 +101,7 @@
                 return;
             version = endpoints.front()->record().softwareVersion;
         }
-        judge(session, version, now);
+        recordVersion(session, version, now);
         const bool fails = &entry == failingEntry && version == "v2";
         const auto timing
                 = fails ? std::nullopt : std::optional<answer_timing>({answerTime, {}, {}});
@@ -113,7 +113,7 @@
         }
     }
 
-    void judge(std::uint64_t session, const std::string &version, time_point now)
+    void recordVersion(std::uint64_t session, const std::string &version, time_point now)
     {
         const auto before = versions.find(session);
         if (before != versions.end() && before->second != version && orderedAt != time_point{}) {
