--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -119,13 +119,13 @@
         if (before != versions.end() && before->second != version && orderedAt != time_point{}) {
             const bool firstHalf = now < orderedAt + window / 2;
             movedOver += version == "v2" && firstHalf ? 1 : 0;
-            movedBack += version == "v1" && !isTakenBack() ? 1 : 0;
+            movedBack += version == "v1" && !isRolledBack() ? 1 : 0;
         }
         versions[session] = version;
         ++served[version];
     }
 
-    bool isTakenBack() { return entries.store.valueOf("status", "pool") == "reverted"; }
+    bool isRolledBack() { return entries.store.valueOf("status", "pool") == "reverted"; }
 
     fleet entries;
     random_source random;
@@ -172,7 +172,7 @@
         REQUIRE(world.failingEntry);
         world.order();
         world.pass(seconds(12));
-        CHECK(world.isTakenBack());
+        CHECK(world.isRolledBack());
         back += world.movedBack;
     }
     CHECK(back == 0);
