--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -49,7 +49,7 @@
             entries.store.put("endpoints", "p" + std::to_string(i), "v1");
         entries.store.put("orders", "contract", "7");
         entries.start(0, entryCount);
-        pass(seconds(3));
+        run(seconds(3));
     }
 
     void order()
@@ -60,7 +60,7 @@
         orderedAt = entries.runtime.now();
     }
 
-    void pass(milliseconds time)
+    void run(milliseconds time)
     {
         for (milliseconds at{0}; at < time; at += stepLength) {
             for (double left = newSessionsPerStep; left > 0; left -= 1) {
@@ -148,7 +148,7 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         session_world world(seed);
         world.order();
-        world.pass(seconds(12));
+        world.run(seconds(12));
         over += world.movedOver;
         back += world.movedBack;
         CHECK(world.entries.store.valueOf("status", "pool") == "completed");
@@ -171,7 +171,7 @@
         }
         REQUIRE(world.failingEntry);
         world.order();
-        world.pass(seconds(12));
+        world.run(seconds(12));
         CHECK(world.isRolledBack());
         back += world.movedBack;
     }
@@ -189,7 +189,7 @@
                 entry.readDelay = milliseconds(700);
         }
         world.order();
-        world.pass(seconds(12));
+        world.run(seconds(12));
         back += world.movedBack;
     }
     CHECK(back == 0);
