--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -52,7 +52,7 @@
         run(seconds(3));
     }
 
-    void order()
+    void startRollout()
     {
         for (unsigned i = 0; i < endpointsPerVersion; ++i)
             entries.store.put("endpoints", "n" + std::to_string(i), "v2");
@@ -147,7 +147,7 @@
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         session_world world(seed);
-        world.order();
+        world.startRollout();
         world.run(seconds(12));
         over += world.movedOver;
         back += world.movedBack;
@@ -170,7 +170,7 @@
             }
         }
         REQUIRE(world.failingEntry);
-        world.order();
+        world.startRollout();
         world.run(seconds(12));
         CHECK(world.isRolledBack());
         back += world.movedBack;
@@ -188,7 +188,7 @@
             if (!entry.readers.empty() && ++number % 2 == 0)
                 entry.readDelay = milliseconds(700);
         }
-        world.order();
+        world.startRollout();
         world.run(seconds(12));
         back += world.movedBack;
     }
