--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -19,7 +19,7 @@
 constexpr unsigned endpoints = 12;
 constexpr milliseconds work{150};
 /// Time between requests over all entries: 5 a second for each endpoint.
-constexpr milliseconds between{16};
+constexpr milliseconds requestInterval{16};
 /// The required bound: once \c knownAfter has passed since the first statement, any \c window has
 /// at most \c limitFactor times the limit plus \c extraRequests requests.
 constexpr milliseconds knownAfter{3000};
@@ -138,8 +138,8 @@
     void play(duration time)
     {
         auto entry = entries.entries.begin();
-        for (duration passed{0}; passed < time; passed += between) {
-            runtime().advance(between);
+        for (duration passed{0}; passed < time; passed += requestInterval) {
+            runtime().advance(requestInterval);
             std::erase_if(flows, [](const auto &flow) { return flow->isDone(); });
             const fleet_environment<limit_world> environment{this, &*entry};
             flows.push_back(std::make_shared<fleet_flow>(environment, requestFor(route)));
