--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr unsigned endpoints = 12;
-constexpr milliseconds work{150};
+constexpr milliseconds serviceTime{150};
 /// Time between requests over all entries: 5 a second for each endpoint.
 constexpr milliseconds requestInterval{16};
 /// The required bound: once \c knownAfter has passed since the first statement, any \c window has
@@ -107,7 +107,7 @@
         limited_endpoint &endpoint = simulated.at(attempt.endpoint->record().id);
         endpoint.arrivals.push_back(runtime().now());
         ++endpoint.running;
-        runtime().after(work, [&endpoint, events = std::move(events)] {
+        runtime().after(serviceTime, [&endpoint, events = std::move(events)] {
             proxy_answer answer;
             answer.load = {--endpoint.running, 0, 4};
             answer.status = 200;
