--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -17,7 +17,7 @@
 
 constexpr seconds before{5};
 constexpr seconds outage{7};
-constexpr milliseconds toKnow{2000};
+constexpr milliseconds detectionTime{2000};
 
 /// \returns how many of \p moments lie after \p from.
 std::size_t countAfter(const std::vector<time_point> &moments, time_point from)
@@ -45,10 +45,10 @@
         world.play(before);
         world.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
         // An entry with a twelfth of 100 requests a second sees thirty failures in one to two.
-        world.play(toKnow);
+        world.play(detectionTime);
         const time_point known = world.runtime.now();
         const std::size_t refusedBefore = world.retryAfter.size();
-        world.play(outage - toKnow);
+        world.play(outage - detectionTime);
 
         const double asked = double(countAfter(world.requests, known));
         CHECK(double(countAfter(world.further, known)) <= 0.05 * asked);
