--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -10,8 +10,8 @@
 using namespace laurelcroft;
 
 /// Endpoints end one after the other under requests like \p request, as this entry sees it.
-static void endUnder(flow_world &world, const std::shared_ptr<proxy_request> &request,
-                     unsigned ends)
+static void crashEndpoints(flow_world &world, const std::shared_ptr<proxy_request> &request,
+                           unsigned ends)
 {
     crash_watch &crashes = world.routing.crashes();
     for (unsigned i = 0; i < ends; ++i) {
@@ -29,7 +29,7 @@
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 3);
+    crashEndpoints(world, request, 3);
     startFlow(world, request);
     CHECK(world.calls.empty());
     CHECK(world.status == 0);
@@ -49,7 +49,7 @@
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 3);
+    crashEndpoints(world, request, 3);
     const auto other = std::make_shared<proxy_request>(*request);
     other->key = "key-other";
     other->host = "site.example";
@@ -65,7 +65,7 @@
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 1);
+    crashEndpoints(world, request, 1);
     startFlow(world, request);
     world.answer(0, 200, 5);
     CHECK(world.calls.size() == 1);
@@ -75,7 +75,7 @@
 {
     flow_world world(lookupRoute(), {"e1", "e2", "e3"});
     const auto request = requestFor(lookupRoute());
-    endUnder(world, request, 2);
+    crashEndpoints(world, request, 2);
     startFlow(world, request);
     startFlow(world, std::make_shared<proxy_request>(*request));
     CHECK(world.calls.size() == 1);
@@ -92,8 +92,8 @@
     const auto first = requestFor(lookupRoute());
     const auto second = std::make_shared<proxy_request>(*first);
     second->body = "another";
-    endUnder(world, first, 2);
-    endUnder(world, second, 2);
+    crashEndpoints(world, first, 2);
+    crashEndpoints(world, second, 2);
     startFlow(world, first);
     startFlow(world, second);
     startFlow(world, requestFor(lookupRoute()))->record();
@@ -105,7 +105,7 @@
 {
     flow_world world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 2);
+    crashEndpoints(world, request, 2);
     startFlow(world, request);
     world.answer(0, 200, 90);
     unsigned event = 0;
