--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -27,7 +27,7 @@
         entries.runtime.advance(seconds(5));
     }
 
-    void find()
+    void detect()
     {
         crash_watch &crashes = entries.entries.front().routing.crashes();
         endpoint_record record;
@@ -150,7 +150,7 @@
 TEST_CASE("a finding reaches entries by its row alone, those that start later, too")
 {
     finding_fleet world(20);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(2));
     CHECK(world.knowing() == 20);
     world.entries.start(20, 25);
@@ -161,7 +161,7 @@
 TEST_CASE("an operator who removes the row lets the request pass at all entries")
 {
     finding_fleet world(12);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(2));
     world.entries.store.remove("laurelcroft", withheldKey(world.key));
     world.entries.runtime.advance(seconds(2));
@@ -174,7 +174,7 @@
     finding_fleet world(3);
     for (fleet_entry &entry : world.entries.entries)
         entry.store.rejectsCalls = true;
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(5));
     CHECK(world.knowing() == 1);
     for (fleet_entry &entry : world.entries.entries)
@@ -186,7 +186,7 @@
 TEST_CASE("a row whose time is over is removed and holds nothing back")
 {
     finding_fleet world(3);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(2));
     CHECK(!world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
     world.entries.runtime.advance(crash_suspects::withheldFor + seconds(60));
@@ -197,7 +197,7 @@
 TEST_CASE("a request that an endpoint answers after all is withheld nowhere, and its row goes")
 {
     finding_fleet world(3);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(3));
     CHECK(world.knowing() == 3);
     // As other entries are told by datagram.
@@ -213,7 +213,7 @@
 TEST_CASE("a finding that is cleared while it is in doubt is never written")
 {
     finding_fleet world(3);
-    world.find();
+    world.detect();
     const time_point now = world.entries.runtime.now();
     fleet_entry &first = world.entries.entries.front();
     CHECK(first.routing.suspects().isInDoubt(world.key, now));
