--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -46,7 +46,7 @@
         }
     }
 
-    std::size_t knowing()
+    std::size_t countWithholding()
     {
         return std::size_t(std::count_if(
                 entries.entries.begin(), entries.entries.end(), [this](fleet_entry &entry) {
@@ -152,10 +152,10 @@
     finding_fleet world(20);
     world.detect();
     world.entries.runtime.advance(seconds(2));
-    CHECK(world.knowing() == 20);
+    CHECK(world.countWithholding() == 20);
     world.entries.start(20, 25);
     world.entries.runtime.advance(seconds(2));
-    CHECK(world.knowing() == 25);
+    CHECK(world.countWithholding() == 25);
 }
 
 TEST_CASE("an operator who removes the row lets the request pass at all entries")
@@ -165,7 +165,7 @@
     world.entries.runtime.advance(seconds(2));
     world.entries.store.remove("laurelcroft", withheldKey(world.key));
     world.entries.runtime.advance(seconds(2));
-    CHECK(world.knowing() == 0);
+    CHECK(world.countWithholding() == 0);
     CHECK(world.entries.entries.front().routing.suspects().isEmpty());
 }
 
@@ -176,11 +176,11 @@
         entry.store.rejectsCalls = true;
     world.detect();
     world.entries.runtime.advance(seconds(5));
-    CHECK(world.knowing() == 1);
+    CHECK(world.countWithholding() == 1);
     for (fleet_entry &entry : world.entries.entries)
         entry.store.rejectsCalls = false;
     world.entries.runtime.advance(seconds(5));
-    CHECK(world.knowing() == 3);
+    CHECK(world.countWithholding() == 3);
 }
 
 TEST_CASE("a row whose time is over is removed and holds nothing back")
@@ -190,7 +190,7 @@
     world.entries.runtime.advance(seconds(2));
     CHECK(!world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
     world.entries.runtime.advance(crash_suspects::withheldFor + seconds(60));
-    CHECK(world.knowing() == 0);
+    CHECK(world.countWithholding() == 0);
     CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
 }
 
@@ -199,14 +199,14 @@
     finding_fleet world(3);
     world.detect();
     world.entries.runtime.advance(seconds(3));
-    CHECK(world.knowing() == 3);
+    CHECK(world.countWithholding() == 3);
     // As other entries are told by datagram.
     for (fleet_entry &entry : world.entries.entries)
         entry.routing.crashes().applyNotice(cleared_notice{world.key, "v1"},
                                             world.entries.runtime.now());
-    CHECK(world.knowing() == 0);
+    CHECK(world.countWithholding() == 0);
     world.entries.runtime.advance(seconds(10));
-    CHECK(world.knowing() == 0);
+    CHECK(world.countWithholding() == 0);
     CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
 }
 
@@ -219,6 +219,6 @@
     CHECK(first.routing.suspects().isInDoubt(world.key, now));
     first.routing.crashes().clear(world.key, "v1", now);
     world.entries.runtime.advance(seconds(3));
-    CHECK(world.knowing() == 0);
+    CHECK(world.countWithholding() == 0);
     CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
 }
