--- a/include/laurelcroft/Proxy/EntryRoster.h
+++ b/include/laurelcroft/Proxy/EntryRegistry.h
@@ -1,4 +1,4 @@
-//===-- Proxy/EntryRoster.h - which entries there are ------------*- C++ -*-===//
+//===-- Proxy/EntryRegistry.h - which entries there are ---------*- C++ -*-===//
 //
 // Entries share budgets and read the store for each other, so each keeps a row with its place
 // and writes it anew now and then. A row that was not renewed for three such times belongs to
@@ -6,8 +6,8 @@
 // although it lives writes it again.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_PROXY_ENTRYROSTER_H
-#define LAURELCROFT_PROXY_ENTRYROSTER_H
+#ifndef LAURELCROFT_PROXY_ENTRYREGISTRY_H
+#define LAURELCROFT_PROXY_ENTRYREGISTRY_H
 
 #include "laurelcroft/Proxy/RolloutRows.h"
 
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -10,7 +10,7 @@
 
 #include "laurelcroft/Platform/RowFollower.h"
 #include "laurelcroft/Proxy/EntryAnnouncement.h"
-#include "laurelcroft/Proxy/EntryRoster.h"
+#include "laurelcroft/Proxy/EntryRegistry.h"
 #include "laurelcroft/Proxy/EvidenceNotice.h"
 #include "laurelcroft/Proxy/RolloutRows.h"
 #include "laurelcroft/Proxy/RoutingState.h"
--- a/lib/Proxy/EntryRoster.cpp
+++ b/lib/Proxy/EntryRegistry.cpp
@@ -1,9 +1,9 @@
-//===-- EntryRoster.cpp - which entries there are ---------------------------===//
+//===-- EntryRegistry.cpp - which entries there are -----------------------===//
 //
 // Times are the store's: no clock of an instance is compared with another's.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/EntryRoster.h"
+#include "laurelcroft/Proxy/EntryRegistry.h"
 
 #include <algorithm>
 #include <vector>
--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRosterTests.cpp
@@ -5,7 +5,7 @@
 //===----------------------------------------------------------------------===//
 #include "FakeStore.h"
 
-#include "laurelcroft/Proxy/EntryRoster.h"
+#include "laurelcroft/Proxy/EntryRegistry.h"
 
 #include <doctest/doctest.h>
 
