--- a/unittests/Proxy/EntryRosterTests.cpp
+++ b/unittests/Proxy/EntryRegistryTests.cpp
@@ -1,4 +1,4 @@
-//===-- EntryRosterTests.cpp - which entries there are ----------------------===//
+//===-- EntryRegistryTests.cpp - which entries there are ------------------===//
 //
 // Rows that are renewed, that are not, and that somebody removed by mistake.
 //
