--- a/include/laurelcroft/Proxy/SendNotices.h
+++ b/include/laurelcroft/Proxy/NoticeChannel.h
@@ -1,4 +1,4 @@
-//===-- Proxy/SendNotices.h - entries tell each other of sends ---*- C++ -*-===//
+//===-- Proxy/NoticeChannel.h - entries tell each other of sends *- C++ -*-===//
 //
 // An endpoint says how full it is only with its answers, and a long prompt holds up all that
 // run beside it. So an entry tells the others that use an endpoint when it sends a long prompt
@@ -9,8 +9,8 @@
 // 30 days of 34 s with faults): a third less of the shared parts is read again.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_PROXY_SENDNOTICES_H
-#define LAURELCROFT_PROXY_SENDNOTICES_H
+#ifndef LAURELCROFT_PROXY_NOTICECHANNEL_H
+#define LAURELCROFT_PROXY_NOTICECHANNEL_H
 
 #include "laurelcroft/Fleet/PromptMemory.h"
 #include "laurelcroft/Proxy/CrashNotices.h"
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -1,10 +1,10 @@
-//===-- SendNotices.cpp - entries tell each other of sends ------------------===//
+//===-- NoticeChannel.cpp - entries tell each other of sends --------------===//
 //
 // A notice is a MessagePack array: id, milliseconds, and hash and tokens of each prefix. Nothing
 // waits: a datagram that can't go out at once is left out. Evidence comes by the same socket.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 
 #include "laurelcroft/Fleet/Ranking.h"
 #include "laurelcroft/Proxy/StoreReaders.h"
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -4,7 +4,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CrashNotices.h"
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 
 #include "EntryFleet.h"
 
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -20,7 +20,7 @@
 #include "EntryFleet.h"
 #include "FlowWorld.h"
 
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 #include "laurelcroft/Support/TokenBucket.h"
 
 #include <doctest/doctest.h>
--- a/unittests/Proxy/EvidenceNoticeTests.cpp
+++ b/unittests/Proxy/EvidenceNoticeTests.cpp
@@ -4,7 +4,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EvidenceNotice.h"
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/SendNoticesTests.cpp
@@ -3,7 +3,7 @@
 // The datagram, and entries on loopback sockets.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 
 #include <doctest/doctest.h>
 
