--- a/unittests/Proxy/SendNoticesTests.cpp
+++ b/unittests/Proxy/NoticeChannelTests.cpp
@@ -1,4 +1,4 @@
-//===-- SendNoticesTests.cpp - entries tell each other of sends -------------===//
+//===-- NoticeChannelTests.cpp - entries tell each other of sends ---------===//
 //
 // The datagram, and entries on loopback sockets.
 //
