--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RepeatBoundTests.cpp
@@ -17,7 +17,7 @@
 // to another entry), the sum was 1.10 of the bound, with kills in turn 1.96.
 //
 //===----------------------------------------------------------------------===//
-#include "RepeatWorld.h"
+#include "RetryWorld.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RepeatChanceTests.cpp
@@ -5,7 +5,7 @@
 // answer, and failures that a repeat would have mended found no budget left.
 //
 //===----------------------------------------------------------------------===//
-#include "RepeatWorld.h"
+#include "RetryWorld.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RetryWorld.cpp
@@ -1,9 +1,9 @@
-//===-- RepeatWorld.cpp - entries that share a budget of repeats ------------===//
+//===-- RetryWorld.cpp - entries that share a budget of repeats -----------===//
 //
 // A killed process takes its flows and all that it knew with it; what it had sent arrives.
 //
 //===----------------------------------------------------------------------===//
-#include "RepeatWorld.h"
+#include "RetryWorld.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/Proxy/RepeatWorld.h
+++ b/unittests/Proxy/RetryWorld.h
@@ -1,12 +1,12 @@
-//===-- RepeatWorld.h - entries that share a budget of repeats ---*- C++ -*-===//
+//===-- RetryWorld.h - entries that share a budget of repeats ---*- C++ -*-===//
 //
 // Entries with real flows before endpoints that refuse, fail or answer as a play says, callers
 // that go to any entry, and series of kills, stops and joins, on a paused clock. What reached the
 // endpoints is compared with the rule over every window.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_UNITTESTS_PROXY_REPEATWORLD_H
-#define LAURELCROFT_UNITTESTS_PROXY_REPEATWORLD_H
+#ifndef LAURELCROFT_UNITTESTS_PROXY_RETRYWORLD_H
+#define LAURELCROFT_UNITTESTS_PROXY_RETRYWORLD_H
 
 #include "../Policy/RepeatRule.h"
 #include "FlowWorld.h"
