--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -1,4 +1,4 @@
-//===-- RepeatBoundTests.cpp - repeats stay within their bound --------------===//
+//===-- RetryBudgetTests.cpp - repeats stay within their bound ------------===//
 //
 // What users saw: the model service got more arrivals beyond the first of each request than are
 // allowed in ten seconds.
