--- a/unittests/Proxy/RepeatChanceTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -1,4 +1,4 @@
-//===-- RepeatChanceTests.cpp - no repeat is made in vain -------------------===//
+//===-- RetryOutlookTests.cpp - no repeat is made in vain -----------------===//
 //
 // What users saw: while all endpoints of a service refused within 2 ms, each request was sent to
 // three of them, until the budget of repeats was used up: none of these sends could bring an
