--- a/include/laurelcroft/Proxy/NoticeChannel.h
+++ b/include/laurelcroft/Proxy/NoticeChannel.h
@@ -51,7 +51,7 @@
 {
     std::function<void(const send_notice &notice)> onSend;
     std::function<void(const evidence_notice &notice)> onEvidence;
-    std::function<void(const crash_notice &notice)> onEnd;
+    std::function<void(const crash_notice &notice)> onCrash;
     std::function<void(const withheld_notice &notice)> onWithheld;
     std::function<void(const cleared_notice &notice)> onCleared;
     std::function<void(const rate_limit_notice &notice)> onRateLimit = nullptr;
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -201,7 +201,7 @@
 bool notice_channel::state::receiveFinding(std::string_view bytes)
 {
     // Each decoder reads the whole datagram: the most frequent kind is tried first.
-    const bool isFinding = dispatch(handlers.onEnd, decodeCrashNotice(bytes))
+    const bool isFinding = dispatch(handlers.onCrash, decodeCrashNotice(bytes))
             || dispatch(handlers.onWithheld, decodeWithheldNotice(bytes))
             || dispatch(handlers.onCleared, decodeClearedNotice(bytes))
             || dispatch(handlers.onRateLimit, decodeRateLimitNotice(bytes))
