--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -50,7 +50,7 @@
     /// Findings that wait for the store at most.
     static constexpr std::size_t maxUnwritten = 64;
 
-    void setLinks(crash_notice_senders links) { m_links = std::move(links); }
+    void setSenders(crash_notice_senders links) { m_links = std::move(links); }
 
     endpoint_runs &runs() { return m_runs; }
     crash_suspects &suspects() { return m_suspects; }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -161,7 +161,7 @@
         links.sendClearedNotice = [this, &entry](const cleared_notice &notice) {
             tell(entry, notice, encodeClearedNotice(notice).size(), true);
         };
-        entry.routing.crashes().setLinks(std::move(links));
+        entry.routing.crashes().setSenders(std::move(links));
     }
 
     void startEndpoint()
