--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -1,4 +1,4 @@
-//===-- Proxy/CrashNotices.h - notices of crashes and withholding -*- C++ -*-===//
+//===-- Proxy/CrashNotices.h - crash notices between entries -----*- C++ -*-===//
 //
 // Messages that entries exchange about crashed endpoints and withheld requests. They are sent as
 // datagrams for speed and stored as rows for entries that start later. A request is identified by
--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -1,4 +1,4 @@
-//===-- Proxy/CrashWatch.h - crash attribution to requests ------*- C++ -*-===//
+//===-- Proxy/CrashWatch.h - crash attribution to requests -------*- C++ -*-===//
 //
 // Attributes endpoint crashes to the requests that ran there, and exchanges the findings with other
 // entries. Not thread-safe.
--- a/include/laurelcroft/Proxy/EndpointRuns.h
+++ b/include/laurelcroft/Proxy/EndpointRuns.h
@@ -1,4 +1,4 @@
-//===-- Proxy/EndpointRuns.h - requests in flight by endpoint ---*- C++ -*-===//
+//===-- Proxy/EndpointRuns.h - requests in flight by endpoint ----*- C++ -*-===//
 //
 // Tracks the requests that this entry has sent to each endpoint, to find those that may have
 // crashed it. Some requests crash every endpoint shortly after it starts to process them, even if
--- a/include/laurelcroft/Proxy/EntryAnnouncement.h
+++ b/include/laurelcroft/Proxy/EntryAnnouncement.h
@@ -1,4 +1,4 @@
-//===-- Proxy/EntryAnnouncement.h - registration of new entries -*- C++ -*-===//
+//===-- Proxy/EntryAnnouncement.h - registration of new entries --*- C++ -*-===//
 //
 // An entry without a row announces itself in its read requests to other entries. The entry that is
 // asked writes the rows of all recent announcements in one batch, so that registering a fleet that
--- a/include/laurelcroft/Proxy/EntryRegistry.h
+++ b/include/laurelcroft/Proxy/EntryRegistry.h
@@ -1,4 +1,4 @@
-//===-- Proxy/EntryRegistry.h - rows of the running entries -----*- C++ -*-===//
+//===-- Proxy/EntryRegistry.h - rows of the running entries ------*- C++ -*-===//
 //
 // Entries share budgets and read the store for each other, so each has a row with its address that
 // it renews periodically. A row that has not been renewed for three intervals belongs to an entry
--- a/include/laurelcroft/Proxy/EvidenceNotice.h
+++ b/include/laurelcroft/Proxy/EvidenceNotice.h
@@ -1,4 +1,4 @@
-//===-- Proxy/EvidenceNotice.h - roll-out evidence by datagram --*- C++ -*-===//
+//===-- Proxy/EvidenceNotice.h - roll-out evidence by datagram ---*- C++ -*-===//
 //
 // Answer counts of a version under roll-out that an entry sends to the entries that read the store.
 //
--- a/include/laurelcroft/Proxy/NoticeChannel.h
+++ b/include/laurelcroft/Proxy/NoticeChannel.h
@@ -1,4 +1,4 @@
-//===-- Proxy/NoticeChannel.h - datagrams between entries -------*- C++ -*-===//
+//===-- Proxy/NoticeChannel.h - datagrams between entries --------*- C++ -*-===//
 //
 // Sends notices between entries as datagrams. Most frequent are send notices: an endpoint reports
 // its load only in answers, and a long prompt delays all requests that run beside it. So an entry
@@ -7,7 +7,7 @@
 // decision.
 //
 // Sharing the prefixes raises the score by 0.034 on three entries with 12 endpoints (0.635 to
-// 0.669, mean of 30 simulated days of 34 s with faults): a third fewer shared tokens are processed
+// 0.669, mean of 30 test days of 34 s with faults): a third fewer shared tokens are processed
 // again.
 //
 //===----------------------------------------------------------------------===//
--- a/include/laurelcroft/Proxy/ProxyServer.h
+++ b/include/laurelcroft/Proxy/ProxyServer.h
@@ -1,4 +1,4 @@
-//===-- Proxy/ProxyServer.h - proxy server of an entry ----------*- C++ -*-===//
+//===-- Proxy/ProxyServer.h - proxy server of an entry -----------*- C++ -*-===//
 //
 // The proxy of one entry: accepts callers' requests, runs their flows, answers the load balancer's
 // readiness checks, and drains without interrupting requests on shutdown.
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -1,8 +1,7 @@
-//===-- CrashNotices.cpp - findings on requests, as told --------------------===//
+//===-- CrashNotices.cpp - crash notices between entries --------------------===//
 //
-// Datagrams are MessagePack arrays whose first item tells their kind; no other notice begins with
-// one of these words and has the same fields behind it. Rows are JSON, so that operators can read
-// them.
+// Datagrams are MessagePack arrays whose first item is the kind. No other notice starts with the
+// same kind followed by the same fields. Rows are JSON, so that operators can read them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CrashNotices.h"
@@ -24,7 +23,7 @@
 constexpr std::size_t fieldsOfRequest = 5;
 constexpr std::size_t fieldsOfWithheld = 6;
 constexpr std::size_t fieldsOfCleared = 3;
-/// Versions and endpoints that are told of one request.
+/// Maximum number of versions and of endpoints listed for one request.
 constexpr std::size_t maxListed = 8;
 
 } // namespace
@@ -66,7 +65,7 @@
                            [](const json &hash) { return hash.is_number_unsigned(); });
 }
 
-/// \returns true when the items from \p fields on are those of a request.
+/// \returns true if the items starting at \p fields encode a request.
 static bool isRequest(const json *fields)
 {
     const bool areNumbers
@@ -75,7 +74,7 @@
     return areNumbers && isHashList(fields[fieldsOfRequest - 1]);
 }
 
-/// \returns a time of a request that is young: longer ones are cut.
+/// \returns the duration in \p item, limited to the window in which crashes are counted.
 static milliseconds decodeTime(const json &item)
 {
     const milliseconds longest = crash_suspects::endsWindow;
@@ -86,11 +85,11 @@
 std::optional<crash_notice> laurelcroft::decodeCrashNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() >= fieldsOfEnd && isKind(item[0], endKind)
-            && item[1].is_number_unsigned() && isName(item[2]) && isName(item[3])
-            && (item.size() - fieldsOfEnd) % fieldsOfRequest == 0
+    const bool isWellFormed = item.is_array() && item.size() >= fieldsOfEnd
+            && isKind(item[0], endKind) && item[1].is_number_unsigned() && isName(item[2])
+            && isName(item[3]) && (item.size() - fieldsOfEnd) % fieldsOfRequest == 0
             && (item.size() - fieldsOfEnd) / fieldsOfRequest <= crash_notice::maxRequests;
-    if (!hasForm)
+    if (!isWellFormed)
         return std::nullopt;
     crash_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
     for (std::size_t i = fieldsOfEnd; i < item.size(); i += fieldsOfRequest) {
@@ -111,12 +110,13 @@
                                notice.ended, notice.left.count()}));
 }
 
-/// Reads lists of names and of hashes. \returns false when they are none.
+/// Reads the lists of versions and endpoint hashes into \p notice.
+/// \returns false if a list is malformed.
 static bool readLists(const json &versions, const json &ended, withheld_notice &notice)
 {
-    const bool haveForm = versions.is_array() && versions.size() <= maxListed && isHashList(ended)
-            && std::all_of(versions.begin(), versions.end(), isName);
-    if (!haveForm)
+    const bool areWellFormed = versions.is_array() && versions.size() <= maxListed
+            && isHashList(ended) && std::all_of(versions.begin(), versions.end(), isName);
+    if (!areWellFormed)
         return false;
     notice.versions = versions.get<std::vector<std::string>>();
     notice.ended = ended.get<std::vector<std::uint64_t>>();
@@ -126,11 +126,11 @@
 std::optional<withheld_notice> laurelcroft::decodeWithheldNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() == fieldsOfWithheld
+    const bool isWellFormed = item.is_array() && item.size() == fieldsOfWithheld
             && isKind(item[0], withheldKind) && item[1].is_number_unsigned() && isName(item[2])
             && item[5].is_number_unsigned();
     withheld_notice notice;
-    if (!hasForm || !readLists(item[3], item[4], notice))
+    if (!isWellFormed || !readLists(item[3], item[4], notice))
         return std::nullopt;
     notice.key = item[1].get<request_key>();
     notice.service = item[2].get<std::string>();
@@ -149,9 +149,9 @@
 std::optional<cleared_notice> laurelcroft::decodeClearedNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() == fieldsOfCleared
+    const bool isWellFormed = item.is_array() && item.size() == fieldsOfCleared
             && isKind(item[0], clearedKind) && item[1].is_number_unsigned() && isName(item[2]);
-    if (!hasForm)
+    if (!isWellFormed)
         return std::nullopt;
     return cleared_notice{item[1].get<request_key>(), item[2].get<std::string>()};
 }
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -1,6 +1,7 @@
-//===-- CrashWatch.cpp - endpoints that end under requests ------------------===//
+//===-- CrashWatch.cpp - crash attribution to requests ----------------------===//
 //
-// A key is worked out only for young requests of endpoints that ended.
+// Request keys are computed only for the recent requests of endpoints that exited, not for every
+// request.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CrashWatch.h"
@@ -14,10 +15,10 @@
 
 namespace {
 
-/// Requests that a line names when their endpoint has ended: what a full batch has of one entry.
+/// Maximum number of request keys in a log line: the requests of one entry in a full batch.
 constexpr std::size_t maxKeysLogged = 16;
 
-/// Young requests of an ended endpoint, each once, and a run of each at the same index.
+/// The distinct recent requests of an endpoint that exited, and a run of each at the same index.
 struct young_runs
 {
     std::vector<young_request> requests;
@@ -26,7 +27,7 @@
 
 } // namespace
 
-/// The same at all entries, and another one after the endpoint's next start.
+/// \returns a hash of the endpoint's id and start time, which is the same at all entries.
 static std::uint64_t hashOf(const endpoint_record &record)
 {
     return stableHash(record.id, record.startedAt);
@@ -40,7 +41,8 @@
     return text;
 }
 
-/// \param at the end of runs that this entry still waited for.
+/// Merges the runs of the same request.
+/// \param at end time for runs that were not abandoned.
 static young_runs youngOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
 {
     young_runs young;
@@ -149,7 +151,8 @@
     std::vector<young_request> young;
     young.reserve(notice.requests.size());
     for (const reported_request &request : notice.requests) {
-        // Whoever doesn't know it yet, since it has just started or was cut off, is told.
+        // The sender may not know that the request is withheld, since it has just started or was
+        // disconnected.
         if (m_suspects.isWithheld(request.key, notice.version, now))
             sendWithheldFinding(request.key, now);
         const time_point sentAt = now - request.age;
@@ -175,8 +178,9 @@
 
 void crash_watch::forwardNewCrashes(const crash_notice &notice, std::span<const unsigned> before)
 {
-    // Among a hundred entries the next try comes to one that the first teller has not told: where
-    // half of the datagrams were lost, 8 endpoints ended instead of 6 before it was passed on.
+    // With a hundred entries, the next retry usually arrives at an entry that the first sender has
+    // not notified. Without forwarding, 8 endpoints crashed instead of 6 when half of the datagrams
+    // were lost.
     crash_notice news{notice.endpoint, notice.service, notice.version, {}};
     for (std::size_t i = 0; i < notice.requests.size(); ++i) {
         const reported_request &request = notice.requests[i];
@@ -199,7 +203,7 @@
                 {"service", notice.service},
                 {"versions", std::int64_t(notice.versions.size())},
                 {"told_by", "entry"}});
-    // Whoever hears it first passes it on, so that it reaches all of many in a few steps.
+    // Each entry forwards a new finding once, so that it reaches all entries in a few steps.
     sendWithheldFinding(notice.key, now);
 }
 
@@ -221,7 +225,7 @@
 
 void crash_watch::applyNotice(const cleared_notice &notice, time_point now)
 {
-    // Told on by whoever it is news for.
+    // clear() forwards the notice if it is new here.
     clear(notice.key, notice.version, now);
 }
 
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -1,6 +1,6 @@
-//===-- EndpointRuns.cpp - what endpoints were working on -------------------===//
+//===-- EndpointRuns.cpp - requests in flight by endpoint -------------------===//
 //
-// A list for each endpoint, cleaned whenever something is added.
+// Keeps a list for each endpoint. Adding a run removes the runs that are past.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EndpointRuns.h"
@@ -10,12 +10,14 @@
 
 using namespace laurelcroft;
 
+/// \returns true if \p run is finished or was abandoned too long ago to be suspected.
 static bool isPast(const endpoint_run &run, time_point now)
 {
     return run.isFinished
             || (run.abandonedAt && now - *run.abandonedAt > endpoint_runs::suspectAfterCancel);
 }
 
+/// \returns true if \p run has been answered for too long to be suspected of a crash at \p at.
 static bool isProven(const endpoint_run &run, time_point at)
 {
     return run.answerBeganAt && at - *run.answerBeganAt > endpoint_runs::clearedAfter;
--- a/lib/Proxy/EntryAnnouncement.cpp
+++ b/lib/Proxy/EntryAnnouncement.cpp
@@ -1,6 +1,7 @@
-//===-- EntryAnnouncement.cpp - an entry asks to be listed ------------------===//
+//===-- EntryAnnouncement.cpp - registration of new entries -----------------===//
 //
-// The text goes as a header's value: Base64 of a MessagePack array of name, time of day and row.
+// An announcement is the value of an HTTP header: the Base64 encoding of a MessagePack array of
+// name, wall time and row.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EntryAnnouncement.h"
@@ -27,9 +28,9 @@
 {
     const std::optional<std::string> text = fromBase64(std::string(bytes));
     const json item = text ? unpacked(*text) : json();
-    const bool hasForm = item.is_array() && item.size() == fields && isName(item[0])
+    const bool isWellFormed = item.is_array() && item.size() == fields && isName(item[0])
             && item[1].is_number_integer() && item[2].is_string();
-    if (!hasForm)
+    if (!isWellFormed)
         return std::nullopt;
     entry_announcement announcement{item[0].get<std::string>(),
                                     decodeEntry(item[2].get<std::string>()),
--- a/lib/Proxy/EntryRegistry.cpp
+++ b/lib/Proxy/EntryRegistry.cpp
@@ -1,6 +1,7 @@
-//===-- EntryRegistry.cpp - which entries there are -----------------------===//
+//===-- EntryRegistry.cpp - rows of the running entries ---------------------===//
 //
-// Times are the store's: no clock of an instance is compared with another's.
+// All timestamps are on the store's clock, so that clocks of different instances are never
+// compared.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EntryRegistry.h"
@@ -37,7 +38,7 @@
 std::optional<listed_entry> entry_registry::findExpired(milliseconds storeNow) const
 {
     for (const auto &[name, place] : m_entries) {
-        // A row without a time was written by an earlier release, which doesn't renew it.
+        // Rows without a timestamp were written by an earlier release, which does not renew them.
         const bool hasTime = place.writtenAt.count() > 0;
         if (name != m_own && hasTime && storeNow - place.writtenAt >= rowLifetime)
             return listed_entry{name, m_versions.at(name)};
@@ -47,14 +48,14 @@
 
 std::optional<milliseconds> entry_registry::wallAhead() const
 {
-    std::vector<milliseconds> told;
+    std::vector<milliseconds> offsets;
     for (const auto &[name, place] : m_entries) {
         if (place.wallAhead)
-            told.push_back(*place.wallAhead);
+            offsets.push_back(*place.wallAhead);
     }
-    if (told.empty())
+    if (offsets.empty())
         return std::nullopt;
-    const auto middle = told.begin() + static_cast<std::ptrdiff_t>(told.size() / 2);
-    std::nth_element(told.begin(), middle, told.end());
+    const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
+    std::nth_element(offsets.begin(), middle, offsets.end());
     return *middle;
 }
--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -1,7 +1,8 @@
-//===-- EvidenceNotice.cpp - evidence by datagram ---------------------------===//
+//===-- EvidenceNotice.cpp - roll-out evidence by datagram ------------------===//
 //
-// A MessagePack array: entry, service, order, life, and name and three counts of each route. All
-// counts are from the beginning, so that a notice that is lost or late does no harm.
+// A MessagePack array: entry, service, row version of the roll-out order, random id of the
+// process, and for each route its name and three counts. Counts are cumulative, so that lost or
+// late notices are harmless.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EvidenceNotice.h"
--- a/lib/Proxy/LeavingNotice.cpp
+++ b/lib/Proxy/LeavingNotice.cpp
@@ -1,6 +1,6 @@
 //===-- LeavingNotice.cpp - leaving endpoints by datagram -------------------===//
 //
-// A MessagePack array: kind, endpoint id, start, and hops left.
+// A MessagePack array: kind, endpoint id, start time, and remaining hops.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/LeavingNotice.h"
@@ -25,9 +25,9 @@
 std::optional<leaving_notice> laurelcroft::decodeLeavingNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() == fields && item[0] == json(kind)
+    const bool isWellFormed = item.is_array() && item.size() == fields && item[0] == json(kind)
             && isName(item[1]) && item[2].is_number_unsigned() && item[3].is_number_unsigned();
-    if (!hasForm || item[1].get_ref<const std::string &>().empty())
+    if (!isWellFormed || item[1].get_ref<const std::string &>().empty())
         return std::nullopt;
     const auto hops = item[3].get<std::uint64_t>();
     if (hops > leaving_notice::maxHops)
--- a/lib/Proxy/LeavingWatch.cpp
+++ b/lib/Proxy/LeavingWatch.cpp
@@ -1,6 +1,7 @@
 //===-- LeavingWatch.cpp - leaving state from answers -----------------------===//
 //
-// Repeated statements for the same start are ignored, so each entry logs and forwards one only.
+// Repeated statements for the same endpoint start are ignored, so that each entry logs and forwards
+// only the first one.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/LeavingWatch.h"
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -1,7 +1,8 @@
-//===-- NoticeChannel.cpp - entries tell each other of sends --------------===//
+//===-- NoticeChannel.cpp - datagrams between entries -----------------------===//
 //
-// A notice is a MessagePack array: id, milliseconds, and hash and tokens of each prefix. Nothing
-// waits: a datagram that can't go out at once is left out. Evidence comes by the same socket.
+// A send notice is a MessagePack array: endpoint id, prefill time in milliseconds, and hash and
+// token count of each prefix. Nothing is queued: a datagram that cannot be sent at once is dropped.
+// All kinds of notices use the same socket.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/NoticeChannel.h"
@@ -27,11 +28,11 @@
 
 namespace {
 
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 constexpr double headerBytes = 28;
-/// Of a notice: the endpoint's id and the reading.
+/// Fields of a send notice before the prefixes: endpoint id and prefill time.
 constexpr std::size_t fieldsBeforePrefixes = 2;
-/// Savings of the byte budget last for a burst of about this long.
+/// Burst size of the byte budget, as seconds of its rate.
 constexpr double burstSeconds = 1;
 
 } // namespace
@@ -39,15 +40,15 @@
 std::string laurelcroft::encodeSendNotice(const send_notice &notice)
 {
     json item = json::array({notice.endpoint, notice.prefillTime.count()});
-    const std::size_t told = std::min(notice.prefixes.size(), notice_channel::maxPrefixes);
-    for (std::size_t i = 0; i < told; ++i) {
+    const std::size_t count = std::min(notice.prefixes.size(), notice_channel::maxPrefixes);
+    for (std::size_t i = 0; i < count; ++i) {
         item.push_back(notice.prefixes[i].hash);
         item.push_back(notice.prefixes[i].tokens);
     }
     return packed(item);
 }
 
-/// \returns the prefixes behind the first fields of \p item; nothing if one is malformed.
+/// \returns the prefixes in \p item, or nothing if one is malformed.
 static std::optional<std::vector<prompt_prefix>> prefixesIn(const json &item)
 {
     const std::size_t numbers = item.size() - fieldsBeforePrefixes;
@@ -69,17 +70,17 @@
 std::optional<send_notice> laurelcroft::decodeSendNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() >= fieldsBeforePrefixes
+    const bool isWellFormed = item.is_array() && item.size() >= fieldsBeforePrefixes
             && item[0].is_string() && item[1].is_number_unsigned();
-    if (!hasForm)
+    if (!isWellFormed)
         return std::nullopt;
-    const auto reading = item[1].get<std::uint64_t>();
-    if (reading > static_cast<std::uint64_t>(notice_channel::maxPrefillTime.count()))
+    const auto prefillTime = item[1].get<std::uint64_t>();
+    if (prefillTime > static_cast<std::uint64_t>(notice_channel::maxPrefillTime.count()))
         return std::nullopt;
     const std::optional<std::vector<prompt_prefix>> prefixes = prefixesIn(item);
     if (!prefixes)
         return std::nullopt;
-    send_notice notice{item[0].get<std::string>(), milliseconds(reading), *prefixes};
+    send_notice notice{item[0].get<std::string>(), milliseconds(prefillTime), *prefixes};
     if (notice.endpoint.empty() || notice.endpoint.size() > longestName)
         return std::nullopt;
     return notice;
@@ -105,9 +106,9 @@
     metric_registry &metrics;
     std::string ownAddress;
     notice_handlers handlers;
-    std::vector<udp::endpoint> readers; ///< of the store
-    std::vector<udp::endpoint> others; ///< all entries but this one, in an order of its own
-    std::map<std::string, udp::endpoint> byName; ///< the same
+    std::vector<udp::endpoint> readers; ///< entries that read the store
+    std::vector<udp::endpoint> others; ///< all other entries, in an order specific to this entry
+    std::map<std::string, udp::endpoint> byName; ///< the same entries by name
     std::size_t nextOther = 0;
     token_bucket findingBytes{findingBytesPerSecond, findingBurstBytes};
     std::map<std::string, std::vector<udp::endpoint>> listeners; ///< by data centre
@@ -157,7 +158,7 @@
                               [this](const asio::error_code &error, std::size_t size) {
                                   if (error == asio::error::operation_aborted)
                                       return;
-                                  // Others' errors come from a listener that is gone.
+                                  // Other errors mean that a recipient is gone.
                                   if (error)
                                       metrics.add("send_notices_total{way=\"unreachable\"}");
                                   else
@@ -168,7 +169,7 @@
 
 void notice_channel::state::handleDatagram(std::string_view bytes)
 {
-    // Sends are by far the most frequent; no datagram is both.
+    // Send notices are by far the most frequent. No datagram decodes as two kinds.
     if (const std::optional<send_notice> notice = decodeSendNotice(bytes)) {
         metrics.add("send_notices_total{way=\"received\"}");
         handlers.onSend(*notice);
@@ -184,11 +185,11 @@
     if (handlers.onOther && handlers.onOther(bytes))
         return;
     metrics.add("send_notices_total{way=\"refused\"}");
-    logDebug(log_part::fleet, "datagram is no notice",
+    logDebug(log_part::fleet, "unknown datagram ignored",
              {{"from", from.address().to_string()}, {"bytes", std::int64_t(bytes.size())}});
 }
 
-/// Gives \p notice to \p handler, if there are both. \returns true when there is a notice.
+/// Calls \p handler, if set, with \p notice, if present. \returns true if \p notice is present.
 template <class Notice>
 static bool dispatch(const std::function<void(const Notice &)> &handler,
                      const std::optional<Notice> &notice)
@@ -200,7 +201,7 @@
 
 bool notice_channel::state::receiveFinding(std::string_view bytes)
 {
-    // Each decoder reads the whole datagram: the most frequent kind is tried first.
+    // Each decoder parses the whole datagram, so the most frequent kind is tried first.
     const bool isFinding = dispatch(handlers.onCrash, decodeCrashNotice(bytes))
             || dispatch(handlers.onWithheld, decodeWithheldNotice(bytes))
             || dispatch(handlers.onCleared, decodeClearedNotice(bytes))
@@ -271,15 +272,16 @@
 {
     std::map<std::string, std::vector<std::string>> names;
     for (const auto &[name, place] : entries) {
-        // A data centre counts although this entry is the only one in it.
-        std::vector<std::string> &there = names[place.dataCentre];
+        // Adds the data centre even if this entry is the only one in it.
+        std::vector<std::string> &inDataCentre = names[place.dataCentre];
         if (name != own && !place.address.empty())
-            there.push_back(name);
+            inDataCentre.push_back(name);
     }
     setReaders(entries, own);
     setOthers(entries, own);
     m_state->listeners.clear();
-    // A small site is told as a whole: its entries send across data centres, too.
+    // On a small site all entries are notified, since they also send requests to other data
+    // centres.
     if (entries.size() <= maxRecipients + 1) {
         std::vector<std::string> all;
         for (const auto &[dataCentre, others] : names)
@@ -288,7 +290,7 @@
             others = all;
     }
     for (const auto &[dataCentre, others] : names) {
-        // Each entry ranks them in its own way, so that all are told by some.
+        // Each entry ranks the others differently, so that all entries are notified by some.
         for (const std::string &name : rankFirst(others, own, maxRecipients)) {
             if (const auto listener = udpEndpointIn(entries.at(name).address))
                 m_state->listeners[dataCentre].push_back(*listener);
@@ -327,7 +329,7 @@
 {
     const std::string bytes = encodeEvidenceNotice(notice);
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
-    bool told = true;
+    bool isSentToAll = true;
     for (const udp::endpoint &reader : m_state->readers) {
         asio::error_code error;
         if (m_state->bytes.take(cost, bootNow()))
@@ -336,9 +338,9 @@
             error = asio::error::no_buffer_space;
         m_state->metrics.add(error ? "evidence_notices_total{way=\"failed\"}"
                                    : "evidence_notices_total{way=\"sent\"}");
-        told = told && !error;
+        isSentToAll = isSentToAll && !error;
     }
-    return told;
+    return isSentToAll;
 }
 
 void notice_channel::sendToDataCentre(const send_notice &notice, const std::string &dataCentre)
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -1,6 +1,6 @@
-//===-- ProxyServer.cpp - callers, flows and endpoints ----------------------===//
+//===-- ProxyServer.cpp - proxy server of an entry --------------------------===//
 //
-// The environment of the flows in production, and what surrounds them.
+// The production environment of request flows, and the servers, logs and metrics around them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/ProxyServer.h"
@@ -25,35 +25,36 @@
 
 namespace {
 
-/// How often idle connections are looked at and gauges set.
+/// Interval of closing idle connections, expiring old state and setting gauges.
 constexpr milliseconds housekeepingEvery{1000};
-/// Before the end of the grace: time to write the last answers.
+/// Time reserved at the end of the grace period to write the last answers.
 constexpr milliseconds finalWriteTime{400};
-/// How often an ending process looks whether it is done.
+/// Interval at which a draining process checks whether it is done.
 constexpr milliseconds drainCheckEvery{100};
-/// From the end of a process to its successor's being used: its start and the balancer's next look.
+/// Estimated time from the exit of a process until its successor gets requests: its start and the
+/// load balancer's next readiness check.
 constexpr milliseconds restartTime{1500};
-/// A process that starts reads its contract within some tens of milliseconds, or within half a
-/// second when all start together. Callers that connect meanwhile are accepted just after; later
-/// than this they are refused at once. With 400 ms 401 callers of 103 entries were refused some
-/// tens of milliseconds before there was a contract.
+/// Maximum time for which a starting process delays accepting callers until it is ready. After
+/// that, it accepts them and refuses their requests. Reading the contract takes some tens of
+/// milliseconds, or up to half a second when all entries start together. With a limit of 400 ms,
+/// 103 entries refused 401 callers some tens of milliseconds before their contracts were read.
 constexpr milliseconds maxStartWait{800};
 constexpr milliseconds startCheckEvery{5};
-/// An entry opens at most this part of what an endpoint takes, divided by the entries: a
-/// new entry may not be known yet.
+/// Fraction of an endpoint's connection limit that the entries share equally. The untilDeadline is
+/// left for new entries that are not known yet.
 constexpr double connectionShare = 0.8;
-/// Lines a second for requests that were served at the first try, and for all others. At about
-/// 350 bytes a line this bounds the log to 140 kB/s.
+/// Log lines per second for requests that were served at the first attempt, and for all others. At
+/// about 350 bytes per line, this limits the log to 140 kB/s.
 constexpr double ordinaryLines = 100;
 constexpr double unusualLines = 300;
-/// At least this many, whatever the number of entries.
+/// Minimum number of connections to an endpoint, regardless of the number of entries.
 constexpr std::size_t minConnections = 4;
 
 } // namespace
 
 struct proxy_server::state
 {
-    /// Environment of one flow.
+    /// Environment of one request flow.
     struct environment
     {
         state *server;
@@ -129,8 +130,8 @@
     log_limiter unusual{unusualLines};
     bool removalPosted = false;
     bool draining = false;
-    bool isPastDrainDelay = false; ///< what comes now might not end in time
-    time_point drainDeadline{}; ///< when what still runs is ended
+    bool isPastDrainDelay = false; ///< new requests may not finish before the deadline
+    time_point drainDeadline{}; ///< when requests in progress are aborted
     bool lastReady = false;
     std::function<void()> drained;
 };
@@ -194,11 +195,11 @@
     const service_description *service = routing.contract()
             ? routing.contract()->findService(endpoint.record().service)
             : nullptr;
-    const std::size_t all = service ? service->maxConnections : minConnections;
+    const std::size_t limit = service ? service->maxConnections : minConnections;
     const double sharers = static_cast<double>(std::max<std::size_t>(1, routing.entries()));
-    const auto part
-            = static_cast<std::size_t>(static_cast<double>(all) * connectionShare / sharers);
-    return endpoints.hasRoom(endpoint, std::max(minConnections, part));
+    const auto ownShare
+            = static_cast<std::size_t>(static_cast<double>(limit) * connectionShare / sharers);
+    return endpoints.hasRoom(endpoint, std::max(minConnections, ownShare));
 }
 
 void proxy_server::state::finished(const flow_record &record)
@@ -218,7 +219,7 @@
             && record.attempts == record.escalations + 1;
     if ((isOrdinary ? ordinary : unusual).allows(runtime.now()))
         logFinished(record);
-    // The flow is still on the stack: it is dropped afterwards.
+    // The flow is still on the call stack, so it is removed later.
     if (removalPosted)
         return;
     removalPosted = true;
@@ -257,16 +258,16 @@
 
 void proxy_server::state::logSuppressedLines()
 {
-    const std::uint64_t ordinaryHeld = ordinary.takeHeld();
-    const std::uint64_t unusualHeld = unusual.takeHeld();
+    const std::uint64_t ordinarySuppressed = ordinary.takeHeld();
+    const std::uint64_t unusualSuppressed = unusual.takeHeld();
     const std::uint64_t lost = takeDroppedLines();
-    metrics.add("log_lines_held_total", ordinaryHeld + unusualHeld);
+    metrics.add("log_lines_held_total", ordinarySuppressed + unusualSuppressed);
     metrics.add("log_lines_lost_total", lost);
-    if (ordinaryHeld + unusualHeld + lost == 0)
+    if (ordinarySuppressed + unusualSuppressed + lost == 0)
         return;
     logWarning(log_part::routing, "log lines left out",
-               {{"ordinary", std::int64_t(ordinaryHeld)},
-                {"unusual", std::int64_t(unusualHeld)},
+               {{"ordinary", std::int64_t(ordinarySuppressed)},
+                {"unusual", std::int64_t(unusualSuppressed)},
                 {"reader_too_slow", std::int64_t(lost)}});
 }
 
@@ -399,27 +400,29 @@
 
 milliseconds proxy_server::state::untilRestarted()
 {
-    // Callers still come here when the balancer has no other entry: all are restarted at once.
-    const milliseconds rest = std::chrono::ceil<milliseconds>(drainDeadline - runtime.now());
-    return std::max(milliseconds(0), rest) + restartTime;
+    // Callers still connect here if the load balancer has no other entry because all are restarted
+    // at once.
+    const milliseconds untilDeadline
+            = std::chrono::ceil<milliseconds>(drainDeadline - runtime.now());
+    return std::max(milliseconds(0), untilDeadline) + restartTime;
 }
 
 void proxy_server::state::checkDrained()
 {
-    const bool late = runtime.now() >= drainDeadline;
-    if (late) {
-        const auto left = flows;
-        for (const std::shared_ptr<flow> &item : left)
+    const bool isLate = runtime.now() >= drainDeadline;
+    if (isLate) {
+        const auto remaining = flows;
+        for (const std::shared_ptr<flow> &item : remaining)
             item->giveUp();
     }
-    const bool written = flows.empty() && callers.busyConnections() == 0;
-    if (written || late) {
+    const bool isDone = flows.empty() && callers.busyConnections() == 0;
+    if (isDone || isLate) {
         logInfo(log_part::routing, "drained",
-                {{"unfinished", std::int64_t(late ? flows.size() : 0)}});
-        // What comes from now on would be cut: one or two requests on each of four days of
-        // restarts.
+                {{"unfinished", std::int64_t(isLate ? flows.size() : 0)}});
+        // Requests that arrive from now on could not finish. Without this, one or two requests were
+        // cut off on each of four test days with restarts.
         drainDeadline = std::min(drainDeadline, runtime.now());
-        // One more turn of the loop writes the last answers.
+        // The delay lets the event loop write the last answers.
         runtime.after(drainCheckEvery, drained);
         return;
     }
--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -1,6 +1,7 @@
 //===-- RateLimitNotice.cpp - rate limits by datagram -----------------------===//
 //
-// A MessagePack array: kind, endpoint id, start, limit or nil, age in milliseconds, and hops left.
+// A MessagePack array: kind, endpoint id, start time, limit or nil, age in milliseconds, and
+// remaining hops.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RateLimitNotice.h"
--- a/lib/Proxy/RateLimitWatch.cpp
+++ b/lib/Proxy/RateLimitWatch.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Relative changes up to this one are neither counted nor logged.
+/// Relative changes up to this value are neither counted nor logged.
 constexpr double notableChange = 0.2;
 
 } // namespace
