--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -18,7 +18,7 @@
 }
 
 /// \returns true if \p run has been answered for too long to be suspected of a crash at \p at.
-static bool isProven(const endpoint_run &run, time_point at)
+static bool isCleared(const endpoint_run &run, time_point at)
 {
     return run.answerBeganAt && at - *run.answerBeganAt > endpoint_runs::clearedAfter;
 }
@@ -45,7 +45,7 @@
         return suspects;
     std::copy_if(runs->second.begin(), runs->second.end(), std::back_inserter(suspects),
                  [at](const auto &run) {
-                     return run->sentAt < at && !isPast(*run, at) && !isProven(*run, at);
+                     return run->sentAt < at && !isPast(*run, at) && !isCleared(*run, at);
                  });
     return suspects;
 }
