--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -47,7 +47,7 @@
     return isName(item) && !item.get_ref<const std::string &>().empty();
 }
 
-static bool hasForm(const json &item)
+static bool isWellFormed(const json &item)
 {
     if (!item.is_array() || item.size() < fieldsBeforeRoutes)
         return false;
@@ -66,7 +66,7 @@
 std::optional<evidence_notice> laurelcroft::decodeEvidenceNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    if (!hasForm(item))
+    if (!isWellFormed(item))
         return std::nullopt;
     evidence_notice notice;
     notice.entry = item[0].get<std::string>();
