--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -36,7 +36,7 @@
     return item.is_number() && std::isfinite(item.get<double>()) && item.get<double>() >= 0;
 }
 
-static bool hasForm(const json &item)
+static bool isWellFormed(const json &item)
 {
     return item.is_array() && item.size() == fields && item[0] == json(kind) && isName(item[1])
             && item[2].is_number_unsigned() && isLimit(item[3]) && item[4].is_number_unsigned()
@@ -46,7 +46,7 @@
 std::optional<rate_limit_notice> laurelcroft::decodeRateLimitNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    if (!hasForm(item))
+    if (!isWellFormed(item))
         return std::nullopt;
     const auto age = item[4].get<std::uint64_t>();
     const auto hops = item[5].get<std::uint64_t>();
