--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view withheldKind = "withheld";
 constexpr std::string_view clearedKind = "cleared";
 constexpr std::string_view withheldPrefix = "withheld/";
-constexpr std::size_t fieldsOfEnd = 4;
+constexpr std::size_t crashNoticeFields = 4;
 constexpr std::size_t fieldsOfRequest = 5;
 constexpr std::size_t fieldsOfWithheld = 6;
 constexpr std::size_t fieldsOfCleared = 3;
@@ -85,14 +85,14 @@
 std::optional<crash_notice> laurelcroft::decodeCrashNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool isWellFormed = item.is_array() && item.size() >= fieldsOfEnd
+    const bool isWellFormed = item.is_array() && item.size() >= crashNoticeFields
             && isKind(item[0], endKind) && item[1].is_number_unsigned() && isName(item[2])
-            && isName(item[3]) && (item.size() - fieldsOfEnd) % fieldsOfRequest == 0
-            && (item.size() - fieldsOfEnd) / fieldsOfRequest <= crash_notice::maxRequests;
+            && isName(item[3]) && (item.size() - crashNoticeFields) % fieldsOfRequest == 0
+            && (item.size() - crashNoticeFields) / fieldsOfRequest <= crash_notice::maxRequests;
     if (!isWellFormed)
         return std::nullopt;
     crash_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
-    for (std::size_t i = fieldsOfEnd; i < item.size(); i += fieldsOfRequest) {
+    for (std::size_t i = crashNoticeFields; i < item.size(); i += fieldsOfRequest) {
         if (!isRequest(&item[i]))
             return std::nullopt;
         const auto ends = std::min<std::uint64_t>(item[i + 3].get<std::uint64_t>(),
