--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -20,7 +20,7 @@
 constexpr std::string_view clearedKind = "cleared";
 constexpr std::string_view withheldPrefix = "withheld/";
 constexpr std::size_t crashNoticeFields = 4;
-constexpr std::size_t fieldsOfRequest = 5;
+constexpr std::size_t requestFields = 5;
 constexpr std::size_t fieldsOfWithheld = 6;
 constexpr std::size_t fieldsOfCleared = 3;
 /// Maximum number of versions and of endpoints listed for one request.
@@ -68,10 +68,10 @@
 /// \returns true if the items starting at \p fields encode a request.
 static bool isRequest(const json *fields)
 {
-    const bool areNumbers
-            = std::all_of(fields, fields + fieldsOfRequest - 1,
-                          [](const json &field) { return field.is_number_unsigned(); });
-    return areNumbers && isHashList(fields[fieldsOfRequest - 1]);
+    const bool areNumbers = std::all_of(fields, fields + requestFields - 1, [](const json &field) {
+        return field.is_number_unsigned();
+    });
+    return areNumbers && isHashList(fields[requestFields - 1]);
 }
 
 /// \returns the duration in \p item, limited to the window in which crashes are counted.
@@ -87,12 +87,12 @@
     const json item = unpacked(bytes);
     const bool isWellFormed = item.is_array() && item.size() >= crashNoticeFields
             && isKind(item[0], endKind) && item[1].is_number_unsigned() && isName(item[2])
-            && isName(item[3]) && (item.size() - crashNoticeFields) % fieldsOfRequest == 0
-            && (item.size() - crashNoticeFields) / fieldsOfRequest <= crash_notice::maxRequests;
+            && isName(item[3]) && (item.size() - crashNoticeFields) % requestFields == 0
+            && (item.size() - crashNoticeFields) / requestFields <= crash_notice::maxRequests;
     if (!isWellFormed)
         return std::nullopt;
     crash_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
-    for (std::size_t i = crashNoticeFields; i < item.size(); i += fieldsOfRequest) {
+    for (std::size_t i = crashNoticeFields; i < item.size(); i += requestFields) {
         if (!isRequest(&item[i]))
             return std::nullopt;
         const auto ends = std::min<std::uint64_t>(item[i + 3].get<std::uint64_t>(),
