--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -21,7 +21,7 @@
 constexpr std::string_view withheldPrefix = "withheld/";
 constexpr std::size_t crashNoticeFields = 4;
 constexpr std::size_t requestFields = 5;
-constexpr std::size_t fieldsOfWithheld = 6;
+constexpr std::size_t withheldNoticeFields = 6;
 constexpr std::size_t fieldsOfCleared = 3;
 /// Maximum number of versions and of endpoints listed for one request.
 constexpr std::size_t maxListed = 8;
@@ -126,7 +126,7 @@
 std::optional<withheld_notice> laurelcroft::decodeWithheldNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool isWellFormed = item.is_array() && item.size() == fieldsOfWithheld
+    const bool isWellFormed = item.is_array() && item.size() == withheldNoticeFields
             && isKind(item[0], withheldKind) && item[1].is_number_unsigned() && isName(item[2])
             && item[5].is_number_unsigned();
     withheld_notice notice;
