--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t crashNoticeFields = 4;
 constexpr std::size_t requestFields = 5;
 constexpr std::size_t withheldNoticeFields = 6;
-constexpr std::size_t fieldsOfCleared = 3;
+constexpr std::size_t clearedNoticeFields = 3;
 /// Maximum number of versions and of endpoints listed for one request.
 constexpr std::size_t maxListed = 8;
 
@@ -149,7 +149,7 @@
 std::optional<cleared_notice> laurelcroft::decodeClearedNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool isWellFormed = item.is_array() && item.size() == fieldsOfCleared
+    const bool isWellFormed = item.is_array() && item.size() == clearedNoticeFields
             && isKind(item[0], clearedKind) && item[1].is_number_unsigned() && isName(item[2]);
     if (!isWellFormed)
         return std::nullopt;
