--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::string_view endKind = "end";
+constexpr std::string_view crashKind = "end";
 constexpr std::string_view withheldKind = "withheld";
 constexpr std::string_view clearedKind = "cleared";
 constexpr std::string_view withheldPrefix = "withheld/";
@@ -47,7 +47,7 @@
                      [](const auto &a, const auto &b) { return a.ends > b.ends; });
     if (requests.size() > crash_notice::maxRequests)
         requests.resize(crash_notice::maxRequests);
-    json item = json::array({endKind, notice.endpoint, notice.service, notice.version});
+    json item = json::array({crashKind, notice.endpoint, notice.service, notice.version});
     for (const reported_request &request : requests) {
         item.push_back(request.key);
         for (const milliseconds time : {request.age, request.lasted})
@@ -86,7 +86,7 @@
 {
     const json item = unpacked(bytes);
     const bool isWellFormed = item.is_array() && item.size() >= crashNoticeFields
-            && isKind(item[0], endKind) && item[1].is_number_unsigned() && isName(item[2])
+            && isKind(item[0], crashKind) && item[1].is_number_unsigned() && isName(item[2])
             && isName(item[3]) && (item.size() - crashNoticeFields) % requestFields == 0
             && (item.size() - crashNoticeFields) / requestFields <= crash_notice::maxRequests;
     if (!isWellFormed)
