--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t fieldsBeforeRoutes = 4;
-constexpr std::size_t fieldsOfRoute = 4;
+constexpr std::size_t routeFields = 4;
 
 } // namespace
 
@@ -51,11 +51,10 @@
 {
     if (!item.is_array() || item.size() < fieldsBeforeRoutes)
         return false;
-    if ((item.size() - fieldsBeforeRoutes) % fieldsOfRoute != 0)
+    if ((item.size() - fieldsBeforeRoutes) % routeFields != 0)
         return false;
     for (std::size_t i = 0; i < item.size(); ++i) {
-        const bool isRoute
-                = i >= fieldsBeforeRoutes && (i - fieldsBeforeRoutes) % fieldsOfRoute == 0;
+        const bool isRoute = i >= fieldsBeforeRoutes && (i - fieldsBeforeRoutes) % routeFields == 0;
         const bool fits = i < 2 || isRoute ? isNamed(item[i]) : item[i].is_number_unsigned();
         if (!fits)
             return false;
@@ -73,7 +72,7 @@
     notice.service = item[1].get<std::string>();
     notice.evidence.orderedAt = item[2].get<std::uint64_t>();
     notice.evidence.life = item[3].get<std::uint64_t>();
-    for (std::size_t i = fieldsBeforeRoutes; i < item.size(); i += fieldsOfRoute) {
+    for (std::size_t i = fieldsBeforeRoutes; i < item.size(); i += routeFields) {
         notice.evidence.byRoute[item[i].get<std::string>()]
                 = {item[i + 1].get<std::uint64_t>(), item[i + 2].get<std::uint64_t>(),
                    item[i + 3].get<std::uint64_t>()};
