--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -26,7 +26,7 @@
 namespace {
 
 /// Interval of closing idle connections, expiring old state and setting gauges.
-constexpr milliseconds housekeepingEvery{1000};
+constexpr milliseconds housekeepingInterval{1000};
 /// Time reserved at the end of the grace period to write the last answers.
 constexpr milliseconds finalWriteTime{400};
 /// Interval at which a draining process checks whether it is done.
@@ -341,7 +341,7 @@
     logSuppressedLines();
     setGauges();
     logReadiness();
-    runtime.after(housekeepingEvery, [this] { housekeep(); });
+    runtime.after(housekeepingInterval, [this] { housekeep(); });
 }
 
 void proxy_server::state::logReadiness()
