--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -30,7 +30,7 @@
 /// Time reserved at the end of the grace period to write the last answers.
 constexpr milliseconds finalWriteTime{400};
 /// Interval at which a draining process checks whether it is done.
-constexpr milliseconds drainCheckEvery{100};
+constexpr milliseconds drainCheckInterval{100};
 /// Estimated time from the exit of a process until its successor gets requests: its start and the
 /// load balancer's next readiness check.
 constexpr milliseconds restartTime{1500};
@@ -423,10 +423,10 @@
         // cut off on each of four test days with restarts.
         drainDeadline = std::min(drainDeadline, runtime.now());
         // The delay lets the event loop write the last answers.
-        runtime.after(drainCheckEvery, drained);
+        runtime.after(drainCheckInterval, drained);
         return;
     }
-    runtime.after(drainCheckEvery, [this] { checkDrained(); });
+    runtime.after(drainCheckInterval, [this] { checkDrained(); });
 }
 
 proxy_server::proxy_server(asio::io_context &context, routing_state &routing,
