--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -39,7 +39,7 @@
 /// milliseconds, or up to half a second when all entries start together. With a limit of 400 ms,
 /// 103 entries refused 401 callers some tens of milliseconds before their contracts were read.
 constexpr milliseconds maxStartWait{800};
-constexpr milliseconds startCheckEvery{5};
+constexpr milliseconds startCheckInterval{5};
 /// Fraction of an endpoint's connection limit that the entries share equally. The untilDeadline is
 /// left for new entries that are not known yet.
 constexpr double connectionShare = 0.8;
@@ -395,7 +395,7 @@
         callers.accept();
         return;
     }
-    runtime.after(startCheckEvery, [this, latest] { acceptWhenReady(latest); });
+    runtime.after(startCheckInterval, [this, latest] { acceptWhenReady(latest); });
 }
 
 milliseconds proxy_server::state::untilRestarted()
