--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -45,7 +45,7 @@
 constexpr double connectionShare = 0.8;
 /// Log lines per second for requests that were served at the first attempt, and for all others. At
 /// about 350 bytes per line, this limits the log to 140 kB/s.
-constexpr double ordinaryLines = 100;
+constexpr double ordinaryLinesPerSecond = 100;
 constexpr double unusualLines = 300;
 /// Minimum number of connections to an endpoint, regardless of the number of entries.
 constexpr std::size_t minConnections = 4;
@@ -126,7 +126,7 @@
     caller_server readiness;
     caller_server metricsServer;
     std::unordered_set<std::shared_ptr<flow>> flows;
-    log_limiter ordinary{ordinaryLines};
+    log_limiter ordinary{ordinaryLinesPerSecond};
     log_limiter unusual{unusualLines};
     bool removalPosted = false;
     bool draining = false;
