--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -46,7 +46,7 @@
 /// Log lines per second for requests that were served at the first attempt, and for all others. At
 /// about 350 bytes per line, this limits the log to 140 kB/s.
 constexpr double ordinaryLinesPerSecond = 100;
-constexpr double unusualLines = 300;
+constexpr double unusualLinesPerSecond = 300;
 /// Minimum number of connections to an endpoint, regardless of the number of entries.
 constexpr std::size_t minConnections = 4;
 
@@ -127,7 +127,7 @@
     caller_server metricsServer;
     std::unordered_set<std::shared_ptr<flow>> flows;
     log_limiter ordinary{ordinaryLinesPerSecond};
-    log_limiter unusual{unusualLines};
+    log_limiter unusual{unusualLinesPerSecond};
     bool removalPosted = false;
     bool draining = false;
     bool isPastDrainDelay = false; ///< new requests may not finish before the deadline
