--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -133,7 +133,7 @@
     bool isPastDrainDelay = false; ///< new requests may not finish before the deadline
     time_point drainDeadline{}; ///< when requests in progress are aborted
     bool lastReady = false;
-    std::function<void()> drained;
+    std::function<void()> onDrained;
 };
 
 proxy_server::state::state(asio::io_context &context, routing_state &routing,
@@ -423,7 +423,7 @@
         // cut off on each of four test days with restarts.
         drainDeadline = std::min(drainDeadline, runtime.now());
         // The delay lets the event loop write the last answers.
-        runtime.after(drainCheckInterval, drained);
+        runtime.after(drainCheckInterval, onDrained);
         return;
     }
     runtime.after(drainCheckInterval, [this] { checkDrained(); });
@@ -472,7 +472,7 @@
 void proxy_server::drain(std::function<void()> done)
 {
     m_state->draining = true;
-    m_state->drained = std::move(done);
+    m_state->onDrained = std::move(done);
     m_state->callers.closeAfterAnswers();
     m_state->drainDeadline = m_state->runtime.now() + m_state->options.gracePeriod - finalWriteTime;
     m_state->runtime.after(m_state->options.drainDelay, [this] {
