--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -109,7 +109,7 @@
     std::vector<udp::endpoint> readers; ///< entries that read the store
     std::vector<udp::endpoint> others; ///< all other entries, in an order specific to this entry
     std::map<std::string, udp::endpoint> byName; ///< the same entries by name
-    std::size_t nextOther = 0;
+    std::size_t nextRecipient = 0;
     token_bucket findingBytes{findingBytesPerSecond, findingBurstBytes};
     std::map<std::string, std::vector<udp::endpoint>> listeners; ///< by data centre
     token_bucket bytes{bytesPerSecond, bytesPerSecond *burstSeconds};
@@ -224,9 +224,9 @@
         }
         findingBytes.spend(cost);
         this->bytes.spend(cost);
-        nextOther = (nextOther + 1) % others.size();
+        nextRecipient = (nextRecipient + 1) % others.size();
         asio::error_code error;
-        socket.send_to(asio::buffer(bytes), others[nextOther], 0, error);
+        socket.send_to(asio::buffer(bytes), others[nextRecipient], 0, error);
         metrics.add(error ? "finding_notices_total{way=\"failed\"}"
                           : "finding_notices_total{way=\"sent\"}");
     }
