--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -111,7 +111,7 @@
     std::map<std::string, udp::endpoint> byName; ///< the same entries by name
     std::size_t nextRecipient = 0;
     token_bucket findingBytes{findingBytesPerSecond, findingBurstBytes};
-    std::map<std::string, std::vector<udp::endpoint>> listeners; ///< by data centre
+    std::map<std::string, std::vector<udp::endpoint>> recipients; ///< by data centre
     token_bucket bytes{bytesPerSecond, bytesPerSecond *burstSeconds};
     udp::endpoint from;
     std::array<char, 1400> buffer{}; ///< one packet
@@ -279,7 +279,7 @@
     }
     setReaders(entries, own);
     setOthers(entries, own);
-    m_state->listeners.clear();
+    m_state->recipients.clear();
     // On a small site all entries are notified, since they also send requests to other data
     // centres.
     if (entries.size() <= maxRecipients + 1) {
@@ -293,7 +293,7 @@
         // Each entry ranks the others differently, so that all entries are notified by some.
         for (const std::string &name : rankFirst(others, own, maxRecipients)) {
             if (const auto listener = udpEndpointIn(entries.at(name).address))
-                m_state->listeners[dataCentre].push_back(*listener);
+                m_state->recipients[dataCentre].push_back(*listener);
         }
     }
 }
@@ -347,8 +347,8 @@
 {
     if (notice.prefillTime < minPrefillTime)
         return;
-    const auto it = m_state->listeners.find(dataCentre);
-    if (it == m_state->listeners.end())
+    const auto it = m_state->recipients.find(dataCentre);
+    if (it == m_state->recipients.end())
         return;
     const std::string bytes = encodeSendNotice(
             {notice.endpoint, std::min(notice.prefillTime, maxPrefillTime), notice.prefixes});
