--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t maxKeysLogged = 16;
 
 /// The distinct recent requests of an endpoint that exited, and a run of each at the same index.
-struct young_runs
+struct recent_runs
 {
     std::vector<young_request> requests;
     std::vector<std::shared_ptr<endpoint_run>> runs;
@@ -43,9 +43,9 @@
 
 /// Merges the runs of the same request.
 /// \param at end time for runs that were not abandoned.
-static young_runs youngOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
+static recent_runs youngOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
 {
-    young_runs young;
+    recent_runs young;
     for (const std::shared_ptr<endpoint_run> &run : runs) {
         const young_request request{
                 keyOf(*run->request), run->sentAt, run->abandonedAt.value_or(at), 0, {}};
