--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -43,7 +43,7 @@
 
 /// Merges the runs of the same request.
 /// \param at end time for runs that were not abandoned.
-static recent_runs youngOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
+static recent_runs recentRunsOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
 {
     recent_runs young;
     for (const std::shared_ptr<endpoint_run> &run : runs) {
@@ -65,7 +65,7 @@
 void crash_watch::endpointEnded(const service_endpoint &endpoint, time_point at)
 {
     const endpoint_record &record = endpoint.record();
-    auto [young, runs] = youngOf(m_runs.findSuspects(record.id, at), at);
+    auto [young, runs] = recentRunsOf(m_runs.findSuspects(record.id, at), at);
     m_runs.forget(record.id);
     const bool isPlanned = endpoint.isLeaving() || endpoint.isGone();
     logInfo(log_part::fleet, "endpoint ended",
