--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -50,7 +50,7 @@
     bool operator==(const crash_notice &) const = default;
 };
 
-/// Reports that a request is withheld, that is, not sent to any endpoint.
+/// Reports that a request is withheld, that is, not sent to endpoints of the listed versions.
 struct withheld_notice
 {
     request_key key = 0;
@@ -80,7 +80,7 @@
 std::string encodeClearedNotice(const cleared_notice &notice);
 std::optional<cleared_notice> decodeClearedNotice(std::string_view bytes);
 
-/// Row of a withheld or strongly suspected request.
+/// Contents of the row of a withheld or strongly suspected request.
 struct withheld_row
 {
     std::string service;
--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -59,12 +59,13 @@
     /// \param at when the exit was first noticed.
     void endpointEnded(const service_endpoint &endpoint, time_point at);
 
-    /// Apply notices from other entries, and forward what is new.
+    /// Applies a notice from another entry. Forwards it as far as it is new here.
     void applyNotice(const crash_notice &notice, time_point now);
     void applyNotice(const withheld_notice &notice, time_point now);
     void applyNotice(const cleared_notice &notice, time_point now);
 
-    /// Clears a request for \p version: an endpoint has answered it, or has run it for long enough.
+    /// Clears a request for \p version: an endpoint has answered it, or has run it for at least
+    /// \c endpoint_runs::clearedAfter.
     void clear(request_key key, const std::string &version, time_point now);
 
     /// Applies a row from the store.
@@ -112,7 +113,7 @@
     crash_suspects m_suspects;
     crash_notice_senders m_links;
     std::deque<unwritten_finding> m_unwritten; ///< versions and endpoints are set on reading
-    std::set<request_key> m_fromRows; ///< requests that have a row
+    std::set<request_key> m_fromRows; ///< requests that have a row in the store
     std::set<request_key> m_clearedHere; ///< cleared requests whose rows have to be removed
     unsigned m_newlyWithheld = 0;
 };
--- a/include/laurelcroft/Proxy/LeavingNotice.h
+++ b/include/laurelcroft/Proxy/LeavingNotice.h
@@ -21,7 +21,7 @@
     /// only.
     static constexpr unsigned maxHops = 2;
 
-    std::string endpoint; ///< its id
+    std::string endpoint; ///< id of the endpoint
     std::uint64_t startedAt = 0; ///< start time of the endpoint, as in its record
     unsigned hops = maxHops; ///< remaining forwards
 
--- a/include/laurelcroft/Proxy/NoticeChannel.h
+++ b/include/laurelcroft/Proxy/NoticeChannel.h
@@ -37,7 +37,7 @@
 /// Reports that an entry has just sent a prompt to an endpoint.
 struct send_notice
 {
-    std::string endpoint; ///< its id
+    std::string endpoint; ///< id of the endpoint
     milliseconds prefillTime{0}; ///< estimated prefill time of the prompt
     std::vector<prompt_prefix> prefixes; ///< shared prefixes of the prompt, shortest first
 
@@ -76,8 +76,8 @@
     /// Maximum number of entries that a notice is sent to. Send notices go to the same entries
     /// each time.
     static constexpr std::size_t maxRecipients = 12;
-    /// Rate limit for all notices, including packet headers: the control traffic that the
-    /// requirements allow per node.
+    /// Rate limit for send notices, evidence notices and findings, including packet headers. This
+    /// is the control traffic that the requirements allow per node.
     static constexpr double bytesPerSecond = 2000;
 
     /// Part of \c bytesPerSecond for findings (all notices except send and evidence notices), and
@@ -114,7 +114,7 @@
     /// Sends a datagram of another kind to \p entry. Does nothing if the entry is unknown.
     void send(const std::string &entry, std::string_view bytes);
 
-    /// Send a notice to \c maxRecipients other entries, chosen round-robin.
+    /// Send a finding to \c maxRecipients other entries, chosen round-robin.
     void sendCrashNotice(const crash_notice &notice);
     void sendWithheldNotice(const withheld_notice &notice);
     void sendClearedNotice(const cleared_notice &notice);
--- a/include/laurelcroft/Proxy/ProxyServer.h
+++ b/include/laurelcroft/Proxy/ProxyServer.h
@@ -31,10 +31,10 @@
     std::string readyPath; ///< answered with 200 while the entry accepts requests
     std::string metricsHost;
     std::uint16_t metricsPort = 0; ///< 0 disables the metrics server
-    std::size_t maxCallers = 3000; ///< connections
+    std::size_t maxCallers = 3000; ///< maximum number of caller connections
     /// Delay after the stop signal until the load balancer no longer sends requests here.
     milliseconds drainDelay{2600};
-    /// Time after the stop signal when requests in progress are aborted.
+    /// Time limit for the shutdown. Requests that still run are aborted shortly before.
     milliseconds gracePeriod{8000};
 };
 
--- a/include/laurelcroft/Proxy/RateLimitNotice.h
+++ b/include/laurelcroft/Proxy/RateLimitNotice.h
@@ -16,7 +16,7 @@
 
 namespace laurelcroft {
 
-/// A rate limit stated by an endpoint.
+/// Reports the rate limit that an endpoint has stated.
 struct rate_limit_notice
 {
     /// Maximum number of forwards. More than one is needed since an entry sends to some others
@@ -25,7 +25,7 @@
     /// Notices of older statements are rejected.
     static constexpr milliseconds maxAge{5000};
 
-    std::string endpoint; ///< its id
+    std::string endpoint; ///< id of the endpoint
     std::uint64_t startedAt = 0; ///< start time of the endpoint, as in its record
     std::optional<double> perSecond; ///< empty if it states no limit
     milliseconds age{0}; ///< time since the answer that stated the limit
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -1,6 +1,6 @@
 //===-- EndpointRuns.cpp - requests in flight by endpoint -------------------===//
 //
-// Keeps a list for each endpoint. Adding a run removes the runs that are past.
+// Keeps a list for each endpoint. Adding a run removes those that cannot be suspected any more.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EndpointRuns.h"
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -40,7 +40,7 @@
 /// 103 entries refused 401 callers some tens of milliseconds before their contracts were read.
 constexpr milliseconds maxStartWait{800};
 constexpr milliseconds startCheckInterval{5};
-/// Fraction of an endpoint's connection limit that the entries share equally. The untilDeadline is
+/// Fraction of an endpoint's connection limit that the entries share equally. The remainder is
 /// left for new entries that are not known yet.
 constexpr double connectionShare = 0.8;
 /// Log lines per second for requests that were served at the first attempt, and for all others. At
