--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -50,7 +50,7 @@
     /// Maximum number of findings that wait to be written.
     static constexpr std::size_t maxUnwritten = 64;
 
-    void setSenders(crash_notice_senders links) { m_links = std::move(links); }
+    void setSenders(crash_notice_senders links) { m_senders = std::move(links); }
 
     endpoint_runs &runs() { return m_runs; }
     crash_suspects &suspects() { return m_suspects; }
@@ -111,7 +111,7 @@
 
     endpoint_runs m_runs;
     crash_suspects m_suspects;
-    crash_notice_senders m_links;
+    crash_notice_senders m_senders;
     std::deque<unwritten_finding> m_unwritten; ///< versions and endpoints are set on reading
     std::set<request_key> m_fromRows; ///< requests that have a row in the store
     std::set<request_key> m_clearedHere; ///< cleared requests whose rows have to be removed
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -88,8 +88,8 @@
             notice.requests.push_back(
                     {request.key, age, lasted, request.ends, otherEndpoints(request.key, end)});
     }
-    if (m_links.sendCrashNotice && !notice.requests.empty())
-        m_links.sendCrashNotice(notice);
+    if (m_senders.sendCrashNotice && !notice.requests.empty())
+        m_senders.sendCrashNotice(notice);
     for (std::size_t i = 0; i < young.size(); ++i) {
         const request_key key = young[i].key;
         if (young[i].ends < crash_suspects::endsThatExplain)
@@ -139,11 +139,11 @@
 void crash_watch::sendWithheldFinding(request_key key, time_point now)
 {
     const auto it = m_suspects.withheld().find(key);
-    if (it == m_suspects.withheld().end() || !m_links.sendWithheldNotice)
+    if (it == m_suspects.withheld().end() || !m_senders.sendWithheldNotice)
         return;
     const withheld_request &known = it->second;
     const auto left = std::chrono::duration_cast<milliseconds>(known.until - now);
-    m_links.sendWithheldNotice({key, known.service, known.versions, known.ended, left});
+    m_senders.sendWithheldNotice({key, known.service, known.versions, known.ended, left});
 }
 
 void crash_watch::applyNotice(const crash_notice &notice, time_point now)
@@ -187,8 +187,8 @@
         if (m_suspects.endsOf(request.key) > before[i])
             news.requests.push_back(request);
     }
-    if (m_links.sendCrashNotice && !news.requests.empty())
-        m_links.sendCrashNotice(news);
+    if (m_senders.sendCrashNotice && !news.requests.empty())
+        m_senders.sendCrashNotice(news);
 }
 
 void crash_watch::applyNotice(const withheld_notice &notice, time_point now)
@@ -219,8 +219,8 @@
                {{"request_key", textOf(key)},
                 {"version", version},
                 {"was_withheld", wasWithheld ? "yes" : "no"}});
-    if (m_links.sendClearedNotice)
-        m_links.sendClearedNotice({key, version});
+    if (m_senders.sendClearedNotice)
+        m_senders.sendClearedNotice({key, version});
 }
 
 void crash_watch::applyNotice(const cleared_notice &notice, time_point now)
