--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -32,23 +32,23 @@
 constexpr milliseconds runDelay{60}; ///< from a send until the endpoint begins to run it
 constexpr milliseconds crashDelay{100}; ///< from then until the endpoint crashes
 constexpr milliseconds betweenEvents{50};
-constexpr milliseconds rowRemovalDelay{1500}; ///< after a crash
-constexpr milliseconds restartDelay{4000}; ///< after a crash
+constexpr milliseconds rowRemovalDelay{1500}; ///< from a crash until the row is removed
+constexpr milliseconds restartDelay{4000}; ///< from a crash until the restart
 constexpr milliseconds heartbeatInterval{600}; ///< interval of an endpoint's row updates
-constexpr milliseconds detectionTime{
-        3000}; ///< within which connected entries must withhold the request
+/// Time within which all connected entries have to withhold the request.
+constexpr milliseconds detectionTime{3000};
 constexpr milliseconds probeTime{3}; ///< to find out that an endpoint has exited
 constexpr unsigned maxEnded = 6; ///< required bound for any number of entries
 constexpr unsigned maxLaterArrivals = 3;
 
 struct crash_world;
 
-/// The environment of a flow at one entry of a fleet.
+/// Environment of a request flow at one entry of a fleet.
 struct crash_environment
 {
     crash_world *world;
     fleet_entry *entry;
-    std::string who; ///< kind of caller, for the outcome counts
+    std::string who; ///< kind of caller whose outcomes are counted
 
     manual_runtime &runtime();
     routing_state &routing() { return entry->routing; }
@@ -309,7 +309,7 @@
     std::set<std::string> alive; ///< running endpoints
     std::map<call_id, endpoint_call> calls;
     std::map<call_id, unsigned> firstEvents;
-    std::map<std::string, std::set<fleet_entry *>> users; ///< by endpoint
+    std::map<std::string, std::set<fleet_entry *>> users; ///< entries that used each endpoint
     std::vector<time_point> arrivals; ///< of crashing requests at endpoints
     std::vector<time_point> endedAt; ///< times of the crashes that they caused
     std::map<std::string, caller_outcomes> outcomes;
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -29,7 +29,7 @@
 
 struct fleet;
 
-/// One entry's access to the store. Can be disabled to simulate a power loss or a rejected entry.
+/// One entry's access to the store. Calls can be dropped to simulate a power loss, or rejected.
 struct gated_store
 {
     void list(const std::string &table, row_callback<row_batch> done)
--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr unsigned endpoints = 12;
-constexpr milliseconds serviceTime{150}; ///< of a request
+constexpr milliseconds serviceTime{150}; ///< time until an endpoint answers
 /// Time between requests over all entries: about 5 per second for each endpoint.
 constexpr milliseconds requestInterval{16};
 /// The required bound: once \c knownAfter has passed since the first statement, any \c window has
@@ -51,7 +51,7 @@
     time_point statedAt{};
     unsigned served = 0;
     unsigned refused = 0;
-    std::vector<milliseconds> retryAfter; ///< from refusals
+    std::vector<milliseconds> retryAfter; ///< Retry-After values of refusals
     std::vector<std::shared_ptr<fleet_flow>> flows;
     bool losesNotices = false;
     std::size_t nextListener = 0;
--- a/unittests/Proxy/RetryWorld.h
+++ b/unittests/Proxy/RetryWorld.h
@@ -113,9 +113,9 @@
     std::optional<std::size_t> preferredEntry;
     std::vector<time_point> requests; ///< when callers sent them
     std::vector<time_point> further; ///< arrivals of retries at endpoints
-    std::map<std::string, unsigned> arrivals; ///< number at endpoints by request
+    std::map<std::string, unsigned> arrivals; ///< number of arrivals at endpoints by request
     std::map<int, std::size_t> statuses; ///< number of answers by status; 0: aborted
-    std::vector<double> retryAfter; ///< from refusals, in seconds
+    std::vector<double> retryAfter; ///< Retry-After values of refusals, in seconds
     std::size_t lastRequest = 0;
     call_id lastCall = 0;
 
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -29,7 +29,7 @@
 constexpr std::size_t entryCount = 32;
 constexpr unsigned endpointsPerVersion = 20;
 constexpr milliseconds stepLength{10};
-constexpr double newSessionsPerStep = 0.9; ///< at all entries together
+constexpr double newSessionsPerStep = 0.9; ///< sum over all entries
 constexpr double followUpChance = 0.6; ///< chance that another request of the session follows
 constexpr milliseconds longestPause{3000};
 constexpr milliseconds answerTime{300};
@@ -174,7 +174,7 @@
     CHECK(back == 0);
 }
 
-TEST_CASE("a stage that reaches some entries late moves no session back")
+TEST_CASE("no session moves back to the old version if a stage reaches some entries late")
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
