--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -114,7 +114,7 @@
         const auto before = versions.find(session);
         if (before != versions.end() && before->second != version && orderedAt != time_point{}) {
             const bool firstHalf = now < orderedAt + window / 2;
-            movedOver += version == "v2" && firstHalf ? 1 : 0;
+            changedToNew += version == "v2" && firstHalf ? 1 : 0;
             movedBack += version == "v1" && !isRolledBack() ? 1 : 0;
         }
         versions[session] = version;
@@ -131,7 +131,7 @@
     std::map<std::string, unsigned> served; ///< number of requests by version
     time_point orderedAt{};
     fleet_entry *failingEntry = nullptr; ///< entry at which all requests to the new version fail
-    unsigned movedOver = 0; ///< changes to the new version in the first half
+    unsigned changedToNew = 0; ///< changes to the new version in the first half
     unsigned movedBack = 0; ///< changes to the old version without a rollback
 };
 
@@ -145,7 +145,7 @@
         session_world world(seed);
         world.startRollout();
         world.run(seconds(12));
-        over += world.movedOver;
+        over += world.changedToNew;
         back += world.movedBack;
         CHECK(world.entries.store.valueOf("status", "pool") == "completed");
     }
