--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -115,7 +115,7 @@
         if (before != versions.end() && before->second != version && orderedAt != time_point{}) {
             const bool firstHalf = now < orderedAt + window / 2;
             changedToNew += version == "v2" && firstHalf ? 1 : 0;
-            movedBack += version == "v1" && !isRolledBack() ? 1 : 0;
+            changedToOld += version == "v1" && !isRolledBack() ? 1 : 0;
         }
         versions[session] = version;
         ++served[version];
@@ -132,7 +132,7 @@
     time_point orderedAt{};
     fleet_entry *failingEntry = nullptr; ///< entry at which all requests to the new version fail
     unsigned changedToNew = 0; ///< changes to the new version in the first half
-    unsigned movedBack = 0; ///< changes to the old version without a rollback
+    unsigned changedToOld = 0; ///< changes to the old version without a rollback
 };
 
 } // namespace
@@ -146,7 +146,7 @@
         world.startRollout();
         world.run(seconds(12));
         over += world.changedToNew;
-        back += world.movedBack;
+        back += world.changedToOld;
         CHECK(world.entries.store.valueOf("status", "pool") == "completed");
     }
     CHECK(over == 0);
@@ -169,7 +169,7 @@
         world.startRollout();
         world.run(seconds(12));
         CHECK(world.isRolledBack());
-        back += world.movedBack;
+        back += world.changedToOld;
     }
     CHECK(back == 0);
 }
@@ -186,7 +186,7 @@
         }
         world.startRollout();
         world.run(seconds(12));
-        back += world.movedBack;
+        back += world.changedToOld;
     }
     CHECK(back == 0);
 }
