--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -24,7 +24,7 @@
 {
     request_key key = 0;
     milliseconds age{0}; ///< time from its send to the crash
-    milliseconds lasted{0}; ///< time from its send to the crash or to its cancellation
+    milliseconds runTime{0}; ///< time from its send to the crash or to its cancellation
     unsigned ends = 0; ///< number of endpoints that crashed while it ran there
     std::vector<std::uint64_t> earlier; ///< hashes of the endpoints that crashed before
 
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -50,7 +50,7 @@
     json item = json::array({crashKind, notice.endpoint, notice.service, notice.version});
     for (const reported_request &request : requests) {
         item.push_back(request.key);
-        for (const milliseconds time : {request.age, request.lasted})
+        for (const milliseconds time : {request.age, request.runTime})
             item.push_back(static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.count())));
         item.push_back(request.ends);
         item.push_back(request.earlier);
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -157,7 +157,7 @@
             sendWithheldFinding(request.key, now);
         const time_point sentAt = now - request.age;
         young.push_back(
-                {request.key, sentAt, sentAt + request.lasted, request.ends, request.earlier});
+                {request.key, sentAt, sentAt + request.runTime, request.ends, request.earlier});
     }
     const endpoint_end end{notice.endpoint, notice.service, notice.version, now};
     std::vector<unsigned> before;
