--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -57,7 +57,7 @@
     std::string service;
     std::vector<std::string> versions;
     std::vector<std::uint64_t> ended; ///< hashes of the crashed endpoints
-    milliseconds left{0}; ///< remaining time for which it is withheld
+    milliseconds remaining{0}; ///< remaining time for which it is withheld
 
     bool operator==(const withheld_notice &) const = default;
 };
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -107,7 +107,7 @@
 std::string laurelcroft::encodeWithheldNotice(const withheld_notice &notice)
 {
     return packed(json::array({withheldKind, notice.key, notice.service, notice.versions,
-                               notice.ended, notice.left.count()}));
+                               notice.ended, notice.remaining.count()}));
 }
 
 /// Reads the lists of versions and endpoint hashes into \p notice.
@@ -137,7 +137,7 @@
     const milliseconds longest = crash_suspects::withheldFor;
     const auto left
             = std::min<std::uint64_t>(item[5].get<std::uint64_t>(), std::uint64_t(longest.count()));
-    notice.left = milliseconds(left);
+    notice.remaining = milliseconds(left);
     return notice;
 }
 
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -194,7 +194,7 @@
 void crash_watch::applyNotice(const withheld_notice &notice, time_point now)
 {
     const withheld_request request{
-            notice.service, notice.versions, notice.ended, now + notice.left, {}};
+            notice.service, notice.versions, notice.ended, now + notice.remaining, {}};
     if (!m_suspects.withhold(notice.key, request, now))
         return;
     ++m_newlyWithheld;
