--- a/include/laurelcroft/Proxy/CrashWatch.h
+++ b/include/laurelcroft/Proxy/CrashWatch.h
@@ -40,7 +40,7 @@
 {
     request_key key = 0;
     withheld_row row; ///< without its expiry time
-    milliseconds left{0}; ///< time until it expires
+    milliseconds remaining{0}; ///< time until it expires
 };
 
 /// Tracks crashed endpoints and the requests that are suspected of crashing them, for one entry.
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -60,7 +60,7 @@
     if (!finding)
         return false;
     const request_key key = finding->key;
-    finding->row.until = storeNow() + finding->left;
+    finding->row.until = storeNow() + finding->remaining;
     const auto known = m_findingRows.find(key);
     const std::uint64_t expected = known == m_findingRows.end() ? 0 : known->second.version;
     m_writing = true;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -291,7 +291,7 @@
     unwritten_finding finding = m_unwritten.front();
     setCrashDetails(finding.row, finding.key);
     const auto known = m_suspects.withheld().find(finding.key);
-    finding.left = known == m_suspects.withheld().end()
+    finding.remaining = known == m_suspects.withheld().end()
             ? milliseconds(crash_suspects::memory)
             : std::chrono::duration_cast<milliseconds>(known->second.until - now);
     return finding;
