--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -47,7 +47,7 @@
 {
     return std::any_of(current.begin(), current.end(), [&](const table_entry &entry) {
         const outcome<withheld_row, std::string> row = decodeWithheldRow(entry.row.value);
-        return entry.row.key == withheldKey(key) && row
+        return entry.row.key == withheldRowKey(key) && row
                 && m_state.crashes().isCoveredBy(key, row.value());
     });
 }
@@ -64,7 +64,7 @@
     const auto known = m_findingRows.find(key);
     const std::uint64_t expected = known == m_findingRows.end() ? 0 : known->second.version;
     m_writing = true;
-    const row_write row{std::string(ownTable), withheldKey(key), encodeWithheldRow(finding->row),
+    const row_write row{std::string(ownTable), withheldRowKey(key), encodeWithheldRow(finding->row),
                         expected};
     m_store.write({row}, [this, key](outcome<conditional_write, row_failure> result) {
         m_writing = false;
@@ -95,11 +95,12 @@
     if (old == m_findingRows.end() || !m_state.random().chance(chance))
         return;
     m_nextAnnounceAt = m_runtime.now() + announcePause;
-    m_store.write({{std::string(ownTable), withheldKey(old->first), "", old->second.version, true}},
-                  [key = old->first](outcome<conditional_write, row_failure> result) {
-                      logInfo(log_part::routing, "row of a finding removed",
-                              {{"request_key", textOf(key)}, {"result", textOf(result)}});
-                  });
+    m_store.write(
+            {{std::string(ownTable), withheldRowKey(old->first), "", old->second.version, true}},
+            [key = old->first](outcome<conditional_write, row_failure> result) {
+                logInfo(log_part::routing, "row of a finding removed",
+                        {{"request_key", textOf(key)}, {"result", textOf(result)}});
+            });
 }
 
 } // namespace laurelcroft
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -156,7 +156,7 @@
     return cleared_notice{item[1].get<request_key>(), item[2].get<std::string>()};
 }
 
-std::string laurelcroft::withheldKey(request_key key)
+std::string laurelcroft::withheldRowKey(request_key key)
 {
     return std::string(withheldPrefix) + textOf(key);
 }
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -144,7 +144,7 @@
     CHECK(again.value() == row);
     for (const char *text : {"", "{}", "[]", "{\"service\":1}"})
         CHECK(!decodeWithheldRow(text));
-    CHECK(withheldOfKey(withheldKey(known)) == known);
+    CHECK(withheldOfKey(withheldRowKey(known)) == known);
     for (const char *key : {"withheld/", "withheld/12", "entry/0000000000000001"})
         CHECK(!withheldOfKey(key));
 }
@@ -165,7 +165,7 @@
     finding_fleet world(12);
     world.detect();
     world.entries.runtime.advance(seconds(2));
-    world.entries.store.remove("laurelcroft", withheldKey(world.key));
+    world.entries.store.remove("laurelcroft", withheldRowKey(world.key));
     world.entries.runtime.advance(seconds(2));
     CHECK(world.countWithholding() == 0);
     CHECK(world.entries.entries.front().routing.suspects().isEmpty());
@@ -190,10 +190,10 @@
     finding_fleet world(3);
     world.detect();
     world.entries.runtime.advance(seconds(2));
-    CHECK(!world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(!world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
     world.entries.runtime.advance(crash_suspects::withheldFor + seconds(60));
     CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
 }
 
 TEST_CASE("a request that an endpoint answers is released at all entries, and its row is removed")
@@ -209,7 +209,7 @@
     CHECK(world.countWithholding() == 0);
     world.entries.runtime.advance(seconds(10));
     CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
 }
 
 TEST_CASE("a finding that is cleared before it is firm is never written")
@@ -222,5 +222,5 @@
     first.routing.crashes().clear(world.key, "v1", now);
     world.entries.runtime.advance(seconds(3));
     CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
 }
