--- a/include/laurelcroft/Proxy/CrashNotices.h
+++ b/include/laurelcroft/Proxy/CrashNotices.h
@@ -96,7 +96,7 @@
 /// \returns the key of the row for request \p key.
 std::string withheldRowKey(request_key key);
 /// \returns the request key in the row key \p key, or nothing if it is a row of another kind.
-std::optional<request_key> withheldOfKey(std::string_view key);
+std::optional<request_key> requestOfRowKey(std::string_view key);
 std::string encodeWithheldRow(const withheld_row &row);
 outcome<withheld_row, std::string> decodeWithheldRow(const std::string &value);
 
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -35,7 +35,7 @@
 {
     std::vector<request_key> listed;
     for (const store_row &row : rows) {
-        if (const std::optional<request_key> key = withheldOfKey(row.key))
+        if (const std::optional<request_key> key = requestOfRowKey(row.key))
             listed.push_back(*key);
     }
     m_findingRows.clear();
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -256,7 +256,7 @@
                     .takeEvidence(std::string(earlierLife), evidence.value());
         return;
     }
-    if (const std::optional<request_key> key = withheldOfKey(row.key)) {
+    if (const std::optional<request_key> key = requestOfRowKey(row.key)) {
         takeWithheldRow(*key, row);
         return;
     }
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -161,7 +161,7 @@
     return std::string(withheldPrefix) + textOf(key);
 }
 
-std::optional<request_key> laurelcroft::withheldOfKey(std::string_view key)
+std::optional<request_key> laurelcroft::requestOfRowKey(std::string_view key)
 {
     if (!key.starts_with(withheldPrefix))
         return std::nullopt;
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -144,9 +144,9 @@
     CHECK(again.value() == row);
     for (const char *text : {"", "{}", "[]", "{\"service\":1}"})
         CHECK(!decodeWithheldRow(text));
-    CHECK(withheldOfKey(withheldRowKey(known)) == known);
+    CHECK(requestOfRowKey(withheldRowKey(known)) == known);
     for (const char *key : {"withheld/", "withheld/12", "entry/0000000000000001"})
-        CHECK(!withheldOfKey(key));
+        CHECK(!requestOfRowKey(key));
 }
 
 TEST_CASE("a finding reaches all entries by its row alone, including entries that start later")
