--- a/unittests/Proxy/RetryOutlookTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -52,7 +52,7 @@
         world.play(outage - detectionTime);
 
         const double asked = double(countAfter(world.requests, known));
-        CHECK(double(countAfter(world.further, known)) <= 0.05 * asked);
+        CHECK(double(countAfter(world.retries, known)) <= 0.05 * asked);
         CHECK(double(world.retryAfter.size() - refusedBefore) >= 0.98 * asked);
         // The outage has lasted for seconds, so a retry after a quarter of a second would fail too.
         CHECK(world.retryAfter.back() >= 1.0);
--- a/unittests/Proxy/RetryWorld.cpp
+++ b/unittests/Proxy/RetryWorld.cpp
@@ -41,7 +41,7 @@
     world->runtime.after(way, [world = world, request, endpoint, events = std::move(events)] {
         ++world->arrivals[request];
         if (world->arrivals[request] > 1)
-            world->further.push_back(world->runtime.now());
+            world->retries.push_back(world->runtime.now());
         const request_outcome how = world->endpointEnds(endpoint);
         world->runtime.after(world->plan.answerTime, [world, request, how, events] {
             proxy_answer answer;
--- a/unittests/Proxy/RetryWorld.h
+++ b/unittests/Proxy/RetryWorld.h
@@ -100,7 +100,7 @@
     void updateEntries();
 
     /// \returns the highest number of retries in any window, relative to the bound.
-    double worstShare() const { return rule.worstShare(requests, further); }
+    double worstShare() const { return rule.worstShare(requests, retries); }
     std::size_t served() const { return statuses.count(200) ? statuses.at(200) : 0; }
 
     retry_plan plan;
@@ -112,7 +112,7 @@
     std::vector<std::unique_ptr<retry_entry>> entries; ///< null if not running
     std::optional<std::size_t> preferredEntry;
     std::vector<time_point> requests; ///< when callers sent them
-    std::vector<time_point> further; ///< arrivals of retries at endpoints
+    std::vector<time_point> retries; ///< arrivals of retries at endpoints
     std::map<std::string, unsigned> arrivals; ///< number of arrivals at endpoints by request
     std::map<int, std::size_t> statuses; ///< number of answers by status; 0: aborted
     std::vector<double> retryAfter; ///< Retry-After values of refusals, in seconds
