--- a/unittests/Proxy/NoticeChannelTests.cpp
+++ b/unittests/Proxy/NoticeChannelTests.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 /// An entry that records the notices that it receives.
-struct one_entry
+struct recording_entry
 {
-    explicit one_entry(asio::io_context &context)
+    explicit recording_entry(asio::io_context &context)
         : notices(context, metrics, "127.0.0.1:0",
                   {[this](const send_notice &notice) { heard.push_back(notice); },
                    [this](const evidence_notice &notice) { evidence.push_back(notice); },
@@ -32,7 +32,7 @@
     notice_channel notices;
 };
 
-entry_place placeOf(const one_entry &entry, const std::string &dataCentre)
+entry_place placeOf(const recording_entry &entry, const std::string &dataCentre)
 {
     return {"127.0.0.1:" + std::to_string(entry.notices.port()), dataCentre};
 }
@@ -79,10 +79,10 @@
 {
     for (const bool large : {false, true}) {
         asio::io_context context;
-        one_entry teller(context);
-        one_entry near(context);
-        one_entry far(context);
-        for (one_entry *entry : {&teller, &near, &far})
+        recording_entry teller(context);
+        recording_entry near(context);
+        recording_entry far(context);
+        for (recording_entry *entry : {&teller, &near, &far})
             REQUIRE(entry->notices.open().empty());
         entry_map entries{{"teller", placeOf(teller, "a")},
                           {"near", placeOf(near, "a")},
@@ -106,8 +106,8 @@
 TEST_CASE("send notices stay within their byte rate")
 {
     asio::io_context context;
-    one_entry teller(context);
-    one_entry near(context);
+    recording_entry teller(context);
+    recording_entry near(context);
     REQUIRE(teller.notices.open().empty());
     REQUIRE(near.notices.open().empty());
     teller.notices.setEntries({{"near", placeOf(near, "a")}}, "teller");
