--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -82,11 +82,11 @@
     crash_notice notice{end.endpoint, end.service, end.version, {}};
     for (const young_request &request : young) {
         const auto age = std::chrono::duration_cast<milliseconds>(at - request.sentAt);
-        const auto lasted
+        const auto runTime
                 = std::chrono::duration_cast<milliseconds>(request.leftAt - request.sentAt);
         if (request.ends > 0)
             notice.requests.push_back(
-                    {request.key, age, lasted, request.ends, otherEndpoints(request.key, end)});
+                    {request.key, age, runTime, request.ends, otherEndpoints(request.key, end)});
     }
     if (m_senders.sendCrashNotice && !notice.requests.empty())
         m_senders.sendCrashNotice(notice);
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -36,7 +36,7 @@
         record.softwareVersion = "v1";
         for (int i = 0; i < 3; ++i) {
             auto request = std::make_shared<proxy_request>();
-            request->body = "crashes every endpoint";
+            request->body = "ends whoever runs it";
             record.id = "gone" + std::to_string(i);
             const auto run = crashes.runs().add(record.id, request, entries.runtime.now());
             run->route = "route";
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -275,7 +275,7 @@
                 request("crasher", crasher + std::to_string(++lastCrasher % crashers));
             if (popularRequestInterval.count() > 0
                 && at.count() % popularRequestInterval.count() == 0)
-                request("popular", "the same for all callers");
+                request("popular", "everybody asks this");
             if (unrelatedCrashInterval.count() > 0
                 && at.count() % unrelatedCrashInterval.count() == 0 && !alive.empty())
                 endEndpoint(*std::next(alive.begin(), std::ptrdiff_t(random.index(alive.size()))));
--- a/unittests/Proxy/NoticeChannelTests.cpp
+++ b/unittests/Proxy/NoticeChannelTests.cpp
@@ -79,42 +79,42 @@
 {
     for (const bool large : {false, true}) {
         asio::io_context context;
-        recording_entry teller(context);
+        recording_entry sender(context);
         recording_entry near(context);
         recording_entry far(context);
-        for (recording_entry *entry : {&teller, &near, &far})
+        for (recording_entry *entry : {&sender, &near, &far})
             REQUIRE(entry->notices.open().empty());
-        entry_map entries{{"teller", placeOf(teller, "a")},
+        entry_map entries{{"teller", placeOf(sender, "a")},
                           {"near", placeOf(near, "a")},
                           {"far", placeOf(far, "b")},
                           {"nowhere", {"", "a"}},
                           {"wrong", {"host:1", "a"}}};
         if (large)
             makeLarge(entries);
-        teller.notices.setEntries(entries, "teller");
-        teller.notices.sendToDataCentre({"long", milliseconds(400), {}}, "a");
-        teller.notices.sendToDataCentre({"short", milliseconds(5), {}}, "a");
-        teller.notices.sendToDataCentre({"unknown", milliseconds(400), {}}, "z");
+        sender.notices.setEntries(entries, "teller");
+        sender.notices.sendToDataCentre({"long", milliseconds(400), {}}, "a");
+        sender.notices.sendToDataCentre({"short", milliseconds(5), {}}, "a");
+        sender.notices.sendToDataCentre({"unknown", milliseconds(400), {}}, "z");
         context.run_for(milliseconds(100));
         REQUIRE(near.heard.size() == 1);
         CHECK(near.heard[0] == send_notice{"long", milliseconds(400), {}});
         CHECK(far.heard.size() == (large ? 0 : 1));
-        CHECK(teller.heard.empty());
+        CHECK(sender.heard.empty());
     }
 }
 
 TEST_CASE("send notices stay within their byte rate")
 {
     asio::io_context context;
-    recording_entry teller(context);
+    recording_entry sender(context);
     recording_entry near(context);
-    REQUIRE(teller.notices.open().empty());
+    REQUIRE(sender.notices.open().empty());
     REQUIRE(near.notices.open().empty());
-    teller.notices.setEntries({{"near", placeOf(near, "a")}}, "teller");
+    sender.notices.setEntries({{"near", placeOf(near, "a")}}, "teller");
     constexpr unsigned tries = 500;
     const time_point begun = bootNow();
     for (unsigned i = 0; i < tries; ++i)
-        teller.notices.sendToDataCentre({"i-7f3a91c2", milliseconds(400), {}}, "a");
+        sender.notices.sendToDataCentre({"i-7f3a91c2", milliseconds(400), {}}, "a");
     const std::chrono::duration<double> took = bootNow() - begun;
     context.run_for(milliseconds(100));
     const double bytes = static_cast<double>(
