--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -119,7 +119,7 @@
     /// Sends a notice to as many entries and within the same byte rate as in production. Loses some
     /// of the datagrams.
     template <class Notice>
-    void tell(const fleet_entry &from, const Notice &notice, std::size_t size, bool isUrgent)
+    void sendNotice(const fleet_entry &from, const Notice &notice, std::size_t size, bool isUrgent)
     {
         token_bucket &bytes = budgets.try_emplace(from.name, notice_channel::findingBytesPerSecond,
                                                   notice_channel::findingBurstBytes)
@@ -149,13 +149,13 @@
     {
         crash_notice_senders links;
         links.sendCrashNotice = [this, &entry](const crash_notice &notice) {
-            tell(entry, notice, encodeCrashNotice(notice).size(), notice.isUrgent());
+            sendNotice(entry, notice, encodeCrashNotice(notice).size(), notice.isUrgent());
         };
         links.sendWithheldNotice = [this, &entry](const withheld_notice &notice) {
-            tell(entry, notice, encodeWithheldNotice(notice).size(), true);
+            sendNotice(entry, notice, encodeWithheldNotice(notice).size(), true);
         };
         links.sendClearedNotice = [this, &entry](const cleared_notice &notice) {
-            tell(entry, notice, encodeClearedNotice(notice).size(), true);
+            sendNotice(entry, notice, encodeClearedNotice(notice).size(), true);
         };
         entry.routing.crashes().setSenders(std::move(links));
     }
