--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -264,7 +264,7 @@
 
     /// Simulates callers: ordinary requests with distinct bodies all the time, and a crashing
     /// request every \p crashPause.
-    void play(milliseconds time, milliseconds crashPause)
+    void simulate(milliseconds time, milliseconds crashPause)
     {
         constexpr milliseconds step{10};
         constexpr milliseconds othersPause{40};
@@ -379,7 +379,7 @@
     CAPTURE(pause.count());
     CAPTURE(seed);
     crash_world world(entryCount, seed);
-    world.play(seconds(20), pause);
+    world.simulate(seconds(20), pause);
     CHECK(world.endedAt.size() >= 1);
     CHECK(world.endedAt.size() <= maxEnded);
     CHECK(world.laterArrivals() <= maxLaterArrivals);
@@ -409,7 +409,7 @@
             crash_world world(entryCount, seed);
             world.unrelatedCrashInterval = milliseconds(130);
             world.popularRequestInterval = milliseconds(20);
-            world.play(seconds(20), milliseconds(0));
+            world.simulate(seconds(20), milliseconds(0));
             CHECK(world.outcomes["popular"].withheld == 0);
             CHECK(world.outcomes["others"].withheld == 0);
             for (fleet_entry &entry : world.entries.entries)
@@ -425,7 +425,7 @@
         crash_world world(entryCount);
         world.unrelatedCrashInterval = milliseconds(500);
         world.popularRequestInterval = milliseconds(40);
-        world.play(seconds(20), milliseconds(400));
+        world.simulate(seconds(20), milliseconds(400));
         CHECK(world.laterArrivals() <= maxLaterArrivals);
         CHECK(world.outcomes["popular"].withheld == 0);
         CHECK(world.outcomes["others"].withheld == 0);
@@ -438,7 +438,7 @@
         CAPTURE(entryCount);
         crash_world world(entryCount);
         world.crashers = 2;
-        world.play(seconds(20), milliseconds(200));
+        world.simulate(seconds(20), milliseconds(200));
         CHECK(world.endedAt.size() <= 2 * maxEnded);
         CHECK(world.outcomes["others"].withheld == 0);
     }
@@ -450,12 +450,12 @@
         CAPTURE(entryCount);
         crash_world without(entryCount);
         without.entries.store.away = true;
-        without.play(seconds(5), milliseconds(400));
+        without.simulate(seconds(5), milliseconds(400));
         CHECK(without.endedAt.size() <= maxEnded);
 
         crash_world lossy(entryCount);
         lossy.lostDatagrams = 0.5;
-        lossy.play(seconds(20), milliseconds(400));
+        lossy.simulate(seconds(20), milliseconds(400));
         CHECK(lossy.endedAt.size() <= maxEnded);
         CHECK(lossy.laterArrivals() <= maxLaterArrivals);
     }
@@ -468,7 +468,7 @@
             CAPTURE(seed);
             crash_world silent(entryCount, seed);
             silent.lostDatagrams = 1;
-            silent.play(seconds(20), milliseconds(400));
+            silent.simulate(seconds(20), milliseconds(400));
             CHECK(silent.laterArrivals() <= maxLaterArrivals);
         }
     }
@@ -478,7 +478,7 @@
 {
     crash_world world(12);
     world.crashers = 1000;
-    world.play(seconds(20), milliseconds(1500));
+    world.simulate(seconds(20), milliseconds(1500));
     CHECK(world.outcomes["others"].withheld == 0);
     for (fleet_entry &entry : world.entries.entries)
         CHECK(entry.routing.suspects().suspects() <= crash_suspects::mostSuspects);
@@ -487,14 +487,14 @@
 TEST_CASE("a crashing request is tried at a new version and withheld there again")
 {
     crash_world world(3);
-    world.play(seconds(5), milliseconds(400));
+    world.simulate(seconds(5), milliseconds(400));
     const std::size_t before = world.endedAt.size();
     CHECK(before >= crash_suspects::enoughEnds);
     world.version = "v2";
     for (const std::string &id : std::set<std::string>(world.alive))
         world.endEndpoint(id);
     world.entries.runtime.advance(seconds(6));
-    world.play(seconds(10), milliseconds(400));
+    world.simulate(seconds(10), milliseconds(400));
     CHECK(world.endedAt.size() - before >= 1);
     CHECK(world.endedAt.size() - before <= 3);
 }
