--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -71,12 +71,12 @@
         for (fleet_entry &entry : entries.entries) {
             useContract(entry);
             entry.routing.rateLimits().setListener(
-                    [this, &entry](const rate_limit_notice &notice) { tell(entry, notice); });
+                    [this, &entry](const rate_limit_notice &notice) { sendNotice(entry, notice); });
         }
     }
 
     /// Sends a notice to the next entries in turn.
-    void tell(const fleet_entry &from, const rate_limit_notice &notice)
+    void sendNotice(const fleet_entry &from, const rate_limit_notice &notice)
     {
         const std::size_t told = std::min(listeners, entries.entries.size() - 1);
         for (std::size_t i = 0; i < told && !losesNotices; ++i) {
