--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -137,7 +137,7 @@
     }
 
     /// Sends requests to the entries in turn for \p time.
-    void play(duration time)
+    void simulate(duration time)
     {
         auto entry = entries.entries.begin();
         for (duration passed{0}; passed < time; passed += requestInterval) {
@@ -212,9 +212,9 @@
             CAPTURE(count);
             CAPTURE(limited);
             limit_world world(count);
-            world.play(seconds(3));
+            world.simulate(seconds(3));
             world.stateLimits(limited);
-            world.play(seconds(20));
+            world.simulate(seconds(20));
             CHECK(world.worstShare() <= 1);
         }
     }
@@ -226,9 +226,9 @@
         CAPTURE(count);
         limit_world world(count);
         world.losesNotices = true;
-        world.play(seconds(3));
+        world.simulate(seconds(3));
         world.stateLimits(endpoints / 2);
-        world.play(seconds(40));
+        world.simulate(seconds(40));
         CHECK(world.worstShare() <= 1);
     }
 }
@@ -239,7 +239,7 @@
         CAPTURE(count);
         limit_world world(count);
         world.stateLimits(endpoints);
-        world.play(seconds(33));
+        world.simulate(seconds(33));
         CHECK(world.leastLimitUsed(seconds(30)) >= 0.5);
     }
 }
@@ -250,14 +250,14 @@
         CAPTURE(losesNotices);
         limit_world world(12);
         world.stateLimits(2);
-        world.play(seconds(6));
+        world.simulate(seconds(6));
         world.liftLimits();
         world.losesNotices = losesNotices;
         // Without notices, entries without a share of the limit learn this only from their own rate
         // limit checks.
-        world.play(losesNotices ? seconds(60) : seconds(10));
+        world.simulate(losesNotices ? seconds(60) : seconds(10));
         const time_point from = world.runtime().now();
-        world.play(seconds(5));
+        world.simulate(seconds(5));
         for (const char *id : {"p0", "p1"})
             CHECK(world.arrivedSince(id, from) >= 15);
     }
@@ -267,7 +267,7 @@
 {
     limit_world world(3);
     world.stateLimits(endpoints);
-    world.play(seconds(10));
+    world.simulate(seconds(10));
     CHECK(world.refused > world.served);
     CHECK(world.retryAfter.size() == world.refused);
 }
