--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -155,7 +155,7 @@
     };
     for (milliseconds at{0}; at < playTime; at += step) {
         action(world, at);
-        world.play(step);
+        world.simulate(step);
     }
     return world.worstShare();
 }
--- a/unittests/Proxy/RetryOutlookTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -42,14 +42,14 @@
     for (const std::size_t entries : {3, 12}) {
         CAPTURE(entries);
         retry_world world(lookupPlan(entries));
-        world.play(before);
+        world.simulate(before);
         world.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
         // An entry with a twelfth of 100 requests per second sees thirty failures in one to two
         // seconds.
-        world.play(detectionTime);
+        world.simulate(detectionTime);
         const time_point known = world.runtime.now();
         const std::size_t refusedBefore = world.retryAfter.size();
-        world.play(outage - detectionTime);
+        world.simulate(outage - detectionTime);
 
         const double asked = double(countAfter(world.requests, known));
         CHECK(double(countAfter(world.retries, known)) <= 0.05 * asked);
@@ -61,7 +61,7 @@
         world.endpointEnds = [](const std::string &) { return request_outcome::answers; };
         const time_point over = world.runtime.now();
         const std::size_t servedBefore = world.served();
-        world.play(seconds(2));
+        world.simulate(seconds(2));
         CHECK(double(world.served() - servedBefore)
               >= 0.98 * double(countAfter(world.requests, over)));
     }
@@ -74,7 +74,7 @@
     constexpr double answered = 0.28;
     constexpr double further = 0.7;
     retry_world world(lookupPlan(3));
-    world.play(before);
+    world.simulate(before);
     world.endpointEnds = [&](const std::string &endpoint) {
         const bool isSound = endpoint.back() % 5 == 0;
         return isSound || world.random.chance(0.1) ? request_outcome::answers
@@ -82,7 +82,7 @@
     };
     const time_point begin = world.runtime.now();
     const std::size_t servedBefore = world.served();
-    world.play(seconds(10));
+    world.simulate(seconds(10));
     const double asked = double(countAfter(world.requests, begin));
     CHECK(double(world.served() - servedBefore) >= 0.9 * answered * (1 + further) * asked);
 }
--- a/unittests/Proxy/RetryWorld.cpp
+++ b/unittests/Proxy/RetryWorld.cpp
@@ -220,7 +220,7 @@
         take(*entries[index], id);
 }
 
-void retry_world::play(milliseconds time)
+void retry_world::simulate(milliseconds time)
 {
     const time_point end = runtime.now() + time;
     while (runtime.now() < end) {
--- a/unittests/Proxy/RetryWorld.h
+++ b/unittests/Proxy/RetryWorld.h
@@ -81,7 +81,7 @@
     explicit retry_world(retry_plan plan);
 
     /// Simulates callers' requests for \p time.
-    void play(milliseconds time);
+    void simulate(milliseconds time);
 
     /// Kills the process of entry \p index. Its flows and state are lost.
     void kill(std::size_t index);
