--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-constexpr seconds playTime{24}; ///< simulated time of one run
+constexpr seconds simulatedTime{24}; ///< simulated time of one run
 constexpr milliseconds step{100};
 
 /// Changes the set of entries. Called each \c step with the time since the simulation began.
@@ -153,7 +153,7 @@
     world.endpointEnds = [&](const std::string &) {
         return ends(world, std::chrono::floor<milliseconds>(world.runtime.now() - begin));
     };
-    for (milliseconds at{0}; at < playTime; at += step) {
+    for (milliseconds at{0}; at < simulatedTime; at += step) {
         action(world, at);
         world.simulate(step);
     }
