--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -72,7 +72,7 @@
         world.restart(std::size_t(at / pause) % world.entries.size());
 }
 
-void joinAsMany(retry_world &world, milliseconds at)
+void doubleEntries(retry_world &world, milliseconds at)
 {
     if (!isOneOf(at, {14000}))
         return;
@@ -207,7 +207,7 @@
                              named_churn{"all killed three times", killAllAgainAndAgain},
                              named_churn{"killed in turn", killInTurn},
                              named_churn{"restarted in turn", restartInTurn},
-                             named_churn{"the number of entries doubles", joinAsMany},
+                             named_churn{"the number of entries doubles", doubleEntries},
                              named_churn{"all suspended twice", suspendAllTwice},
                              named_churn{"callers move to another entry", callersMove}};
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
