--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -42,7 +42,7 @@
     return std::find(moments.begin(), moments.end(), int(at.count())) != moments.end();
 }
 
-void nothingElse(retry_world &, milliseconds) { }
+void noChurn(retry_world &, milliseconds) { }
 
 void killAllAgainAndAgain(retry_world &world, milliseconds at)
 {
@@ -203,7 +203,7 @@
 
 TEST_CASE("retries stay within their bound through kills, restarts, joins and store outages")
 {
-    const std::array actions{named_churn{"no churn", nothingElse},
+    const std::array actions{named_churn{"no churn", noChurn},
                              named_churn{"all killed three times", killAllAgainAndAgain},
                              named_churn{"killed in turn", killInTurn},
                              named_churn{"restarted in turn", restartInTurn},
