--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -44,7 +44,7 @@
 
 void noChurn(retry_world &, milliseconds) { }
 
-void killAllAgainAndAgain(retry_world &world, milliseconds at)
+void killAllRepeatedly(retry_world &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {13000, 15000, 17000}))
@@ -204,7 +204,7 @@
 TEST_CASE("retries stay within their bound through kills, restarts, joins and store outages")
 {
     const std::array actions{named_churn{"no churn", noChurn},
-                             named_churn{"all killed three times", killAllAgainAndAgain},
+                             named_churn{"all killed three times", killAllRepeatedly},
                              named_churn{"killed in turn", killInTurn},
                              named_churn{"restarted in turn", restartInTurn},
                              named_churn{"the number of entries doubles", doubleEntries},
