--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -143,7 +143,7 @@
 };
 
 /// \returns the highest number of retries in any window, relative to the bound.
-double worstOf(const fleet_size &size, const churn &action, fault ends, retry_plan plan)
+double worstShareOf(const fleet_size &size, const churn &action, fault ends, retry_plan plan)
 {
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
@@ -193,7 +193,7 @@
                 plan.route = draftRoute();
                 plan.storeAway = storeAway;
                 plan.seed = seed;
-                CHECK(worstOf(size, action.action, ends.ends, plan) <= 1.0);
+                CHECK(worstShareOf(size, action.action, ends.ends, plan) <= 1.0);
             }
         }
     }
