--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -32,7 +32,7 @@
 using churn = std::function<void(retry_world &world, milliseconds at)>;
 
 /// \returns true once in each interval of \p pause.
-bool isEach(milliseconds at, milliseconds pause)
+bool isMultipleOf(milliseconds at, milliseconds pause)
 {
     return at.count() % pause.count() == 0;
 }
@@ -59,7 +59,7 @@
     const std::size_t count = world.entries.size();
     const milliseconds pause{std::max<std::int64_t>(100, 2500 / std::int64_t(count) / 100 * 100)};
     const auto turn = std::size_t(at / pause);
-    if (!isEach(at, pause) || at < seconds(5))
+    if (!isMultipleOf(at, pause) || at < seconds(5))
         return;
     world.start((turn + count - 1) % count);
     world.kill(turn % count);
@@ -68,7 +68,7 @@
 void restartInTurn(retry_world &world, milliseconds at)
 {
     const milliseconds pause{800};
-    if (isEach(at, pause) && at > seconds(5))
+    if (isMultipleOf(at, pause) && at > seconds(5))
         world.restart(std::size_t(at / pause) % world.entries.size());
 }
 
