--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -25,13 +25,13 @@
 
 namespace {
 
-constexpr seconds simulatedTime{24}; ///< simulated time of one run
+constexpr seconds simulatedTime{24}; ///< of one run
 constexpr milliseconds step{100};
 
 /// Changes the set of entries. Called each \c step with the time since the simulation began.
 using churn = std::function<void(retry_world &world, milliseconds at)>;
 
-/// \returns true once in each interval of \p pause.
+/// \returns true if \p at is a multiple of \p pause.
 bool isMultipleOf(milliseconds at, milliseconds pause)
 {
     return at.count() % pause.count() == 0;
