--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -22,7 +22,7 @@
 {
     m_answer = std::move(answer);
     m_headReceived = true;
-    m_run->beganAt = now();
+    m_run->answerBeganAt = now();
     endReading();
     m_endpoint->recordProgress(now());
     noteEndpointState();
@@ -156,7 +156,8 @@
         m_env.runtime().cancel(m_progressTimer);
         watchProgress(m_attemptNumber);
     }
-    if (m_run->beganAt && m_lastProgressAt - *m_run->beganAt > endpoint_runs::provenAfter
+    if (m_run->answerBeganAt
+        && m_lastProgressAt - *m_run->answerBeganAt > endpoint_runs::clearedAfter
         && m_suspicion != suspicion::none) {
         clearOfSuspicion();
         m_suspicion = suspicion::none;
@@ -259,7 +260,7 @@
 void request_flow<Env>::endRun()
 {
     endTrial();
-    m_run->leftAt = now();
+    m_run->abandonedAt = now();
     m_run = nullptr;
 }
 
@@ -301,7 +302,7 @@
     if (isLost)
         m_failedDataCentres.insert(m_endpoint->record().dataCentre);
     const endpoint_ptr endpoint = m_endpoint;
-    m_run->isOver = end != attempt_end::broken && end != attempt_end::silent;
+    m_run->isFinished = end != attempt_end::broken && end != attempt_end::silent;
     if (end == attempt_end::answered)
         clearOfSuspicion();
     closeAttempt(end);
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -10,7 +10,7 @@
 
 #include "laurelcroft/Platform/RowFollower.h"
 #include "laurelcroft/Proxy/EntryAnnouncement.h"
-#include "laurelcroft/Proxy/EntryRoster.h"
+#include "laurelcroft/Proxy/EntryRegistry.h"
 #include "laurelcroft/Proxy/EvidenceNotice.h"
 #include "laurelcroft/Proxy/RolloutRows.h"
 #include "laurelcroft/Proxy/RoutingState.h"
@@ -228,7 +228,7 @@
     std::map<std::string, std::unique_ptr<follower>> m_followers; ///< keyed by table
     std::map<std::string, std::string> m_refused; ///< errors of refused endpoint records, by key
     std::map<std::string, std::uint64_t> m_rowVersions; ///< versions of roll-out rows, by service
-    entry_roster m_roster;
+    entry_registry m_roster;
     /// A withheld request's row in the store.
     struct finding_row
     {
--- a/include/laurelcroft/Proxy/StoreSyncFindings.h
+++ b/include/laurelcroft/Proxy/StoreSyncFindings.h
@@ -16,7 +16,7 @@
 {
     if (row.removed) {
         m_findingRows.erase(key);
-        m_state.crashes().rowRemoved(key);
+        m_state.crashes().removeRow(key);
         return;
     }
     const outcome<withheld_row, std::string> value = decodeWithheldRow(row.value);
@@ -26,8 +26,8 @@
         return;
     }
     m_findingRows[key] = {row.version, value.value().until};
-    m_state.crashes().takeRow(key, value.value(), m_clock.localTimeOf(value.value().until),
-                              m_runtime.now());
+    m_state.crashes().applyRow(key, value.value(), m_clock.localTimeOf(value.value().until),
+                               m_runtime.now());
 }
 
 template <row_store_like Store, runtime_like Runtime>
@@ -35,11 +35,11 @@
 {
     std::vector<request_key> listed;
     for (const store_row &row : rows) {
-        if (const std::optional<request_key> key = withheldOfKey(row.key))
+        if (const std::optional<request_key> key = requestOfRowKey(row.key))
             listed.push_back(*key);
     }
     m_findingRows.clear();
-    m_state.crashes().keepRows(listed);
+    m_state.crashes().removeUnlistedRows(listed);
 }
 
 template <row_store_like Store, runtime_like Runtime>
@@ -48,23 +48,24 @@
 {
     return std::any_of(current.begin(), current.end(), [&](const table_entry &entry) {
         const outcome<withheld_row, std::string> row = decodeWithheldRow(entry.row.value);
-        return entry.row.key == withheldKey(key) && row
-                && m_state.crashes().isToldBy(key, row.value());
+        return entry.row.key == withheldRowKey(key) && row
+                && m_state.crashes().isCoveredBy(key, row.value());
     });
 }
 
 template <row_store_like Store, runtime_like Runtime>
 bool store_sync<Store, Runtime>::writeFinding()
 {
-    std::optional<unwritten_finding> finding = m_state.crashes().unwritten(m_runtime.now());
+    std::optional<unwritten_finding> finding
+            = m_state.crashes().nextUnwrittenFinding(m_runtime.now());
     if (!finding)
         return false;
     const request_key key = finding->key;
-    finding->row.until = storeNow() + finding->left;
+    finding->row.until = storeNow() + finding->remaining;
     const auto known = m_findingRows.find(key);
     const std::uint64_t expected = known == m_findingRows.end() ? 0 : known->second.version;
     m_isWriting = true;
-    const row_write row{std::string(internalTable), withheldKey(key),
+    const row_write row{std::string(internalTable), withheldRowKey(key),
                         encodeWithheldRow(finding->row), expected};
     m_store.write({row}, [this, key](outcome<conditional_write, row_failure> result) {
         m_isWriting = false;
@@ -74,7 +75,7 @@
                 {{"request_key", textOf(key)}, {"result", textOf(result)}});
         // Otherwise another entry's row lacks some of the finding, which is then written again.
         if (result && (result.value().done || isCoveredByRow(key, result.value().current)))
-            m_state.crashes().wasWritten(key);
+            m_state.crashes().markWritten(key);
         if (!result || result.value().done)
             return;
         for (const table_entry &entry : result.value().current)
@@ -86,7 +87,7 @@
 template <row_store_like Store, runtime_like Runtime>
 void store_sync<Store, Runtime>::removeStaleFinding()
 {
-    const std::optional<request_key> wrong = m_state.crashes().wronglyListed();
+    const std::optional<request_key> wrong = m_state.crashes().findStaleRow();
     const auto stale
             = std::find_if(m_findingRows.begin(), m_findingRows.end(), [&](const auto &row) {
                   return storeNow() >= row.second.until || row.first == wrong;
@@ -96,7 +97,7 @@
     if (stale == m_findingRows.end() || !m_state.random().chance(chance))
         return;
     m_nextOwnRowWriteAt = m_runtime.now() + ownRowWriteInterval;
-    m_store.write({{std::string(internalTable), withheldKey(stale->first), "",
+    m_store.write({{std::string(internalTable), withheldRowKey(stale->first), "",
                     stale->second.version, true}},
                   [key = stale->first](outcome<conditional_write, row_failure> result) {
                       logInfo(log_part::routing, "row of a finding removed",
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -240,7 +240,7 @@
         if (row.removed)
             m_roster.remove(*entry);
         else
-            m_roster.take(*entry, decodeEntry(row.value), row.version);
+            m_roster.update(*entry, decodeEntry(row.value), row.version);
         return;
     }
     if (const std::optional<evidence_row_key> place = evidenceOfKey(row.key)) {
@@ -258,7 +258,7 @@
                     .takeEvidence(std::string(earlierIncarnation), evidence.value());
         return;
     }
-    if (const std::optional<request_key> key = withheldOfKey(row.key)) {
+    if (const std::optional<request_key> key = requestOfRowKey(row.key)) {
         takeWithheldRow(*key, row);
         return;
     }
@@ -291,14 +291,14 @@
 {
     if (!m_clock.isKnown() || !m_internalTableRead || m_runtime.now() < m_nextOwnRowWriteAt)
         return;
-    if (m_roster.isOwnDue(storeNow())) {
+    if (m_roster.isOwnRowDue(storeNow())) {
         if (!isAwaitingListing())
             writeOwnRow();
         return;
     }
     m_unlistedSince.reset();
     removeStaleFinding();
-    const std::optional<listed_entry> gone = m_roster.expired(storeNow());
+    const std::optional<listed_entry> gone = m_roster.findExpired(storeNow());
     // Any entry may remove the row; the probability keeps most of them from writing at once.
     const double chance = 1.0 / static_cast<double>(m_state.entries());
     if (gone && m_state.random().chance(chance))
@@ -319,7 +319,7 @@
 std::optional<entry_announcement> store_sync<Store, Runtime>::nextAnnouncement()
 {
     const bool isListed
-            = m_internalTableRead && m_clock.isKnown() && !m_roster.isOwnDue(storeNow());
+            = m_internalTableRead && m_clock.isKnown() && !m_roster.isOwnRowDue(storeNow());
     if (isListed || m_runtime.now() < m_nextAnnouncementAt)
         return std::nullopt;
     m_nextAnnouncementAt = m_runtime.now() + announcementInterval;
@@ -360,7 +360,7 @@
     for (const auto &[name, item] : announced) {
         // Skip entries that are listed already: they sent the announcement before they read their
         // row.
-        if (!knows || !m_roster.isDue(name, storeNow()))
+        if (!knows || !m_roster.isRowDue(name, storeNow()))
             continue;
         const auto waited = std::chrono::duration_cast<milliseconds>(m_runtime.now() - item.at);
         rows.push_back(entryRow(name, item.what.place, item.what.wallTime + waited));
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -1,8 +1,7 @@
-//===-- CrashNotices.cpp - findings on requests, as told --------------------===//
+//===-- CrashNotices.cpp - crash notices between entries --------------------===//
 //
-// Datagrams are MessagePack arrays whose first item tells their kind; no other notice begins with
-// one of these words and has the same fields behind it. Rows are JSON, so that operators can read
-// them.
+// Datagrams are MessagePack arrays whose first item is the kind. No other notice starts with the
+// same kind followed by the same fields. Rows are JSON, so that operators can read them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CrashNotices.h"
@@ -16,16 +15,16 @@
 
 namespace {
 
-constexpr std::string_view endKind = "end";
+constexpr std::string_view crashKind = "end";
 constexpr std::string_view withheldKind = "withheld";
 constexpr std::string_view clearedKind = "cleared";
 constexpr std::string_view withheldPrefix = "withheld/";
-constexpr std::size_t fieldsOfEnd = 4;
-constexpr std::size_t fieldsOfRequest = 5;
-constexpr std::size_t fieldsOfWithheld = 6;
-constexpr std::size_t fieldsOfCleared = 3;
-/// Versions and endpoints that are told of one request.
-constexpr std::size_t mostListed = 8;
+constexpr std::size_t crashNoticeFields = 4;
+constexpr std::size_t requestFields = 5;
+constexpr std::size_t withheldNoticeFields = 6;
+constexpr std::size_t clearedNoticeFields = 3;
+/// Maximum number of versions and of endpoints listed for one request.
+constexpr std::size_t maxListed = 8;
 
 } // namespace
 
@@ -34,24 +33,24 @@
     return item.is_string() && item.get_ref<const std::string &>() == kind;
 }
 
-bool end_notice::isUrgent() const
+bool crash_notice::isUrgent() const
 {
-    return std::any_of(requests.begin(), requests.end(), [](const noticed_request &request) {
+    return std::any_of(requests.begin(), requests.end(), [](const reported_request &request) {
         return request.ends >= crash_suspects::minEndsToExplain;
     });
 }
 
-std::string laurelcroft::encodeEndNotice(const end_notice &notice)
+std::string laurelcroft::encodeCrashNotice(const crash_notice &notice)
 {
-    std::vector<noticed_request> requests = notice.requests;
+    std::vector<reported_request> requests = notice.requests;
     std::stable_sort(requests.begin(), requests.end(),
                      [](const auto &a, const auto &b) { return a.ends > b.ends; });
-    if (requests.size() > end_notice::mostRequests)
-        requests.resize(end_notice::mostRequests);
-    json item = json::array({endKind, notice.endpoint, notice.service, notice.version});
-    for (const noticed_request &request : requests) {
+    if (requests.size() > crash_notice::maxRequests)
+        requests.resize(crash_notice::maxRequests);
+    json item = json::array({crashKind, notice.endpoint, notice.service, notice.version});
+    for (const reported_request &request : requests) {
         item.push_back(request.key);
-        for (const milliseconds time : {request.age, request.lasted})
+        for (const milliseconds time : {request.age, request.runTime})
             item.push_back(static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.count())));
         item.push_back(request.ends);
         item.push_back(request.earlier);
@@ -59,47 +58,47 @@
     return packed(item);
 }
 
-static bool areHashes(const json &list)
+static bool isHashList(const json &list)
 {
-    return list.is_array() && list.size() <= mostListed
+    return list.is_array() && list.size() <= maxListed
             && std::all_of(list.begin(), list.end(),
                            [](const json &hash) { return hash.is_number_unsigned(); });
 }
 
-/// \returns true when the items from \p fields on are those of a request.
+/// \returns true if the items starting at \p fields encode a request.
 static bool isRequest(const json *fields)
 {
-    const bool areNumbers
-            = std::all_of(fields, fields + fieldsOfRequest - 1,
-                          [](const json &field) { return field.is_number_unsigned(); });
-    return areNumbers && areHashes(fields[fieldsOfRequest - 1]);
+    const bool areNumbers = std::all_of(fields, fields + requestFields - 1, [](const json &field) {
+        return field.is_number_unsigned();
+    });
+    return areNumbers && isHashList(fields[requestFields - 1]);
 }
 
-/// \returns a time of a request that is young: longer ones are cut.
-static milliseconds timeIn(const json &item)
+/// \returns the duration in \p item, limited to the window in which crashes are counted.
+static milliseconds decodeTime(const json &item)
 {
     const milliseconds longest = crash_suspects::unexplainedEndsWindow;
     return milliseconds(
             std::min<std::uint64_t>(item.get<std::uint64_t>(), std::uint64_t(longest.count())));
 }
 
-std::optional<end_notice> laurelcroft::decodeEndNotice(std::string_view bytes)
+std::optional<crash_notice> laurelcroft::decodeCrashNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() >= fieldsOfEnd && isKind(item[0], endKind)
-            && item[1].is_number_unsigned() && isName(item[2]) && isName(item[3])
-            && (item.size() - fieldsOfEnd) % fieldsOfRequest == 0
-            && (item.size() - fieldsOfEnd) / fieldsOfRequest <= end_notice::mostRequests;
-    if (!hasForm)
+    const bool isWellFormed = item.is_array() && item.size() >= crashNoticeFields
+            && isKind(item[0], crashKind) && item[1].is_number_unsigned() && isName(item[2])
+            && isName(item[3]) && (item.size() - crashNoticeFields) % requestFields == 0
+            && (item.size() - crashNoticeFields) / requestFields <= crash_notice::maxRequests;
+    if (!isWellFormed)
         return std::nullopt;
-    end_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
-    for (std::size_t i = fieldsOfEnd; i < item.size(); i += fieldsOfRequest) {
+    crash_notice notice{item[1].get<std::uint64_t>(), item[2], item[3], {}};
+    for (std::size_t i = crashNoticeFields; i < item.size(); i += requestFields) {
         if (!isRequest(&item[i]))
             return std::nullopt;
         const auto ends = std::min<std::uint64_t>(item[i + 3].get<std::uint64_t>(),
                                                   crash_suspects::endsToWithholdUnstable);
-        notice.requests.push_back({item[i].get<request_key>(), timeIn(item[i + 1]),
-                                   timeIn(item[i + 2]), static_cast<unsigned>(ends),
+        notice.requests.push_back({item[i].get<request_key>(), decodeTime(item[i + 1]),
+                                   decodeTime(item[i + 2]), static_cast<unsigned>(ends),
                                    item[i + 4].get<std::vector<std::uint64_t>>()});
     }
     return notice;
@@ -108,15 +107,16 @@
 std::string laurelcroft::encodeWithheldNotice(const withheld_notice &notice)
 {
     return packed(json::array({withheldKind, notice.key, notice.service, notice.versions,
-                               notice.ended, notice.left.count()}));
+                               notice.ended, notice.remaining.count()}));
 }
 
-/// Reads lists of names and of hashes. \returns false when they are none.
+/// Reads the lists of versions and endpoint hashes into \p notice.
+/// \returns false if a list is malformed.
 static bool readLists(const json &versions, const json &ended, withheld_notice &notice)
 {
-    const bool haveForm = versions.is_array() && versions.size() <= mostListed && areHashes(ended)
-            && std::all_of(versions.begin(), versions.end(), isName);
-    if (!haveForm)
+    const bool areWellFormed = versions.is_array() && versions.size() <= maxListed
+            && isHashList(ended) && std::all_of(versions.begin(), versions.end(), isName);
+    if (!areWellFormed)
         return false;
     notice.versions = versions.get<std::vector<std::string>>();
     notice.ended = ended.get<std::vector<std::uint64_t>>();
@@ -126,18 +126,18 @@
 std::optional<withheld_notice> laurelcroft::decodeWithheldNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() == fieldsOfWithheld
+    const bool isWellFormed = item.is_array() && item.size() == withheldNoticeFields
             && isKind(item[0], withheldKind) && item[1].is_number_unsigned() && isName(item[2])
             && item[5].is_number_unsigned();
     withheld_notice notice;
-    if (!hasForm || !readLists(item[3], item[4], notice))
+    if (!isWellFormed || !readLists(item[3], item[4], notice))
         return std::nullopt;
     notice.key = item[1].get<request_key>();
     notice.service = item[2].get<std::string>();
     const milliseconds longest = crash_suspects::withheldFor;
     const auto left
             = std::min<std::uint64_t>(item[5].get<std::uint64_t>(), std::uint64_t(longest.count()));
-    notice.left = milliseconds(left);
+    notice.remaining = milliseconds(left);
     return notice;
 }
 
@@ -149,19 +149,19 @@
 std::optional<cleared_notice> laurelcroft::decodeClearedNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() == fieldsOfCleared
+    const bool isWellFormed = item.is_array() && item.size() == clearedNoticeFields
             && isKind(item[0], clearedKind) && item[1].is_number_unsigned() && isName(item[2]);
-    if (!hasForm)
+    if (!isWellFormed)
         return std::nullopt;
     return cleared_notice{item[1].get<request_key>(), item[2].get<std::string>()};
 }
 
-std::string laurelcroft::withheldKey(request_key key)
+std::string laurelcroft::withheldRowKey(request_key key)
 {
     return std::string(withheldPrefix) + textOf(key);
 }
 
-std::optional<request_key> laurelcroft::withheldOfKey(std::string_view key)
+std::optional<request_key> laurelcroft::requestOfRowKey(std::string_view key)
 {
     if (!key.starts_with(withheldPrefix))
         return std::nullopt;
--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -1,6 +1,7 @@
-//===-- CrashWatch.cpp - endpoints that end under requests ------------------===//
+//===-- CrashWatch.cpp - crash attribution to requests ----------------------===//
 //
-// A key is worked out only for young requests of endpoints that ended.
+// Request keys are computed only for the recent requests of endpoints that exited, not for every
+// request.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CrashWatch.h"
@@ -14,11 +15,11 @@
 
 namespace {
 
-/// Requests that a line names when their endpoint has ended: what a full batch has of one entry.
-constexpr std::size_t mostKeysLogged = 16;
+/// Maximum number of request keys in a log line: the requests of one entry in a full batch.
+constexpr std::size_t maxKeysLogged = 16;
 
-/// Young requests of an ended endpoint, each once, and a run of each at the same index.
-struct young_runs
+/// The distinct recent requests of an endpoint that exited, and a run of each at the same index.
+struct recent_runs
 {
     std::vector<recent_request> requests;
     std::vector<std::shared_ptr<endpoint_run>> runs;
@@ -26,7 +27,7 @@
 
 } // namespace
 
-/// The same at all entries, and another one after the endpoint's next start.
+/// \returns a hash of the endpoint's id and start time, which is the same at all entries.
 static std::uint64_t hashOf(const endpoint_record &record)
 {
     return stableHash(record.id, record.startedAt);
@@ -35,18 +36,19 @@
 static std::string textOfKeys(std::span<const recent_request> requests)
 {
     std::string text;
-    for (std::size_t i = 0; i < std::min(requests.size(), mostKeysLogged); ++i)
+    for (std::size_t i = 0; i < std::min(requests.size(), maxKeysLogged); ++i)
         text += (i == 0 ? "" : ",") + textOf(requests[i].key);
     return text;
 }
 
-/// \param at the end of runs that this entry still waited for.
-static young_runs youngOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
+/// Merges the runs of the same request.
+/// \param at end time for runs that were not abandoned.
+static recent_runs recentRunsOf(std::span<const std::shared_ptr<endpoint_run>> runs, time_point at)
 {
-    young_runs young;
+    recent_runs young;
     for (const std::shared_ptr<endpoint_run> &run : runs) {
         const recent_request request{
-                keyOf(*run->request), run->sentAt, run->leftAt.value_or(at), 0, {}};
+                keyOf(*run->request), run->sentAt, run->abandonedAt.value_or(at), 0, {}};
         const auto known
                 = std::find_if(young.requests.begin(), young.requests.end(),
                                [&](const recent_request &item) { return item.key == request.key; });
@@ -63,7 +65,7 @@
 void crash_watch::endpointEnded(const service_endpoint &endpoint, time_point at)
 {
     const endpoint_record &record = endpoint.record();
-    auto [young, runs] = youngOf(m_runs.suspectsOf(record.id, at), at);
+    auto [young, runs] = recentRunsOf(m_runs.findSuspects(record.id, at), at);
     m_runs.forget(record.id);
     const bool isPlanned = endpoint.isLeaving() || endpoint.isRemoved();
     logInfo(log_part::fleet, "endpoint ended",
@@ -77,31 +79,31 @@
         return;
     const endpoint_end end{hashOf(record), record.service, record.softwareVersion, at};
     const std::vector<request_key> found = m_suspects.recordEnd(end, young);
-    end_notice notice{end.endpoint, end.service, end.version, {}};
+    crash_notice notice{end.endpoint, end.service, end.version, {}};
     for (const recent_request &request : young) {
         const auto age = std::chrono::duration_cast<milliseconds>(at - request.sentAt);
-        const auto lasted
+        const auto runTime
                 = std::chrono::duration_cast<milliseconds>(request.leftAt - request.sentAt);
         if (request.ends > 0)
             notice.requests.push_back(
-                    {request.key, age, lasted, request.ends, earlierEnds(request.key, end)});
+                    {request.key, age, runTime, request.ends, otherEndpoints(request.key, end)});
     }
-    if (m_links.tellEnd && !notice.requests.empty())
-        m_links.tellEnd(notice);
+    if (m_senders.sendCrashNotice && !notice.requests.empty())
+        m_senders.sendCrashNotice(notice);
     for (std::size_t i = 0; i < young.size(); ++i) {
         const request_key key = young[i].key;
         if (young[i].ends < crash_suspects::minEndsToExplain)
             continue;
         enqueue(key, *runs[i], end.service);
         if (std::find(found.begin(), found.end(), key) != found.end())
-            withheldHere(key, *runs[i], end);
+            reportWithheld(key, *runs[i], end);
     }
 }
 
 void crash_watch::enqueue(request_key key, const endpoint_run &run, const std::string &service)
 {
-    wasWritten(key);
-    if (m_unwritten.size() >= mostUnwritten)
+    markWritten(key);
+    if (m_unwritten.size() >= maxUnwritten)
         return;
     unwritten_finding finding;
     finding.key = key;
@@ -111,14 +113,15 @@
     m_unwritten.push_back(std::move(finding));
 }
 
-std::vector<std::uint64_t> crash_watch::earlierEnds(request_key key, const endpoint_end &end) const
+std::vector<std::uint64_t> crash_watch::otherEndpoints(request_key key,
+                                                       const endpoint_end &end) const
 {
     std::vector<std::uint64_t> earlier = m_suspects.endpointsOf(key);
     std::erase(earlier, end.endpoint);
     return earlier;
 }
 
-void crash_watch::withheldHere(request_key key, const endpoint_run &run, const endpoint_end &end)
+void crash_watch::reportWithheld(request_key key, const endpoint_run &run, const endpoint_end &end)
 {
     ++m_newlyWithheld;
     logWarning(log_part::routing, "request withheld",
@@ -130,30 +133,31 @@
                 {"version", end.version},
                 {"endpoints_ended", std::int64_t(m_suspects.withheld().at(key).ended.size())},
                 {"told_by", "own"}});
-    tell(key, end.at);
+    sendWithheldFinding(key, end.at);
 }
 
-void crash_watch::tell(request_key key, time_point now)
+void crash_watch::sendWithheldFinding(request_key key, time_point now)
 {
     const auto it = m_suspects.withheld().find(key);
-    if (it == m_suspects.withheld().end() || !m_links.tellWithheld)
+    if (it == m_suspects.withheld().end() || !m_senders.sendWithheldNotice)
         return;
     const withheld_request &known = it->second;
     const auto left = std::chrono::duration_cast<milliseconds>(known.until - now);
-    m_links.tellWithheld({key, known.service, known.versions, known.ended, left});
+    m_senders.sendWithheldNotice({key, known.service, known.versions, known.ended, left});
 }
 
-void crash_watch::take(const end_notice &notice, time_point now)
+void crash_watch::applyNotice(const crash_notice &notice, time_point now)
 {
     std::vector<recent_request> young;
     young.reserve(notice.requests.size());
-    for (const noticed_request &request : notice.requests) {
-        // Whoever doesn't know it yet, since it has just started or was cut off, is told.
+    for (const reported_request &request : notice.requests) {
+        // The sender may not know that the request is withheld, since it has just started or was
+        // disconnected.
         if (m_suspects.isWithheld(request.key, notice.version, now))
-            tell(request.key, now);
+            sendWithheldFinding(request.key, now);
         const time_point sentAt = now - request.age;
         young.push_back(
-                {request.key, sentAt, sentAt + request.lasted, request.ends, request.earlier});
+                {request.key, sentAt, sentAt + request.runTime, request.ends, request.earlier});
     }
     const endpoint_end end{notice.endpoint, notice.service, notice.version, now};
     std::vector<unsigned> before;
@@ -161,7 +165,7 @@
     for (const recent_request &request : young)
         before.push_back(m_suspects.endsOf(request.key));
     const std::vector<request_key> found = m_suspects.recordEnd(end, young);
-    passOn(notice, before);
+    forwardNewCrashes(notice, before);
     for (const request_key key : found) {
         ++m_newlyWithheld;
         logWarning(log_part::routing, "request withheld",
@@ -172,24 +176,25 @@
     }
 }
 
-void crash_watch::passOn(const end_notice &notice, std::span<const unsigned> before)
+void crash_watch::forwardNewCrashes(const crash_notice &notice, std::span<const unsigned> before)
 {
-    // Among a hundred entries the next try comes to one that the first teller has not told: where
-    // half of the datagrams were lost, 8 endpoints ended instead of 6 before it was passed on.
-    end_notice news{notice.endpoint, notice.service, notice.version, {}};
+    // With a hundred entries, the next retry usually arrives at an entry that the first sender has
+    // not notified. Without forwarding, 8 endpoints crashed instead of 6 when half of the datagrams
+    // were lost.
+    crash_notice news{notice.endpoint, notice.service, notice.version, {}};
     for (std::size_t i = 0; i < notice.requests.size(); ++i) {
-        const noticed_request &request = notice.requests[i];
+        const reported_request &request = notice.requests[i];
         if (m_suspects.endsOf(request.key) > before[i])
             news.requests.push_back(request);
     }
-    if (m_links.tellEnd && !news.requests.empty())
-        m_links.tellEnd(news);
+    if (m_senders.sendCrashNotice && !news.requests.empty())
+        m_senders.sendCrashNotice(news);
 }
 
-void crash_watch::take(const withheld_notice &notice, time_point now)
+void crash_watch::applyNotice(const withheld_notice &notice, time_point now)
 {
     const withheld_request request{
-            notice.service, notice.versions, notice.ended, now + notice.left, {}};
+            notice.service, notice.versions, notice.ended, now + notice.remaining, {}};
     if (!m_suspects.withhold(notice.key, request, now))
         return;
     ++m_newlyWithheld;
@@ -198,8 +203,8 @@
                 {"service", notice.service},
                 {"versions", std::int64_t(notice.versions.size())},
                 {"told_by", "entry"}});
-    // Whoever hears it first passes it on, so that it reaches all of many in a few steps.
-    tell(notice.key, now);
+    // Each entry forwards a new finding once, so that it reaches all entries in a few steps.
+    sendWithheldFinding(notice.key, now);
 }
 
 void crash_watch::clear(request_key key, const std::string &version, time_point now)
@@ -208,24 +213,24 @@
     if (!m_suspects.clear(key, version, now))
         return;
     m_clearedHere.insert(key);
-    if (m_clearedHere.size() > mostUnwritten)
+    if (m_clearedHere.size() > maxUnwritten)
         m_clearedHere.erase(m_clearedHere.begin());
     logWarning(log_part::routing, "request cleared",
                {{"request_key", textOf(key)},
                 {"version", version},
                 {"was_withheld", wasWithheld ? "yes" : "no"}});
-    if (m_links.tellCleared)
-        m_links.tellCleared({key, version});
+    if (m_senders.sendClearedNotice)
+        m_senders.sendClearedNotice({key, version});
 }
 
-void crash_watch::take(const cleared_notice &notice, time_point now)
+void crash_watch::applyNotice(const cleared_notice &notice, time_point now)
 {
-    // Told on by whoever it is news for.
+    // clear() forwards the notice if it is new here.
     clear(notice.key, notice.version, now);
 }
 
-void crash_watch::takeRow(request_key key, const withheld_row &row, time_point until,
-                          time_point now)
+void crash_watch::applyRow(request_key key, const withheld_row &row, time_point until,
+                           time_point now)
 {
     if (now >= until)
         return;
@@ -245,7 +250,7 @@
                 {"told_by", "store"}});
 }
 
-void crash_watch::rowRemoved(request_key key)
+void crash_watch::removeRow(request_key key)
 {
     m_clearedHere.erase(key);
     if (m_fromRows.erase(key) == 0)
@@ -255,12 +260,12 @@
                {{"request_key", textOf(key)}, {"told_by", "store"}});
 }
 
-void crash_watch::keepRows(const std::vector<request_key> &listed)
+void crash_watch::removeUnlistedRows(const std::vector<request_key> &listed)
 {
     const std::set<request_key> known = m_fromRows;
     for (const request_key key : known) {
         if (std::find(listed.begin(), listed.end(), key) == listed.end())
-            rowRemoved(key);
+            removeRow(key);
     }
 }
 
@@ -270,7 +275,7 @@
             || m_suspects.endsOf(key) >= crash_suspects::minEndsToExplain;
 }
 
-void crash_watch::fillIn(withheld_row &row, request_key key) const
+void crash_watch::setCrashDetails(withheld_row &row, request_key key) const
 {
     const auto known = m_suspects.withheld().find(key);
     const bool isWithheld = known != m_suspects.withheld().end();
@@ -278,37 +283,37 @@
     row.versions = isWithheld ? known->second.versions : std::vector<std::string>();
 }
 
-std::optional<unwritten_finding> crash_watch::unwritten(time_point now)
+std::optional<unwritten_finding> crash_watch::nextUnwrittenFinding(time_point now)
 {
     std::erase_if(m_unwritten, [&](const unwritten_finding &item) { return !isFinding(item.key); });
     if (m_unwritten.empty() || m_suspects.isUnconfirmed(m_unwritten.front().key, now))
         return std::nullopt;
     unwritten_finding finding = m_unwritten.front();
-    fillIn(finding.row, finding.key);
+    setCrashDetails(finding.row, finding.key);
     const auto known = m_suspects.withheld().find(finding.key);
-    finding.left = known == m_suspects.withheld().end()
+    finding.remaining = known == m_suspects.withheld().end()
             ? milliseconds(crash_suspects::suspicionLifetime)
             : std::chrono::duration_cast<milliseconds>(known->second.until - now);
     return finding;
 }
 
-bool crash_watch::isToldBy(request_key key, const withheld_row &row) const
+bool crash_watch::isCoveredBy(request_key key, const withheld_row &row) const
 {
     if (!isFinding(key))
         return true;
     withheld_row own;
-    fillIn(own, key);
+    setCrashDetails(own, key);
     return row.versions.size() >= own.versions.size() && row.ended.size() >= own.ended.size();
 }
 
-std::optional<request_key> crash_watch::wronglyListed() const
+std::optional<request_key> crash_watch::findStaleRow() const
 {
     const auto it = std::find_if(m_fromRows.begin(), m_fromRows.end(),
                                  [this](request_key key) { return m_clearedHere.count(key) != 0; });
     return it == m_fromRows.end() ? std::nullopt : std::optional(*it);
 }
 
-void crash_watch::wasWritten(request_key key)
+void crash_watch::markWritten(request_key key)
 {
     std::erase_if(m_unwritten, [key](const unwritten_finding &item) { return item.key == key; });
 }
--- a/lib/Proxy/EndpointRuns.cpp
+++ b/lib/Proxy/EndpointRuns.cpp
@@ -1,6 +1,6 @@
-//===-- EndpointRuns.cpp - what endpoints were working on -------------------===//
+//===-- EndpointRuns.cpp - requests in flight by endpoint -------------------===//
 //
-// A list for each endpoint, cleaned whenever something is added.
+// Keeps a list for each endpoint. Adding a run removes those that cannot be suspected any more.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EndpointRuns.h"
@@ -10,19 +10,22 @@
 
 using namespace laurelcroft;
 
+/// \returns true if \p run is finished or was abandoned too long ago to be suspected.
 static bool isPast(const endpoint_run &run, time_point now)
 {
-    return run.isOver || (run.leftAt && now - *run.leftAt > endpoint_runs::afterCut);
+    return run.isFinished
+            || (run.abandonedAt && now - *run.abandonedAt > endpoint_runs::suspectAfterCancel);
 }
 
-static bool isProven(const endpoint_run &run, time_point at)
+/// \returns true if \p run has been answered for too long to be suspected of a crash at \p at.
+static bool isCleared(const endpoint_run &run, time_point at)
 {
-    return run.beganAt && at - *run.beganAt > endpoint_runs::provenAfter;
+    return run.answerBeganAt && at - *run.answerBeganAt > endpoint_runs::clearedAfter;
 }
 
-std::shared_ptr<endpoint_run> endpoint_runs::began(const std::string &id,
-                                                   std::shared_ptr<const proxy_request> request,
-                                                   time_point now)
+std::shared_ptr<endpoint_run> endpoint_runs::add(const std::string &id,
+                                                 std::shared_ptr<const proxy_request> request,
+                                                 time_point now)
 {
     run_list &runs = m_runs[id];
     std::erase_if(runs, [now](const auto &run) { return isPast(*run, now); });
@@ -33,8 +36,8 @@
     return run;
 }
 
-std::vector<std::shared_ptr<endpoint_run>> endpoint_runs::suspectsOf(std::string_view id,
-                                                                     time_point at) const
+std::vector<std::shared_ptr<endpoint_run>> endpoint_runs::findSuspects(std::string_view id,
+                                                                       time_point at) const
 {
     std::vector<std::shared_ptr<endpoint_run>> suspects;
     const auto runs = m_runs.find(id);
@@ -42,18 +45,18 @@
         return suspects;
     std::copy_if(runs->second.begin(), runs->second.end(), std::back_inserter(suspects),
                  [at](const auto &run) {
-                     return run->sentAt < at && !isPast(*run, at) && !isProven(*run, at);
+                     return run->sentAt < at && !isPast(*run, at) && !isCleared(*run, at);
                  });
     return suspects;
 }
 
-bool endpoint_runs::hasSuspected(std::string_view id, suspicion least) const
+bool endpoint_runs::hasSuspectRun(std::string_view id, suspicion least) const
 {
     const auto runs = m_runs.find(id);
     if (runs == m_runs.end())
         return false;
     return std::any_of(runs->second.begin(), runs->second.end(), [least](const auto &run) {
-        return run->suspected >= least && !run->isOver && !run->leftAt;
+        return run->suspected >= least && !run->isFinished && !run->abandonedAt;
     });
 }
 
--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -1,7 +1,8 @@
-//===-- EvidenceNotice.cpp - evidence by datagram ---------------------------===//
+//===-- EvidenceNotice.cpp - roll-out evidence by datagram ------------------===//
 //
-// A MessagePack array: entry, service, order, incarnation, and name and three counts of each route.
-// All counts are from the beginning, so that a notice that is lost or late does no harm.
+// A MessagePack array: entry, service, row version of the roll-out order, random id of the
+// process, and for each route its name and three counts. Counts are cumulative, so that lost or
+// late notices are harmless.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/EvidenceNotice.h"
@@ -18,7 +19,7 @@
 namespace {
 
 constexpr std::size_t fieldsBeforeRoutes = 4;
-constexpr std::size_t fieldsOfRoute = 4;
+constexpr std::size_t routeFields = 4;
 
 } // namespace
 
@@ -28,8 +29,8 @@
                                                                 notice.evidence.byRoute.end());
     std::stable_sort(routes.begin(), routes.end(),
                      [](const auto &a, const auto &b) { return a.second.bad() > b.second.bad(); });
-    if (routes.size() > evidence_notice::mostRoutes)
-        routes.resize(evidence_notice::mostRoutes);
+    if (routes.size() > evidence_notice::maxRoutes)
+        routes.resize(evidence_notice::maxRoutes);
     json item = json::array(
             {notice.entry, notice.service, notice.evidence.orderedAt, notice.evidence.incarnation});
     for (const auto &[route, seen] : routes) {
@@ -46,15 +47,14 @@
     return isName(item) && !item.get_ref<const std::string &>().empty();
 }
 
-static bool hasForm(const json &item)
+static bool isWellFormed(const json &item)
 {
     if (!item.is_array() || item.size() < fieldsBeforeRoutes)
         return false;
-    if ((item.size() - fieldsBeforeRoutes) % fieldsOfRoute != 0)
+    if ((item.size() - fieldsBeforeRoutes) % routeFields != 0)
         return false;
     for (std::size_t i = 0; i < item.size(); ++i) {
-        const bool isRoute
-                = i >= fieldsBeforeRoutes && (i - fieldsBeforeRoutes) % fieldsOfRoute == 0;
+        const bool isRoute = i >= fieldsBeforeRoutes && (i - fieldsBeforeRoutes) % routeFields == 0;
         const bool fits = i < 2 || isRoute ? isNamed(item[i]) : item[i].is_number_unsigned();
         if (!fits)
             return false;
@@ -65,14 +65,14 @@
 std::optional<evidence_notice> laurelcroft::decodeEvidenceNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    if (!hasForm(item))
+    if (!isWellFormed(item))
         return std::nullopt;
     evidence_notice notice;
     notice.entry = item[0].get<std::string>();
     notice.service = item[1].get<std::string>();
     notice.evidence.orderedAt = item[2].get<std::uint64_t>();
     notice.evidence.incarnation = item[3].get<std::uint64_t>();
-    for (std::size_t i = fieldsBeforeRoutes; i < item.size(); i += fieldsOfRoute) {
+    for (std::size_t i = fieldsBeforeRoutes; i < item.size(); i += routeFields) {
         notice.evidence.byRoute[item[i].get<std::string>()]
                 = {item[i + 1].get<std::uint64_t>(), item[i + 2].get<std::uint64_t>(),
                    item[i + 3].get<std::uint64_t>()};
--- a/lib/Proxy/SendNotices.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -1,10 +1,11 @@
-//===-- SendNotices.cpp - entries tell each other of sends ------------------===//
+//===-- NoticeChannel.cpp - datagrams between entries -----------------------===//
 //
-// A notice is a MessagePack array: id, milliseconds, and hash and tokens of each prefix. Nothing
-// waits: a datagram that can't go out at once is left out. Evidence comes by the same socket.
+// A send notice is a MessagePack array: endpoint id, prefill time in milliseconds, and hash and
+// token count of each prefix. Nothing is queued: a datagram that cannot be sent at once is dropped.
+// All kinds of notices use the same socket.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 
 #include "laurelcroft/Fleet/Ranking.h"
 #include "laurelcroft/Proxy/StoreReaders.h"
@@ -27,31 +28,31 @@
 
 namespace {
 
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 constexpr double headerBytes = 28;
-/// Of a notice: the endpoint's id and the reading.
+/// Fields of a send notice before the prefixes: endpoint id and prefill time.
 constexpr std::size_t fieldsBeforePrefixes = 2;
-/// Savings of the byte budget last for a burst of about this long.
+/// Burst size of the byte budget, as seconds of its rate.
 constexpr double burstSeconds = 1;
 
 } // namespace
 
-std::string laurelcroft::encodeNotice(const send_notice &notice)
+std::string laurelcroft::encodeSendNotice(const send_notice &notice)
 {
-    json item = json::array({notice.endpoint, notice.reading.count()});
-    const std::size_t told = std::min(notice.prefixes.size(), send_notices::mostPrefixes);
-    for (std::size_t i = 0; i < told; ++i) {
+    json item = json::array({notice.endpoint, notice.prefillTime.count()});
+    const std::size_t count = std::min(notice.prefixes.size(), notice_channel::maxPrefixes);
+    for (std::size_t i = 0; i < count; ++i) {
         item.push_back(notice.prefixes[i].hash);
         item.push_back(notice.prefixes[i].tokens);
     }
     return packed(item);
 }
 
-/// \returns the prefixes behind the first fields of \p item; nothing if one is malformed.
+/// \returns the prefixes in \p item, or nothing if one is malformed.
 static std::optional<std::vector<prompt_prefix>> prefixesIn(const json &item)
 {
     const std::size_t numbers = item.size() - fieldsBeforePrefixes;
-    if (numbers % 2 != 0 || numbers / 2 > send_notices::mostPrefixes)
+    if (numbers % 2 != 0 || numbers / 2 > notice_channel::maxPrefixes)
         return std::nullopt;
     std::vector<prompt_prefix> prefixes;
     for (std::size_t i = fieldsBeforePrefixes; i < item.size(); i += 2) {
@@ -66,26 +67,26 @@
     return prefixes;
 }
 
-std::optional<send_notice> laurelcroft::decodeNotice(std::string_view bytes)
+std::optional<send_notice> laurelcroft::decodeSendNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    const bool hasForm = item.is_array() && item.size() >= fieldsBeforePrefixes
+    const bool isWellFormed = item.is_array() && item.size() >= fieldsBeforePrefixes
             && item[0].is_string() && item[1].is_number_unsigned();
-    if (!hasForm)
+    if (!isWellFormed)
         return std::nullopt;
-    const auto reading = item[1].get<std::uint64_t>();
-    if (reading > static_cast<std::uint64_t>(send_notices::longestReading.count()))
+    const auto prefillTime = item[1].get<std::uint64_t>();
+    if (prefillTime > static_cast<std::uint64_t>(notice_channel::maxPrefillTime.count()))
         return std::nullopt;
     const std::optional<std::vector<prompt_prefix>> prefixes = prefixesIn(item);
     if (!prefixes)
         return std::nullopt;
-    send_notice notice{item[0].get<std::string>(), milliseconds(reading), *prefixes};
+    send_notice notice{item[0].get<std::string>(), milliseconds(prefillTime), *prefixes};
     if (notice.endpoint.empty() || notice.endpoint.size() > longestName)
         return std::nullopt;
     return notice;
 }
 
-struct send_notices::state
+struct notice_channel::state
 {
     state(asio::io_context &context, metric_registry &metrics, std::string ownAddress,
           notice_handlers handlers)
@@ -97,34 +98,34 @@
     }
 
     void receive();
-    void take(std::string_view bytes);
-    bool takeFinding(std::string_view bytes);
-    void tellFinding(const std::string &bytes, bool isUrgent);
+    void handleDatagram(std::string_view bytes);
+    bool receiveFinding(std::string_view bytes);
+    void sendFinding(const std::string &bytes, bool isUrgent);
 
     udp::socket socket;
     metric_registry &metrics;
     std::string ownAddress;
     notice_handlers handlers;
-    std::vector<udp::endpoint> readers; ///< of the store
-    std::vector<udp::endpoint> others; ///< all entries but this one, in an order of its own
-    std::map<std::string, udp::endpoint> byName; ///< the same
-    std::size_t nextOther = 0;
-    token_bucket findingBytes{findingBytesPerSecond, findingBytesSaved};
-    std::map<std::string, std::vector<udp::endpoint>> listeners; ///< by data centre
+    std::vector<udp::endpoint> readers; ///< entries that read the store
+    std::vector<udp::endpoint> others; ///< all other entries, in an order specific to this entry
+    std::map<std::string, udp::endpoint> byName; ///< the same entries by name
+    std::size_t nextRecipient = 0;
+    token_bucket findingBytes{findingBytesPerSecond, findingBurstBytes};
+    std::map<std::string, std::vector<udp::endpoint>> recipients; ///< by data centre
     token_bucket bytes{bytesPerSecond, bytesPerSecond *burstSeconds};
     udp::endpoint from;
     std::array<char, 1400> buffer{}; ///< one packet
 };
 
-send_notices::send_notices(asio::io_context &context, metric_registry &metrics,
-                           std::string ownAddress, notice_handlers handlers)
+notice_channel::notice_channel(asio::io_context &context, metric_registry &metrics,
+                               std::string ownAddress, notice_handlers handlers)
     : m_state(std::make_unique<state>(context, metrics, std::move(ownAddress), std::move(handlers)))
 {
 }
 
-send_notices::~send_notices() = default;
+notice_channel::~notice_channel() = default;
 
-std::string send_notices::open()
+std::string notice_channel::open()
 {
     std::string host;
     std::uint16_t port = 0;
@@ -145,31 +146,31 @@
     return {};
 }
 
-std::uint16_t send_notices::port() const
+std::uint16_t notice_channel::port() const
 {
     asio::error_code error;
     return m_state->socket.local_endpoint(error).port();
 }
 
-void send_notices::state::receive()
+void notice_channel::state::receive()
 {
     socket.async_receive_from(asio::buffer(buffer), from,
                               [this](const asio::error_code &error, std::size_t size) {
                                   if (error == asio::error::operation_aborted)
                                       return;
-                                  // Others' errors come from a listener that is gone.
+                                  // Other errors mean that a recipient is gone.
                                   if (error)
                                       metrics.add("send_notices_total{way=\"unreachable\"}");
                                   else
-                                      take({buffer.data(), size});
+                                      handleDatagram({buffer.data(), size});
                                   receive();
                               });
 }
 
-void send_notices::state::take(std::string_view bytes)
+void notice_channel::state::handleDatagram(std::string_view bytes)
 {
-    // Sends are by far the most frequent; no datagram is both.
-    if (const std::optional<send_notice> notice = decodeNotice(bytes)) {
+    // Send notices are by far the most frequent. No datagram decodes as two kinds.
+    if (const std::optional<send_notice> notice = decodeSendNotice(bytes)) {
         metrics.add("send_notices_total{way=\"received\"}");
         handlers.onSend(*notice);
         return;
@@ -179,84 +180,84 @@
         handlers.onEvidence(*evidence);
         return;
     }
-    if (takeFinding(bytes))
+    if (receiveFinding(bytes))
         return;
     if (handlers.onOther && handlers.onOther(bytes))
         return;
     metrics.add("send_notices_total{way=\"refused\"}");
-    logDebug(log_part::fleet, "datagram is no notice",
+    logDebug(log_part::fleet, "unknown datagram ignored",
              {{"from", from.address().to_string()}, {"bytes", std::int64_t(bytes.size())}});
 }
 
-/// Gives \p notice to \p handler, if there are both. \returns true when there is a notice.
+/// Calls \p handler, if set, with \p notice, if present. \returns true if \p notice is present.
 template <class Notice>
-static bool giveTo(const std::function<void(const Notice &)> &handler,
-                   const std::optional<Notice> &notice)
+static bool dispatch(const std::function<void(const Notice &)> &handler,
+                     const std::optional<Notice> &notice)
 {
     if (notice && handler)
         handler(*notice);
     return notice.has_value();
 }
 
-bool send_notices::state::takeFinding(std::string_view bytes)
+bool notice_channel::state::receiveFinding(std::string_view bytes)
 {
-    // Each decoder reads the whole datagram: the most frequent kind is tried first.
-    const bool isFinding = giveTo(handlers.onEnd, decodeEndNotice(bytes))
-            || giveTo(handlers.onWithheld, decodeWithheldNotice(bytes))
-            || giveTo(handlers.onCleared, decodeClearedNotice(bytes))
-            || giveTo(handlers.onRateLimit, decodeRateLimitNotice(bytes))
-            || giveTo(handlers.onLeaving, decodeLeavingNotice(bytes));
+    // Each decoder parses the whole datagram, so the most frequent kind is tried first.
+    const bool isFinding = dispatch(handlers.onCrash, decodeCrashNotice(bytes))
+            || dispatch(handlers.onWithheld, decodeWithheldNotice(bytes))
+            || dispatch(handlers.onCleared, decodeClearedNotice(bytes))
+            || dispatch(handlers.onRateLimit, decodeRateLimitNotice(bytes))
+            || dispatch(handlers.onLeaving, decodeLeavingNotice(bytes));
     if (isFinding)
         metrics.add("finding_notices_total{way=\"received\"}");
     return isFinding;
 }
 
-void send_notices::state::tellFinding(const std::string &bytes, bool isUrgent)
+void notice_channel::state::sendFinding(const std::string &bytes, bool isUrgent)
 {
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
-    const double reserve = isUrgent ? 0 : findingBytesSaved / 2;
+    const double reserve = isUrgent ? 0 : findingBurstBytes / 2;
     const time_point now = bootNow();
-    for (std::size_t i = 0; i < std::min(mostListeners, others.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(maxRecipients, others.size()); ++i) {
         if (!findingBytes.has(cost + reserve, now)) {
             metrics.add("finding_notices_total{way=\"held\"}");
             return;
         }
         findingBytes.spend(cost);
         this->bytes.spend(cost);
-        nextOther = (nextOther + 1) % others.size();
+        nextRecipient = (nextRecipient + 1) % others.size();
         asio::error_code error;
-        socket.send_to(asio::buffer(bytes), others[nextOther], 0, error);
+        socket.send_to(asio::buffer(bytes), others[nextRecipient], 0, error);
         metrics.add(error ? "finding_notices_total{way=\"failed\"}"
                           : "finding_notices_total{way=\"sent\"}");
     }
 }
 
-void send_notices::tellEnd(const end_notice &notice)
+void notice_channel::sendCrashNotice(const crash_notice &notice)
 {
-    m_state->tellFinding(encodeEndNotice(notice), notice.isUrgent());
+    m_state->sendFinding(encodeCrashNotice(notice), notice.isUrgent());
 }
 
-void send_notices::tellWithheld(const withheld_notice &notice)
+void notice_channel::sendWithheldNotice(const withheld_notice &notice)
 {
-    m_state->tellFinding(encodeWithheldNotice(notice), true);
+    m_state->sendFinding(encodeWithheldNotice(notice), true);
 }
 
-void send_notices::tellCleared(const cleared_notice &notice)
+void notice_channel::sendClearedNotice(const cleared_notice &notice)
 {
-    m_state->tellFinding(encodeClearedNotice(notice), true);
+    m_state->sendFinding(encodeClearedNotice(notice), true);
 }
 
-void send_notices::tellRateLimit(const rate_limit_notice &notice)
+void notice_channel::sendRateLimitNotice(const rate_limit_notice &notice)
 {
-    m_state->tellFinding(encodeRateLimitNotice(notice), false);
+    m_state->sendFinding(encodeRateLimitNotice(notice), false);
 }
 
-void send_notices::tellLeaving(const leaving_notice &notice)
+void notice_channel::sendLeavingNotice(const leaving_notice &notice)
 {
-    m_state->tellFinding(encodeLeavingNotice(notice), false);
+    m_state->sendFinding(encodeLeavingNotice(notice), false);
 }
 
-void send_notices::send(const std::string &entry, std::string_view bytes)
+void notice_channel::send(const std::string &entry, std::string_view bytes)
 {
     const auto it = m_state->byName.find(entry);
     if (it == m_state->byName.end())
@@ -267,20 +268,21 @@
                                : "other_notices_total{way=\"sent\"}");
 }
 
-void send_notices::setEntries(const entry_map &entries, const std::string &own)
+void notice_channel::setEntries(const entry_map &entries, const std::string &own)
 {
     std::map<std::string, std::vector<std::string>> names;
     for (const auto &[name, place] : entries) {
-        // A data centre counts although this entry is the only one in it.
-        std::vector<std::string> &there = names[place.dataCentre];
+        // Adds the data centre even if this entry is the only one in it.
+        std::vector<std::string> &inDataCentre = names[place.dataCentre];
         if (name != own && !place.address.empty())
-            there.push_back(name);
+            inDataCentre.push_back(name);
     }
     setReaders(entries, own);
     setOthers(entries, own);
-    m_state->listeners.clear();
-    // A small site is told as a whole: its entries send across data centres, too.
-    if (entries.size() <= mostListeners + 1) {
+    m_state->recipients.clear();
+    // On a small site all entries are notified, since they also send requests to other data
+    // centres.
+    if (entries.size() <= maxRecipients + 1) {
         std::vector<std::string> all;
         for (const auto &[dataCentre, others] : names)
             all.insert(all.end(), others.begin(), others.end());
@@ -288,15 +290,15 @@
             others = all;
     }
     for (const auto &[dataCentre, others] : names) {
-        // Each entry ranks them in its own way, so that all are told by some.
-        for (const std::string &name : topRanked(others, own, mostListeners)) {
+        // Each entry ranks the others differently, so that all entries are notified by some.
+        for (const std::string &name : topRanked(others, own, maxRecipients)) {
             if (const auto listener = udpEndpointIn(entries.at(name).address))
-                m_state->listeners[dataCentre].push_back(*listener);
+                m_state->recipients[dataCentre].push_back(*listener);
         }
     }
 }
 
-void send_notices::setOthers(const entry_map &entries, const std::string &own)
+void notice_channel::setOthers(const entry_map &entries, const std::string &own)
 {
     std::vector<std::string> names;
     for (const auto &[name, place] : entries) {
@@ -313,7 +315,7 @@
     }
 }
 
-void send_notices::setReaders(const entry_map &entries, const std::string &own)
+void notice_channel::setReaders(const entry_map &entries, const std::string &own)
 {
     m_state->readers.clear();
     for (const std::string &name : storeReaders(entries)) {
@@ -323,11 +325,11 @@
     }
 }
 
-bool send_notices::tellReaders(const evidence_notice &notice)
+bool notice_channel::sendToReaders(const evidence_notice &notice)
 {
     const std::string bytes = encodeEvidenceNotice(notice);
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
-    bool told = true;
+    bool isSentToAll = true;
     for (const udp::endpoint &reader : m_state->readers) {
         asio::error_code error;
         if (m_state->bytes.take(cost, bootNow()))
@@ -336,20 +338,20 @@
             error = asio::error::no_buffer_space;
         m_state->metrics.add(error ? "evidence_notices_total{way=\"failed\"}"
                                    : "evidence_notices_total{way=\"sent\"}");
-        told = told && !error;
+        isSentToAll = isSentToAll && !error;
     }
-    return told;
+    return isSentToAll;
 }
 
-void send_notices::tell(const send_notice &notice, const std::string &dataCentre)
+void notice_channel::sendToDataCentre(const send_notice &notice, const std::string &dataCentre)
 {
-    if (notice.reading < leastReading)
+    if (notice.prefillTime < minPrefillTime)
         return;
-    const auto it = m_state->listeners.find(dataCentre);
-    if (it == m_state->listeners.end())
+    const auto it = m_state->recipients.find(dataCentre);
+    if (it == m_state->recipients.end())
         return;
-    const std::string bytes = encodeNotice(
-            {notice.endpoint, std::min(notice.reading, longestReading), notice.prefixes});
+    const std::string bytes = encodeSendNotice(
+            {notice.endpoint, std::min(notice.prefillTime, maxPrefillTime), notice.prefixes});
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     for (const udp::endpoint &listener : it->second) {
         if (!m_state->bytes.take(cost, bootNow())) {
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -1,6 +1,6 @@
-//===-- ProxyServer.cpp - callers, flows and endpoints ----------------------===//
+//===-- ProxyServer.cpp - proxy server of an entry --------------------------===//
 //
-// The environment of the flows in production, and what surrounds them.
+// The production environment of request flows, and the servers, logs and metrics around them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/ProxyServer.h"
@@ -25,35 +25,36 @@
 
 namespace {
 
-/// How often idle connections are looked at and gauges set.
-constexpr milliseconds housekeepingEvery{1000};
-/// Before the end of the grace: time to write the last answers.
-constexpr milliseconds lastWords{400};
-/// How often an ending process looks whether it is done.
-constexpr milliseconds drainCheckEvery{100};
-/// From the end of a process to its successor's being used: its start and the balancer's next look.
+/// Interval of closing idle connections, expiring old state and setting gauges.
+constexpr milliseconds housekeepingInterval{1000};
+/// Time reserved at the end of the grace period to write the last answers.
+constexpr milliseconds finalWriteTime{400};
+/// Interval at which a draining process checks whether it is done.
+constexpr milliseconds drainCheckInterval{100};
+/// Estimated time from the exit of a process until its successor gets requests: its start and the
+/// load balancer's next readiness check.
 constexpr milliseconds restartTime{1500};
-/// A process that starts reads its contract within some tens of milliseconds, or within half a
-/// second when all start together. Callers that connect meanwhile are accepted just after; later
-/// than this they are refused at once. With 400 ms 401 callers of 103 entries were refused some
-/// tens of milliseconds before there was a contract.
-constexpr milliseconds startPatience{800};
-constexpr milliseconds startCheckEvery{5};
-/// An entry opens at most this part of what an endpoint takes, divided by the entries: a
-/// new entry may not be known yet.
-constexpr double connectionPart = 0.8;
-/// Lines a second for requests that were served at the first try, and for all others. At about
-/// 350 bytes a line this bounds the log to 140 kB/s.
-constexpr double ordinaryLines = 100;
-constexpr double unusualLines = 300;
-/// At least this many, whatever the number of entries.
-constexpr std::size_t leastConnections = 4;
+/// Maximum time for which a starting process delays accepting callers until it is ready. After
+/// that, it accepts them and refuses their requests. Reading the contract takes some tens of
+/// milliseconds, or up to half a second when all entries start together. With a limit of 400 ms,
+/// 103 entries refused 401 callers some tens of milliseconds before their contracts were read.
+constexpr milliseconds maxStartWait{800};
+constexpr milliseconds startCheckInterval{5};
+/// Fraction of an endpoint's connection limit that the entries share equally. The remainder is
+/// left for new entries that are not known yet.
+constexpr double connectionShare = 0.8;
+/// Log lines per second for requests that were served at the first attempt, and for all others. At
+/// about 350 bytes per line, this limits the log to 140 kB/s.
+constexpr double ordinaryLinesPerSecond = 100;
+constexpr double unusualLinesPerSecond = 300;
+/// Minimum number of connections to an endpoint, regardless of the number of entries.
+constexpr std::size_t minConnections = 4;
 
 } // namespace
 
 struct proxy_server::state
 {
-    /// Environment of one flow.
+    /// Environment of one request flow.
     struct environment
     {
         state *server;
@@ -99,17 +100,17 @@
     void onReadyCheck(const message_head &head, caller_exchange &exchange);
     void finished(const flow_record &record);
     void logFinished(const flow_record &record);
-    void logHeldLines();
+    void logSuppressedLines();
     void attemptEnded(const flow_record &record, attempt_end end, next_step step);
     void escalated(const flow_record &record, const std::string &model);
     void sentFurther(const flow_record &record, further_send what);
     void checkEnded(const endpoint_ptr &endpoint);
     bool hasRoomAt(const service_endpoint &endpoint) const;
     bool isReady() const;
-    void noteReady();
+    void logReadiness();
     void housekeep();
     void setGauges();
-    void removeDone();
+    void removeFinishedFlows();
     void acceptWhenReady(time_point latest);
     void checkDrained();
     milliseconds untilRestarted();
@@ -125,14 +126,14 @@
     caller_server readiness;
     caller_server metricsServer;
     std::unordered_set<std::shared_ptr<flow>> flows;
-    log_limiter ordinary{ordinaryLines};
-    log_limiter unusual{unusualLines};
-    bool sweepPosted = false;
+    log_limiter ordinary{ordinaryLinesPerSecond};
+    log_limiter unusual{unusualLinesPerSecond};
+    bool removalPosted = false;
     bool draining = false;
-    bool turningAway = false; ///< what comes now might not end in time
-    time_point giveUpAt{}; ///< when what still runs is ended
+    bool isPastDrainDelay = false; ///< new requests may not finish before the deadline
+    time_point drainDeadline{}; ///< when requests in progress are aborted
     bool lastReady = false;
-    std::function<void()> drained;
+    std::function<void()> onDrained;
 };
 
 proxy_server::state::state(asio::io_context &context, routing_state &routing,
@@ -183,8 +184,8 @@
         if (const auto self = weak.lock())
             self->callerLeft();
     });
-    if (turningAway)
-        item->startDuringShutdown(giveUpAt, untilRestarted());
+    if (isPastDrainDelay)
+        item->startDuringShutdown(drainDeadline, untilRestarted());
     else
         item->start();
 }
@@ -194,10 +195,11 @@
     const service_description *service = routing.contract()
             ? routing.contract()->findService(endpoint.record().service)
             : nullptr;
-    const std::size_t all = service ? service->maxConnections : leastConnections;
+    const std::size_t limit = service ? service->maxConnections : minConnections;
     const double sharers = static_cast<double>(std::max<std::size_t>(1, routing.entries()));
-    const auto part = static_cast<std::size_t>(static_cast<double>(all) * connectionPart / sharers);
-    return endpoints.hasRoom(endpoint, std::max(leastConnections, part));
+    const auto ownShare
+            = static_cast<std::size_t>(static_cast<double>(limit) * connectionShare / sharers);
+    return endpoints.hasRoom(endpoint, std::max(minConnections, ownShare));
 }
 
 void proxy_server::state::finished(const flow_record &record)
@@ -217,11 +219,11 @@
             && record.attempts == record.escalations + 1;
     if ((isOrdinary ? ordinary : unusual).allows(runtime.now()))
         logFinished(record);
-    // The flow is still on the stack: it is dropped afterwards.
-    if (sweepPosted)
+    // The flow is still on the call stack, so it is removed later.
+    if (removalPosted)
         return;
-    sweepPosted = true;
-    asio::post(context, [this] { removeDone(); });
+    removalPosted = true;
+    asio::post(context, [this] { removeFinishedFlows(); });
 }
 
 void proxy_server::state::logFinished(const flow_record &record)
@@ -254,24 +256,24 @@
              {"total_ms", std::int64_t(record.total.count())}});
 }
 
-void proxy_server::state::logHeldLines()
+void proxy_server::state::logSuppressedLines()
 {
-    const std::uint64_t ordinaryHeld = ordinary.takeHeld();
-    const std::uint64_t unusualHeld = unusual.takeHeld();
+    const std::uint64_t ordinarySuppressed = ordinary.takeHeld();
+    const std::uint64_t unusualSuppressed = unusual.takeHeld();
     const std::uint64_t lost = takeDroppedLines();
-    metrics.add("log_lines_held_total", ordinaryHeld + unusualHeld);
+    metrics.add("log_lines_held_total", ordinarySuppressed + unusualSuppressed);
     metrics.add("log_lines_lost_total", lost);
-    if (ordinaryHeld + unusualHeld + lost == 0)
+    if (ordinarySuppressed + unusualSuppressed + lost == 0)
         return;
     logWarning(log_part::routing, "log lines left out",
-               {{"ordinary", std::int64_t(ordinaryHeld)},
-                {"unusual", std::int64_t(unusualHeld)},
+               {{"ordinary", std::int64_t(ordinarySuppressed)},
+                {"unusual", std::int64_t(unusualSuppressed)},
                 {"reader_too_slow", std::int64_t(lost)}});
 }
 
-void proxy_server::state::removeDone()
+void proxy_server::state::removeFinishedFlows()
 {
-    sweepPosted = false;
+    removalPosted = false;
     std::erase_if(flows, [](const std::shared_ptr<flow> &item) { return item->isDone(); });
 }
 
@@ -322,7 +324,7 @@
 void proxy_server::state::checkEnded(const endpoint_ptr &endpoint)
 {
     const time_point at = runtime.now();
-    if (routing.runs().suspectsOf(endpoint->record().id, at).empty())
+    if (routing.runs().findSuspects(endpoint->record().id, at).empty())
         return;
     endpoints.checkEnded(endpoint, [this, endpoint, at] {
         metrics.add("endpoint_ends_total");
@@ -336,13 +338,13 @@
     routing.runs().sweep(runtime.now());
     routing.directory().expire(runtime.now());
     routing.suspects().expire(runtime.now());
-    logHeldLines();
+    logSuppressedLines();
     setGauges();
-    noteReady();
-    runtime.after(housekeepingEvery, [this] { housekeep(); });
+    logReadiness();
+    runtime.after(housekeepingInterval, [this] { housekeep(); });
 }
 
-void proxy_server::state::noteReady()
+void proxy_server::state::logReadiness()
 {
     if (isReady() == lastReady)
         return;
@@ -389,40 +391,42 @@
     if (draining)
         return;
     if (isReady() || runtime.now() >= latest) {
-        noteReady();
+        logReadiness();
         callers.accept();
         return;
     }
-    runtime.after(startCheckEvery, [this, latest] { acceptWhenReady(latest); });
+    runtime.after(startCheckInterval, [this, latest] { acceptWhenReady(latest); });
 }
 
 milliseconds proxy_server::state::untilRestarted()
 {
-    // Callers still come here when the balancer has no other entry: all are restarted at once.
-    const milliseconds rest = std::chrono::ceil<milliseconds>(giveUpAt - runtime.now());
-    return std::max(milliseconds(0), rest) + restartTime;
+    // Callers still connect here if the load balancer has no other entry because all are restarted
+    // at once.
+    const milliseconds untilDeadline
+            = std::chrono::ceil<milliseconds>(drainDeadline - runtime.now());
+    return std::max(milliseconds(0), untilDeadline) + restartTime;
 }
 
 void proxy_server::state::checkDrained()
 {
-    const bool late = runtime.now() >= giveUpAt;
-    if (late) {
-        const auto left = flows;
-        for (const std::shared_ptr<flow> &item : left)
+    const bool isLate = runtime.now() >= drainDeadline;
+    if (isLate) {
+        const auto remaining = flows;
+        for (const std::shared_ptr<flow> &item : remaining)
             item->giveUp();
     }
-    const bool written = flows.empty() && callers.busyConnections() == 0;
-    if (written || late) {
+    const bool isDone = flows.empty() && callers.busyConnections() == 0;
+    if (isDone || isLate) {
         logInfo(log_part::routing, "drained",
-                {{"unfinished", std::int64_t(late ? flows.size() : 0)}});
-        // What comes from now on would be cut: one or two requests on each of four days of
-        // restarts.
-        giveUpAt = std::min(giveUpAt, runtime.now());
-        // One more turn of the loop writes the last answers.
-        runtime.after(drainCheckEvery, drained);
+                {{"unfinished", std::int64_t(isLate ? flows.size() : 0)}});
+        // Requests that arrive from now on could not finish. Without this, one or two requests were
+        // cut off on each of four test days with restarts.
+        drainDeadline = std::min(drainDeadline, runtime.now());
+        // The delay lets the event loop write the last answers.
+        runtime.after(drainCheckInterval, onDrained);
         return;
     }
-    runtime.after(drainCheckEvery, [this] { checkDrained(); });
+    runtime.after(drainCheckInterval, [this] { checkDrained(); });
 }
 
 proxy_server::proxy_server(asio::io_context &context, routing_state &routing,
@@ -449,7 +453,7 @@
             return "metrics address: " + fault;
     }
     m_state->housekeep();
-    m_state->acceptWhenReady(m_state->runtime.now() + startPatience);
+    m_state->acceptWhenReady(m_state->runtime.now() + maxStartWait);
     return {};
 }
 
@@ -461,18 +465,18 @@
     bounds.maxBodyBytes = contract->limits.maxBodyBytes;
     bounds.headerTimeout = contract->limits.headerTimeout;
     bounds.idleTimeout = contract->limits.idleTimeout;
-    bounds.maxConnections = m_state->options.mostCallers;
+    bounds.maxConnections = m_state->options.maxCallers;
     m_state->callers.setBounds(bounds);
 }
 
 void proxy_server::drain(std::function<void()> done)
 {
     m_state->draining = true;
-    m_state->drained = std::move(done);
+    m_state->onDrained = std::move(done);
     m_state->callers.closeAfterAnswers();
-    m_state->giveUpAt = m_state->runtime.now() + m_state->options.grace - lastWords;
-    m_state->runtime.after(m_state->options.turnAway, [this] {
-        m_state->turningAway = true;
+    m_state->drainDeadline = m_state->runtime.now() + m_state->options.gracePeriod - finalWriteTime;
+    m_state->runtime.after(m_state->options.drainDelay, [this] {
+        m_state->isPastDrainDelay = true;
         m_state->callers.drainConnections();
         m_state->checkDrained();
     });
--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -1,6 +1,7 @@
 //===-- RateLimitNotice.cpp - rate limits by datagram -----------------------===//
 //
-// A MessagePack array: kind, endpoint id, start, limit or nil, age in milliseconds, and hops left.
+// A MessagePack array: kind, endpoint id, start time, limit or nil, age in milliseconds, and
+// remaining hops.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/RateLimitNotice.h"
@@ -35,7 +36,7 @@
     return item.is_number() && std::isfinite(item.get<double>()) && item.get<double>() >= 0;
 }
 
-static bool hasForm(const json &item)
+static bool isWellFormed(const json &item)
 {
     return item.is_array() && item.size() == fields && item[0] == json(kind) && isName(item[1])
             && item[2].is_number_unsigned() && isLimit(item[3]) && item[4].is_number_unsigned()
@@ -45,12 +46,12 @@
 std::optional<rate_limit_notice> laurelcroft::decodeRateLimitNotice(std::string_view bytes)
 {
     const json item = unpacked(bytes);
-    if (!hasForm(item))
+    if (!isWellFormed(item))
         return std::nullopt;
     const auto age = item[4].get<std::uint64_t>();
     const auto hops = item[5].get<std::uint64_t>();
-    const bool isInRange = age <= static_cast<std::uint64_t>(rate_limit_notice::mostAge.count())
-            && hops <= rate_limit_notice::mostHops;
+    const bool isInRange = age <= static_cast<std::uint64_t>(rate_limit_notice::maxAge.count())
+            && hops <= rate_limit_notice::maxHops;
     if (!isInRange || item[1].get_ref<const std::string &>().empty())
         return std::nullopt;
     rate_limit_notice notice;
--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -1,10 +1,10 @@
-//===-- CrashNoticesTests.cpp - findings on requests, as told ---------------===//
+//===-- CrashNoticesTests.cpp - crash notices between entries ---------------===//
 //
-// Datagrams and rows, and what a follower of the store does with the rows.
+// Encoding of datagrams and rows, and how entries write, read and remove the rows.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Proxy/CrashNotices.h"
-#include "laurelcroft/Proxy/SendNotices.h"
+#include "laurelcroft/Proxy/NoticeChannel.h"
 
 #include "EntryFleet.h"
 
@@ -16,7 +16,7 @@
 
 constexpr request_key known = 0xABCDEF0123456789;
 
-/// A fleet whose first entry finds that a request has to be withheld.
+/// A fleet whose first entry can detect a request that crashes endpoints.
 struct finding_fleet
 {
     explicit finding_fleet(std::size_t entryCount)
@@ -27,7 +27,8 @@
         entries.runtime.advance(seconds(5));
     }
 
-    void find()
+    /// Makes the first entry see three endpoints crash under the same request.
+    void detect()
     {
         crash_watch &crashes = entries.entries.front().routing.crashes();
         endpoint_record record;
@@ -37,7 +38,7 @@
             auto request = std::make_shared<proxy_request>();
             request->body = "ends whoever runs it";
             record.id = "gone" + std::to_string(i);
-            const auto run = crashes.runs().began(record.id, request, entries.runtime.now());
+            const auto run = crashes.runs().add(record.id, request, entries.runtime.now());
             run->route = "route";
             run->customer = "daan";
             key = keyOf(*request);
@@ -46,7 +47,8 @@
         }
     }
 
-    std::size_t knowing()
+    /// \returns the number of entries that withhold the request.
+    std::size_t countWithholding()
     {
         return std::size_t(std::count_if(
                 entries.entries.begin(), entries.entries.end(), [this](fleet_entry &entry) {
@@ -60,81 +62,81 @@
 
 } // namespace
 
-TEST_CASE("findings survive their way; other bytes are refused")
+TEST_CASE("findings are unchanged by encoding and decoding; other bytes are rejected")
 {
-    const end_notice end{
+    const crash_notice end{
             ~0ULL,
             "pool",
             "v1",
             {{known, milliseconds(120), milliseconds(60), 2, {5}}, {7, {}, {}, 1, {}}}};
     const withheld_notice withheld{known, "pool", {"v1", "v2"}, {1, ~0ULL}, seconds(3600)};
-    const std::string endBytes = encodeEndNotice(end);
+    const std::string endBytes = encodeCrashNotice(end);
     const std::string withheldBytes = encodeWithheldNotice(withheld);
     CHECK(endBytes.size() < 60);
     CHECK(withheldBytes.size() < 60);
-    CHECK(decodeEndNotice(endBytes) == end);
+    CHECK(decodeCrashNotice(endBytes) == end);
     CHECK(decodeWithheldNotice(withheldBytes) == withheld);
     const cleared_notice cleared{known, "v1"};
     const std::string clearedBytes = encodeClearedNotice(cleared);
     CHECK(decodeClearedNotice(clearedBytes) == cleared);
     CHECK(!decodeWithheldNotice(endBytes));
-    CHECK(!decodeEndNotice(withheldBytes));
+    CHECK(!decodeCrashNotice(withheldBytes));
     for (const std::string &bytes : {endBytes, withheldBytes, clearedBytes}) {
-        CHECK(!decodeNotice(bytes));
+        CHECK(!decodeSendNotice(bytes));
         CHECK(!decodeEvidenceNotice(bytes));
         for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-            CHECK(!decodeEndNotice(std::string_view(bytes).substr(0, cut)));
+            CHECK(!decodeCrashNotice(std::string_view(bytes).substr(0, cut)));
             CHECK(!decodeWithheldNotice(std::string_view(bytes).substr(0, cut)));
             CHECK(!decodeClearedNotice(std::string_view(bytes).substr(0, cut)));
         }
     }
-    CHECK(!decodeEndNotice(encodeEndNotice({1, std::string(300, 's'), "v1", {}})));
+    CHECK(!decodeCrashNotice(encodeCrashNotice({1, std::string(300, 's'), "v1", {}})));
 }
 
-TEST_CASE("an end tells of those that most speaks against, in one packet")
+TEST_CASE("a crash notice keeps the requests with the most crashes and fits into one packet")
 {
-    end_notice notice{1, "pool", "v1", {}};
+    crash_notice notice{1, "pool", "v1", {}};
     for (request_key key = 0; key < 200; ++key)
         notice.requests.push_back(
                 {~key, milliseconds(1000), milliseconds(1000), key == 150 ? 3U : 1U, {}});
-    const std::string bytes = encodeEndNotice(notice);
+    const std::string bytes = encodeCrashNotice(notice);
     CHECK(bytes.size() < 1400);
-    const auto heard = decodeEndNotice(bytes);
+    const auto heard = decodeCrashNotice(bytes);
     REQUIRE(heard);
-    CHECK(heard->requests.size() == end_notice::mostRequests);
+    CHECK(heard->requests.size() == crash_notice::maxRequests);
     CHECK(heard->requests.front().key == ~request_key(150));
 }
 
-TEST_CASE("findings stay within their bytes and go to all of a small site")
+TEST_CASE("findings reach all entries of a small site and stay within their byte rate")
 {
     asio::io_context context;
     metric_registry metrics;
     unsigned heard = 0;
-    std::vector<std::unique_ptr<send_notices>> entries;
+    std::vector<std::unique_ptr<notice_channel>> entries;
     entry_map places;
     for (int i = 0; i < 4; ++i) {
         notice_handlers handlers;
         handlers.onWithheld = [&](const withheld_notice &) { ++heard; };
-        entries.push_back(std::make_unique<send_notices>(context, metrics, "127.0.0.1:0",
-                                                         std::move(handlers)));
+        entries.push_back(std::make_unique<notice_channel>(context, metrics, "127.0.0.1:0",
+                                                           std::move(handlers)));
         REQUIRE(entries.back()->open().empty());
         places["e" + std::to_string(i)]
                 = {"127.0.0.1:" + std::to_string(entries.back()->port()), "hall"};
     }
     entries[0]->setEntries(places, "e0");
     const withheld_notice notice{known, "pool", {"v1"}, {1, 2, 3}, seconds(3600)};
-    entries[0]->tellWithheld(notice);
+    entries[0]->sendWithheldNotice(notice);
     context.run_for(milliseconds(20));
     CHECK(heard == 3);
     for (int i = 0; i < 2000; ++i)
-        entries[0]->tellWithheld(notice);
+        entries[0]->sendWithheldNotice(notice);
     context.restart();
     context.run_for(milliseconds(50));
     const double bytes = heard * double(encodeWithheldNotice(notice).size() + 28);
-    CHECK(bytes <= send_notices::findingBytesSaved + send_notices::findingBytesPerSecond);
+    CHECK(bytes <= notice_channel::findingBurstBytes + notice_channel::findingBytesPerSecond);
 }
 
-TEST_CASE("a row of a withheld request is read as it was written; others are refused")
+TEST_CASE("a withheld row is unchanged by encoding and decoding; other rows are rejected")
 {
     const withheld_row row{"pool", {"v1"}, {1, ~0ULL}, milliseconds(99), "route", "daan"};
     const auto again = decodeWithheldRow(encodeWithheldRow(row));
@@ -142,82 +144,83 @@
     CHECK(again.value() == row);
     for (const char *text : {"", "{}", "[]", "{\"service\":1}"})
         CHECK(!decodeWithheldRow(text));
-    CHECK(withheldOfKey(withheldKey(known)) == known);
+    CHECK(requestOfRowKey(withheldRowKey(known)) == known);
     for (const char *key : {"withheld/", "withheld/12", "entry/0000000000000001"})
-        CHECK(!withheldOfKey(key));
+        CHECK(!requestOfRowKey(key));
 }
 
-TEST_CASE("a finding reaches entries by its row alone, those that start later, too")
+TEST_CASE("a finding reaches all entries by its row alone, including entries that start later")
 {
     finding_fleet world(20);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(2));
-    CHECK(world.knowing() == 20);
+    CHECK(world.countWithholding() == 20);
     world.entries.start(20, 25);
     world.entries.runtime.advance(seconds(2));
-    CHECK(world.knowing() == 25);
+    CHECK(world.countWithholding() == 25);
 }
 
-TEST_CASE("an operator who removes the row lets the request pass at all entries")
+TEST_CASE("a request is released at all entries when an operator removes its row")
 {
     finding_fleet world(12);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(2));
-    world.entries.store.remove("laurelcroft", withheldKey(world.key));
+    world.entries.store.remove("laurelcroft", withheldRowKey(world.key));
     world.entries.runtime.advance(seconds(2));
-    CHECK(world.knowing() == 0);
+    CHECK(world.countWithholding() == 0);
     CHECK(world.entries.entries.front().routing.suspects().isEmpty());
 }
 
-TEST_CASE("a finding that the store does not take is written when it is back")
+TEST_CASE("a finding is written once the store is available again")
 {
     finding_fleet world(3);
     for (fleet_entry &entry : world.entries.entries)
-        entry.store.isTurnedAway = true;
-    world.find();
+        entry.store.rejectsCalls = true;
+    world.detect();
     world.entries.runtime.advance(seconds(5));
-    CHECK(world.knowing() == 1);
+    CHECK(world.countWithholding() == 1);
     for (fleet_entry &entry : world.entries.entries)
-        entry.store.isTurnedAway = false;
+        entry.store.rejectsCalls = false;
     world.entries.runtime.advance(seconds(5));
-    CHECK(world.knowing() == 3);
+    CHECK(world.countWithholding() == 3);
 }
 
-TEST_CASE("a row whose time is over is removed and holds nothing back")
+TEST_CASE("an expired row is removed and no longer withholds its request")
 {
     finding_fleet world(3);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(2));
-    CHECK(!world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(!world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
     world.entries.runtime.advance(crash_suspects::withheldFor + seconds(60));
-    CHECK(world.knowing() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(world.countWithholding() == 0);
+    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
 }
 
-TEST_CASE("a request that an endpoint answers after all is withheld nowhere, and its row goes")
+TEST_CASE("a request that an endpoint answers is released at all entries, and its row is removed")
 {
     finding_fleet world(3);
-    world.find();
+    world.detect();
     world.entries.runtime.advance(seconds(3));
-    CHECK(world.knowing() == 3);
-    // As other entries are told by datagram.
+    CHECK(world.countWithholding() == 3);
+    // Simulates the datagrams to the other entries.
     for (fleet_entry &entry : world.entries.entries)
-        entry.routing.crashes().take(cleared_notice{world.key, "v1"}, world.entries.runtime.now());
-    CHECK(world.knowing() == 0);
+        entry.routing.crashes().applyNotice(cleared_notice{world.key, "v1"},
+                                            world.entries.runtime.now());
+    CHECK(world.countWithholding() == 0);
     world.entries.runtime.advance(seconds(10));
-    CHECK(world.knowing() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(world.countWithholding() == 0);
+    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
 }
 
-TEST_CASE("a finding that is cleared while it is in doubt is never written")
+TEST_CASE("a finding that is cleared before it is firm is never written")
 {
     finding_fleet world(3);
-    world.find();
+    world.detect();
     const time_point now = world.entries.runtime.now();
     fleet_entry &first = world.entries.entries.front();
     CHECK(first.routing.suspects().isUnconfirmed(world.key, now));
     first.routing.crashes().clear(world.key, "v1", now);
     world.entries.runtime.advance(seconds(3));
-    CHECK(world.knowing() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldKey(world.key)).empty());
+    CHECK(world.countWithholding() == 0);
+    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
 }
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -1,6 +1,6 @@
-//===-- EndpointRunsTests.cpp - what an endpoint had when it ended ----------===//
+//===-- EndpointRunsTests.cpp - suspected runs and request keys -------------===//
 //
-// Which runs may have ended an endpoint, and what is the same in two tries of a request.
+// Which runs are suspected of a crash, and which attributes of a request its key depends on.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowFixture.h"
@@ -11,7 +11,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("a request keeps its key at each try, and another one has another")
+TEST_CASE("all attempts of a request have the same key, and other requests have other keys")
 {
     const auto first = requestFor(lookupRoute());
     first->body = "text";
@@ -27,7 +27,7 @@
     }
 }
 
-TEST_CASE("a key is read back from its text, and nothing else is")
+TEST_CASE("a key is unchanged by formatting and parsing; other texts are rejected")
 {
     for (const request_key key : {request_key(0), request_key(0xAB), ~request_key(0)}) {
         CHECK(textOf(key).size() == 16);
@@ -38,43 +38,43 @@
         CHECK_FALSE(parseRequestKey(text));
 }
 
-TEST_CASE("young runs are suspected when their endpoint ends, those that were cut a moment ago too")
+TEST_CASE("recent runs are suspected of a crash, including recently cancelled ones")
 {
     manual_runtime runtime;
     endpoint_runs runs;
     const auto request = requestFor(lookupRoute());
-    const auto add = [&] { return runs.began("e1", request, runtime.now()); };
+    const auto add = [&] { return runs.add("e1", request, runtime.now()); };
     const auto proven = add();
-    proven->beganAt = runtime.now();
+    proven->answerBeganAt = runtime.now();
     const auto waiting = add();
-    const auto cutLongAgo = add();
-    cutLongAgo->leftAt = runtime.now();
-    runtime.advance(endpoint_runs::provenAfter);
+    const auto cancelledLongAgo = add();
+    cancelledLongAgo->abandonedAt = runtime.now();
+    runtime.advance(endpoint_runs::clearedAfter);
     const auto answered = add();
-    answered->isOver = true;
-    const auto cut = add();
-    cut->beganAt = runtime.now();
-    cut->leftAt = runtime.now();
-    runs.began("e2", request, runtime.now());
+    answered->isFinished = true;
+    const auto cancelled = add();
+    cancelled->answerBeganAt = runtime.now();
+    cancelled->abandonedAt = runtime.now();
+    runs.add("e2", request, runtime.now());
     runtime.advance(milliseconds(100));
     const time_point end = runtime.now();
     const auto late = add();
     runtime.advance(milliseconds(5));
 
-    const auto suspects = runs.suspectsOf("e1", end);
+    const auto suspects = runs.findSuspects("e1", end);
     REQUIRE(suspects.size() == 2);
     CHECK(suspects[0] == waiting);
-    CHECK(suspects[1] == cut);
+    CHECK(suspects[1] == cancelled);
 
     runtime.advance(seconds(1));
-    late->leftAt = runtime.now() - seconds(1);
+    late->abandonedAt = runtime.now() - seconds(1);
     runs.sweep(runtime.now());
-    CHECK(runs.suspectsOf("e1", runtime.now()) == std::vector{waiting});
+    CHECK(runs.findSuspects("e1", runtime.now()) == std::vector{waiting});
     runs.forget("e1");
-    CHECK(runs.suspectsOf("e1", runtime.now()).empty());
+    CHECK(runs.findSuspects("e1", runtime.now()).empty());
 }
 
-TEST_CASE("a broken attempt and one that found nobody have their endpoint looked at")
+TEST_CASE("an endpoint is probed after a broken connection and after a failed connect")
 {
     for (const call_end how : {call_end::broken, call_end::notSent}) {
         flow_fixture world(lookupRoute(), {"e1", "e2"});
@@ -82,14 +82,15 @@
         const std::string first = world.calls[0].attempt.endpoint->record().id;
         world.end(0, how);
         CHECK(world.probedEndpoints == std::vector{first});
-        const bool isSuspected = !world.routing.runs()
-                                          .suspectsOf(first, world.runtime.now() + milliseconds(1))
-                                          .empty();
+        const bool isSuspected
+                = !world.routing.runs()
+                           .findSuspects(first, world.runtime.now() + milliseconds(1))
+                           .empty();
         CHECK(isSuspected == (how == call_end::broken));
     }
 }
 
-TEST_CASE("a whole answer, a failure and a refusal leave no suspect; a caller that left does")
+TEST_CASE("answered and refused requests are not suspected, one whose caller left is")
 {
     for (const int status : {200, 500, 503}) {
         flow_fixture world(fetchRoute(), {"e1"});
@@ -100,10 +101,13 @@
             world.answer(0, status);
             world.end(0, call_end::complete);
         }
-        CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).empty());
+        CHECK(world.routing.runs()
+                      .findSuspects("e1", world.runtime.now() + milliseconds(1))
+                      .empty());
     }
     flow_fixture world(fetchRoute(), {"e1"});
     const auto flow = startFlow(world, requestFor(fetchRoute()));
     flow->callerLeft();
-    CHECK(world.routing.runs().suspectsOf("e1", world.runtime.now() + milliseconds(1)).size() == 1);
+    CHECK(world.routing.runs().findSuspects("e1", world.runtime.now() + milliseconds(1)).size()
+          == 1);
 }
--- a/unittests/Proxy/EvacuationTests.cpp
+++ b/unittests/Proxy/EvacuationTests.cpp
@@ -105,7 +105,7 @@
     // The store rejects every second entry, except those that read it on behalf of others.
     std::size_t number = 0;
     for (fleet_entry &entry : fixture.entries.entries)
-        entry.store.isTurnedAway = ++number % 2 == 0 && !entry.readers.empty();
+        entry.store.rejectsCalls = ++number % 2 == 0 && !entry.readers.empty();
     fixture.entries.store.remove("orders", "evacuate east");
     fixture.entries.runtime.advance(propagationLimit);
     CHECK(fixture.entriesThatSee(4) == entryCount);
--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -35,7 +35,7 @@
 
     explicit lapse_world(std::size_t count = fewEntries)
     {
-        fill(entries);
+        addInitialRows(entries);
         entries.start(0, count);
         for (unsigned i = 0; i < endpoints; ++i)
             beat(i, heartbeat * i / endpoints);
@@ -146,11 +146,11 @@
     lapse_world world;
     for (const bool readersAway : {false, true}) {
         for (fleet_entry &entry : world.entries.entries)
-            entry.store.isTurnedAway = entry.readers.empty() == readersAway;
+            entry.store.rejectsCalls = entry.readers.empty() == readersAway;
         world.pass(seconds(4));
         world.outage(seconds(3));
         for (fleet_entry &entry : world.entries.entries)
-            entry.store.isTurnedAway = false;
+            entry.store.rejectsCalls = false;
         world.pass(seconds(6));
         CHECK(world.minUsable == endpoints);
     }
@@ -237,13 +237,13 @@
         lapse_world world;
         world.pass(milliseconds(170 * i));
         for (fleet_entry &entry : world.entries.entries)
-            entry.store.isTurnedAway = entry.readers.empty();
+            entry.store.rejectsCalls = entry.readers.empty();
         world.pass(milliseconds(400));
         world.dead.insert(7);
         world.entries.store.remove("endpoints", idOf(7));
         world.pass(changeBound);
         for (fleet_entry &entry : world.entries.entries) {
-            if (!entry.store.isTurnedAway)
+            if (!entry.store.rejectsCalls)
                 CHECK(world.usableAt(entry) == endpoints - 1);
         }
     }
@@ -258,13 +258,13 @@
     fleet_entry *reader = nullptr;
     for (fleet_entry &entry : world.entries.entries)
         reader = entry.readers.empty() ? &entry : reader;
-    reader->store.isTurnedAway = true;
+    reader->store.rejectsCalls = true;
     world.pass(seconds(3) + phase);
     world.dead.insert(7);
     world.entries.store.remove("endpoints", idOf(7));
     // The reader regains the store just before it would have learned of the removal in time.
     world.pass(milliseconds(50));
-    reader->store.isTurnedAway = false;
+    reader->store.rejectsCalls = false;
     world.pass(changeBound - milliseconds(50));
     std::size_t senders = 0;
     for (fleet_entry &entry : world.entries.entries) {
--- /dev/null
+++ b/unittests/Proxy/NoticeChannelTests.cpp
@@ -0,0 +1,126 @@
+//===-- NoticeChannelTests.cpp - datagrams between entries ------------------===//
+//
+// Encoding and decoding of send notices, and sending between entries on loopback sockets.
+//
+//===----------------------------------------------------------------------===//
+#include "laurelcroft/Proxy/NoticeChannel.h"
+
+#include <doctest/doctest.h>
+
+#include <vector>
+
+using namespace laurelcroft;
+
+namespace {
+
+/// An entry that records the notices that it receives.
+struct recording_entry
+{
+    explicit recording_entry(asio::io_context &context)
+        : notices(context, metrics, "127.0.0.1:0",
+                  {[this](const send_notice &notice) { heard.push_back(notice); },
+                   [this](const evidence_notice &notice) { evidence.push_back(notice); },
+                   [this](const crash_notice &notice) { ends.push_back(notice); },
+                   [this](const withheld_notice &notice) { withheld.push_back(notice); }})
+    {
+    }
+    metric_registry metrics;
+    std::vector<send_notice> heard;
+    std::vector<evidence_notice> evidence;
+    std::vector<crash_notice> ends;
+    std::vector<withheld_notice> withheld;
+    notice_channel notices;
+};
+
+entry_info placeOf(const recording_entry &entry, const std::string &dataCentre)
+{
+    return {"127.0.0.1:" + std::to_string(entry.notices.port()), dataCentre};
+}
+
+} // namespace
+
+TEST_CASE("a send notice is unchanged by encoding and decoding; other bytes are rejected")
+{
+    const send_notice plain{"i-7f3a91c2", milliseconds(420), {}};
+    CHECK(encodeSendNotice(plain).size() < 20);
+    CHECK(decodeSendNotice(encodeSendNotice(plain)) == plain);
+    const send_notice notice{"i-7f3a91c2", milliseconds(420), {{~0ULL, 13'300}, {7, 250}}};
+    const std::string bytes = encodeSendNotice(notice);
+    CHECK(bytes.size() < 40);
+    CHECK(decodeSendNotice(bytes) == notice);
+    for (std::size_t cut = 0; cut < bytes.size(); ++cut)
+        CHECK(!decodeSendNotice(std::string_view(bytes).substr(0, cut)));
+    CHECK(!decodeSendNotice(bytes + "x"));
+    CHECK(!decodeSendNotice(encodeSendNotice({"", milliseconds(420), {}})));
+    CHECK(!decodeSendNotice(encodeSendNotice({std::string(300, 'i'), milliseconds(420), {}})));
+    CHECK(!decodeSendNotice(encodeSendNotice({"i-1", milliseconds(-1), {}})));
+    CHECK(!decodeSendNotice(
+            encodeSendNotice({"i-1", notice_channel::maxPrefillTime + milliseconds(1), {}})));
+    const auto hugeTokens = static_cast<unsigned>(prefix_cache_estimate::defaultCapacity + 1);
+    CHECK(!decodeSendNotice(encodeSendNotice({"i-1", milliseconds(1), {{1, hugeTokens}}})));
+}
+
+TEST_CASE("a send notice keeps only the first prefixes of a prompt")
+{
+    const std::vector<prompt_prefix> many(100, {5, 10});
+    const auto heard = decodeSendNotice(encodeSendNotice({"i-1", milliseconds(50), many}));
+    REQUIRE(heard);
+    CHECK(heard->prefixes.size() == notice_channel::maxPrefixes);
+}
+
+/// Adds entries in data centre "c" until the site is too large for notifying all entries.
+static void makeLarge(entry_map &entries)
+{
+    for (std::size_t i = 0; i <= notice_channel::maxRecipients; ++i)
+        entries["c" + std::to_string(i)] = {"127.0.0.1:9", "c"};
+}
+
+TEST_CASE("long prompts are reported to all of a small site, or to the endpoint's data centre")
+{
+    for (const bool large : {false, true}) {
+        asio::io_context context;
+        recording_entry sender(context);
+        recording_entry near(context);
+        recording_entry far(context);
+        for (recording_entry *entry : {&sender, &near, &far})
+            REQUIRE(entry->notices.open().empty());
+        entry_map entries{{"teller", placeOf(sender, "a")},
+                          {"near", placeOf(near, "a")},
+                          {"far", placeOf(far, "b")},
+                          {"nowhere", {"", "a"}},
+                          {"wrong", {"host:1", "a"}}};
+        if (large)
+            makeLarge(entries);
+        sender.notices.setEntries(entries, "teller");
+        sender.notices.sendToDataCentre({"long", milliseconds(400), {}}, "a");
+        sender.notices.sendToDataCentre({"short", milliseconds(5), {}}, "a");
+        sender.notices.sendToDataCentre({"unknown", milliseconds(400), {}}, "z");
+        context.run_for(milliseconds(100));
+        REQUIRE(near.heard.size() == 1);
+        CHECK(near.heard[0] == send_notice{"long", milliseconds(400), {}});
+        CHECK(far.heard.size() == (large ? 0 : 1));
+        CHECK(sender.heard.empty());
+    }
+}
+
+TEST_CASE("send notices stay within their byte rate")
+{
+    asio::io_context context;
+    recording_entry sender(context);
+    recording_entry near(context);
+    REQUIRE(sender.notices.open().empty());
+    REQUIRE(near.notices.open().empty());
+    sender.notices.setEntries({{"near", placeOf(near, "a")}}, "teller");
+    constexpr unsigned tries = 500;
+    const time_point begun = bootNow();
+    for (unsigned i = 0; i < tries; ++i)
+        sender.notices.sendToDataCentre({"i-7f3a91c2", milliseconds(400), {}}, "a");
+    const std::chrono::duration<double> took = bootNow() - begun;
+    context.run_for(milliseconds(100));
+    const double bytes = static_cast<double>(
+            encodeSendNotice({"i-7f3a91c2", milliseconds(400), {}}).size() + 28);
+    // The burst of one second, and the bytes that accrue during the loop.
+    const double allowed = notice_channel::bytesPerSecond * (1.01 + took.count());
+    CHECK(static_cast<double>(near.heard.size()) * bytes <= allowed);
+    CHECK(!near.heard.empty());
+}
--- a/unittests/Proxy/RepeatBoundTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -1,23 +1,18 @@
-//===-- RepeatBoundTests.cpp - repeats stay within their bound --------------===//
+//===-- RetryBudgetTests.cpp - retries stay within their budget -------------===//
 //
-// What users saw: the model service got more arrivals beyond the first of each request than are
-// allowed in ten seconds.
+// Guards against more retries in a ten-second window than the bound for the whole service allows.
+// While all endpoints refuse, each entry retries requests until its budget is used up. If an entry
+// then exits or joins, its successor, or the entries that get its callers, spend a budget of their
+// own in the same window.
 //
-// The order of events: (1) all endpoints of the service refuse, so that each request is sent to
-// three of them, until its entry's budget is used up; (2) an entry ends, is killed or joins; (3)
-// the process that takes its place, or whoever gets its callers, has a budget of its own, and
-// spends that as well, within the same window.
-//
-// The cause: what might be spent belonged to a process, while the bound is on all processes that
-// have lived in the window. A new process began with all that a window allows; an old one could
-// spend at once what a window had earned, while its callers earned the same again elsewhere; and
-// who knew no other entry took the whole allowance.
-//
-// The evidence: where nothing but the processes' budgets differs (no kill, no join, callers move
-// to another entry), the sum was 1.10 of the bound, with kills in turn 1.96.
+// Each process had its own budget, but the bound applies to all processes that ran in the window. A
+// new process started with the full budget of a window, an old one could spend at once what it had
+// earned in a window while its callers earned the same again elsewhere, and an entry that knew no
+// others took the whole allowance. The sum reached 1.10 of the bound when only the callers moved to
+// another entry, and 1.96 when entries were killed in turn.
 //
 //===----------------------------------------------------------------------===//
-#include "RepeatWorld.h"
+#include "RetryWorld.h"
 
 #include <doctest/doctest.h>
 
@@ -30,13 +25,14 @@
 
 namespace {
 
-constexpr seconds playTime{24};
+constexpr seconds simulatedTime{24}; ///< of one run
 constexpr milliseconds step{100};
 
-/// Called each \c step with the time since the play began.
-using series = std::function<void(repeat_world &world, milliseconds at)>;
+/// Changes the set of entries. Called each \c step with the time since the simulation began.
+using churn = std::function<void(retry_world &world, milliseconds at)>;
 
-bool isEach(milliseconds at, milliseconds pause)
+/// \returns true if \p at is a multiple of \p pause.
+bool isMultipleOf(milliseconds at, milliseconds pause)
 {
     return at.count() % pause.count() == 0;
 }
@@ -46,9 +42,9 @@
     return std::find(moments.begin(), moments.end(), int(at.count())) != moments.end();
 }
 
-void nothingElse(repeat_world &, milliseconds) { }
+void noChurn(retry_world &, milliseconds) { }
 
-void killAllAgainAndAgain(repeat_world &world, milliseconds at)
+void killAllRepeatedly(retry_world &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {13000, 15000, 17000}))
@@ -58,25 +54,25 @@
     }
 }
 
-void killInTurn(repeat_world &world, milliseconds at)
+void killInTurn(retry_world &world, milliseconds at)
 {
     const std::size_t count = world.entries.size();
     const milliseconds pause{std::max<std::int64_t>(100, 2500 / std::int64_t(count) / 100 * 100)};
     const auto turn = std::size_t(at / pause);
-    if (!isEach(at, pause) || at < seconds(5))
+    if (!isMultipleOf(at, pause) || at < seconds(5))
         return;
     world.start((turn + count - 1) % count);
     world.kill(turn % count);
 }
 
-void restartInTurn(repeat_world &world, milliseconds at)
+void restartInTurn(retry_world &world, milliseconds at)
 {
     const milliseconds pause{800};
-    if (isEach(at, pause) && at > seconds(5))
+    if (isMultipleOf(at, pause) && at > seconds(5))
         world.restart(std::size_t(at / pause) % world.entries.size());
 }
 
-void joinAsMany(repeat_world &world, milliseconds at)
+void doubleEntries(retry_world &world, milliseconds at)
 {
     if (!isOneOf(at, {14000}))
         return;
@@ -84,52 +80,53 @@
         world.join();
 }
 
-void callersMove(repeat_world &world, milliseconds at)
+void callersMove(retry_world &world, milliseconds at)
 {
     if (isOneOf(at, {5000}))
-        world.favour(0);
+        world.preferEntry(0);
     if (isOneOf(at, {14000}))
-        world.favour(1);
+        world.preferEntry(1);
 }
 
-void suspendAllTwice(repeat_world &world, milliseconds at)
+void suspendAllTwice(retry_world &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {10000, 15000}))
             world.suspend(i);
         if (isOneOf(at, {12000, 17000}))
-            world.wake(i);
+            world.resume(i);
     }
 }
 
-/// All endpoints refuse from 12 s on, for 7 s.
-played_end refusedForSeconds(repeat_world &, milliseconds at)
+/// All endpoints refuse all requests from 12 s to 19 s.
+request_outcome refusedForSeconds(retry_world &, milliseconds at)
 {
-    return at >= seconds(12) && at < seconds(19) ? played_end::refuses : played_end::answers;
+    return at >= seconds(12) && at < seconds(19) ? request_outcome::refuses
+                                                 : request_outcome::answers;
 }
 
-/// Six of each seven seconds.
-played_end refusedMostly(repeat_world &, milliseconds at)
+/// All endpoints refuse all requests for six of each seven seconds.
+request_outcome refusedMostly(retry_world &, milliseconds at)
 {
-    return at % seconds(7) >= seconds(1) ? played_end::refuses : played_end::answers;
+    return at % seconds(7) >= seconds(1) ? request_outcome::refuses : request_outcome::answers;
 }
 
-/// From 11 s on most answers are errors, and others never come.
-played_end failsMostly(repeat_world &world, milliseconds at)
+/// From 11 s on, most requests fail with an error, a broken connection or no answer at all.
+request_outcome failsMostly(retry_world &world, milliseconds at)
 {
     if (at < seconds(11))
-        return played_end::answers;
-    const std::array ends{played_end::fails, played_end::fails, played_end::breaks,
-                          played_end::hangs, played_end::answers};
+        return request_outcome::answers;
+    const std::array ends{request_outcome::fails, request_outcome::fails, request_outcome::breaks,
+                          request_outcome::hangs, request_outcome::answers};
     return ends[world.random.index(ends.size())];
 }
 
-using fault = played_end (*)(repeat_world &world, milliseconds at);
+using fault = request_outcome (*)(retry_world &world, milliseconds at);
 
-struct named_series
+struct named_churn
 {
     const char *name;
-    series action;
+    churn action;
 };
 
 struct named_fault
@@ -145,19 +142,20 @@
     double allowance;
 };
 
-double worstOf(const fleet_size &size, const series &action, fault ends, repeat_plan plan)
+/// \returns the highest number of retries in any window, relative to the bound.
+double worstShareOf(const fleet_size &size, const churn &action, fault ends, retry_plan plan)
 {
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
     plan.allowance = size.allowance;
-    repeat_world world(plan);
+    retry_world world(plan);
     const time_point begin = world.runtime.now();
     world.endpointEnds = [&](const std::string &) {
         return ends(world, std::chrono::floor<milliseconds>(world.runtime.now() - begin));
     };
-    for (milliseconds at{0}; at < playTime; at += step) {
+    for (milliseconds at{0}; at < simulatedTime; at += step) {
         action(world, at);
-        world.play(step);
+        world.simulate(step);
     }
     return world.worstShare();
 }
@@ -168,15 +166,16 @@
                                                         world.routing.shareOfEntries());
 }
 
-/// \returns how many seeds are played: one, or as many as LAURELCROFT_SEEDS says for runs by hand.
+/// \returns the number of seeds to run: one, or the value of LAURELCROFT_SEEDS for manual runs.
 std::uint64_t seedCount()
 {
     const char *text = std::getenv("LAURELCROFT_SEEDS");
     return text ? std::strtoull(text, nullptr, 10) : 1;
 }
 
-/// All faults and sizes with one series, with the store and without.
-void playAll(const named_series &action, std::uint64_t seed)
+/// Checks the bound for one kind of churn with all faults and fleet sizes, with and without the
+/// store.
+void checkAll(const named_churn &action, std::uint64_t seed)
 {
     const std::array faults{named_fault{"refuse for seconds", refusedForSeconds},
                             named_fault{"refuse mostly", refusedMostly},
@@ -191,11 +190,11 @@
                 CAPTURE(std::string(ends.name));
                 CAPTURE(std::string(action.name));
                 CAPTURE(storeAway);
-                repeat_plan plan;
+                retry_plan plan;
                 plan.route = draftRoute();
                 plan.storeAway = storeAway;
                 plan.seed = seed;
-                CHECK(worstOf(size, action.action, ends.ends, plan) <= 1.0);
+                CHECK(worstShareOf(size, action.action, ends.ends, plan) <= 1.0);
             }
         }
     }
@@ -203,29 +202,29 @@
 
 } // namespace
 
-TEST_CASE("repeats stay within their bound through kills, stops, joins and a lost store")
+TEST_CASE("retries stay within their bound through kills, restarts, joins and store outages")
 {
-    const std::array actions{named_series{"nothing else", nothingElse},
-                             named_series{"all killed three times", killAllAgainAndAgain},
-                             named_series{"killed in turn", killInTurn},
-                             named_series{"restarted in turn", restartInTurn},
-                             named_series{"as many join", joinAsMany},
-                             named_series{"all suspended twice", suspendAllTwice},
-                             named_series{"callers move to another entry", callersMove}};
+    const std::array actions{named_churn{"no churn", noChurn},
+                             named_churn{"all killed three times", killAllRepeatedly},
+                             named_churn{"killed in turn", killInTurn},
+                             named_churn{"restarted in turn", restartInTurn},
+                             named_churn{"the number of entries doubles", doubleEntries},
+                             named_churn{"all suspended twice", suspendAllTwice},
+                             named_churn{"callers move to another entry", callersMove}};
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        for (const named_series &action : actions)
-            playAll(action, seed);
+        for (const named_churn &action : actions)
+            checkAll(action, seed);
     }
 }
 
-TEST_CASE("requests that wait for room do not all spend the same budget")
+TEST_CASE("requests that wait for a free endpoint do not all spend the same budget")
 {
-    // Callers' requests are refused by the only warm endpoint and wait for room at cold ones. The
-    // budget was read when the refusal came and charged at the next send, so that each of those
-    // that waited had found it unspent: 40 went on where 16 were allowed.
+    // Requests are refused by the only warm endpoint and wait for cold ones. The budget was checked
+    // on refusal but charged only at the next send, so that all waiting requests found it unspent:
+    // 40 were sent again where 16 were allowed.
     constexpr unsigned requests = 60;
     constexpr unsigned coldEndpoints = 40;
-    const send_budget_bounds bounds; // those of flow_fixture
+    const send_budget_bounds bounds; // same as in flow_fixture
     flow_fixture world(draftRoute(), {"warm"});
     for (unsigned i = 0; i < coldEndpoints; ++i) {
         const std::string id = "cold" + std::to_string(i);
@@ -247,7 +246,7 @@
     CHECK(further <= bounds.ratio * requests + bounds.allowance);
 }
 
-TEST_CASE("a further send that finds no endpoint is given back")
+TEST_CASE("a retry that finds no endpoint is not charged to the budget")
 {
     flow_fixture world(draftRoute(), {"only"});
     startFlow(world, requestFor(draftRoute()));
@@ -258,7 +257,7 @@
     CHECK(furtherSendsLeft(world) == doctest::Approx(before));
 }
 
-TEST_CASE("a further send that reached nobody is made at the next endpoint")
+TEST_CASE("a retry that reached no endpoint is sent to the next one and charged once")
 {
     flow_fixture world(draftRoute(), {"a", "b", "c"});
     startFlow(world, requestFor(draftRoute()));
--- a/unittests/Proxy/RepeatWorld.cpp
+++ b/unittests/Proxy/RetryWorld.cpp
@@ -1,9 +1,9 @@
-//===-- RepeatWorld.cpp - entries that share a budget of repeats ------------===//
+//===-- RetryWorld.cpp - simulated entries with retries ---------------------===//
 //
-// A killed process takes its flows and all that it knew with it; what it had sent arrives.
+// Killing a process destroys its flows and state. Requests that it has sent still arrive.
 //
 //===----------------------------------------------------------------------===//
-#include "RepeatWorld.h"
+#include "RetryWorld.h"
 
 #include <algorithm>
 #include <cmath>
@@ -29,38 +29,39 @@
 
 } // namespace
 
-manual_runtime &repeat_environment::runtime()
+manual_runtime &retry_environment::runtime()
 {
     return world->runtime;
 }
 
-call_id repeat_environment::call(proxy_attempt attempt, call_events events)
+call_id retry_environment::call(proxy_attempt attempt, call_events events)
 {
     const std::string request = attempt.request->id;
     const std::string endpoint = attempt.endpoint->record().id;
     world->runtime.after(way, [world = world, request, endpoint, events = std::move(events)] {
         ++world->arrivals[request];
         if (world->arrivals[request] > 1)
-            world->further.push_back(world->runtime.now());
-        const played_end how = world->endpointEnds(endpoint);
+            world->retries.push_back(world->runtime.now());
+        const request_outcome how = world->endpointEnds(endpoint);
         world->runtime.after(world->plan.answerTime, [world, request, how, events] {
             proxy_answer answer;
             answer.requestId = request;
             answer.signedByEndpoint = true;
-            answer.status = how == played_end::answers ? http_status::ok : http_status::unavailable;
-            answer.notRun = how == played_end::refuses;
+            answer.status
+                    = how == request_outcome::answers ? http_status::ok : http_status::unavailable;
+            answer.notRun = how == request_outcome::refuses;
             answer.confidence = int(world->random.index(100));
-            if (how == played_end::hangs)
+            if (how == request_outcome::hangs)
                 return;
-            if (how != played_end::breaks)
+            if (how != request_outcome::breaks)
                 events.onAnswer(std::move(answer));
-            events.onEnd(how == played_end::breaks ? call_end::broken : call_end::complete);
+            events.onEnd(how == request_outcome::breaks ? call_end::broken : call_end::complete);
         });
     });
     return ++world->lastCall;
 }
 
-void repeat_environment::reply(int status, const http_headers &headers, std::string_view)
+void retry_environment::reply(int status, const http_headers &headers, std::string_view)
 {
     ++world->statuses[status];
     for (const http_header &header : headers) {
@@ -69,17 +70,17 @@
     }
 }
 
-void repeat_environment::end()
+void retry_environment::end()
 {
     ++world->statuses[http_status::ok];
 }
 
-void repeat_environment::abort()
+void retry_environment::abort()
 {
     ++world->statuses[0];
 }
 
-repeat_world::repeat_world(repeat_plan given)
+retry_world::retry_world(retry_plan given)
     : plan(std::move(given))
     , rule{{0.9, plan.allowance, seconds(10)}}
     , random(plan.seed)
@@ -88,16 +89,16 @@
         entries.emplace_back();
         start(i);
     }
-    tellEachOther();
+    setEntriesOfAll();
 }
 
-void repeat_world::learn()
+void retry_world::updateEntries()
 {
     if (!plan.storeAway)
-        tellEachOther();
+        setEntriesOfAll();
 }
 
-void repeat_world::tellEachOther()
+void retry_world::setEntriesOfAll()
 {
     std::vector<std::string> names;
     for (const auto &entry : entries) {
@@ -110,21 +111,21 @@
     }
 }
 
-void repeat_world::start(std::size_t index)
+void retry_world::start(std::size_t index)
 {
     if (entries[index])
         return;
     routing_bounds bounds;
     bounds.repeats = rule.bounds;
     const std::string name = "e" + std::to_string(index);
-    entries[index].reset(new repeat_entry{
+    entries[index].reset(new retry_entry{
             name, routing_state(bounds, {0, 50}, random.bits()), {}, true, false, {}});
     entries[index]->routing.setContract(contractOf(plan.route));
     listEndpoints(entries[index]->routing);
-    runtime.after(plan.learnTime, [this] { learn(); });
+    runtime.after(plan.discoveryTime, [this] { updateEntries(); });
 }
 
-void repeat_world::listEndpoints(routing_state &routing) const
+void retry_world::listEndpoints(routing_state &routing) const
 {
     for (unsigned i = 0; i < plan.endpoints; ++i) {
         endpoint_record record;
@@ -138,19 +139,19 @@
     }
 }
 
-void repeat_world::kill(std::size_t index)
+void retry_world::kill(std::size_t index)
 {
     entries[index].reset();
-    runtime.after(plan.learnTime, [this] { learn(); });
+    runtime.after(plan.discoveryTime, [this] { updateEntries(); });
 }
 
-void repeat_world::join()
+void retry_world::join()
 {
     entries.emplace_back();
     start(entries.size() - 1);
 }
 
-void repeat_world::restart(std::size_t index)
+void retry_world::restart(std::size_t index)
 {
     constexpr milliseconds drainTime{300};
     if (!entries[index])
@@ -162,7 +163,7 @@
     });
 }
 
-std::vector<std::size_t> repeat_world::taking() const
+std::vector<std::size_t> retry_world::acceptingEntries() const
 {
     std::vector<std::size_t> indices;
     for (std::size_t i = 0; i < entries.size(); ++i) {
@@ -172,18 +173,19 @@
     return indices;
 }
 
-void repeat_world::request()
+void retry_world::request()
 {
     requests.push_back(runtime.now());
     const std::string id = "r" + std::to_string(++lastRequest);
     runtime.after(way, [this, id] {
-        const std::vector<std::size_t> places = taking();
+        const std::vector<std::size_t> places = acceptingEntries();
         if (places.empty())
             return;
-        const bool goesToFavoured
-                = favoured && std::find(places.begin(), places.end(), *favoured) != places.end();
-        const std::size_t place = goesToFavoured ? *favoured : places[random.index(places.size())];
-        repeat_entry &entry = *entries[place];
+        const bool goesToPreferred = preferredEntry
+                && std::find(places.begin(), places.end(), *preferredEntry) != places.end();
+        const std::size_t place
+                = goesToPreferred ? *preferredEntry : places[random.index(places.size())];
+        retry_entry &entry = *entries[place];
         if (entry.isSuspended)
             entry.unread.push_back(id);
         else
@@ -191,24 +193,24 @@
     });
 }
 
-void repeat_world::take(repeat_entry &entry, const std::string &id)
+void retry_world::take(retry_entry &entry, const std::string &id)
 {
     auto item = requestFor(plan.route);
     item->id = id;
     item->key.clear();
     item->session = "s" + std::to_string(random.index(sessions));
-    const auto flow = std::make_shared<repeat_flow>(repeat_environment{this, &entry}, item);
+    const auto flow = std::make_shared<retry_flow>(retry_environment{this, &entry}, item);
     entry.flows.push_back(flow);
     flow->start();
 }
 
-void repeat_world::suspend(std::size_t index)
+void retry_world::suspend(std::size_t index)
 {
     if (entries[index])
         entries[index]->isSuspended = true;
 }
 
-void repeat_world::wake(std::size_t index)
+void retry_world::resume(std::size_t index)
 {
     if (!entries[index])
         return;
@@ -218,7 +220,7 @@
         take(*entries[index], id);
 }
 
-void repeat_world::play(milliseconds time)
+void retry_world::simulate(milliseconds time)
 {
     const time_point end = runtime.now() + time;
     while (runtime.now() < end) {
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -314,7 +314,7 @@
     world.sync.start();
     world.runtime.advance(seconds(3));
     CHECK(world.routing.entries() == 2);
-    world.runtime.advance(entry_roster::life + seconds(30));
+    world.runtime.advance(entry_registry::rowLifetime + seconds(30));
     CHECK(world.routing.entries() == 1);
     CHECK(world.entries.count("e1") == 1);
     world.store.remove("laurelcroft", "entry/e1");
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -1,6 +1,6 @@
-//===-- SuspectFlowTests.cpp - a flow of a suspected request ----------------===//
+//===-- SuspectFlowTests.cpp - flows of suspected requests ------------------===//
 //
-// What one entry does with a request under which endpoints have ended, and with others beside it.
+// How an entry handles a request that is suspected of crashing endpoints, and requests beside it.
 //
 //===----------------------------------------------------------------------===//
 #include "FlowFixture.h"
@@ -9,9 +9,9 @@
 
 using namespace laurelcroft;
 
-/// Endpoints end one after the other under requests like \p request, as this entry sees it.
-static void endUnder(flow_fixture &world, const std::shared_ptr<proxy_request> &request,
-                     unsigned ends)
+/// Makes the entry see \p ends endpoints crash one after the other while they run \p request.
+static void crashEndpoints(flow_fixture &world, const std::shared_ptr<proxy_request> &request,
+                           unsigned ends)
 {
     crash_watch &crashes = world.routing.crashes();
     for (unsigned i = 0; i < ends; ++i) {
@@ -19,17 +19,17 @@
         record.id = "gone" + std::to_string(i);
         record.service = "pool";
         record.softwareVersion = "v1";
-        crashes.runs().began(record.id, request, world.runtime.now());
+        crashes.runs().add(record.id, request, world.runtime.now());
         world.runtime.advance(milliseconds(100));
         crashes.endpointEnded(service_endpoint(record), world.runtime.now());
     }
 }
 
-TEST_CASE("a request that ended three endpoints waits, and is then refused until it may come back")
+TEST_CASE("a request that crashed three endpoints waits, and is then refused with a Retry-After")
 {
     flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 3);
+    crashEndpoints(world, request, 3);
     startFlow(world, request);
     CHECK(world.calls.empty());
     CHECK(world.status == 0);
@@ -39,7 +39,7 @@
     CHECK(world.record->reason == flow_reason::withheld);
     CHECK(std::stod(std::string(findHeader(world.headers, "Retry-After")))
           == doctest::Approx(3600).epsilon(0.01));
-    // From now on it is refused at once.
+    // The finding is firm now, so the request is refused at once.
     world.status = 0;
     startFlow(world, request);
     CHECK(world.status == 503);
@@ -49,7 +49,7 @@
 {
     flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 3);
+    crashEndpoints(world, request, 3);
     const auto other = std::make_shared<proxy_request>(*request);
     other->key = "key-other";
     other->host = "site.example";
@@ -61,21 +61,22 @@
     CHECK(world.calls.size() == 1);
 }
 
-TEST_CASE("a suspect keeps to the smaller model's answer, so that its end would be seen")
+TEST_CASE("a suspected request is not cancelled for a larger model")
 {
     flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 1);
+    crashEndpoints(world, request, 1);
     startFlow(world, request);
     world.answer(0, 200, 5);
+    // A cancelled request would hide whether it crashes the endpoint.
     CHECK(world.calls.size() == 1);
 }
 
-TEST_CASE("of a strong suspect one try is sent at a time, and its answer lets all go on")
+TEST_CASE("a strongly suspected request is sent once at a time until it is answered")
 {
     flow_fixture world(lookupRoute(), {"e1", "e2", "e3"});
     const auto request = requestFor(lookupRoute());
-    endUnder(world, request, 2);
+    crashEndpoints(world, request, 2);
     startFlow(world, request);
     startFlow(world, std::make_shared<proxy_request>(*request));
     CHECK(world.calls.size() == 1);
@@ -86,14 +87,14 @@
     CHECK(world.routing.suspects().isEmpty());
 }
 
-TEST_CASE("two suspects of one end are sent to different endpoints, and others keep away")
+TEST_CASE("two strongly suspected requests are sent to different endpoints")
 {
     flow_fixture world(lookupRoute(), {"e1", "e2", "e3"});
     const auto first = requestFor(lookupRoute());
     const auto second = std::make_shared<proxy_request>(*first);
     second->body = "another";
-    endUnder(world, first, 2);
-    endUnder(world, second, 2);
+    crashEndpoints(world, first, 2);
+    crashEndpoints(world, second, 2);
     startFlow(world, first);
     startFlow(world, second);
     startFlow(world, requestFor(lookupRoute()))->record();
@@ -101,15 +102,15 @@
     CHECK(world.calls[0].attempt.endpoint != world.calls[1].attempt.endpoint);
 }
 
-TEST_CASE("a stream that runs for a second clears its request")
+TEST_CASE("a request whose stream runs for a second is cleared")
 {
     flow_fixture world(draftRoute(), {"e1", "e2"});
     const auto request = requestFor(draftRoute());
-    endUnder(world, request, 2);
+    crashEndpoints(world, request, 2);
     startFlow(world, request);
     world.answer(0, 200, 90);
     unsigned event = 0;
-    for (milliseconds at{0}; at < endpoint_runs::provenAfter; at += milliseconds(250)) {
+    for (milliseconds at{0}; at < endpoint_runs::clearedAfter; at += milliseconds(250)) {
         world.data(0, eventText(++event));
         CHECK_FALSE(world.routing.suspects().isEmpty());
         world.runtime.advance(milliseconds(251));
