--- a/include/laurelcroft/Policy/ServiceRollout.h
+++ b/include/laurelcroft/Policy/ServiceRollout.h
@@ -67,7 +67,8 @@
     bool foundBad = false; ///< by the guards of this entry
     std::uint64_t evaluatedAnswers = 0; ///< answers of the new version that the guards evaluated
     bool suspected = false; ///< there is too much evidence against it to stop the old version
-    /// Whether the findings of other entries are up to date. If not, no further stage is started.
+    /// Whether the findings of other entries are up to date. If not, the only step is to revert a
+    /// version that this entry has found bad.
     bool othersKnown = true;
     double exposure = 0.1; ///< share of requests that the site tolerates on a bad version
     double requestsPerSecond = 0; ///< for the service, at all entries
