--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -297,18 +297,18 @@
 template <flow_environment Env>
 void request_flow<Env>::releaseEndpoint(attempt_end end)
 {
-    const bool isLost = end == attempt_end::broken || end == attempt_end::notSent;
-    if (isLost)
+    const bool connectionLost = end == attempt_end::broken || end == attempt_end::notSent;
+    if (connectionLost)
         m_failedDataCentres.insert(m_endpoint->record().dataCentre);
     const endpoint_ptr endpoint = m_endpoint;
     m_run->isOver = end != attempt_end::broken && end != attempt_end::silent;
     if (end == attempt_end::answered)
         clearOfSuspicion();
     closeAttempt(end);
-    if (isLost)
+    if (connectionLost)
         m_env.checkEnded(endpoint);
     // The endpoint whose answer was dropped may have ended right after that, unnoticed.
-    if (isLost && m_escalatedFrom)
+    if (connectionLost && m_escalatedFrom)
         m_env.checkEnded(std::exchange(m_escalatedFrom, nullptr));
     // A call that is still in progress must not overlap with the next one.
     m_env.cancel(m_call);
@@ -321,8 +321,8 @@
     // route's limit of endpoints. Otherwise a request limited to one endpoint would be refused
     // although other endpoints have capacity.
     const bool isMisdirected = end == attempt_end::refused && m_answer.misdirected;
-    const bool metEndpoint = end != attempt_end::notSent && !isMisdirected;
-    if (!metEndpoint) {
+    const bool reachedEndpoint = end != attempt_end::notSent && !isMisdirected;
+    if (!reachedEndpoint) {
         --m_sends;
         ++m_unreached;
     }
@@ -330,7 +330,7 @@
         m_reservedSend = std::exchange(m_currentFurtherSend, std::nullopt);
     else
         ++m_receivedSends;
-    if (metEndpoint && end != attempt_end::answered)
+    if (reachedEndpoint && end != attempt_end::answered)
         outlook().failed(now());
     m_record.attemptDuration = std::chrono::duration_cast<milliseconds>(now() - m_attemptAt);
     m_record.timeLeft = timeLeft();
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -30,8 +30,8 @@
     // entries, which observe a larger model's speed soon.
     const service_description *service = m_contract->findService(m_service);
     const std::string &smallest = m_route->models.front();
-    const double slower = service ? service->priceRatio(modelName(), smallest) : 1;
-    return slower * state.promptRate(smallest).msPerToken();
+    const double slowdown = service ? service->priceRatio(modelName(), smallest) : 1;
+    return slowdown * state.promptRate(smallest).msPerToken();
 }
 
 template <flow_environment Env>
@@ -113,12 +113,12 @@
         if (settled)
             return settled;
     }
-    std::vector<endpoint_ptr> alike;
+    std::vector<endpoint_ptr> sameVersion;
     for (const endpoint_ptr &endpoint : usable) {
         if (endpoint->record().softwareVersion == m_streamVersion)
-            alike.push_back(endpoint);
+            sameVersion.push_back(endpoint);
     }
-    return pickAmong(alike);
+    return pickAmong(sameVersion);
 }
 
 template <flow_environment Env>
@@ -215,9 +215,9 @@
     const routing_state &state = m_env.routing();
     std::vector<endpoint_ptr> within;
     for (const endpoint_ptr &endpoint : endpoints) {
-        const std::string &place = endpoint->record().dataCentre;
-        const bool mayServe = state.liesIn(place, m_route->homeRegions)
-                && (!m_customer || state.liesIn(place, m_customer->homeRegions));
+        const std::string &dataCentre = endpoint->record().dataCentre;
+        const bool mayServe = state.liesIn(dataCentre, m_route->homeRegions)
+                && (!m_customer || state.liesIn(dataCentre, m_customer->homeRegions));
         if (mayServe)
             within.push_back(endpoint);
     }
@@ -266,8 +266,8 @@
     const std::vector<std::size_t> sample = sampleCandidates(items, promptHash, draw);
     const std::optional<endpoint_pick> pick = pickFrom(sample);
     const bool isAnyExcluded = m_excludedRateLimited || m_excludedInBackoff;
-    const bool looksFurther = !pick && isAnyExcluded && sample.size() < endpoints.size();
-    return looksFurther ? pickFrom(availableEndpoints(endpoints, draw)) : pick;
+    const bool searchesAll = !pick && isAnyExcluded && sample.size() < endpoints.size();
+    return searchesAll ? pickFrom(availableEndpoints(endpoints, draw)) : pick;
 }
 
 template <flow_environment Env>
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -228,8 +228,8 @@
 bool request_flow<Env>::waitForTrial()
 {
     const suspicion own = ownSuspicion();
-    const bool hasMetAnEnd = own == suspicion::weak && m_mayHaveRun;
-    if (own != suspicion::strong && !hasMetAnEnd)
+    const bool mayHaveEndedEndpoint = own == suspicion::weak && m_mayHaveRun;
+    if (own != suspicion::strong && !mayHaveEndedEndpoint)
         return false;
     // Wait while an identical request is on trial: its outcome shows within the time of an answer
     // whether the request crashes endpoints. Then all waiting requests proceed or all are refused.
