--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -68,7 +68,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::cutBatch(milliseconds trueTime)
 {
-    m_meter.cut(m_settings.windows.at(trueTime - answerWait));
+    m_meter.sealBatch(m_settings.windows.at(trueTime - answerWait));
     const std::int64_t givenUp = m_meter.takeGivenUp();
     if (givenUp <= 0)
         return;
--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -31,7 +31,7 @@
 
     /// Puts what is new into a batch. \param closedBefore windows before it are over here.
     /// \returns true when there is a new batch.
-    bool cut(window_number closedBefore);
+    bool sealBatch(window_number closedBefore);
 
     /// Batches up to \p number are in a row.
     void acknowledged(std::uint64_t number);
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -19,7 +19,7 @@
         it->second += number;
 }
 
-bool usage_meter::cut(window_number closedBefore)
+bool usage_meter::sealBatch(window_number closedBefore)
 {
     giveUpBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
     const bool hasNews = !m_new.empty() || closedBefore > m_closedBefore;
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -20,12 +20,12 @@
 TEST_CASE("a batch is kept as it is until it is acknowledged")
 {
     usage_meter meter;
-    CHECK_FALSE(meter.cut(0));
+    CHECK_FALSE(meter.sealBatch(0));
     meter.count("a", 7, 1);
     meter.count("a", 7, 1);
-    REQUIRE(meter.cut(7));
+    REQUIRE(meter.sealBatch(7));
     meter.count("a", 7, 1);
-    REQUIRE(meter.cut(8));
+    REQUIRE(meter.sealBatch(8));
     REQUIRE(meter.unacknowledged().size() == 2);
     CHECK(meter.unacknowledged()[0] == usage_batch{1, 7, {{7, {{"a", 2}}}}});
     CHECK(meter.unacknowledged()[1] == usage_batch{2, 8, {{7, {{"a", 1}}}}});
@@ -41,8 +41,8 @@
     usage_meter meter;
     for (std::size_t i = 0; i < usage_meter::mostCounts + 1; ++i)
         meter.count("customer-" + std::to_string(i), 7, 1);
-    REQUIRE(meter.cut(8));
-    REQUIRE(meter.cut(8));
+    REQUIRE(meter.sealBatch(8));
+    REQUIRE(meter.sealBatch(8));
     CHECK(meter.unacknowledged()[0].closedBefore < 8);
     CHECK(meter.unacknowledged()[1].closedBefore == 8);
 }
@@ -52,7 +52,7 @@
     usage_meter meter;
     for (window_number window = 100; window < 200; ++window) {
         meter.count("a", window, 1);
-        meter.cut(window);
+        meter.sealBatch(window);
     }
     CHECK(meter.unacknowledged().size() == usage_meter::mostUnacknowledged);
     CHECK(meter.takeGivenUp() > 50);
