--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -34,7 +34,7 @@
     bool sealBatch(window_number closedBefore);
 
     /// Batches up to \p number are in a row.
-    void acknowledged(std::uint64_t number);
+    void acknowledge(std::uint64_t number);
 
     const std::deque<usage_batch> &unacknowledged() const { return m_unacknowledged; }
 
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -46,7 +46,7 @@
     return m_new.empty();
 }
 
-void usage_meter::acknowledged(std::uint64_t number)
+void usage_meter::acknowledge(std::uint64_t number)
 {
     while (!m_unacknowledged.empty() && m_unacknowledged.front().number <= number) {
         m_lastAcknowledged = m_unacknowledged.front().number;
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -29,10 +29,10 @@
     REQUIRE(meter.unacknowledged().size() == 2);
     CHECK(meter.unacknowledged()[0] == usage_batch{1, 7, {{7, {{"a", 2}}}}});
     CHECK(meter.unacknowledged()[1] == usage_batch{2, 8, {{7, {{"a", 1}}}}});
-    meter.acknowledged(1);
+    meter.acknowledge(1);
     CHECK(meter.lastAcknowledged() == 1);
     CHECK_FALSE(meter.isSettled());
-    meter.acknowledged(2);
+    meter.acknowledge(2);
     CHECK(meter.isSettled());
 }
 
