--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -406,7 +406,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::checkFinished(time_point latest, std::function<void()> done)
 {
-    const bool isSettled = m_waiting.empty() && m_meter.isSettled() && !isHolder();
+    const bool isSettled = m_waiting.empty() && m_meter.isFullyAcknowledged() && !isHolder();
     if (isSettled || now() >= latest) {
         done();
         return;
--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -42,7 +42,7 @@
     std::uint64_t lastAcknowledged() const { return m_lastAcknowledged; }
 
     /// \returns true when all that was counted is in a row.
-    bool isSettled() const { return m_new.empty() && m_unacknowledged.empty(); }
+    bool isFullyAcknowledged() const { return m_new.empty() && m_unacknowledged.empty(); }
 
     /// \returns requests that were given up since the last call, as too old to be told.
     std::int64_t takeGivenUp();
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -31,9 +31,9 @@
     CHECK(meter.unacknowledged()[1] == usage_batch{2, 8, {{7, {{"a", 1}}}}});
     meter.acknowledge(1);
     CHECK(meter.lastAcknowledged() == 1);
-    CHECK_FALSE(meter.isSettled());
+    CHECK_FALSE(meter.isFullyAcknowledged());
     meter.acknowledge(2);
-    CHECK(meter.isSettled());
+    CHECK(meter.isFullyAcknowledged());
 }
 
 TEST_CASE("a window is closed with the batch that has the last of its counts")
