--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -69,7 +69,7 @@
 void usage_duty<Env>::cutBatch(milliseconds trueTime)
 {
     m_meter.sealBatch(m_settings.windows.at(trueTime - answerWait));
-    const std::int64_t givenUp = m_meter.takeGivenUp();
+    const std::int64_t givenUp = m_meter.takeDroppedCount();
     if (givenUp <= 0)
         return;
     m_metrics.add("usage_requests_late_total", static_cast<double>(givenUp));
--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -45,7 +45,7 @@
     bool isFullyAcknowledged() const { return m_new.empty() && m_unacknowledged.empty(); }
 
     /// \returns requests that were given up since the last call, as too old to be told.
-    std::int64_t takeGivenUp();
+    std::int64_t takeDroppedCount();
 
 private:
     void giveUpBefore(window_number window);
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -63,7 +63,7 @@
     }
 }
 
-std::int64_t usage_meter::takeGivenUp()
+std::int64_t usage_meter::takeDroppedCount()
 {
     return std::exchange(m_givenUp, 0);
 }
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -55,8 +55,8 @@
         meter.sealBatch(window);
     }
     CHECK(meter.unacknowledged().size() == usage_meter::mostUnacknowledged);
-    CHECK(meter.takeGivenUp() > 50);
-    CHECK(meter.takeGivenUp() == 0);
+    CHECK(meter.takeDroppedCount() > 50);
+    CHECK(meter.takeDroppedCount() == 0);
 }
 
 TEST_CASE("a batch counts once, in order, whatever comes twice")
