--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -48,7 +48,7 @@
     std::int64_t takeDroppedCount();
 
 private:
-    void giveUpBefore(window_number window);
+    void dropBefore(window_number window);
     /// Moves counts of \c m_new to \p batch. \returns true when none is left.
     bool fill(usage_batch &batch);
 
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -21,7 +21,7 @@
 
 bool usage_meter::sealBatch(window_number closedBefore)
 {
-    giveUpBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
+    dropBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
     const bool hasNews = !m_new.empty() || closedBefore > m_closedBefore;
     if (!hasNews || m_unacknowledged.size() >= mostUnacknowledged)
         return false;
@@ -54,7 +54,7 @@
     }
 }
 
-void usage_meter::giveUpBefore(window_number window)
+void usage_meter::dropBefore(window_number window)
 {
     while (!m_new.empty() && m_new.begin()->first < window) {
         for (const auto &[customer, count] : m_new.begin()->second)
