--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -57,7 +57,7 @@
     std::uint64_t m_lastNumber = 0;
     std::uint64_t m_lastAcknowledged = 0;
     window_number m_closedBefore = 0; ///< as told last
-    std::int64_t m_givenUp = 0;
+    std::int64_t m_droppedCount = 0;
 };
 
 } // namespace laurelcroft
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -58,12 +58,12 @@
 {
     while (!m_new.empty() && m_new.begin()->first < window) {
         for (const auto &[customer, count] : m_new.begin()->second)
-            m_givenUp += count;
+            m_droppedCount += count;
         m_new.erase(m_new.begin());
     }
 }
 
 std::int64_t usage_meter::takeDroppedCount()
 {
-    return std::exchange(m_givenUp, 0);
+    return std::exchange(m_droppedCount, 0);
 }
