--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -42,17 +42,17 @@
     std::uint64_t lastAcknowledged() const { return m_lastAcknowledged; }
 
     /// \returns true when all that was counted is in a row.
-    bool isFullyAcknowledged() const { return m_new.empty() && m_unacknowledged.empty(); }
+    bool isFullyAcknowledged() const { return m_pending.empty() && m_unacknowledged.empty(); }
 
     /// \returns requests that were given up since the last call, as too old to be told.
     std::int64_t takeDroppedCount();
 
 private:
     void dropBefore(window_number window);
-    /// Moves counts of \c m_new to \p batch. \returns true when none is left.
+    /// Moves counts of \c m_pending to \p batch. \returns true when none is left.
     bool fill(usage_batch &batch);
 
-    window_counts m_new;
+    window_counts m_pending;
     std::deque<usage_batch> m_unacknowledged;
     std::uint64_t m_lastNumber = 0;
     std::uint64_t m_lastAcknowledged = 0;
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -11,7 +11,7 @@
 
 void usage_meter::count(std::string_view customer, window_number window, std::int64_t number)
 {
-    customer_counts &counts = m_new[window];
+    customer_counts &counts = m_pending[window];
     const auto it = counts.find(customer);
     if (it == counts.end())
         counts.emplace(customer, number);
@@ -22,7 +22,7 @@
 bool usage_meter::sealBatch(window_number closedBefore)
 {
     dropBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
-    const bool hasNews = !m_new.empty() || closedBefore > m_closedBefore;
+    const bool hasNews = !m_pending.empty() || closedBefore > m_closedBefore;
     if (!hasNews || m_unacknowledged.size() >= mostUnacknowledged)
         return false;
     usage_batch batch;
@@ -36,14 +36,14 @@
 
 bool usage_meter::fill(usage_batch &batch)
 {
-    for (std::size_t room = mostCounts; room > 0 && !m_new.empty(); --room) {
-        const auto window = m_new.begin();
+    for (std::size_t room = mostCounts; room > 0 && !m_pending.empty(); --room) {
+        const auto window = m_pending.begin();
         const auto count = window->second.begin();
         batch.counts[window->first].insert(window->second.extract(count));
         if (window->second.empty())
-            m_new.erase(window);
+            m_pending.erase(window);
     }
-    return m_new.empty();
+    return m_pending.empty();
 }
 
 void usage_meter::acknowledge(std::uint64_t number)
@@ -56,10 +56,10 @@
 
 void usage_meter::dropBefore(window_number window)
 {
-    while (!m_new.empty() && m_new.begin()->first < window) {
-        for (const auto &[customer, count] : m_new.begin()->second)
+    while (!m_pending.empty() && m_pending.begin()->first < window) {
+        for (const auto &[customer, count] : m_pending.begin()->second)
             m_droppedCount += count;
-        m_new.erase(m_new.begin());
+        m_pending.erase(m_pending.begin());
     }
 }
 
