--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -54,7 +54,7 @@
 
     window_counts m_pending;
     std::deque<usage_batch> m_unacknowledged;
-    std::uint64_t m_lastNumber = 0;
+    std::uint64_t m_lastBatchNumber = 0;
     std::uint64_t m_lastAcknowledged = 0;
     window_number m_closedBefore = 0; ///< as told last
     std::int64_t m_droppedCount = 0;
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -26,7 +26,7 @@
     if (!hasNews || m_unacknowledged.size() >= mostUnacknowledged)
         return false;
     usage_batch batch;
-    batch.number = ++m_lastNumber;
+    batch.number = ++m_lastBatchNumber;
     if (fill(batch))
         m_closedBefore = closedBefore;
     batch.closedBefore = m_closedBefore;
