--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -23,7 +23,7 @@
 {
     dropBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
     const bool hasNews = !m_pending.empty() || closedBefore > m_closedBefore;
-    if (!hasNews || m_unacknowledged.size() >= mostUnacknowledged)
+    if (!hasNews || m_unacknowledged.size() >= maxUnacknowledged)
         return false;
     usage_batch batch;
     batch.number = ++m_lastBatchNumber;
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -54,7 +54,7 @@
         meter.count("a", window, 1);
         meter.sealBatch(window);
     }
-    CHECK(meter.unacknowledged().size() == usage_meter::mostUnacknowledged);
+    CHECK(meter.unacknowledged().size() == usage_meter::maxUnacknowledged);
     CHECK(meter.takeDroppedCount() > 50);
     CHECK(meter.takeDroppedCount() == 0);
 }
