--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -22,7 +22,7 @@
     /// Batches that wait at most; what is counted meanwhile goes into the next one.
     static constexpr std::size_t maxUnacknowledged = 8;
     /// Counts of a batch at most: it fits into a datagram.
-    static constexpr std::size_t mostCounts = 48;
+    static constexpr std::size_t maxCountsPerBatch = 48;
     /// Windows for which counts are kept: by then nobody may tell them any more.
     static constexpr window_number mostWindows = 12;
 
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -36,7 +36,7 @@
 
 bool usage_meter::fill(usage_batch &batch)
 {
-    for (std::size_t room = mostCounts; room > 0 && !m_pending.empty(); --room) {
+    for (std::size_t room = maxCountsPerBatch; room > 0 && !m_pending.empty(); --room) {
         const auto window = m_pending.begin();
         const auto count = window->second.begin();
         batch.counts[window->first].insert(window->second.extract(count));
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -39,7 +39,7 @@
 TEST_CASE("a window is closed with the batch that has the last of its counts")
 {
     usage_meter meter;
-    for (std::size_t i = 0; i < usage_meter::mostCounts + 1; ++i)
+    for (std::size_t i = 0; i < usage_meter::maxCountsPerBatch + 1; ++i)
         meter.count("customer-" + std::to_string(i), 7, 1);
     REQUIRE(meter.sealBatch(8));
     REQUIRE(meter.sealBatch(8));
