--- a/include/laurelcroft/Usage/UsageMeter.h
+++ b/include/laurelcroft/Usage/UsageMeter.h
@@ -24,7 +24,7 @@
     /// Counts of a batch at most: it fits into a datagram.
     static constexpr std::size_t maxCountsPerBatch = 48;
     /// Windows for which counts are kept: by then nobody may tell them any more.
-    static constexpr window_number mostWindows = 12;
+    static constexpr window_number maxWindows = 12;
 
     /// Adds \p number to the requests of \p customer that began to run in \p window.
     void count(std::string_view customer, window_number window, std::int64_t number);
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -21,7 +21,7 @@
 
 bool usage_meter::sealBatch(window_number closedBefore)
 {
-    dropBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
+    dropBefore(closedBefore > maxWindows ? closedBefore - maxWindows : 0);
     const bool hasNews = !m_pending.empty() || closedBefore > m_closedBefore;
     if (!hasNews || m_unacknowledged.size() >= maxUnacknowledged)
         return false;
