--- a/include/laurelcroft/Usage/UsageCounts.h
+++ b/include/laurelcroft/Usage/UsageCounts.h
@@ -31,7 +31,7 @@
     milliseconds length{5000};
 
     /// \param trueTime since the start of 1970.
-    window_number at(milliseconds trueTime) const
+    window_number windowAt(milliseconds trueTime) const
     {
         return static_cast<window_number>(trueTime / length);
     }
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -60,7 +60,7 @@
 {
     for (const waiting_count &item : m_waiting) {
         const auto ago = std::chrono::duration_cast<milliseconds>(now() - item.at);
-        m_meter.count(item.customer, m_settings.windows.at(trueTime - ago), item.number);
+        m_meter.count(item.customer, m_settings.windows.windowAt(trueTime - ago), item.number);
     }
     m_waiting.clear();
 }
@@ -68,7 +68,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::cutBatch(milliseconds trueTime)
 {
-    m_meter.sealBatch(m_settings.windows.at(trueTime - answerWait));
+    m_meter.sealBatch(m_settings.windows.windowAt(trueTime - answerWait));
     const std::int64_t givenUp = m_meter.takeDroppedCount();
     if (givenUp <= 0)
         return;
@@ -295,7 +295,7 @@
     const std::optional<milliseconds> trueTime = m_env.trueTime();
     if (!trueTime)
         return;
-    const window_number current = m_settings.windows.at(*trueTime);
+    const window_number current = m_settings.windows.windowAt(*trueTime);
     if (version == 0)
         row.ledger = usage_ledger(current - 1);
     const std::size_t givenUp
--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -113,7 +113,7 @@
         world.pass(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
         for (usage_machine *machine : world.all())
             world.kill(*machine);
-        const window_number window = usage_world::windows.at(world.trueTime());
+        const window_number window = usage_world::windows.windowAt(world.trueTime());
         world.pass(seconds(25), 20);
         CHECK(world.faults() == std::vector<std::string>());
         CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -233,7 +233,7 @@
                 continue;
             const std::string customer = "customer-" + std::to_string(random.bits() % 24);
             duties.at(machine.name)->count(customer, runtime.now(), 1);
-            ++truth[windows.at(trueTime())][customer];
+            ++truth[windows.windowAt(trueTime())][customer];
         }
     }
 }
