--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -77,7 +77,7 @@
 {
     const usage_process process{notice.entry, notice.life};
     const std::optional<usage_progress> before = m_row.ledger.progressOf(process);
-    const std::int64_t late = m_row.ledger.count(notice);
+    const std::int64_t late = m_row.ledger.applyNotice(notice);
     const bool isNews = m_row.ledger.progressOf(process) != before;
     m_hasNews = m_hasNews || isNews;
     const auto saved = m_savedProgress.find(process);
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -59,7 +59,7 @@
 
     /// Counts the batches of \p notice that follow those counted before.
     /// \returns requests of windows that are decided already; they are not counted.
-    std::int64_t count(const usage_notice &notice);
+    std::int64_t applyNotice(const usage_notice &notice);
 
     /// \returns how far \p process has told its counts; nothing if it never has.
     std::optional<usage_progress> progressOf(const usage_process &process) const;
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-std::int64_t usage_ledger::count(const usage_notice &notice)
+std::int64_t usage_ledger::applyNotice(const usage_notice &notice)
 {
     const usage_process process{notice.entry, notice.life};
     // What an unknown process has in a row was counted by a holder before, and forgotten since.
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -64,15 +64,15 @@
     usage_ledger ledger(7);
     const usage_batch first{1, 7, {{7, {{"a", 2}}}}};
     const usage_batch second{2, 8, {{7, {{"a", 1}, {"b", 5}}}}};
-    ledger.count({"e", 1, 0, {second}});
+    ledger.applyNotice({"e", 1, 0, {second}});
     CHECK(ledger.openCounts(7).empty());
-    ledger.count({"e", 1, 0, {first, second}});
-    ledger.count({"e", 1, 0, {first, second}});
+    ledger.applyNotice({"e", 1, 0, {first, second}});
+    ledger.applyNotice({"e", 1, 0, {first, second}});
     CHECK(ledger.openCounts(7) == customer_counts{{"a", 3}, {"b", 5}});
     CHECK(ledger.openFor(7, std::vector<std::string>{"e"}).empty());
     CHECK(ledger.openFor(7, std::vector<std::string>{"e", "f"}).size() == 1);
     ledger.decideNext();
-    CHECK(ledger.count({"f", 1, 0, {first}}) == 2);
+    CHECK(ledger.applyNotice({"f", 1, 0, {first}}) == 2);
     REQUIRE(ledger.oldestUntold());
     CHECK(ledger.oldestUntold()->counts == customer_counts{{"a", 3}, {"b", 5}});
 }
@@ -80,9 +80,9 @@
 TEST_CASE("a process that restarted closes what its earlier life left open")
 {
     usage_ledger ledger(7);
-    ledger.count({"e", 1, 0, {{1, 7, {}}}});
+    ledger.applyNotice({"e", 1, 0, {{1, 7, {}}}});
     CHECK(ledger.openFor(7, {}).size() == 1);
-    ledger.count({"e", 2, 0, {{1, 8, {}}}});
+    ledger.applyNotice({"e", 2, 0, {{1, 8, {}}}});
     CHECK(ledger.openFor(7, {}).empty());
 }
 
@@ -100,7 +100,7 @@
     row.lease = {"e", 3, 9, milliseconds(5), {{"f", milliseconds(4)}}};
     row.save = 12;
     row.ledger = usage_ledger(7);
-    row.ledger.count({"e", 3, 0, {{1, 8, {{7, {{"a", 2}}}, {8, {{"b", 1}}}}}}});
+    row.ledger.applyNotice({"e", 3, 0, {{1, 8, {{7, {{"a", 2}}}, {8, {{"b", 1}}}}}}});
     row.ledger.decideNext();
     const outcome<usage_row, std::string> back = decodeUsageRow(encodeUsageRow(row));
     REQUIRE(back);
