--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -92,7 +92,7 @@
     friend std::string encodeUsageRow(const struct usage_row &row);
     friend outcome<struct usage_row, std::string> decodeUsageRow(const std::string &value);
 
-    std::int64_t countBatch(const usage_batch &batch);
+    std::int64_t applyBatch(const usage_batch &batch);
     void forgetSilent();
 
     window_number m_decidedBefore;
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -31,12 +31,12 @@
             continue;
         it->second.counted = batch.number;
         it->second.closedBefore = std::max(it->second.closedBefore, batch.closedBefore);
-        late += countBatch(batch);
+        late += applyBatch(batch);
     }
     return late;
 }
 
-std::int64_t usage_ledger::countBatch(const usage_batch &batch)
+std::int64_t usage_ledger::applyBatch(const usage_batch &batch)
 {
     std::int64_t late = 0;
     for (const auto &[window, counts] : batch.counts) {
