--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -222,7 +222,7 @@
         if (since + usage_ledger::waitedWindows >= window)
             names.push_back(name);
     }
-    return m_row.ledger.openFor(window, names);
+    return m_row.ledger.incompleteEntries(window, names);
 }
 
 template <usage_environment Env>
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -70,8 +70,8 @@
 
     /// \returns entries of \p names and of those heard of whose counts of \p window may lack some
     /// that are worth waiting for.
-    std::vector<std::string> openFor(window_number window,
-                                     std::span<const std::string> names) const;
+    std::vector<std::string> incompleteEntries(window_number window,
+                                               std::span<const std::string> names) const;
 
     /// Makes the counts of the first window that is not decided final.
     void decideNext();
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -59,8 +59,8 @@
     return it->second;
 }
 
-std::vector<std::string> usage_ledger::openFor(window_number window,
-                                               std::span<const std::string> names) const
+std::vector<std::string> usage_ledger::incompleteEntries(window_number window,
+                                                         std::span<const std::string> names) const
 {
     // In the order of lives: an earlier process of an entry has ended.
     std::map<std::string, bool> isClosed;
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -69,8 +69,8 @@
     ledger.applyNotice({"e", 1, 0, {first, second}});
     ledger.applyNotice({"e", 1, 0, {first, second}});
     CHECK(ledger.openCounts(7) == customer_counts{{"a", 3}, {"b", 5}});
-    CHECK(ledger.openFor(7, std::vector<std::string>{"e"}).empty());
-    CHECK(ledger.openFor(7, std::vector<std::string>{"e", "f"}).size() == 1);
+    CHECK(ledger.incompleteEntries(7, std::vector<std::string>{"e"}).empty());
+    CHECK(ledger.incompleteEntries(7, std::vector<std::string>{"e", "f"}).size() == 1);
     ledger.decideNext();
     CHECK(ledger.applyNotice({"f", 1, 0, {first}}) == 2);
     REQUIRE(ledger.oldestUntold());
@@ -81,9 +81,9 @@
 {
     usage_ledger ledger(7);
     ledger.applyNotice({"e", 1, 0, {{1, 7, {}}}});
-    CHECK(ledger.openFor(7, {}).size() == 1);
+    CHECK(ledger.incompleteEntries(7, {}).size() == 1);
     ledger.applyNotice({"e", 2, 0, {{1, 8, {}}}});
-    CHECK(ledger.openFor(7, {}).empty());
+    CHECK(ledger.incompleteEntries(7, {}).empty());
 }
 
 TEST_CASE("windows that nobody had in time are given up")
