--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -298,7 +298,7 @@
 {
     if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holds(reportMargin))
         return;
-    const std::optional<decided_window> next = m_row.ledger.oldestUntold();
+    const std::optional<decided_window> next = m_row.ledger.oldestUnreported();
     // A decision that no row has yet may be made otherwise by a successor.
     if (!next || next->window >= m_savedDecidedBefore)
         return;
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -77,7 +77,7 @@
     void decideNext();
 
     /// \returns the oldest decided window that was not told.
-    std::optional<decided_window> oldestUntold() const;
+    std::optional<decided_window> oldestUnreported() const;
     void told(window_number window) { m_decided.erase(window); }
 
     /// Drops untold windows before \p window. \returns how many.
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -97,7 +97,7 @@
     });
 }
 
-std::optional<decided_window> usage_ledger::oldestUntold() const
+std::optional<decided_window> usage_ledger::oldestUnreported() const
 {
     if (m_decided.empty())
         return std::nullopt;
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -73,8 +73,8 @@
     CHECK(ledger.incompleteEntries(7, std::vector<std::string>{"e", "f"}).size() == 1);
     ledger.decideNext();
     CHECK(ledger.applyNotice({"f", 1, 0, {first}}) == 2);
-    REQUIRE(ledger.oldestUntold());
-    CHECK(ledger.oldestUntold()->counts == customer_counts{{"a", 3}, {"b", 5}});
+    REQUIRE(ledger.oldestUnreported());
+    CHECK(ledger.oldestUnreported()->counts == customer_counts{{"a", 3}, {"b", 5}});
 }
 
 TEST_CASE("a process that restarted closes what its earlier life left open")
