--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -326,7 +326,7 @@
     }
     logInfo(log_part::ledger, "usage window told",
             {{"window", std::int64_t(window)}, {"token", std::int64_t(m_row.lease.token)}});
-    m_row.ledger.told(window);
+    m_row.ledger.markReported(window);
     m_hasNews = true;
 }
 
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -78,7 +78,7 @@
 
     /// \returns the oldest decided window that was not told.
     std::optional<decided_window> oldestUnreported() const;
-    void told(window_number window) { m_decided.erase(window); }
+    void markReported(window_number window) { m_decided.erase(window); }
 
     /// Drops untold windows before \p window. \returns how many.
     std::size_t giveUpBefore(window_number window);
