--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -299,7 +299,7 @@
     if (version == 0)
         row.ledger = usage_ledger(current - 1);
     const std::size_t givenUp
-            = row.ledger.giveUpBefore(current - std::min(current, usage_meter::maxWindows));
+            = row.ledger.dropBefore(current - std::min(current, usage_meter::maxWindows));
     if (givenUp > 0) {
         m_metrics.add("usage_windows_total{result=\"given_up\"}", givenUp);
         logWarning(log_part::ledger, "usage windows given up, nobody had the duty in time",
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -81,7 +81,7 @@
     void markReported(window_number window) { m_decided.erase(window); }
 
     /// Drops untold windows before \p window. \returns how many.
-    std::size_t giveUpBefore(window_number window);
+    std::size_t dropBefore(window_number window);
 
     /// \returns counts of a window that is not decided.
     customer_counts openCounts(window_number window) const;
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -104,7 +104,7 @@
     return decided_window{m_decided.begin()->first, m_decided.begin()->second};
 }
 
-std::size_t usage_ledger::giveUpBefore(window_number window)
+std::size_t usage_ledger::dropBefore(window_number window)
 {
     const std::size_t before = m_decided.size();
     m_decided.erase(m_decided.begin(), m_decided.lower_bound(window));
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -89,9 +89,9 @@
 TEST_CASE("windows that nobody had in time are given up")
 {
     usage_ledger ledger(7);
-    CHECK(ledger.giveUpBefore(20) == 13);
+    CHECK(ledger.dropBefore(20) == 13);
     CHECK(ledger.decidedBefore() == 20);
-    CHECK(ledger.giveUpBefore(20) == 0);
+    CHECK(ledger.dropBefore(20) == 0);
 }
 
 TEST_CASE("the row of the duty comes back as it was written")
