--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -219,7 +219,7 @@
     // An entry's row outlives it by minutes: who was never heard is not waited for again and again.
     std::vector<std::string> names;
     for (const auto &[name, since] : m_knownSince) {
-        if (since + usage_ledger::waitedWindows >= window)
+        if (since + usage_ledger::maxAwaitedLag >= window)
             names.push_back(name);
     }
     return m_row.ledger.incompleteEntries(window, names);
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -47,7 +47,7 @@
 public:
     /// A process that is this many windows behind is not waited for any more: it has ended, or it
     /// will be back too late for all that it had.
-    static constexpr window_number waitedWindows = 2;
+    static constexpr window_number maxAwaitedLag = 2;
     /// One that is this many behind is forgotten.
     static constexpr window_number silentWindows = 4;
 
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -68,7 +68,7 @@
         isClosed[name] = false;
     for (const auto &[process, progress] : m_progress) {
         const bool isTold = progress.closedBefore > window;
-        const bool isSilent = progress.closedBefore + waitedWindows < window;
+        const bool isSilent = progress.closedBefore + maxAwaitedLag < window;
         isClosed[process.first] = isTold || isSilent;
     }
     std::vector<std::string> open;
