--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -49,7 +49,7 @@
     /// will be back too late for all that it had.
     static constexpr window_number maxAwaitedLag = 2;
     /// One that is this many behind is forgotten.
-    static constexpr window_number silentWindows = 4;
+    static constexpr window_number maxTrackedLag = 4;
 
     /// \param first window that is decided.
     explicit usage_ledger(window_number first = 0)
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -93,7 +93,7 @@
 void usage_ledger::forgetSilent()
 {
     std::erase_if(m_progress, [this](const auto &item) {
-        return item.second.closedBefore + silentWindows < m_decidedBefore;
+        return item.second.closedBefore + maxTrackedLag < m_decidedBefore;
     });
 }
 
