--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -93,7 +93,7 @@
     friend outcome<struct usage_row, std::string> decodeUsageRow(const std::string &value);
 
     std::int64_t applyBatch(const usage_batch &batch);
-    void forgetSilent();
+    void removeSilentProcesses();
 
     window_number m_decidedBefore;
     window_counts m_open;
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -87,10 +87,10 @@
     m_decided[m_decidedBefore] = std::move(counts);
     m_open.erase(m_decidedBefore);
     ++m_decidedBefore;
-    forgetSilent();
+    removeSilentProcesses();
 }
 
-void usage_ledger::forgetSilent()
+void usage_ledger::removeSilentProcesses()
 {
     std::erase_if(m_progress, [this](const auto &item) {
         return item.second.closedBefore + maxTrackedLag < m_decidedBefore;
