--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -268,7 +268,7 @@
         m_holderName = lease.holder;
     }
     if (const auto progress = row.ledger.progressOf(process()))
-        m_meter.acknowledge(progress->counted);
+        m_meter.acknowledge(progress->lastCounted);
     const bool isOwn = lease.holder == m_settings.entry && lease.life == m_life;
     if (isOwn && !m_isRetired && lease.until > m_bounds.latest(now())) {
         // The answer to this process's own write was lost.
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -82,10 +82,10 @@
     m_hasNews = m_hasNews || isNews;
     const auto saved = m_savedProgress.find(process);
     const bool isLost = !isNews && saved != m_savedProgress.end() && !notice.batches.empty()
-            && notice.batches.back().number <= saved->second.counted;
+            && notice.batches.back().number <= saved->second.lastCounted;
     // The word that these are in the row has not come through.
     if (isLost)
-        acknowledge(process, saved->second.counted);
+        acknowledge(process, saved->second.lastCounted);
     if (late == 0)
         return;
     m_metrics.add("usage_requests_late_total",
@@ -159,8 +159,8 @@
             = std::exchange(m_savedProgress, saved.ledger.progress());
     for (const auto &[process, progress] : m_savedProgress) {
         const auto known = before.find(process);
-        if (known == before.end() || known->second.counted < progress.counted)
-            acknowledge(process, progress.counted);
+        if (known == before.end() || known->second.lastCounted < progress.lastCounted)
+            acknowledge(process, progress.lastCounted);
     }
     // A write that was begun before the duty was given back has the lease go on.
     if (!m_isReleasing || saved.lease.until > m_bounds.earliest(now()))
--- a/include/laurelcroft/Usage/UsageLedger.h
+++ b/include/laurelcroft/Usage/UsageLedger.h
@@ -28,7 +28,7 @@
 /// How far a process has told its counts.
 struct usage_progress
 {
-    std::uint64_t counted = 0; ///< number of the last batch
+    std::uint64_t lastCounted = 0; ///< number of the last batch
     window_number closedBefore = 0;
 
     bool operator==(const usage_progress &) const = default;
--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -24,12 +24,12 @@
     // What an unknown process has in a row was counted by a holder before, and forgotten since.
     const auto [it, isNew] = m_progress.try_emplace(process);
     if (isNew)
-        it->second.counted = notice.acknowledged;
+        it->second.lastCounted = notice.acknowledged;
     std::int64_t late = 0;
     for (const usage_batch &batch : notice.batches) {
-        if (batch.number != it->second.counted + 1)
+        if (batch.number != it->second.lastCounted + 1)
             continue;
-        it->second.counted = batch.number;
+        it->second.lastCounted = batch.number;
         it->second.closedBefore = std::max(it->second.closedBefore, batch.closedBefore);
         late += applyBatch(batch);
     }
@@ -187,7 +187,7 @@
     const usage_ledger &ledger = row.ledger;
     json progress = json::array();
     for (const auto &[process, item] : ledger.m_progress)
-        progress.push_back({process.first, process.second, item.counted, item.closedBefore});
+        progress.push_back({process.first, process.second, item.lastCounted, item.closedBefore});
     return json{{"lease", encodeLease(row.lease)},           {"save", row.save},
                 {"decided_before", ledger.m_decidedBefore},  {"open", encodeCounts(ledger.m_open)},
                 {"decided", encodeCounts(ledger.m_decided)}, {"processes", std::move(progress)}}
