--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::string_view entryPrefix = "entry/";
+constexpr std::string_view entryKeyPrefix = "entry/";
 
 } // namespace
 
@@ -126,12 +126,12 @@
 
 std::string laurelcroft::usageEntryKey(std::string_view entry)
 {
-    return std::string(entryPrefix) + std::string(entry);
+    return std::string(entryKeyPrefix) + std::string(entry);
 }
 
 bool laurelcroft::isUsageEntryKey(std::string_view key)
 {
-    return key.starts_with(entryPrefix);
+    return key.starts_with(entryKeyPrefix);
 }
 
 static json encodeCounts(const window_counts &counts)
