--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -21,10 +21,10 @@
 constexpr std::string_view handoverKind = "usage-handover";
 
 /// A field is missing or of another type.
-class malformed : public std::runtime_error
+class malformed_message : public std::runtime_error
 {
 public:
-    malformed()
+    malformed_message()
         : std::runtime_error("usage message is malformed")
     {
     }
@@ -35,21 +35,21 @@
 static std::uint64_t numberIn(const json &item)
 {
     if (!item.is_number_unsigned())
-        throw malformed();
+        throw malformed_message();
     return item.get<std::uint64_t>();
 }
 
 static std::int64_t countIn(const json &item)
 {
     if (!item.is_number_integer())
-        throw malformed();
+        throw malformed_message();
     return item.get<std::int64_t>();
 }
 
 static std::string nameIn(const json &item)
 {
     if (!isName(item))
-        throw malformed();
+        throw malformed_message();
     return item.get<std::string>();
 }
 
@@ -112,7 +112,7 @@
     if (kind == ackKind)
         return usage_ack{entry, number, numberIn(item.at(3)), numberIn(item.at(4))};
     if (kind != noticeKind)
-        throw malformed();
+        throw malformed_message();
     usage_notice notice{entry, number, numberIn(item.at(3)), {}};
     for (std::size_t i = 4; i < item.size(); ++i)
         notice.batches.push_back(decodeBatch(item.at(i)));
@@ -133,7 +133,7 @@
         return std::nullopt;
     try {
         return decode(item);
-    } catch (const malformed &) {
+    } catch (const malformed_message &) {
         return std::nullopt;
     } catch (const json::exception &) {
         return std::nullopt;
