--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-static std::uint64_t numberIn(const json &item)
+static std::uint64_t decodeUnsigned(const json &item)
 {
     if (!item.is_number_unsigned())
         throw malformed_message();
@@ -69,7 +69,7 @@
 
 static void decodeWindow(const json &item, usage_batch &batch)
 {
-    customer_counts &counts = batch.counts[numberIn(item.at(0))];
+    customer_counts &counts = batch.counts[decodeUnsigned(item.at(0))];
     for (std::size_t i = 1; i < item.size(); i += 2)
         counts[nameIn(item.at(i))] = countIn(item.at(i + 1));
 }
@@ -77,8 +77,8 @@
 static usage_batch decodeBatch(const json &item)
 {
     usage_batch batch;
-    batch.number = numberIn(item.at(0));
-    batch.closedBefore = numberIn(item.at(1));
+    batch.number = decodeUnsigned(item.at(0));
+    batch.closedBefore = decodeUnsigned(item.at(1));
     for (std::size_t i = 2; i < item.size(); ++i)
         decodeWindow(item.at(i), batch);
     return batch;
@@ -106,14 +106,14 @@
 {
     const std::string kind = nameIn(item.at(0));
     const std::string entry = nameIn(item.at(1));
-    const std::uint64_t number = numberIn(item.at(2));
+    const std::uint64_t number = decodeUnsigned(item.at(2));
     if (kind == handoverKind)
         return usage_handover{entry, number};
     if (kind == ackKind)
-        return usage_ack{entry, number, numberIn(item.at(3)), numberIn(item.at(4))};
+        return usage_ack{entry, number, decodeUnsigned(item.at(3)), decodeUnsigned(item.at(4))};
     if (kind != noticeKind)
         throw malformed_message();
-    usage_notice notice{entry, number, numberIn(item.at(3)), {}};
+    usage_notice notice{entry, number, decodeUnsigned(item.at(3)), {}};
     for (std::size_t i = 4; i < item.size(); ++i)
         notice.batches.push_back(decodeBatch(item.at(i)));
     return notice;
