--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -39,7 +39,7 @@
     return item.get<std::uint64_t>();
 }
 
-static std::int64_t countIn(const json &item)
+static std::int64_t decodeSigned(const json &item)
 {
     if (!item.is_number_integer())
         throw malformed_message();
@@ -71,7 +71,7 @@
 {
     customer_counts &counts = batch.counts[decodeUnsigned(item.at(0))];
     for (std::size_t i = 1; i < item.size(); i += 2)
-        counts[nameIn(item.at(i))] = countIn(item.at(i + 1));
+        counts[nameIn(item.at(i))] = decodeSigned(item.at(i + 1));
 }
 
 static usage_batch decodeBatch(const json &item)
