--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -46,7 +46,7 @@
     return item.get<std::int64_t>();
 }
 
-static std::string nameIn(const json &item)
+static std::string decodeName(const json &item)
 {
     if (!isName(item))
         throw malformed_message();
@@ -71,7 +71,7 @@
 {
     customer_counts &counts = batch.counts[decodeUnsigned(item.at(0))];
     for (std::size_t i = 1; i < item.size(); i += 2)
-        counts[nameIn(item.at(i))] = decodeSigned(item.at(i + 1));
+        counts[decodeName(item.at(i))] = decodeSigned(item.at(i + 1));
 }
 
 static usage_batch decodeBatch(const json &item)
@@ -104,8 +104,8 @@
 
 static usage_message decode(const json &item)
 {
-    const std::string kind = nameIn(item.at(0));
-    const std::string entry = nameIn(item.at(1));
+    const std::string kind = decodeName(item.at(0));
+    const std::string entry = decodeName(item.at(1));
     const std::uint64_t number = decodeUnsigned(item.at(2));
     if (kind == handoverKind)
         return usage_handover{entry, number};
