--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -84,7 +84,7 @@
     return batch;
 }
 
-static json encoded(const usage_notice &notice)
+static json toJson(const usage_notice &notice)
 {
     json item = json::array({noticeKind, notice.entry, notice.life, notice.acknowledged});
     for (const usage_batch &batch : notice.batches)
@@ -92,12 +92,12 @@
     return item;
 }
 
-static json encoded(const usage_ack &ack)
+static json toJson(const usage_ack &ack)
 {
     return json::array({ackKind, ack.holder, ack.token, ack.life, ack.number});
 }
 
-static json encoded(const usage_handover &handover)
+static json toJson(const usage_handover &handover)
 {
     return json::array({handoverKind, handover.holder, handover.token});
 }
@@ -121,7 +121,7 @@
 
 std::string laurelcroft::encodeUsageMessage(const usage_message &message)
 {
-    return packed(std::visit([](const auto &item) { return encoded(item); }, message));
+    return packed(std::visit([](const auto &item) { return toJson(item); }, message));
 }
 
 std::optional<usage_message> laurelcroft::decodeUsageMessage(std::string_view bytes)
