--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -102,7 +102,7 @@
     return json::array({handoverKind, handover.holder, handover.token});
 }
 
-static usage_message decode(const json &item)
+static usage_message fromJson(const json &item)
 {
     const std::string kind = decodeName(item.at(0));
     const std::string entry = decodeName(item.at(1));
@@ -132,7 +132,7 @@
     if (!isMessage)
         return std::nullopt;
     try {
-        return decode(item);
+        return fromJson(item);
     } catch (const malformed_message &) {
         return std::nullopt;
     } catch (const json::exception &) {
