--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -154,14 +154,14 @@
         alone.batches = {batch};
         const std::size_t size = encodeUsageMessage(alone).size();
         if (!part.batches.empty() && bytes + size > mostNoticeBytes) {
-            m_env.tell(m_holderName, part);
+            m_env.send(m_holderName, part);
             part.batches.clear();
             bytes = 0;
         }
         part.batches.push_back(std::move(batch));
         bytes += size;
     }
-    m_env.tell(m_holderName, part);
+    m_env.send(m_holderName, part);
 }
 
 template <usage_environment Env>
--- a/include/laurelcroft/Usage/UsageEnvironment.h
+++ b/include/laurelcroft/Usage/UsageEnvironment.h
@@ -54,7 +54,7 @@
         env.trueTime()
         } -> std::same_as<std::optional<milliseconds>>;
     /// Sends a datagram to another entry.
-    env.tell(entry, message);
+    env.send(entry, message);
     /// Tells a window's usage. \c onTold gets true once it is taken, within \c reportTimeout.
     env.report(report, onTold);
 };
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -103,7 +103,7 @@
     if (process.first == m_settings.entry)
         m_onOwnAck(ack);
     else
-        m_env.tell(process.first, ack);
+        m_env.send(process.first, ack);
 }
 
 template <usage_environment Env>
@@ -170,7 +170,7 @@
     logInfo(log_part::ledger, "usage duty handed over",
             {{"token", std::int64_t(m_row.lease.token)}});
     for (std::size_t i = 0; i < std::min(toldOfHandover, m_others.size()); ++i)
-        m_env.tell(m_others[i], usage_handover{m_settings.entry, m_row.lease.token});
+        m_env.send(m_others[i], usage_handover{m_settings.entry, m_row.lease.token});
 }
 
 template <usage_environment Env>
@@ -338,17 +338,17 @@
     m_nextHeartbeatAt = now() + heartbeatEvery;
     const std::size_t successors = std::min(mostSuccessors, m_others.size());
     for (std::size_t i = 0; i < successors; ++i)
-        m_env.tell(m_others[i], lifeSign());
+        m_env.send(m_others[i], lifeSign());
     const std::size_t rest = m_others.size() - successors;
     for (std::size_t i = 0; i < std::min(mostSuccessors, rest); ++i)
-        m_env.tell(m_others[successors + m_nextOther++ % rest], lifeSign());
+        m_env.send(m_others[successors + m_nextOther++ % rest], lifeSign());
 }
 
 template <usage_environment Env>
 void usage_holder<Env>::announce()
 {
     for (const std::string &entry : m_others)
-        m_env.tell(entry, lifeSign());
+        m_env.send(entry, lifeSign());
 }
 
 template <usage_environment Env>
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -101,7 +101,7 @@
     return m_world->trueTime();
 }
 
-void process_surroundings::tell(const std::string &entry, const usage_message &message)
+void process_surroundings::send(const std::string &entry, const usage_message &message)
 {
     usage_world &world = *m_world;
     if (m_machine->isCut || world.random.chance(world.datagramLoss))
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -103,7 +103,7 @@
     process_runtime &runtime() { return *m_runtime; }
     process_store &store() { return *m_store; }
     std::optional<milliseconds> trueTime();
-    void tell(const std::string &entry, const usage_message &message);
+    void send(const std::string &entry, const usage_message &message);
     void report(const usage_report &report, std::function<void(bool)> done);
 
     usage_world *m_world;
