--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -30,7 +30,7 @@
 public:
     /// From one write to the next while counts come in. When all entries end at the same moment,
     /// what was counted since the last write is lost: a twentieth of a window of 5 s at most.
-    static constexpr milliseconds saveEvery{150};
+    static constexpr milliseconds saveInterval{150};
     /// A write that is not answered, and a report that is not taken, are tried again after this.
     static constexpr milliseconds retryPause{300};
     /// How much of the lease must be left when a report is sent: it is over, or given up, by then.
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -112,7 +112,7 @@
     m_isSaving = true;
     m_hasNews = false;
     m_savedAt = now();
-    m_nextSaveAt = m_savedAt + saveEvery;
+    m_nextSaveAt = m_savedAt + saveInterval;
     const milliseconds earliest = m_bounds.earliest(m_savedAt);
     ++m_row.save;
     m_row.lease.until = m_isReleasing ? earliest : earliest + m_settings.lease;
--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -40,7 +40,7 @@
     for (const taken_report &item : world.reports)
         CHECK(told.insert(item.report.window).second);
     // A lease, its token and one write for each save: no entry but the holder calls the store.
-    CHECK(world.store.writes < seconds(40) / usage_holder<process_surroundings>::saveEvery);
+    CHECK(world.store.writes < seconds(40) / usage_holder<process_surroundings>::saveInterval);
     CHECK(world.store.lists < 3 * entries);
 }
 
