--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -32,7 +32,7 @@
     /// what was counted since the last write is lost: a twentieth of a window of 5 s at most.
     static constexpr milliseconds saveInterval{150};
     /// A write that is not answered, and a report that is not taken, are tried again after this.
-    static constexpr milliseconds retryPause{300};
+    static constexpr milliseconds retryDelay{300};
     /// How much of the lease must be left when a report is sent: it is over, or given up, by then.
     static constexpr milliseconds reportMargin = reportTimeout + milliseconds(200);
     /// From a window's end until it is decided, at least: counts of its last requests come in.
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -137,7 +137,7 @@
     if (!result) {
         // It may take effect even later, if the row is as it was; the next write finds out.
         m_hasNews = true;
-        m_nextSaveAt = now() + retryPause;
+        m_nextSaveAt = now() + retryDelay;
         m_metrics.add("usage_saves_failed_total");
         return;
     }
@@ -318,7 +318,7 @@
     m_metrics.add(isTold ? "usage_windows_total{result=\"told\"}"
                          : "usage_windows_total{result=\"not_taken\"}");
     if (!isTold) {
-        m_nextReportAt = now() + retryPause;
+        m_nextReportAt = now() + retryDelay;
         m_reportsOverAt = now() + reportMargin;
         logWarning(log_part::ledger, "usage window not taken, trying again",
                    {{"window", std::int64_t(window)}});
