--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -38,7 +38,7 @@
     /// From a window's end until it is decided, at least: counts of its last requests come in.
     static constexpr milliseconds settleTime{1500};
     /// The part of the time until a window is due for which it waits for entries that are silent.
-    static constexpr double patiencePart = 0.6;
+    static constexpr double silentEntryWaitShare = 0.6;
     /// From the beginning of a tenure until it decides what others are silent of: they tell a new
     /// holder all that no row has yet.
     static constexpr milliseconds hearTime{800};
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -233,7 +233,8 @@
         return false;
     if (waitedFor(window).empty())
         return true;
-    const auto patience = std::chrono::duration_cast<milliseconds>(m_settings.due * patiencePart);
+    const auto patience
+            = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
     if (since >= patience - rowsBefore && m_rowsReadFor < window)
         readRows(window);
     return since >= patience && !m_isReadingRows && now() - m_gainedAt >= hearTime;
