--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -41,7 +41,7 @@
     static constexpr double silentEntryWaitShare = 0.6;
     /// From the beginning of a tenure until it decides what others are silent of: they tell a new
     /// holder all that no row has yet.
-    static constexpr milliseconds hearTime{800};
+    static constexpr milliseconds takeoverWait{800};
     /// Before the patience ends: silent entries' rows are read.
     static constexpr milliseconds rowsBefore{400};
     /// Entries that would follow, and hear at each heartbeat that the holder lives. As many others
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -237,7 +237,7 @@
             = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
     if (since >= patience - rowsBefore && m_rowsReadFor < window)
         readRows(window);
-    return since >= patience && !m_isReadingRows && now() - m_gainedAt >= hearTime;
+    return since >= patience && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
 }
 
 template <usage_environment Env>
