--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -43,7 +43,7 @@
     /// holder all that no row has yet.
     static constexpr milliseconds takeoverWait{800};
     /// Before the patience ends: silent entries' rows are read.
-    static constexpr milliseconds rowsBefore{400};
+    static constexpr milliseconds rowReadLead{400};
     /// Entries that would follow, and hear at each heartbeat that the holder lives. As many others
     /// hear it by turns, so that a new one finds the holder.
     static constexpr std::size_t mostSuccessors = 16;
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -235,7 +235,7 @@
         return true;
     const auto patience
             = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
-    if (since >= patience - rowsBefore && m_rowsReadFor < window)
+    if (since >= patience - rowReadLead && m_rowsReadFor < window)
         readRows(window);
     return since >= patience && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
 }
