--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -86,7 +86,7 @@
     usage_notice noticeFrom(std::size_t from) const;
     void onAck(const usage_ack &ack);
     void onHandover(const usage_handover &handover);
-    bool isSuccessor() const { return m_rank < holder::mostSuccessors; }
+    bool isSuccessor() const { return m_rank < holder::maxSuccessors; }
     void watch();
     void look();
     void onRows(outcome<row_batch, row_failure> result, time_point askedAt);
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -337,11 +337,11 @@
     if (now() < m_nextHeartbeatAt)
         return;
     m_nextHeartbeatAt = now() + heartbeatEvery;
-    const std::size_t successors = std::min(mostSuccessors, m_others.size());
+    const std::size_t successors = std::min(maxSuccessors, m_others.size());
     for (std::size_t i = 0; i < successors; ++i)
         m_env.send(m_others[i], lifeSign());
     const std::size_t rest = m_others.size() - successors;
-    for (std::size_t i = 0; i < std::min(mostSuccessors, rest); ++i)
+    for (std::size_t i = 0; i < std::min(maxSuccessors, rest); ++i)
         m_env.send(m_others[successors + m_nextOther++ % rest], lifeSign());
 }
 
