--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -47,7 +47,7 @@
     /// Entries that would follow, and hear at each heartbeat that the holder lives. As many others
     /// hear it by turns, so that a new one finds the holder.
     static constexpr std::size_t maxSuccessors = 16;
-    static constexpr milliseconds heartbeatEvery{1000};
+    static constexpr milliseconds heartbeatInterval{1000};
     /// Of the successors, how many hear of a handover.
     static constexpr std::size_t toldOfHandover = 3;
 
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -336,7 +336,7 @@
 {
     if (now() < m_nextHeartbeatAt)
         return;
-    m_nextHeartbeatAt = now() + heartbeatEvery;
+    m_nextHeartbeatAt = now() + heartbeatInterval;
     const std::size_t successors = std::min(maxSuccessors, m_others.size());
     for (std::size_t i = 0; i < successors; ++i)
         m_env.send(m_others[i], lifeSign());
