--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -49,7 +49,7 @@
     static constexpr std::size_t maxSuccessors = 16;
     static constexpr milliseconds heartbeatInterval{1000};
     /// Of the successors, how many hear of a handover.
-    static constexpr std::size_t toldOfHandover = 3;
+    static constexpr std::size_t maxHandoverRecipients = 3;
 
     /// \param row that was written, as \p version; \param bounds of the store's clock.
     /// \param onOwnAck takes what this process's own counts are told.
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -169,7 +169,7 @@
     m_metrics.add("usage_duty_total{event=\"handed_over\"}");
     logInfo(log_part::ledger, "usage duty handed over",
             {{"token", std::int64_t(m_row.lease.token)}});
-    for (std::size_t i = 0; i < std::min(toldOfHandover, m_others.size()); ++i)
+    for (std::size_t i = 0; i < std::min(maxHandoverRecipients, m_others.size()); ++i)
         m_env.send(m_others[i], usage_handover{m_settings.entry, m_row.lease.token});
 }
 
