--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -108,7 +108,7 @@
     if (m_holder && m_holder->isOver())
         m_holder = nullptr;
     if (m_holder) {
-        m_holder->take(noticeFrom(0));
+        m_holder->onNotice(noticeFrom(0));
         m_holder->tick();
     } else {
         tellHolder(m_meter.unacknowledged().size() > before);
@@ -169,7 +169,7 @@
 {
     if (const auto *notice = std::get_if<usage_notice>(&message)) {
         if (m_holder)
-            m_holder->take(*notice);
+            m_holder->onNotice(*notice);
     } else if (const auto *ack = std::get_if<usage_ack>(&message)) {
         onAck(*ack);
     } else {
--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -60,7 +60,7 @@
     /// Does what is due; to be called some times a second.
     void tick();
 
-    void take(const usage_notice &notice);
+    void onNotice(const usage_notice &notice);
 
     /// \param others entries that may follow, in the order in which they do.
     void setEntries(std::vector<std::string> others);
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -73,7 +73,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::take(const usage_notice &notice)
+void usage_holder<Env>::onNotice(const usage_notice &notice)
 {
     const usage_process process{notice.entry, notice.life};
     const std::optional<usage_progress> before = m_row.ledger.progressOf(process);
@@ -288,7 +288,7 @@
         const std::optional<usage_message> message = decodeUsageMessage(row.value);
         const auto *notice = message ? std::get_if<usage_notice>(&*message) : nullptr;
         if (notice)
-            take(*notice);
+            onNotice(*notice);
         else
             logWarning(log_part::ledger, "row of counts refused", {{"key", row.key}});
     }
