--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -344,7 +344,7 @@
                                         [this](const usage_ack &ack) { onAck(ack); });
     m_holder->setEntries(m_others);
     m_holder->announce();
-    m_holder->takeRows(rows);
+    m_holder->applyEntryRows(rows);
     if (m_isRetired)
         m_holder->release();
 }
--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -75,7 +75,7 @@
     void takenOver() { lose("another holder"); }
 
     /// Counts what entries have told in rows of their own.
-    void takeRows(const row_batch &rows);
+    void applyEntryRows(const row_batch &rows);
 
     const duty_lease &lease() const { return m_row.lease; }
     bool isOver() const { return m_isOver; }
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -275,12 +275,12 @@
                        {{"why", textOf(result.error())}});
             return;
         }
-        self->takeRows(result.value());
+        self->applyEntryRows(result.value());
     });
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::takeRows(const row_batch &rows)
+void usage_holder<Env>::applyEntryRows(const row_batch &rows)
 {
     for (const store_row &row : rows.rows) {
         if (!isUsageEntryKey(row.key))
