--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -183,7 +183,7 @@
     if (ack.token < m_token)
         return;
     if (m_holder && ack.holder != m_settings.entry && ack.token > m_holder->lease().token)
-        m_holder->takenOver();
+        m_holder->onTakenOver();
     if (ack.holder != m_holderName) {
         logInfo(log_part::ledger, "usage duty is elsewhere",
                 {{"holder", ack.holder}, {"token", std::int64_t(ack.token)}});
--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -72,7 +72,7 @@
     void release();
 
     /// Another entry says that it has the duty.
-    void takenOver() { lose("another holder"); }
+    void onTakenOver() { lose("another holder"); }
 
     /// Counts what entries have told in rows of their own.
     void applyEntryRows(const row_batch &rows);
