--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -343,7 +343,7 @@
     m_holder = std::make_shared<holder>(m_env, m_settings, m_metrics, row, version, m_bounds,
                                         [this](const usage_ack &ack) { onAck(ack); });
     m_holder->setEntries(m_others);
-    m_holder->announce();
+    m_holder->announceHolder();
     m_holder->applyEntryRows(rows);
     if (m_isRetired)
         m_holder->release();
--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -66,7 +66,7 @@
     void setEntries(std::vector<std::string> others);
 
     /// Tells all other entries who has the duty.
-    void announce();
+    void announceHolder();
 
     /// Gives the duty back, once no report is on its way.
     void release();
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -346,7 +346,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::announce()
+void usage_holder<Env>::announceHolder()
 {
     for (const std::string &entry : m_others)
         m_env.send(entry, lifeSign());
