--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -346,7 +346,7 @@
     m_holder->announceHolder();
     m_holder->applyEntryRows(rows);
     if (m_isRetired)
-        m_holder->release();
+        m_holder->releaseDuty();
 }
 
 template <usage_environment Env>
@@ -388,7 +388,7 @@
 {
     m_isRetired = true;
     if (isHolder())
-        m_holder->release();
+        m_holder->releaseDuty();
 }
 
 template <usage_environment Env>
--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -69,7 +69,7 @@
     void announceHolder();
 
     /// Gives the duty back, once no report is on its way.
-    void release();
+    void releaseDuty();
 
     /// Another entry says that it has the duty.
     void onTakenOver() { lose("another holder"); }
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -353,7 +353,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::release()
+void usage_holder<Env>::releaseDuty()
 {
     m_isReleasing = true;
     m_nextSaveAt = now();
