--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -81,7 +81,7 @@
     bool isOver() const { return m_isOver; }
 
 private:
-    bool holds(milliseconds margin);
+    bool holdsLease(milliseconds margin);
     bool mayGiveBackNow();
     void lose(std::string_view why);
     void save();
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -31,7 +31,7 @@
 }
 
 template <usage_environment Env>
-bool usage_holder<Env>::holds(milliseconds margin)
+bool usage_holder<Env>::holdsLease(milliseconds margin)
 {
     return !m_isOver && m_bounds.latest(now()) + margin < m_until;
 }
@@ -51,7 +51,7 @@
 {
     if (m_isOver)
         return;
-    if (!holds(milliseconds(0))) {
+    if (!holdsLease(milliseconds(0))) {
         lose("lease is over");
         return;
     }
@@ -297,7 +297,7 @@
 template <usage_environment Env>
 void usage_holder<Env>::reportNext()
 {
-    if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holds(reportMargin))
+    if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holdsLease(reportMargin))
         return;
     const std::optional<decided_window> next = m_row.ledger.oldestUnreported();
     // A decision that no row has yet may be made otherwise by a successor.
