--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -82,7 +82,7 @@
 
 private:
     bool holdsLease(milliseconds margin);
-    bool mayGiveBackNow();
+    bool isSaveAllowed();
     void lose(std::string_view why);
     void save();
     void onSaved(outcome<conditional_write, row_failure> result, const usage_row &saved,
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -59,14 +59,14 @@
         decideDue();
     const bool isRenewalDue = now() - m_savedAt >= m_settings.lease / 4;
     const bool isSaveDue = m_hasNews || isRenewalDue || m_isReleasing;
-    if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && mayGiveBackNow())
+    if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && isSaveAllowed())
         save();
     reportNext();
     heartbeat();
 }
 
 template <usage_environment Env>
-bool usage_holder<Env>::mayGiveBackNow()
+bool usage_holder<Env>::isSaveAllowed()
 {
     // A report that is still on its way would come after the successor's.
     return !m_isReleasing || (!m_isReporting && now() >= m_reportsOverAt);
