--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -72,7 +72,7 @@
     void releaseDuty();
 
     /// Another entry says that it has the duty.
-    void onTakenOver() { lose("another holder"); }
+    void onTakenOver() { endTenure("another holder"); }
 
     /// Counts what entries have told in rows of their own.
     void applyEntryRows(const row_batch &rows);
@@ -83,7 +83,7 @@
 private:
     bool holdsLease(milliseconds margin);
     bool isSaveAllowed();
-    void lose(std::string_view why);
+    void endTenure(std::string_view why);
     void save();
     void onSaved(outcome<conditional_write, row_failure> result, const usage_row &saved,
                  time_point askedAt);
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -37,7 +37,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::lose(std::string_view why)
+void usage_holder<Env>::endTenure(std::string_view why)
 {
     if (std::exchange(m_isOver, true))
         return;
@@ -52,7 +52,7 @@
     if (m_isOver)
         return;
     if (!holdsLease(milliseconds(0))) {
-        lose("lease is over");
+        endTenure("lease is over");
         return;
     }
     if (!m_isReleasing)
@@ -188,7 +188,7 @@
         onConfirmed(row.value(), entry.row.version);
         return;
     }
-    lose("row was taken over");
+    endTenure("row was taken over");
 }
 
 template <usage_environment Env>
