--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -90,7 +90,7 @@
     void onConfirmed(const usage_row &saved, std::uint64_t version);
     void onConflict(const conditional_write &refused);
     void acknowledge(const usage_process &process, std::uint64_t number);
-    void decideDue();
+    void decideDueWindows();
     bool mayDecide(window_number window, milliseconds trueTime);
     /// \returns entries whose counts of \p window are waited for.
     std::vector<std::string> waitedFor(window_number window) const;
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -56,7 +56,7 @@
         return;
     }
     if (!m_isReleasing)
-        decideDue();
+        decideDueWindows();
     const bool isRenewalDue = now() - m_savedAt >= m_settings.lease / 4;
     const bool isSaveDue = m_hasNews || isRenewalDue || m_isReleasing;
     if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && isSaveAllowed())
@@ -192,7 +192,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::decideDue()
+void usage_holder<Env>::decideDueWindows()
 {
     const std::optional<milliseconds> trueTime = m_env.trueTime();
     if (!trueTime)
