--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -94,7 +94,7 @@
     bool mayDecide(window_number window, milliseconds trueTime);
     /// \returns entries whose counts of \p window are waited for.
     std::vector<std::string> waitedFor(window_number window) const;
-    void decide(window_number window);
+    void decideWindow(window_number window);
     void readRows(window_number window);
     void reportNext();
     void onReported(window_number window, bool isTold);
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -198,7 +198,7 @@
     if (!trueTime)
         return;
     while (mayDecide(m_row.ledger.decidedBefore(), *trueTime))
-        decide(m_row.ledger.decidedBefore());
+        decideWindow(m_row.ledger.decidedBefore());
 }
 
 template <usage_environment Env>
@@ -241,7 +241,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::decide(window_number window)
+void usage_holder<Env>::decideWindow(window_number window)
 {
     const std::vector<std::string> open = waitedFor(window);
     const customer_counts counts = m_row.ledger.openCounts(window);
