--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -93,7 +93,7 @@
     void decideDueWindows();
     bool mayDecide(window_number window, milliseconds trueTime);
     /// \returns entries whose counts of \p window are waited for.
-    std::vector<std::string> waitedFor(window_number window) const;
+    std::vector<std::string> awaitedEntries(window_number window) const;
     void decideWindow(window_number window);
     void readRows(window_number window);
     void reportNext();
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -214,7 +214,7 @@
 }
 
 template <usage_environment Env>
-std::vector<std::string> usage_holder<Env>::waitedFor(window_number window) const
+std::vector<std::string> usage_holder<Env>::awaitedEntries(window_number window) const
 {
     // An entry's row outlives it by minutes: who was never heard is not waited for again and again.
     std::vector<std::string> names;
@@ -231,7 +231,7 @@
     const milliseconds since = trueTime - m_settings.windows.endOf(window);
     if (since < settleTime)
         return false;
-    if (waitedFor(window).empty())
+    if (awaitedEntries(window).empty())
         return true;
     const auto patience
             = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
@@ -243,7 +243,7 @@
 template <usage_environment Env>
 void usage_holder<Env>::decideWindow(window_number window)
 {
-    const std::vector<std::string> open = waitedFor(window);
+    const std::vector<std::string> open = awaitedEntries(window);
     const customer_counts counts = m_row.ledger.openCounts(window);
     std::int64_t requests = 0;
     for (const auto &[customer, count] : counts)
