--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -95,7 +95,7 @@
     /// \returns entries whose counts of \p window are waited for.
     std::vector<std::string> awaitedEntries(window_number window) const;
     void decideWindow(window_number window);
-    void readRows(window_number window);
+    void readEntryRows(window_number window);
     void reportNext();
     void onReported(window_number window, bool isTold);
     void heartbeat();
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -236,7 +236,7 @@
     const auto patience
             = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
     if (since >= patience - rowReadLead && m_rowsReadFor < window)
-        readRows(window);
+        readEntryRows(window);
     return since >= patience && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
 }
 
@@ -259,7 +259,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::readRows(window_number window)
+void usage_holder<Env>::readEntryRows(window_number window)
 {
     if (std::exchange(m_isReadingRows, true))
         return;
