--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -96,7 +96,7 @@
     std::vector<std::string> awaitedEntries(window_number window) const;
     void decideWindow(window_number window);
     void readEntryRows(window_number window);
-    void reportNext();
+    void reportNextWindow();
     void onReported(window_number window, bool isTold);
     void heartbeat();
     /// \returns what tells that this holder lives.
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -61,7 +61,7 @@
     const bool isSaveDue = m_hasNews || isRenewalDue || m_isReleasing;
     if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && isSaveAllowed())
         save();
-    reportNext();
+    reportNextWindow();
     heartbeat();
 }
 
@@ -295,7 +295,7 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::reportNext()
+void usage_holder<Env>::reportNextWindow()
 {
     if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holdsLease(reportMargin))
         return;
