--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -100,7 +100,7 @@
     void onReported(window_number window, bool isTold);
     void heartbeat();
     /// \returns what tells that this holder lives.
-    usage_ack lifeSign() const { return {m_settings.entry, m_row.lease.token, 0, 0}; }
+    usage_ack makeHeartbeat() const { return {m_settings.entry, m_row.lease.token, 0, 0}; }
     time_point now() { return m_env.runtime().now(); }
 
     Env &m_env;
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -339,17 +339,17 @@
     m_nextHeartbeatAt = now() + heartbeatInterval;
     const std::size_t successors = std::min(maxSuccessors, m_others.size());
     for (std::size_t i = 0; i < successors; ++i)
-        m_env.send(m_others[i], lifeSign());
+        m_env.send(m_others[i], makeHeartbeat());
     const std::size_t rest = m_others.size() - successors;
     for (std::size_t i = 0; i < std::min(maxSuccessors, rest); ++i)
-        m_env.send(m_others[successors + m_nextOther++ % rest], lifeSign());
+        m_env.send(m_others[successors + m_nextOther++ % rest], makeHeartbeat());
 }
 
 template <usage_environment Env>
 void usage_holder<Env>::announceHolder()
 {
     for (const std::string &entry : m_others)
-        m_env.send(entry, lifeSign());
+        m_env.send(entry, makeHeartbeat());
 }
 
 template <usage_environment Env>
