--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -121,7 +121,7 @@
     bool m_isReadingRows = false;
     bool m_isSaving = false;
     bool m_isReporting = false;
-    bool m_hasNews = true; ///< since the last write was begun
+    bool m_hasUnsavedChanges = true; ///< since the last write was begun
     bool m_isOver = false;
     time_point m_gainedAt;
     time_point m_savedAt{};
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -58,7 +58,7 @@
     if (!m_isReleasing)
         decideDueWindows();
     const bool isRenewalDue = now() - m_savedAt >= m_settings.lease / 4;
-    const bool isSaveDue = m_hasNews || isRenewalDue || m_isReleasing;
+    const bool isSaveDue = m_hasUnsavedChanges || isRenewalDue || m_isReleasing;
     if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && isSaveAllowed())
         save();
     reportNextWindow();
@@ -79,7 +79,7 @@
     const std::optional<usage_progress> before = m_row.ledger.progressOf(process);
     const std::int64_t late = m_row.ledger.applyNotice(notice);
     const bool isNews = m_row.ledger.progressOf(process) != before;
-    m_hasNews = m_hasNews || isNews;
+    m_hasUnsavedChanges = m_hasUnsavedChanges || isNews;
     const auto saved = m_savedProgress.find(process);
     const bool isLost = !isNews && saved != m_savedProgress.end() && !notice.batches.empty()
             && notice.batches.back().number <= saved->second.lastCounted;
@@ -110,7 +110,7 @@
 void usage_holder<Env>::save()
 {
     m_isSaving = true;
-    m_hasNews = false;
+    m_hasUnsavedChanges = false;
     m_savedAt = now();
     m_nextSaveAt = m_savedAt + saveInterval;
     const milliseconds earliest = m_bounds.earliest(m_savedAt);
@@ -136,7 +136,7 @@
         return;
     if (!result) {
         // It may take effect even later, if the row is as it was; the next write finds out.
-        m_hasNews = true;
+        m_hasUnsavedChanges = true;
         m_nextSaveAt = now() + retryDelay;
         m_metrics.add("usage_saves_failed_total");
         return;
@@ -184,7 +184,7 @@
         if (lease.token != m_row.lease.token || lease.life != m_row.lease.life)
             continue;
         // An earlier write of this holder took effect, though its answer was lost.
-        m_hasNews = true;
+        m_hasUnsavedChanges = true;
         onConfirmed(row.value(), entry.row.version);
         return;
     }
@@ -249,7 +249,7 @@
     for (const auto &[customer, count] : counts)
         requests += count;
     m_row.ledger.decideNext();
-    m_hasNews = true;
+    m_hasUnsavedChanges = true;
     logInfo(log_part::ledger, "usage window decided",
             {{"window", std::int64_t(window)},
              {"customers", std::int64_t(counts.size())},
@@ -328,7 +328,7 @@
     logInfo(log_part::ledger, "usage window told",
             {{"window", std::int64_t(window)}, {"token", std::int64_t(m_row.lease.token)}});
     m_row.ledger.markReported(window);
-    m_hasNews = true;
+    m_hasUnsavedChanges = true;
 }
 
 template <usage_environment Env>
