--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -114,7 +114,7 @@
     std::map<usage_process, usage_progress> m_savedProgress;
     window_number m_savedDecidedBefore;
     std::vector<std::string> m_others;
-    std::size_t m_nextOther = 0; ///< whose turn it is to hear of the holder
+    std::size_t m_nextHeartbeatIndex = 0; ///< whose turn it is to hear of the holder
     std::map<std::string, window_number> m_knownSince; ///< the others, by name
     bool m_isReleasing = false; ///< the duty is being given back
     window_number m_rowsReadFor = 0;
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -342,7 +342,7 @@
         m_env.send(m_others[i], makeHeartbeat());
     const std::size_t rest = m_others.size() - successors;
     for (std::size_t i = 0; i < std::min(maxSuccessors, rest); ++i)
-        m_env.send(m_others[successors + m_nextOther++ % rest], makeHeartbeat());
+        m_env.send(m_others[successors + m_nextHeartbeatIndex++ % rest], makeHeartbeat());
 }
 
 template <usage_environment Env>
