--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -110,7 +110,7 @@
     usage_row m_row;
     std::uint64_t m_version; ///< of the row
     store_time_bounds m_bounds;
-    milliseconds m_until; ///< of the last confirmed lease
+    milliseconds m_confirmedUntil; ///< of the last confirmed lease
     std::map<usage_process, usage_progress> m_savedProgress;
     window_number m_savedDecidedBefore;
     std::vector<std::string> m_others;
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -23,7 +23,7 @@
     , m_row(std::move(row))
     , m_version(version)
     , m_bounds(bounds)
-    , m_until(m_row.lease.until)
+    , m_confirmedUntil(m_row.lease.until)
     , m_savedProgress(m_row.ledger.progress())
     , m_savedDecidedBefore(m_row.ledger.decidedBefore())
     , m_gainedAt(env.runtime().now())
@@ -33,7 +33,7 @@
 template <usage_environment Env>
 bool usage_holder<Env>::holdsLease(milliseconds margin)
 {
-    return !m_isOver && m_bounds.latest(now()) + margin < m_until;
+    return !m_isOver && m_bounds.latest(now()) + margin < m_confirmedUntil;
 }
 
 template <usage_environment Env>
@@ -153,7 +153,7 @@
 void usage_holder<Env>::onConfirmed(const usage_row &saved, std::uint64_t version)
 {
     m_version = version;
-    m_until = saved.lease.until;
+    m_confirmedUntil = saved.lease.until;
     m_savedDecidedBefore = saved.ledger.decidedBefore();
     const std::map<usage_process, usage_progress> before
             = std::exchange(m_savedProgress, saved.ledger.progress());
