--- a/include/laurelcroft/Usage/UsageHolder.h
+++ b/include/laurelcroft/Usage/UsageHolder.h
@@ -127,7 +127,7 @@
     time_point m_savedAt{};
     time_point m_nextSaveAt{};
     time_point m_nextReportAt{};
-    time_point m_reportsOverAt{}; ///< by then one that was not taken has come or will never come
+    time_point m_reportSettledAt{}; ///< by then one that was not taken has come or will never come
     time_point m_nextHeartbeatAt{};
 };
 
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -69,7 +69,7 @@
 bool usage_holder<Env>::isSaveAllowed()
 {
     // A report that is still on its way would come after the successor's.
-    return !m_isReleasing || (!m_isReporting && now() >= m_reportsOverAt);
+    return !m_isReleasing || (!m_isReporting && now() >= m_reportSettledAt);
 }
 
 template <usage_environment Env>
@@ -320,7 +320,7 @@
                          : "usage_windows_total{result=\"not_taken\"}");
     if (!isTold) {
         m_nextReportAt = now() + retryDelay;
-        m_reportsOverAt = now() + reportMargin;
+        m_reportSettledAt = now() + reportMargin;
         logWarning(log_part::ledger, "usage window not taken, trying again",
                    {{"window", std::int64_t(window)}});
         return;
