--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -25,7 +25,7 @@
 {
 public:
     /// How often anything is looked at, and counts are told.
-    static constexpr milliseconds tickEvery{50};
+    static constexpr milliseconds tickInterval{50};
     /// Notices a second that a holder gets from all entries together; where they are many, each
     /// tells its counts less often.
     static constexpr double noticesPerSecond = 400;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -83,13 +83,13 @@
     constexpr double msPerSecond = 1000;
     const double entries = static_cast<double>(m_others.size() + 1);
     const milliseconds shared(static_cast<std::int64_t>(entries * msPerSecond / noticesPerSecond));
-    return std::max(tickEvery, shared);
+    return std::max(tickInterval, shared);
 }
 
 template <usage_environment Env>
 void usage_duty<Env>::tick()
 {
-    m_env.runtime().after(tickEvery, [this, alive = m_alive] {
+    m_env.runtime().after(tickInterval, [this, alive = m_alive] {
         if (*alive)
             tick();
     });
@@ -102,7 +102,7 @@
     const bool isDue = now() >= m_nextTellAt;
     const std::size_t before = m_meter.unacknowledged().size();
     if (isDue) {
-        m_nextTellAt = now() + tellEvery() - tickEvery / 2;
+        m_nextTellAt = now() + tellEvery() - tickInterval / 2;
         cutBatch(*trueTime);
     }
     if (m_holder && m_holder->isOver())
@@ -411,10 +411,11 @@
         done();
         return;
     }
-    m_env.runtime().after(tickEvery / 4, [this, latest, done = std::move(done), alive = m_alive] {
-        if (*alive)
-            checkFinished(latest, done);
-    });
+    m_env.runtime().after(tickInterval / 4,
+                          [this, latest, done = std::move(done), alive = m_alive] {
+                              if (*alive)
+                                  checkFinished(latest, done);
+                          });
 }
 
 } // namespace laurelcroft
