--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -28,7 +28,7 @@
     static constexpr milliseconds tickInterval{50};
     /// Notices a second that a holder gets from all entries together; where they are many, each
     /// tells its counts less often.
-    static constexpr double noticesPerSecond = 400;
+    static constexpr double maxNoticesPerSecond = 400;
     /// Batches that no word has come of are told again after this.
     static constexpr milliseconds tellAgainAfter{400};
     /// Bytes of a datagram that batches may fill.
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -82,7 +82,8 @@
 {
     constexpr double msPerSecond = 1000;
     const double entries = static_cast<double>(m_others.size() + 1);
-    const milliseconds shared(static_cast<std::int64_t>(entries * msPerSecond / noticesPerSecond));
+    const milliseconds shared(
+            static_cast<std::int64_t>(entries * msPerSecond / maxNoticesPerSecond));
     return std::max(tickInterval, shared);
 }
 
