--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -30,7 +30,7 @@
     /// tells its counts less often.
     static constexpr double maxNoticesPerSecond = 400;
     /// Batches that no word has come of are told again after this.
-    static constexpr milliseconds tellAgainAfter{400};
+    static constexpr milliseconds resendDelay{400};
     /// Bytes of a datagram that batches may fill.
     static constexpr std::size_t mostNoticeBytes = 1200;
     /// From a window's end until its counts are complete here: by then an endpoint has refused what
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -134,7 +134,7 @@
     const std::size_t batches = m_meter.unacknowledged().size();
     if (m_holderName.empty() || m_holderName == m_settings.entry || batches == 0)
         return;
-    if (now() - m_allToldAt >= tellAgainAfter) {
+    if (now() - m_allToldAt >= resendDelay) {
         m_allToldAt = now();
         tell(0);
     } else if (isNew) {
