--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -32,7 +32,7 @@
     /// Batches that no word has come of are told again after this.
     static constexpr milliseconds resendDelay{400};
     /// Bytes of a datagram that batches may fill.
-    static constexpr std::size_t mostNoticeBytes = 1200;
+    static constexpr std::size_t maxNoticeBytes = 1200;
     /// From a window's end until its counts are complete here: by then an endpoint has refused what
     /// it does not run.
     static constexpr milliseconds answerWait{1000};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -154,7 +154,7 @@
         usage_notice alone = part;
         alone.batches = {batch};
         const std::size_t size = encodeUsageMessage(alone).size();
-        if (!part.batches.empty() && bytes + size > mostNoticeBytes) {
+        if (!part.batches.empty() && bytes + size > maxNoticeBytes) {
             m_env.send(m_holderName, part);
             part.batches.clear();
             bytes = 0;
