--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -35,7 +35,7 @@
     static constexpr std::size_t maxNoticeBytes = 1200;
     /// From a window's end until its counts are complete here: by then an endpoint has refused what
     /// it does not run.
-    static constexpr milliseconds answerWait{1000};
+    static constexpr milliseconds windowCloseDelay{1000};
     /// A holder that was not heard for this long may be gone: two heartbeats have not come. The
     /// first in the order looks then, each further one \c rankStep later.
     static constexpr milliseconds silence{2500};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -68,7 +68,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::cutBatch(milliseconds trueTime)
 {
-    m_meter.sealBatch(m_settings.windows.windowAt(trueTime - answerWait));
+    m_meter.sealBatch(m_settings.windows.windowAt(trueTime - windowCloseDelay));
     const std::int64_t givenUp = m_meter.takeDroppedCount();
     if (givenUp <= 0)
         return;
