--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -40,7 +40,7 @@
     /// first in the order looks then, each further one \c rankStep later.
     static constexpr milliseconds silence{2500};
     /// The same for a process that has just started.
-    static constexpr milliseconds firstSilence{1200};
+    static constexpr milliseconds startupHolderTimeout{1200};
     static constexpr milliseconds rankStep{150};
     /// The same for an entry that is not among the successors and has counts to tell.
     static constexpr milliseconds silenceOfOthers{4000};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -28,7 +28,7 @@
 void usage_duty<Env>::start()
 {
     // A holder tells a new entry within a heartbeat; without one the duty is free at a first start.
-    m_heardAt = now() - (silence - firstSilence);
+    m_heardAt = now() - (silence - startupHolderTimeout);
     tick();
 }
 
