--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -38,7 +38,7 @@
     static constexpr milliseconds windowCloseDelay{1000};
     /// A holder that was not heard for this long may be gone: two heartbeats have not come. The
     /// first in the order looks then, each further one \c rankStep later.
-    static constexpr milliseconds silence{2500};
+    static constexpr milliseconds holderTimeout{2500};
     /// The same for a process that has just started.
     static constexpr milliseconds startupHolderTimeout{1200};
     static constexpr milliseconds rankStep{150};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -28,7 +28,7 @@
 void usage_duty<Env>::start()
 {
     // A holder tells a new entry within a heartbeat; without one the duty is free at a first start.
-    m_heardAt = now() - (silence - startupHolderTimeout);
+    m_heardAt = now() - (holderTimeout - startupHolderTimeout);
     tick();
 }
 
@@ -204,7 +204,7 @@
         return;
     m_holderName = handover.holder;
     m_token = handover.token;
-    m_heardAt = now() - silence;
+    m_heardAt = now() - holderTimeout;
     m_nextLookAt = now();
 }
 
@@ -215,7 +215,7 @@
     if (m_isLooking || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
         return;
     const duration patience = isSuccessor()
-            ? duration(silence + rankStep * static_cast<std::int64_t>(m_rank))
+            ? duration(holderTimeout + rankStep * static_cast<std::int64_t>(m_rank))
             : duration(silenceOfOthers) + m_spread;
     if (now() - m_heardAt >= patience)
         look();
