--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -37,11 +37,11 @@
     /// it does not run.
     static constexpr milliseconds windowCloseDelay{1000};
     /// A holder that was not heard for this long may be gone: two heartbeats have not come. The
-    /// first in the order looks then, each further one \c rankStep later.
+    /// first in the order looks then, each further one \c rankDelay later.
     static constexpr milliseconds holderTimeout{2500};
     /// The same for a process that has just started.
     static constexpr milliseconds startupHolderTimeout{1200};
-    static constexpr milliseconds rankStep{150};
+    static constexpr milliseconds rankDelay{150};
     /// The same for an entry that is not among the successors and has counts to tell.
     static constexpr milliseconds silenceOfOthers{4000};
     static constexpr milliseconds spreadOfOthers{500};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -215,7 +215,7 @@
     if (m_isLooking || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
         return;
     const duration patience = isSuccessor()
-            ? duration(holderTimeout + rankStep * static_cast<std::int64_t>(m_rank))
+            ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
             : duration(silenceOfOthers) + m_spread;
     if (now() - m_heardAt >= patience)
         look();
@@ -284,7 +284,7 @@
         return;
     }
     const duration left = lease.until - earliest;
-    const duration turn = left + rankStep * static_cast<std::int64_t>(m_rank) / 3;
+    const duration turn = left + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
     m_nextLookAt = now() + std::clamp<duration>(turn, shortestLook, longestLook);
     if (left.count() > 0 && !m_meter.unacknowledged().empty())
         writeOwnRow();
