--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -43,7 +43,7 @@
     static constexpr milliseconds startupHolderTimeout{1200};
     static constexpr milliseconds rankDelay{150};
     /// The same for an entry that is not among the successors and has counts to tell.
-    static constexpr milliseconds silenceOfOthers{4000};
+    static constexpr milliseconds nonSuccessorTimeout{4000};
     static constexpr milliseconds spreadOfOthers{500};
     /// From one look at the rows to the next.
     static constexpr milliseconds shortestLook{300};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -216,7 +216,7 @@
         return;
     const duration patience = isSuccessor()
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
-            : duration(silenceOfOthers) + m_spread;
+            : duration(nonSuccessorTimeout) + m_spread;
     if (now() - m_heardAt >= patience)
         look();
 }
