--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -44,7 +44,7 @@
     static constexpr milliseconds rankDelay{150};
     /// The same for an entry that is not among the successors and has counts to tell.
     static constexpr milliseconds nonSuccessorTimeout{4000};
-    static constexpr milliseconds spreadOfOthers{500};
+    static constexpr milliseconds nonSuccessorJitter{500};
     /// From one look at the rows to the next.
     static constexpr milliseconds shortestLook{300};
     static constexpr milliseconds longestLook{1500};
@@ -122,7 +122,7 @@
     time_point m_nextLookAt{};
     time_point m_nextTellAt{};
     time_point m_allToldAt{};
-    duration m_spread{}; ///< this entry's part of spreadOfOthers
+    duration m_spread{}; ///< this entry's part of nonSuccessorJitter
     bool m_isLooking = false;
     bool m_isRetired = false;
     bool m_hasOwnRow = false;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -20,7 +20,7 @@
     , m_settings(std::move(settings))
     , m_metrics(metrics)
 {
-    const auto parts = static_cast<std::uint64_t>(spreadOfOthers.count());
+    const auto parts = static_cast<std::uint64_t>(nonSuccessorJitter.count());
     m_spread = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % parts));
 }
 
