--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -46,7 +46,7 @@
     static constexpr milliseconds nonSuccessorTimeout{4000};
     static constexpr milliseconds nonSuccessorJitter{500};
     /// From one look at the rows to the next.
-    static constexpr milliseconds shortestLook{300};
+    static constexpr milliseconds minPollInterval{300};
     static constexpr milliseconds longestLook{1500};
     /// Counts that wait at most: true time may not be known for long.
     static constexpr std::size_t mostWaiting = 10'000;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -285,7 +285,7 @@
     }
     const duration left = lease.until - earliest;
     const duration turn = left + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
-    m_nextLookAt = now() + std::clamp<duration>(turn, shortestLook, longestLook);
+    m_nextLookAt = now() + std::clamp<duration>(turn, minPollInterval, longestLook);
     if (left.count() > 0 && !m_meter.unacknowledged().empty())
         writeOwnRow();
 }
@@ -319,7 +319,7 @@
                 if (!*alive)
                     return;
                 m_isLooking = false;
-                m_nextLookAt = now() + shortestLook;
+                m_nextLookAt = now() + minPollInterval;
                 logInfo(log_part::ledger, "usage duty asked for",
                         {{"token", std::int64_t(row.lease.token)}, {"result", textOf(result)}});
                 if (!result || !result.value().done)
