--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -47,7 +47,7 @@
     static constexpr milliseconds nonSuccessorJitter{500};
     /// From one look at the rows to the next.
     static constexpr milliseconds minPollInterval{300};
-    static constexpr milliseconds longestLook{1500};
+    static constexpr milliseconds maxPollInterval{1500};
     /// Counts that wait at most: true time may not be known for long.
     static constexpr std::size_t mostWaiting = 10'000;
 
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -237,7 +237,7 @@
 void usage_duty<Env>::onRows(outcome<row_batch, row_failure> result, time_point askedAt)
 {
     m_isLooking = false;
-    m_nextLookAt = now() + longestLook;
+    m_nextLookAt = now() + maxPollInterval;
     if (!result) {
         logWarning(log_part::ledger, "rows of the usage duty not read",
                    {{"why", textOf(result.error())}});
@@ -285,7 +285,7 @@
     }
     const duration left = lease.until - earliest;
     const duration turn = left + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
-    m_nextLookAt = now() + std::clamp<duration>(turn, minPollInterval, longestLook);
+    m_nextLookAt = now() + std::clamp<duration>(turn, minPollInterval, maxPollInterval);
     if (left.count() > 0 && !m_meter.unacknowledged().empty())
         writeOwnRow();
 }
