--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -49,7 +49,7 @@
     static constexpr milliseconds minPollInterval{300};
     static constexpr milliseconds maxPollInterval{1500};
     /// Counts that wait at most: true time may not be known for long.
-    static constexpr std::size_t mostWaiting = 10'000;
+    static constexpr std::size_t maxWaitingCounts = 10'000;
 
     /// \param metrics outlives this.
     usage_duty(Env env, usage_settings settings, metric_registry &metrics);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -49,7 +49,7 @@
 void usage_duty<Env>::count(std::string_view customer, time_point at, std::int64_t number)
 {
     // The store may stay away from the start on: then there is no clock.
-    if (m_waiting.size() < mostWaiting)
+    if (m_waiting.size() < maxWaitingCounts)
         m_waiting.push_back({std::string(customer), at, number});
     else
         m_metrics.add("usage_requests_late_total");
