--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -64,7 +64,7 @@
     void setEntries(std::vector<std::string> names);
 
     /// Takes a datagram of another entry.
-    void take(const usage_message &message);
+    void onMessage(const usage_message &message);
 
     /// This process will end: the duty is given back, and not taken again.
     void retire();
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -166,7 +166,7 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::take(const usage_message &message)
+void usage_duty<Env>::onMessage(const usage_message &message)
 {
     if (const auto *notice = std::get_if<usage_notice>(&message)) {
         if (m_holder)
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -113,7 +113,7 @@
         world.deliver(usage_world::way, to, to.life, [&world, &to, bytes] {
             const std::optional<usage_message> told = decodeUsageMessage(bytes);
             if (told)
-                world.duties.at(to.name)->take(*told);
+                world.duties.at(to.name)->onMessage(*told);
         });
     }
 }
