--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -78,7 +78,7 @@
     using holder = usage_holder<Env>;
 
     void tick();
-    void countWaiting(milliseconds trueTime);
+    void applyWaitingCounts(milliseconds trueTime);
     void cutBatch(milliseconds trueTime);
     milliseconds tellEvery() const;
     void tellHolder(bool isNew);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -56,7 +56,7 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::countWaiting(milliseconds trueTime)
+void usage_duty<Env>::applyWaitingCounts(milliseconds trueTime)
 {
     for (const waiting_count &item : m_waiting) {
         const auto ago = std::chrono::duration_cast<milliseconds>(now() - item.at);
@@ -99,7 +99,7 @@
         return;
     if (m_life == 0)
         m_life = static_cast<std::uint64_t>(trueTime->count());
-    countWaiting(*trueTime);
+    applyWaitingCounts(*trueTime);
     const bool isDue = now() >= m_nextTellAt;
     const std::size_t before = m_meter.unacknowledged().size();
     if (isDue) {
@@ -396,7 +396,7 @@
 void usage_duty<Env>::finish(milliseconds longest, std::function<void()> done)
 {
     if (const std::optional<milliseconds> trueTime = m_env.trueTime()) {
-        countWaiting(*trueTime);
+        applyWaitingCounts(*trueTime);
         cutBatch(*trueTime);
         m_allToldAt = {};
         tellHolder(true);
