--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -79,7 +79,7 @@
 
     void tick();
     void applyWaitingCounts(milliseconds trueTime);
-    void cutBatch(milliseconds trueTime);
+    void sealNextBatch(milliseconds trueTime);
     milliseconds tellEvery() const;
     void tellHolder(bool isNew);
     void tell(std::size_t from);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -66,7 +66,7 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::cutBatch(milliseconds trueTime)
+void usage_duty<Env>::sealNextBatch(milliseconds trueTime)
 {
     m_meter.sealBatch(m_settings.windows.windowAt(trueTime - windowCloseDelay));
     const std::int64_t givenUp = m_meter.takeDroppedCount();
@@ -104,7 +104,7 @@
     const std::size_t before = m_meter.unacknowledged().size();
     if (isDue) {
         m_nextTellAt = now() + tellEvery() - tickInterval / 2;
-        cutBatch(*trueTime);
+        sealNextBatch(*trueTime);
     }
     if (m_holder && m_holder->isOver())
         m_holder = nullptr;
@@ -397,7 +397,7 @@
 {
     if (const std::optional<milliseconds> trueTime = m_env.trueTime()) {
         applyWaitingCounts(*trueTime);
-        cutBatch(*trueTime);
+        sealNextBatch(*trueTime);
         m_allToldAt = {};
         tellHolder(true);
     }
