--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -80,7 +80,7 @@
     void tick();
     void applyWaitingCounts(milliseconds trueTime);
     void sealNextBatch(milliseconds trueTime);
-    milliseconds tellEvery() const;
+    milliseconds noticeInterval() const;
     void tellHolder(bool isNew);
     void tell(std::size_t from);
     usage_notice noticeFrom(std::size_t from) const;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -78,7 +78,7 @@
 }
 
 template <usage_environment Env>
-milliseconds usage_duty<Env>::tellEvery() const
+milliseconds usage_duty<Env>::noticeInterval() const
 {
     constexpr double msPerSecond = 1000;
     const double entries = static_cast<double>(m_others.size() + 1);
@@ -103,7 +103,7 @@
     const bool isDue = now() >= m_nextTellAt;
     const std::size_t before = m_meter.unacknowledged().size();
     if (isDue) {
-        m_nextTellAt = now() + tellEvery() - tickInterval / 2;
+        m_nextTellAt = now() + noticeInterval() - tickInterval / 2;
         sealNextBatch(*trueTime);
     }
     if (m_holder && m_holder->isOver())
