--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -81,7 +81,7 @@
     void applyWaitingCounts(milliseconds trueTime);
     void sealNextBatch(milliseconds trueTime);
     milliseconds noticeInterval() const;
-    void tellHolder(bool isNew);
+    void sendDueBatches(bool isNew);
     void tell(std::size_t from);
     usage_notice noticeFrom(std::size_t from) const;
     void onAck(const usage_ack &ack);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -112,7 +112,7 @@
         m_holder->onNotice(noticeFrom(0));
         m_holder->tick();
     } else {
-        tellHolder(m_meter.unacknowledged().size() > before);
+        sendDueBatches(m_meter.unacknowledged().size() > before);
         watch();
     }
     if (m_hasOwnRow && m_meter.unacknowledged().empty())
@@ -129,7 +129,7 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::tellHolder(bool isNew)
+void usage_duty<Env>::sendDueBatches(bool isNew)
 {
     const std::size_t batches = m_meter.unacknowledged().size();
     if (m_holderName.empty() || m_holderName == m_settings.entry || batches == 0)
@@ -399,7 +399,7 @@
         applyWaitingCounts(*trueTime);
         sealNextBatch(*trueTime);
         m_allToldAt = {};
-        tellHolder(true);
+        sendDueBatches(true);
     }
     checkFinished(now() + longest, std::move(done));
 }
