--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -82,7 +82,7 @@
     void sealNextBatch(milliseconds trueTime);
     milliseconds noticeInterval() const;
     void sendDueBatches(bool isNew);
-    void tell(std::size_t from);
+    void sendBatches(std::size_t from);
     usage_notice noticeFrom(std::size_t from) const;
     void onAck(const usage_ack &ack);
     void onHandover(const usage_handover &handover);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -136,14 +136,14 @@
         return;
     if (now() - m_allToldAt >= resendDelay) {
         m_allToldAt = now();
-        tell(0);
+        sendBatches(0);
     } else if (isNew) {
-        tell(batches - 1);
+        sendBatches(batches - 1);
     }
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::tell(std::size_t from)
+void usage_duty<Env>::sendBatches(std::size_t from)
 {
     // As many batches as fit, then the next ones.
     usage_notice rest = noticeFrom(from);
