--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -83,7 +83,7 @@
     milliseconds noticeInterval() const;
     void sendDueBatches(bool isNew);
     void sendBatches(std::size_t from);
-    usage_notice noticeFrom(std::size_t from) const;
+    usage_notice makeNotice(std::size_t from) const;
     void onAck(const usage_ack &ack);
     void onHandover(const usage_handover &handover);
     bool isSuccessor() const { return m_rank < holder::maxSuccessors; }
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -109,7 +109,7 @@
     if (m_holder && m_holder->isOver())
         m_holder = nullptr;
     if (m_holder) {
-        m_holder->onNotice(noticeFrom(0));
+        m_holder->onNotice(makeNotice(0));
         m_holder->tick();
     } else {
         sendDueBatches(m_meter.unacknowledged().size() > before);
@@ -120,7 +120,7 @@
 }
 
 template <usage_environment Env>
-usage_notice usage_duty<Env>::noticeFrom(std::size_t from) const
+usage_notice usage_duty<Env>::makeNotice(std::size_t from) const
 {
     usage_notice notice{m_settings.entry, m_life, m_meter.lastAcknowledged(), {}};
     const auto &batches = m_meter.unacknowledged();
@@ -146,7 +146,7 @@
 void usage_duty<Env>::sendBatches(std::size_t from)
 {
     // As many batches as fit, then the next ones.
-    usage_notice rest = noticeFrom(from);
+    usage_notice rest = makeNotice(from);
     usage_notice part = rest;
     part.batches.clear();
     std::size_t bytes = 0;
@@ -358,7 +358,7 @@
     m_hasOwnRow = true;
     m_metrics.add("usage_rows_written_total");
     const row_write write{std::string(usageTable), usageEntryKey(m_settings.entry),
-                          encodeUsageMessage(noticeFrom(0)), std::nullopt};
+                          encodeUsageMessage(makeNotice(0)), std::nullopt};
     logInfo(log_part::ledger, "usage counts told by row, the holder is silent",
             {{"holder", m_holderName}, {"batches", std::int64_t(m_meter.unacknowledged().size())}});
     m_env.store().write({write}, [this, alive = m_alive](outcome<conditional_write, row_failure>) {
