--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -87,7 +87,7 @@
     void onAck(const usage_ack &ack);
     void onHandover(const usage_handover &handover);
     bool isSuccessor() const { return m_rank < holder::maxSuccessors; }
-    void watch();
+    void checkHolder();
     void look();
     void onRows(outcome<row_batch, row_failure> result, time_point askedAt);
     void onRow(usage_row row, std::uint64_t version, const row_batch &rows);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -113,7 +113,7 @@
         m_holder->tick();
     } else {
         sendDueBatches(m_meter.unacknowledged().size() > before);
-        watch();
+        checkHolder();
     }
     if (m_hasOwnRow && m_meter.unacknowledged().empty())
         dropOwnRow();
@@ -209,7 +209,7 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::watch()
+void usage_duty<Env>::checkHolder()
 {
     const bool hasCounts = !m_meter.unacknowledged().empty();
     if (m_isLooking || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
