--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -88,7 +88,7 @@
     void onHandover(const usage_handover &handover);
     bool isSuccessor() const { return m_rank < holder::maxSuccessors; }
     void checkHolder();
-    void look();
+    void pollRows();
     void onRows(outcome<row_batch, row_failure> result, time_point askedAt);
     void onRow(usage_row row, std::uint64_t version, const row_batch &rows);
     void acquire(usage_row row, std::uint64_t version, const row_batch &rows);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -218,11 +218,11 @@
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
             : duration(nonSuccessorTimeout) + m_spread;
     if (now() - m_heardAt >= patience)
-        look();
+        pollRows();
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::look()
+void usage_duty<Env>::pollRows()
 {
     m_isLooking = true;
     m_env.store().list(
