--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -92,7 +92,7 @@
     void onRows(outcome<row_batch, row_failure> result, time_point askedAt);
     void onRow(usage_row row, std::uint64_t version, const row_batch &rows);
     void acquire(usage_row row, std::uint64_t version, const row_batch &rows);
-    void hold(const usage_row &row, std::uint64_t version, const row_batch &rows);
+    void startTenure(const usage_row &row, std::uint64_t version, const row_batch &rows);
     void writeOwnRow();
     void dropOwnRow();
     void checkFinished(time_point latest, std::function<void()> done);
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -273,7 +273,7 @@
     const bool isOwn = lease.holder == m_settings.entry && lease.life == m_life;
     if (isOwn && !m_isRetired && lease.until > m_bounds.latest(now())) {
         // The answer to this process's own write was lost.
-        hold(row, version, rows);
+        startTenure(row, version, rows);
         return;
     }
     const bool isFree = mayAcquire(lease, m_settings.entry, earliest, m_settings.lease);
@@ -325,12 +325,13 @@
                 if (!result || !result.value().done)
                     return;
                 m_bounds.note(result.value().storeTime, askedAt, now());
-                hold(row, result.value().version, rows);
+                startTenure(row, result.value().version, rows);
             });
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::hold(const usage_row &row, std::uint64_t version, const row_batch &rows)
+void usage_duty<Env>::startTenure(const usage_row &row, std::uint64_t version,
+                                  const row_batch &rows)
 {
     m_metrics.add("usage_duty_total{event=\"gained\"}");
     m_metrics.set("usage_duty_token", static_cast<double>(row.lease.token));
