--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -94,7 +94,7 @@
     void acquire(usage_row row, std::uint64_t version, const row_batch &rows);
     void startTenure(const usage_row &row, std::uint64_t version, const row_batch &rows);
     void writeOwnRow();
-    void dropOwnRow();
+    void removeOwnRow();
     void checkFinished(time_point latest, std::function<void()> done);
     usage_process process() const { return {m_settings.entry, m_life}; }
     time_point now() { return m_env.runtime().now(); }
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -116,7 +116,7 @@
         checkHolder();
     }
     if (m_hasOwnRow && m_meter.unacknowledged().empty())
-        dropOwnRow();
+        removeOwnRow();
 }
 
 template <usage_environment Env>
@@ -370,7 +370,7 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::dropOwnRow()
+void usage_duty<Env>::removeOwnRow()
 {
     if (std::exchange(m_isWritingOwnRow, true))
         return;
