--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -111,7 +111,7 @@
         time_point at{};
         std::int64_t number = 0;
     };
-    std::vector<waiting_count> m_waiting;
+    std::vector<waiting_count> m_waitingCounts;
     std::vector<std::string> m_others; ///< in the order in which they follow a holder
     std::size_t m_rank = 0; ///< of this entry in that order
     std::shared_ptr<holder> m_holder; ///< while this entry has the duty
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -49,8 +49,8 @@
 void usage_duty<Env>::count(std::string_view customer, time_point at, std::int64_t number)
 {
     // The store may stay away from the start on: then there is no clock.
-    if (m_waiting.size() < maxWaitingCounts)
-        m_waiting.push_back({std::string(customer), at, number});
+    if (m_waitingCounts.size() < maxWaitingCounts)
+        m_waitingCounts.push_back({std::string(customer), at, number});
     else
         m_metrics.add("usage_requests_late_total");
 }
@@ -58,11 +58,11 @@
 template <usage_environment Env>
 void usage_duty<Env>::applyWaitingCounts(milliseconds trueTime)
 {
-    for (const waiting_count &item : m_waiting) {
+    for (const waiting_count &item : m_waitingCounts) {
         const auto ago = std::chrono::duration_cast<milliseconds>(now() - item.at);
         m_meter.count(item.customer, m_settings.windows.windowAt(trueTime - ago), item.number);
     }
-    m_waiting.clear();
+    m_waitingCounts.clear();
 }
 
 template <usage_environment Env>
@@ -408,7 +408,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::checkFinished(time_point latest, std::function<void()> done)
 {
-    const bool isSettled = m_waiting.empty() && m_meter.isFullyAcknowledged() && !isHolder();
+    const bool isSettled = m_waitingCounts.empty() && m_meter.isFullyAcknowledged() && !isHolder();
     if (isSettled || now() >= latest) {
         done();
         return;
