--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -123,7 +123,7 @@
     time_point m_nextTellAt{};
     time_point m_allToldAt{};
     duration m_spread{}; ///< this entry's part of nonSuccessorJitter
-    bool m_isLooking = false;
+    bool m_isStoreCallPending = false;
     bool m_isRetired = false;
     bool m_hasOwnRow = false;
     bool m_isWritingOwnRow = false;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -212,7 +212,7 @@
 void usage_duty<Env>::checkHolder()
 {
     const bool hasCounts = !m_meter.unacknowledged().empty();
-    if (m_isLooking || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
+    if (m_isStoreCallPending || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
         return;
     const duration patience = isSuccessor()
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
@@ -224,7 +224,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::pollRows()
 {
-    m_isLooking = true;
+    m_isStoreCallPending = true;
     m_env.store().list(
             std::string(usageTable),
             [this, askedAt = now(), alive = m_alive](outcome<row_batch, row_failure> result) {
@@ -236,7 +236,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::onRows(outcome<row_batch, row_failure> result, time_point askedAt)
 {
-    m_isLooking = false;
+    m_isStoreCallPending = false;
     m_nextLookAt = now() + maxPollInterval;
     if (!result) {
         logWarning(log_part::ledger, "rows of the usage duty not read",
@@ -309,7 +309,7 @@
     row.lease = nextLease(row.lease, m_settings.entry, m_life, m_bounds.earliest(now()),
                           m_settings.lease);
     ++row.save;
-    m_isLooking = true;
+    m_isStoreCallPending = true;
     const row_write write{std::string(usageTable), std::string(usageKey), encodeUsageRow(row),
                           version};
     m_env.store().write(
@@ -318,7 +318,7 @@
              alive = m_alive](outcome<conditional_write, row_failure> result) {
                 if (!*alive)
                     return;
-                m_isLooking = false;
+                m_isStoreCallPending = false;
                 m_nextLookAt = now() + minPollInterval;
                 logInfo(log_part::ledger, "usage duty asked for",
                         {{"token", std::int64_t(row.lease.token)}, {"result", textOf(result)}});
