--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -119,7 +119,7 @@
     std::uint64_t m_token = 0;
     store_time_bounds m_bounds;
     time_point m_heardAt{};
-    time_point m_nextLookAt{};
+    time_point m_nextPollAt{};
     time_point m_nextTellAt{};
     time_point m_allToldAt{};
     duration m_spread{}; ///< this entry's part of nonSuccessorJitter
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -205,14 +205,14 @@
     m_holderName = handover.holder;
     m_token = handover.token;
     m_heardAt = now() - holderTimeout;
-    m_nextLookAt = now();
+    m_nextPollAt = now();
 }
 
 template <usage_environment Env>
 void usage_duty<Env>::checkHolder()
 {
     const bool hasCounts = !m_meter.unacknowledged().empty();
-    if (m_isStoreCallPending || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
+    if (m_isStoreCallPending || now() < m_nextPollAt || (!isSuccessor() && !hasCounts))
         return;
     const duration patience = isSuccessor()
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
@@ -237,7 +237,7 @@
 void usage_duty<Env>::onRows(outcome<row_batch, row_failure> result, time_point askedAt)
 {
     m_isStoreCallPending = false;
-    m_nextLookAt = now() + maxPollInterval;
+    m_nextPollAt = now() + maxPollInterval;
     if (!result) {
         logWarning(log_part::ledger, "rows of the usage duty not read",
                    {{"why", textOf(result.error())}});
@@ -285,7 +285,7 @@
     }
     const duration left = lease.until - earliest;
     const duration turn = left + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
-    m_nextLookAt = now() + std::clamp<duration>(turn, minPollInterval, maxPollInterval);
+    m_nextPollAt = now() + std::clamp<duration>(turn, minPollInterval, maxPollInterval);
     if (left.count() > 0 && !m_meter.unacknowledged().empty())
         writeOwnRow();
 }
@@ -319,7 +319,7 @@
                 if (!*alive)
                     return;
                 m_isStoreCallPending = false;
-                m_nextLookAt = now() + minPollInterval;
+                m_nextPollAt = now() + minPollInterval;
                 logInfo(log_part::ledger, "usage duty asked for",
                         {{"token", std::int64_t(row.lease.token)}, {"result", textOf(result)}});
                 if (!result || !result.value().done)
