--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -120,7 +120,7 @@
     store_time_bounds m_bounds;
     time_point m_heardAt{};
     time_point m_nextPollAt{};
-    time_point m_nextTellAt{};
+    time_point m_nextNoticeAt{};
     time_point m_allToldAt{};
     duration m_spread{}; ///< this entry's part of nonSuccessorJitter
     bool m_isStoreCallPending = false;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -100,10 +100,10 @@
     if (m_life == 0)
         m_life = static_cast<std::uint64_t>(trueTime->count());
     applyWaitingCounts(*trueTime);
-    const bool isDue = now() >= m_nextTellAt;
+    const bool isDue = now() >= m_nextNoticeAt;
     const std::size_t before = m_meter.unacknowledged().size();
     if (isDue) {
-        m_nextTellAt = now() + noticeInterval() - tickInterval / 2;
+        m_nextNoticeAt = now() + noticeInterval() - tickInterval / 2;
         sealNextBatch(*trueTime);
     }
     if (m_holder && m_holder->isOver())
