--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -121,7 +121,7 @@
     time_point m_heardAt{};
     time_point m_nextPollAt{};
     time_point m_nextNoticeAt{};
-    time_point m_allToldAt{};
+    time_point m_lastFullSendAt{};
     duration m_spread{}; ///< this entry's part of nonSuccessorJitter
     bool m_isStoreCallPending = false;
     bool m_isRetired = false;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -134,8 +134,8 @@
     const std::size_t batches = m_meter.unacknowledged().size();
     if (m_holderName.empty() || m_holderName == m_settings.entry || batches == 0)
         return;
-    if (now() - m_allToldAt >= resendDelay) {
-        m_allToldAt = now();
+    if (now() - m_lastFullSendAt >= resendDelay) {
+        m_lastFullSendAt = now();
         sendBatches(0);
     } else if (isNew) {
         sendBatches(batches - 1);
@@ -188,7 +188,7 @@
     if (ack.holder != m_holderName) {
         logInfo(log_part::ledger, "usage duty is elsewhere",
                 {{"holder", ack.holder}, {"token", std::int64_t(ack.token)}});
-        m_allToldAt = {};
+        m_lastFullSendAt = {};
     }
     m_holderName = ack.holder;
     m_token = ack.token;
@@ -399,7 +399,7 @@
     if (const std::optional<milliseconds> trueTime = m_env.trueTime()) {
         applyWaitingCounts(*trueTime);
         sealNextBatch(*trueTime);
-        m_allToldAt = {};
+        m_lastFullSendAt = {};
         sendDueBatches(true);
     }
     checkFinished(now() + longest, std::move(done));
