--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -122,7 +122,7 @@
     time_point m_nextPollAt{};
     time_point m_nextNoticeAt{};
     time_point m_lastFullSendAt{};
-    duration m_spread{}; ///< this entry's part of nonSuccessorJitter
+    duration m_jitter{}; ///< this entry's part of nonSuccessorJitter
     bool m_isStoreCallPending = false;
     bool m_isRetired = false;
     bool m_hasOwnRow = false;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -21,7 +21,7 @@
     , m_metrics(metrics)
 {
     const auto parts = static_cast<std::uint64_t>(nonSuccessorJitter.count());
-    m_spread = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % parts));
+    m_jitter = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % parts));
 }
 
 template <usage_environment Env>
@@ -216,7 +216,7 @@
         return;
     const duration patience = isSuccessor()
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
-            : duration(nonSuccessorTimeout) + m_spread;
+            : duration(nonSuccessorTimeout) + m_jitter;
     if (now() - m_heardAt >= patience)
         pollRows();
 }
