--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -118,7 +118,7 @@
     std::string m_holderName; ///< as known here
     std::uint64_t m_token = 0;
     store_time_bounds m_bounds;
-    time_point m_heardAt{};
+    time_point m_holderHeardAt{};
     time_point m_nextPollAt{};
     time_point m_nextNoticeAt{};
     time_point m_lastFullSendAt{};
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -28,7 +28,7 @@
 void usage_duty<Env>::start()
 {
     // A holder tells a new entry within a heartbeat; without one the duty is free at a first start.
-    m_heardAt = now() - (holderTimeout - startupHolderTimeout);
+    m_holderHeardAt = now() - (holderTimeout - startupHolderTimeout);
     tick();
 }
 
@@ -192,7 +192,7 @@
     }
     m_holderName = ack.holder;
     m_token = ack.token;
-    m_heardAt = now();
+    m_holderHeardAt = now();
     if (ack.life == m_life)
         m_meter.acknowledge(ack.number);
 }
@@ -204,7 +204,7 @@
         return;
     m_holderName = handover.holder;
     m_token = handover.token;
-    m_heardAt = now() - holderTimeout;
+    m_holderHeardAt = now() - holderTimeout;
     m_nextPollAt = now();
 }
 
@@ -217,7 +217,7 @@
     const duration patience = isSuccessor()
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
             : duration(nonSuccessorTimeout) + m_jitter;
-    if (now() - m_heardAt >= patience)
+    if (now() - m_holderHeardAt >= patience)
         pollRows();
 }
 
