--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 /// Checks that all windows in which requests ran were told in time, and alike.
-static void checkExact(const usage_world &world)
+static void checkExact(const usage_fixture &world)
 {
     CHECK(world.faults() == std::vector<std::string>());
     CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
@@ -31,7 +31,7 @@
 
 TEST_CASE("each window is told once, with the counts of all entries")
 {
-    usage_world world(entries, 1);
+    usage_fixture world(entries, 1);
     world.pass(seconds(40));
     REQUIRE(world.holder());
     checkExact(world);
@@ -48,7 +48,7 @@
 {
     for (const std::string kind : {"killed while idle", "suspended", "cut off", "turned away"}) {
         INFO(kind);
-        usage_world world(entries, 2);
+        usage_fixture world(entries, 2);
         world.pass(seconds(12));
         usage_machine *first = world.holder();
         REQUIRE(first);
@@ -80,7 +80,7 @@
 
 TEST_CASE("a planned stop hands the duty over at once")
 {
-    usage_world world(entries, 3);
+    usage_fixture world(entries, 3);
     world.pass(seconds(12));
     usage_machine *first = world.holder();
     REQUIRE(first);
@@ -95,7 +95,7 @@
 
 TEST_CASE("all entries are stopped and started again, one after the other")
 {
-    usage_world world(entries, 4);
+    usage_fixture world(entries, 4);
     world.pass(seconds(8));
     for (usage_machine *machine : world.all()) {
         world.stop(*machine);
@@ -109,11 +109,11 @@
 {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        usage_world world(entries, seed);
+        usage_fixture world(entries, seed);
         world.pass(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
         for (usage_machine *machine : world.all())
             world.kill(*machine);
-        const window_number window = usage_world::windows.windowAt(world.trueTime());
+        const window_number window = usage_fixture::windows.windowAt(world.trueTime());
         world.pass(seconds(25), 20);
         CHECK(world.faults() == std::vector<std::string>());
         CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
@@ -125,7 +125,7 @@
 
 TEST_CASE("an entry that reaches only the store tells its counts by a row")
 {
-    usage_world world(entries, 5);
+    usage_fixture world(entries, 5);
     world.pass(seconds(8));
     usage_machine *cut = world.all()[3];
     if (cut == world.holder())
@@ -139,7 +139,7 @@
 
 TEST_CASE("an entry that is gone for good delays the windows of its end, and no later ones")
 {
-    usage_world world(entries, 8);
+    usage_fixture world(entries, 8);
     world.pass(seconds(8));
     usage_machine *gone = world.all()[3];
     if (gone == world.holder())
@@ -150,14 +150,14 @@
     CHECK(world.faults() == std::vector<std::string>());
     CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
     const taken_report &last = world.reports.back();
-    const milliseconds at = usage_world::trueTimeAt(last.at);
-    CHECK(at - usage_world::windows.endOf(last.report.window) < seconds(3));
+    const milliseconds at = usage_fixture::trueTimeAt(last.at);
+    CHECK(at - usage_fixture::windows.endOf(last.report.window) < seconds(3));
 }
 
 TEST_CASE("an outage of the store is waited for: windows that are not due yet are told exactly")
 {
     for (const call_mode mode : {call_mode::refused, call_mode::silent, call_mode::unanswered}) {
-        usage_world world(entries, 6);
+        usage_fixture world(entries, 6);
         world.pass(seconds(9));
         world.treatAll(&usage_machine::store, mode);
         world.pass(seconds(5));
@@ -171,7 +171,7 @@
 {
     for (std::int64_t begin = 8; begin < 13; ++begin) {
         INFO("store away from second ", begin);
-        usage_world world(entries, 9);
+        usage_fixture world(entries, 9);
         world.pass(seconds(begin));
         world.treatAll(&usage_machine::store, call_mode::refused);
         world.pass(milliseconds(6500));
@@ -183,7 +183,7 @@
 
 TEST_CASE("a report whose answer is lost is told again, alike")
 {
-    usage_world world(entries, 7);
+    usage_fixture world(entries, 7);
     world.pass(seconds(9));
     world.treatAll(&usage_machine::cloud, call_mode::unanswered);
     world.pass(seconds(7));
@@ -197,7 +197,7 @@
 }
 
 /// Does something at random to some machine.
-static void disturb(usage_world &world)
+static void disturb(usage_fixture &world)
 {
     usage_machine *holder = world.holder();
     usage_machine &machine = holder && world.random.chance(0.6) ? *holder : world.any();
@@ -247,7 +247,7 @@
     std::size_t tokens = 0;
     for (std::uint64_t seed = 1000; seed < 1000 + seeds; ++seed) {
         INFO("seed ", seed);
-        usage_world world(entries, seed);
+        usage_fixture world(entries, seed);
         world.pass(seconds(5), 2);
         for (int i = 0; i < 25; ++i) {
             disturb(world);
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -48,11 +48,11 @@
         // The store acts whatever becomes of the caller meanwhile.
         make([this, done, life = m_life, &world = m_world,
               &machine = m_machine](outcome<T, row_failure> result) {
-            world.deliver(usage_world::way, machine, life, [done, result] { done(result); });
+            world.deliver(usage_fixture::way, machine, life, [done, result] { done(result); });
         });
         return;
     case call_mode::refused:
-        fail(usage_world::way, row_failure::notDone);
+        fail(usage_fixture::way, row_failure::notDone);
         return;
     case call_mode::silent:
         break;
@@ -67,7 +67,7 @@
         }
         break;
     }
-    fail(usage_world::callTimeout, row_failure::unknown);
+    fail(usage_fixture::callTimeout, row_failure::unknown);
 }
 
 void process_store::list(const std::string &table, row_callback<row_batch> done)
@@ -103,14 +103,14 @@
 
 void process_surroundings::send(const std::string &entry, const usage_message &message)
 {
-    usage_world &world = *m_world;
+    usage_fixture &world = *m_world;
     if (m_machine->isCut || world.random.chance(world.datagramLoss))
         return;
     for (usage_machine &to : world.machines) {
         if (to.name != entry || to.isCut || !to.isUp)
             continue;
         const std::string bytes = encodeUsageMessage(message);
-        world.deliver(usage_world::way, to, to.life, [&world, &to, bytes] {
+        world.deliver(usage_fixture::way, to, to.life, [&world, &to, bytes] {
             const std::optional<usage_message> told = decodeUsageMessage(bytes);
             if (told)
                 world.duties.at(to.name)->onMessage(*told);
@@ -120,14 +120,14 @@
 
 void process_surroundings::report(const usage_report &report, std::function<void(bool)> done)
 {
-    usage_world &world = *m_world;
+    usage_fixture &world = *m_world;
     usage_machine &machine = *m_machine;
     const call_mode mode = machine.cloud;
     const auto answer = [&](duration after, bool isTold) {
         world.deliver(after, machine, machine.life, [done, isTold] { done(isTold); });
     };
     if (mode == call_mode::refused) {
-        answer(usage_world::way, false);
+        answer(usage_fixture::way, false);
         return;
     }
     const milliseconds wait(
@@ -138,12 +138,12 @@
         });
     }
     if (mode == call_mode::fine)
-        answer(wait + usage_world::way, true);
+        answer(wait + usage_fixture::way, true);
     else
         answer(reportTimeout, false);
 }
 
-usage_world::usage_world(std::size_t count, std::uint64_t seed)
+usage_fixture::usage_fixture(std::size_t count, std::uint64_t seed)
     : random(seed)
 {
     for (std::size_t i = 0; i < count; ++i)
@@ -152,7 +152,7 @@
         start(machine);
 }
 
-std::vector<std::string> usage_world::names() const
+std::vector<std::string> usage_fixture::names() const
 {
     std::vector<std::string> names;
     for (const usage_machine &machine : machines)
@@ -160,7 +160,7 @@
     return names;
 }
 
-void usage_world::start(usage_machine &machine)
+void usage_fixture::start(usage_machine &machine)
 {
     ++machine.life;
     machine.isUp = true;
@@ -178,7 +178,7 @@
     duties[machine.name] = std::move(duty);
 }
 
-void usage_world::kill(usage_machine &machine)
+void usage_fixture::kill(usage_machine &machine)
 {
     machine.isUp = false;
     machine.isSuspended = false;
@@ -189,7 +189,7 @@
     });
 }
 
-void usage_world::thaw(usage_machine &machine)
+void usage_fixture::thaw(usage_machine &machine)
 {
     machine.isSuspended = false;
     const auto waiting = std::exchange(machine.atThaw, {});
@@ -197,7 +197,7 @@
         action();
 }
 
-void usage_world::stop(usage_machine &machine)
+void usage_fixture::stop(usage_machine &machine)
 {
     if (!machine.isUp || machine.isSuspended)
         return;
@@ -209,8 +209,8 @@
     });
 }
 
-void usage_world::deliver(duration delay, usage_machine &machine, std::uint64_t life,
-                          std::function<void()> action)
+void usage_fixture::deliver(duration delay, usage_machine &machine, std::uint64_t life,
+                            std::function<void()> action)
 {
     runtime.after(delay, [&machine, life, action = std::move(action)] {
         if (machine.life != life || !machine.isUp)
@@ -222,7 +222,7 @@
     });
 }
 
-void usage_world::pass(duration time, double perSecond)
+void usage_fixture::pass(duration time, double perSecond)
 {
     const std::chrono::duration<double> step = tick;
     for (duration passed{}; passed < time; passed += tick) {
@@ -238,12 +238,12 @@
     }
 }
 
-milliseconds usage_world::trueTimeAt(time_point at)
+milliseconds usage_fixture::trueTimeAt(time_point at)
 {
     return epoch + std::chrono::duration_cast<milliseconds>(at.time_since_epoch());
 }
 
-usage_machine *usage_world::holder()
+usage_machine *usage_fixture::holder()
 {
     for (usage_machine &machine : machines) {
         if (machine.isUp && duties.at(machine.name)->isHolder())
@@ -252,7 +252,7 @@
     return nullptr;
 }
 
-std::vector<usage_machine *> usage_world::all()
+std::vector<usage_machine *> usage_fixture::all()
 {
     std::vector<usage_machine *> items;
     for (usage_machine &machine : machines)
@@ -260,13 +260,13 @@
     return items;
 }
 
-void usage_world::treatAll(call_mode usage_machine::*by, call_mode how)
+void usage_fixture::treatAll(call_mode usage_machine::*by, call_mode how)
 {
     for (usage_machine &machine : machines)
         machine.*by = how;
 }
 
-usage_machine &usage_world::any()
+usage_machine &usage_fixture::any()
 {
     return *all()[random.bits() % machines.size()];
 }
@@ -287,7 +287,7 @@
     return false;
 }
 
-std::vector<std::string> usage_world::faults() const
+std::vector<std::string> usage_fixture::faults() const
 {
     std::vector<std::string> found;
     std::map<window_number, customer_counts> told;
@@ -311,7 +311,7 @@
     return found;
 }
 
-std::vector<window_number> usage_world::missed(milliseconds latest) const
+std::vector<window_number> usage_fixture::missed(milliseconds latest) const
 {
     std::vector<window_number> found;
     for (const auto &[window, counts] : truth) {
@@ -327,7 +327,7 @@
     return found;
 }
 
-const customer_counts *usage_world::reported(window_number window) const
+const customer_counts *usage_fixture::reported(window_number window) const
 {
     const auto it = std::find_if(reports.begin(), reports.end(), [window](const auto &item) {
         return item.report.window == window;
@@ -335,7 +335,7 @@
     return it == reports.end() ? nullptr : &it->report.counts;
 }
 
-std::uint64_t usage_world::truthOf(window_number window) const
+std::uint64_t usage_fixture::truthOf(window_number window) const
 {
     std::uint64_t all = 0;
     const auto it = truth.find(window);
@@ -346,7 +346,7 @@
     return all;
 }
 
-double usage_world::errorOf(window_number window) const
+double usage_fixture::errorOf(window_number window) const
 {
     const customer_counts *told = reported(window);
     if (!told)
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -21,7 +21,7 @@
 
 namespace laurelcroft {
 
-class usage_world;
+class usage_fixture;
 
 /// How the store, or whoever takes reports, treats an entry.
 enum class call_mode {
@@ -57,7 +57,7 @@
 class process_runtime
 {
 public:
-    process_runtime(usage_world &world, usage_machine &machine)
+    process_runtime(usage_fixture &world, usage_machine &machine)
         : m_world(world)
         , m_machine(machine)
         , m_life(machine.life)
@@ -68,7 +68,7 @@
     void cancel(timer_id timer);
 
 private:
-    usage_world &m_world;
+    usage_fixture &m_world;
     usage_machine &m_machine;
     std::uint64_t m_life;
 };
@@ -77,7 +77,7 @@
 class process_store
 {
 public:
-    process_store(usage_world &world, usage_machine &machine)
+    process_store(usage_fixture &world, usage_machine &machine)
         : m_world(world)
         , m_machine(machine)
         , m_life(machine.life)
@@ -92,7 +92,7 @@
     template <class T>
     void call(bool isWrite, std::function<void(row_callback<T>)> make, row_callback<T> done);
 
-    usage_world &m_world;
+    usage_fixture &m_world;
     usage_machine &m_machine;
     std::uint64_t m_life;
 };
@@ -106,14 +106,14 @@
     void send(const std::string &entry, const usage_message &message);
     void report(const usage_report &report, std::function<void(bool)> done);
 
-    usage_world *m_world;
+    usage_fixture *m_world;
     usage_machine *m_machine;
     std::shared_ptr<process_runtime> m_runtime;
     std::shared_ptr<process_store> m_store;
 };
 
 /// All of them.
-class usage_world
+class usage_fixture
 {
 public:
     static constexpr milliseconds way{2};
@@ -122,7 +122,7 @@
     static constexpr milliseconds lease{3000};
     static constexpr milliseconds due{10000};
 
-    usage_world(std::size_t machines, std::uint64_t seed);
+    usage_fixture(std::size_t machines, std::uint64_t seed);
 
     void start(usage_machine &machine);
     void kill(usage_machine &machine);
