--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -23,12 +23,12 @@
 
 time_point process_runtime::now() const
 {
-    return m_world.runtime.now();
+    return m_fixture.runtime.now();
 }
 
 timer_id process_runtime::after(duration delay, std::function<void()> action)
 {
-    m_world.deliver(delay, m_machine, m_life, std::move(action));
+    m_fixture.deliver(delay, m_machine, m_life, std::move(action));
     return 1;
 }
 
@@ -40,13 +40,13 @@
 {
     const call_mode mode = m_machine.store;
     const auto fail = [this, done](milliseconds after, row_failure why) {
-        m_world.deliver(after, m_machine, m_life, [done, why] { done(failure(why)); });
+        m_fixture.deliver(after, m_machine, m_life, [done, why] { done(failure(why)); });
     };
     const row_callback<T> ignored = [](outcome<T, row_failure>) {};
     switch (mode) {
     case call_mode::fine:
         // The store acts whatever becomes of the caller meanwhile.
-        make([this, done, life = m_life, &world = m_world,
+        make([this, done, life = m_life, &world = m_fixture,
               &machine = m_machine](outcome<T, row_failure> result) {
             world.deliver(usage_fixture::way, machine, life, [done, result] { done(result); });
         });
@@ -62,8 +62,8 @@
     case call_mode::late:
         if (isWrite) {
             const milliseconds wait(
-                    static_cast<std::int64_t>(1000 + 5000 * m_world.random.uniform()));
-            m_world.runtime.after(wait, [make, ignored] { make(ignored); });
+                    static_cast<std::int64_t>(1000 + 5000 * m_fixture.random.uniform()));
+            m_fixture.runtime.after(wait, [make, ignored] { make(ignored); });
         }
         break;
     }
@@ -74,7 +74,7 @@
 {
     call<row_batch>(
             false,
-            [&world = m_world, table](row_callback<row_batch> got) {
+            [&world = m_fixture, table](row_callback<row_batch> got) {
                 world.store.list(table, got);
             },
             std::move(done));
@@ -83,14 +83,14 @@
 void process_store::follow(const std::string &table, std::uint64_t since, milliseconds wait,
                            row_callback<row_batch> done)
 {
-    m_world.store.follow(table, since, wait, std::move(done));
+    m_fixture.store.follow(table, since, wait, std::move(done));
 }
 
 void process_store::write(const std::vector<row_write> &rows, row_callback<conditional_write> done)
 {
     call<conditional_write>(
             true,
-            [&world = m_world, rows](row_callback<conditional_write> got) {
+            [&world = m_fixture, rows](row_callback<conditional_write> got) {
                 world.store.write(rows, got);
             },
             std::move(done));
@@ -98,12 +98,12 @@
 
 std::optional<milliseconds> process_surroundings::trueTime()
 {
-    return m_world->trueTime();
+    return m_fixture->trueTime();
 }
 
 void process_surroundings::send(const std::string &entry, const usage_message &message)
 {
-    usage_fixture &world = *m_world;
+    usage_fixture &world = *m_fixture;
     if (m_machine->isCut || world.random.chance(world.datagramLoss))
         return;
     for (usage_machine &to : world.machines) {
@@ -120,7 +120,7 @@
 
 void process_surroundings::report(const usage_report &report, std::function<void(bool)> done)
 {
-    usage_fixture &world = *m_world;
+    usage_fixture &world = *m_fixture;
     usage_machine &machine = *m_machine;
     const call_mode mode = machine.cloud;
     const auto answer = [&](duration after, bool isTold) {
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -58,7 +58,7 @@
 {
 public:
     process_runtime(usage_fixture &world, usage_machine &machine)
-        : m_world(world)
+        : m_fixture(world)
         , m_machine(machine)
         , m_life(machine.life)
     {
@@ -68,7 +68,7 @@
     void cancel(timer_id timer);
 
 private:
-    usage_fixture &m_world;
+    usage_fixture &m_fixture;
     usage_machine &m_machine;
     std::uint64_t m_life;
 };
@@ -78,7 +78,7 @@
 {
 public:
     process_store(usage_fixture &world, usage_machine &machine)
-        : m_world(world)
+        : m_fixture(world)
         , m_machine(machine)
         , m_life(machine.life)
     {
@@ -92,7 +92,7 @@
     template <class T>
     void call(bool isWrite, std::function<void(row_callback<T>)> make, row_callback<T> done);
 
-    usage_fixture &m_world;
+    usage_fixture &m_fixture;
     usage_machine &m_machine;
     std::uint64_t m_life;
 };
@@ -106,7 +106,7 @@
     void send(const std::string &entry, const usage_message &message);
     void report(const usage_report &report, std::function<void(bool)> done);
 
-    usage_fixture *m_world;
+    usage_fixture *m_fixture;
     usage_machine *m_machine;
     std::shared_ptr<process_runtime> m_runtime;
     std::shared_ptr<process_store> m_store;
