--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -17,107 +17,107 @@
 } // namespace
 
 /// Checks that all windows in which requests ran were told in time, and alike.
-static void checkExact(const usage_fixture &world)
+static void checkExact(const usage_fixture &fixture)
 {
-    CHECK(world.faults() == std::vector<std::string>());
-    CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
-    for (const taken_report &item : world.reports) {
-        if (world.truthOf(item.report.window) > 0) {
+    CHECK(fixture.faults() == std::vector<std::string>());
+    CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+    for (const taken_report &item : fixture.reports) {
+        if (fixture.truthOf(item.report.window) > 0) {
             INFO("window ", item.report.window);
-            CHECK(world.errorOf(item.report.window) == 0);
+            CHECK(fixture.errorOf(item.report.window) == 0);
         }
     }
 }
 
 TEST_CASE("each window is told once, with the counts of all entries")
 {
-    usage_fixture world(entries, 1);
-    world.pass(seconds(40));
-    REQUIRE(world.holder());
-    checkExact(world);
-    CHECK(world.reports.size() >= 5);
+    usage_fixture fixture(entries, 1);
+    fixture.pass(seconds(40));
+    REQUIRE(fixture.holder());
+    checkExact(fixture);
+    CHECK(fixture.reports.size() >= 5);
     std::set<window_number> told;
-    for (const taken_report &item : world.reports)
+    for (const taken_report &item : fixture.reports)
         CHECK(told.insert(item.report.window).second);
     // A lease, its token and one write for each save: no entry but the holder calls the store.
-    CHECK(world.store.writes < seconds(40) / usage_holder<process_surroundings>::saveInterval);
-    CHECK(world.store.lists < 3 * entries);
+    CHECK(fixture.store.writes < seconds(40) / usage_holder<process_surroundings>::saveInterval);
+    CHECK(fixture.store.lists < 3 * entries);
 }
 
 TEST_CASE("a holder that is killed, suspended or cut off is followed, and nothing is lost")
 {
     for (const std::string kind : {"killed while idle", "suspended", "cut off", "turned away"}) {
         INFO(kind);
-        usage_fixture world(entries, 2);
-        world.pass(seconds(12));
-        usage_machine *first = world.holder();
+        usage_fixture fixture(entries, 2);
+        fixture.pass(seconds(12));
+        usage_machine *first = fixture.holder();
         REQUIRE(first);
         if (kind == "suspended")
-            world.suspend(*first);
+            fixture.suspend(*first);
         else if (kind == "cut off")
             first->isCut = true;
         else if (kind == "turned away")
             first->store = call_mode::refused;
         else {
-            world.pass(milliseconds(500), 0);
-            world.kill(*first);
+            fixture.pass(milliseconds(500), 0);
+            fixture.kill(*first);
         }
-        world.pass(seconds(8));
+        fixture.pass(seconds(8));
         if (kind == "suspended")
-            world.thaw(*first);
+            fixture.thaw(*first);
         first->isCut = false;
         first->store = call_mode::fine;
-        world.pass(seconds(25));
-        usage_machine *second = world.holder();
+        fixture.pass(seconds(25));
+        usage_machine *second = fixture.holder();
         REQUIRE(second);
         // Whoever is only out of the others' reach goes on: its rows tell that it lives. One that
         // was killed may be the first to be up again.
         if (kind != "killed while idle")
             CHECK((second->name == first->name) == (kind == "cut off"));
-        checkExact(world);
+        checkExact(fixture);
     }
 }
 
 TEST_CASE("a planned stop hands the duty over at once")
 {
-    usage_fixture world(entries, 3);
-    world.pass(seconds(12));
-    usage_machine *first = world.holder();
+    usage_fixture fixture(entries, 3);
+    fixture.pass(seconds(12));
+    usage_machine *first = fixture.holder();
     REQUIRE(first);
-    world.stop(*first);
-    world.pass(milliseconds(1200));
-    usage_machine *second = world.holder();
+    fixture.stop(*first);
+    fixture.pass(milliseconds(1200));
+    usage_machine *second = fixture.holder();
     REQUIRE(second);
     CHECK(second->name != first->name);
-    world.pass(seconds(25));
-    checkExact(world);
+    fixture.pass(seconds(25));
+    checkExact(fixture);
 }
 
 TEST_CASE("all entries are stopped and started again, one after the other")
 {
-    usage_fixture world(entries, 4);
-    world.pass(seconds(8));
-    for (usage_machine *machine : world.all()) {
-        world.stop(*machine);
-        world.pass(milliseconds(1700));
+    usage_fixture fixture(entries, 4);
+    fixture.pass(seconds(8));
+    for (usage_machine *machine : fixture.all()) {
+        fixture.stop(*machine);
+        fixture.pass(milliseconds(1700));
     }
-    world.pass(seconds(25));
-    checkExact(world);
+    fixture.pass(seconds(25));
+    checkExact(fixture);
 }
 
 TEST_CASE("all entries are killed together: what was counted a moment before is told")
 {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        usage_fixture world(entries, seed);
-        world.pass(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
-        for (usage_machine *machine : world.all())
-            world.kill(*machine);
-        const window_number window = usage_fixture::windows.windowAt(world.trueTime());
-        world.pass(seconds(25), 20);
-        CHECK(world.faults() == std::vector<std::string>());
-        CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
-        worst = std::max(worst, world.errorOf(window));
+        usage_fixture fixture(entries, seed);
+        fixture.pass(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
+        for (usage_machine *machine : fixture.all())
+            fixture.kill(*machine);
+        const window_number window = usage_fixture::windows.windowAt(fixture.trueTime());
+        fixture.pass(seconds(25), 20);
+        CHECK(fixture.faults() == std::vector<std::string>());
+        CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+        worst = std::max(worst, fixture.errorOf(window));
     }
     MESSAGE("worst error ", worst);
     CHECK(worst <= usageError);
@@ -125,31 +125,31 @@
 
 TEST_CASE("an entry that reaches only the store tells its counts by a row")
 {
-    usage_fixture world(entries, 5);
-    world.pass(seconds(8));
-    usage_machine *cut = world.all()[3];
-    if (cut == world.holder())
-        cut = world.all()[4];
+    usage_fixture fixture(entries, 5);
+    fixture.pass(seconds(8));
+    usage_machine *cut = fixture.all()[3];
+    if (cut == fixture.holder())
+        cut = fixture.all()[4];
     cut->isCut = true;
-    world.pass(seconds(14));
+    fixture.pass(seconds(14));
     cut->isCut = false;
-    world.pass(seconds(25));
-    checkExact(world);
+    fixture.pass(seconds(25));
+    checkExact(fixture);
 }
 
 TEST_CASE("an entry that is gone for good delays the windows of its end, and no later ones")
 {
-    usage_fixture world(entries, 8);
-    world.pass(seconds(8));
-    usage_machine *gone = world.all()[3];
-    if (gone == world.holder())
-        gone = world.all()[4];
+    usage_fixture fixture(entries, 8);
+    fixture.pass(seconds(8));
+    usage_machine *gone = fixture.all()[3];
+    if (gone == fixture.holder())
+        gone = fixture.all()[4];
     gone->isUp = false;
     ++gone->life;
-    world.pass(seconds(30));
-    CHECK(world.faults() == std::vector<std::string>());
-    CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
-    const taken_report &last = world.reports.back();
+    fixture.pass(seconds(30));
+    CHECK(fixture.faults() == std::vector<std::string>());
+    CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+    const taken_report &last = fixture.reports.back();
     const milliseconds at = usage_fixture::trueTimeAt(last.at);
     CHECK(at - usage_fixture::windows.endOf(last.report.window) < seconds(3));
 }
@@ -157,13 +157,13 @@
 TEST_CASE("an outage of the store is waited for: windows that are not due yet are told exactly")
 {
     for (const call_mode mode : {call_mode::refused, call_mode::silent, call_mode::unanswered}) {
-        usage_fixture world(entries, 6);
-        world.pass(seconds(9));
-        world.treatAll(&usage_machine::store, mode);
-        world.pass(seconds(5));
-        world.treatAll(&usage_machine::store, call_mode::fine);
-        world.pass(seconds(30));
-        checkExact(world);
+        usage_fixture fixture(entries, 6);
+        fixture.pass(seconds(9));
+        fixture.treatAll(&usage_machine::store, mode);
+        fixture.pass(seconds(5));
+        fixture.treatAll(&usage_machine::store, call_mode::fine);
+        fixture.pass(seconds(30));
+        checkExact(fixture);
     }
 }
 
@@ -171,51 +171,51 @@
 {
     for (std::int64_t begin = 8; begin < 13; ++begin) {
         INFO("store away from second ", begin);
-        usage_fixture world(entries, 9);
-        world.pass(seconds(begin));
-        world.treatAll(&usage_machine::store, call_mode::refused);
-        world.pass(milliseconds(6500));
-        world.treatAll(&usage_machine::store, call_mode::fine);
-        world.pass(seconds(30));
-        checkExact(world);
+        usage_fixture fixture(entries, 9);
+        fixture.pass(seconds(begin));
+        fixture.treatAll(&usage_machine::store, call_mode::refused);
+        fixture.pass(milliseconds(6500));
+        fixture.treatAll(&usage_machine::store, call_mode::fine);
+        fixture.pass(seconds(30));
+        checkExact(fixture);
     }
 }
 
 TEST_CASE("a report whose answer is lost is told again, alike")
 {
-    usage_fixture world(entries, 7);
-    world.pass(seconds(9));
-    world.treatAll(&usage_machine::cloud, call_mode::unanswered);
-    world.pass(seconds(7));
-    if (usage_machine *holder = world.holder())
-        world.kill(*holder);
-    world.pass(seconds(2));
-    world.treatAll(&usage_machine::cloud, call_mode::fine);
-    world.pass(seconds(25));
-    CHECK(world.faults() == std::vector<std::string>());
-    CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
+    usage_fixture fixture(entries, 7);
+    fixture.pass(seconds(9));
+    fixture.treatAll(&usage_machine::cloud, call_mode::unanswered);
+    fixture.pass(seconds(7));
+    if (usage_machine *holder = fixture.holder())
+        fixture.kill(*holder);
+    fixture.pass(seconds(2));
+    fixture.treatAll(&usage_machine::cloud, call_mode::fine);
+    fixture.pass(seconds(25));
+    CHECK(fixture.faults() == std::vector<std::string>());
+    CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
 }
 
 /// Does something at random to some machine.
-static void disturb(usage_fixture &world)
+static void disturb(usage_fixture &fixture)
 {
-    usage_machine *holder = world.holder();
-    usage_machine &machine = holder && world.random.chance(0.6) ? *holder : world.any();
-    const milliseconds time(static_cast<std::int64_t>(500 + 5500 * world.random.uniform()));
+    usage_machine *holder = fixture.holder();
+    usage_machine &machine = holder && fixture.random.chance(0.6) ? *holder : fixture.any();
+    const milliseconds time(static_cast<std::int64_t>(500 + 5500 * fixture.random.uniform()));
     const auto heal
-            = [&world, time](usage_machine &item, std::function<void(usage_machine &)> mend) {
-                  world.runtime.after(time, [&item, mend] { mend(item); });
+            = [&fixture, time](usage_machine &item, std::function<void(usage_machine &)> mend) {
+                  fixture.runtime.after(time, [&item, mend] { mend(item); });
               };
     constexpr std::array modes{call_mode::refused, call_mode::silent, call_mode::unanswered,
                                call_mode::late};
-    const call_mode mode = modes[world.random.bits() % modes.size()];
-    switch (world.random.bits() % 7) {
+    const call_mode mode = modes[fixture.random.bits() % modes.size()];
+    switch (fixture.random.bits() % 7) {
     case 0:
-        world.kill(machine);
+        fixture.kill(machine);
         return;
     case 1:
-        world.suspend(machine);
-        heal(machine, [&world](usage_machine &item) { world.thaw(item); });
+        fixture.suspend(machine);
+        heal(machine, [&fixture](usage_machine &item) { fixture.thaw(item); });
         return;
     case 2:
         machine.isCut = true;
@@ -230,12 +230,12 @@
         heal(machine, [](usage_machine &item) { item.cloud = call_mode::fine; });
         return;
     case 5:
-        world.stop(machine);
+        fixture.stop(machine);
         return;
     default:
-        for (usage_machine *item : world.all()) {
-            if (world.random.chance(0.5))
-                world.kill(*item);
+        for (usage_machine *item : fixture.all()) {
+            if (fixture.random.chance(0.5))
+                fixture.kill(*item);
         }
     }
 }
@@ -247,23 +247,24 @@
     std::size_t tokens = 0;
     for (std::uint64_t seed = 1000; seed < 1000 + seeds; ++seed) {
         INFO("seed ", seed);
-        usage_fixture world(entries, seed);
-        world.pass(seconds(5), 2);
+        usage_fixture fixture(entries, seed);
+        fixture.pass(seconds(5), 2);
         for (int i = 0; i < 25; ++i) {
-            disturb(world);
-            world.pass(milliseconds(static_cast<std::int64_t>(2500 * world.random.uniform())), 2);
+            disturb(fixture);
+            fixture.pass(milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())),
+                         2);
         }
-        for (usage_machine *machine : world.all()) {
+        for (usage_machine *machine : fixture.all()) {
             machine->store = call_mode::fine;
             machine->cloud = call_mode::fine;
             machine->isCut = false;
-            world.thaw(*machine);
+            fixture.thaw(*machine);
         }
-        world.pass(seconds(16), 2);
-        REQUIRE(world.faults() == std::vector<std::string>());
-        REQUIRE(world.holder());
-        told += world.reports.size();
-        tokens += world.reports.empty() ? 0 : world.reports.back().report.token;
+        fixture.pass(seconds(16), 2);
+        REQUIRE(fixture.faults() == std::vector<std::string>());
+        REQUIRE(fixture.holder());
+        told += fixture.reports.size();
+        tokens += fixture.reports.empty() ? 0 : fixture.reports.back().report.token;
     }
     // The play is one: the duty is told, and changes hands.
     CHECK(told > 5 * seeds);
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -46,9 +46,9 @@
     switch (mode) {
     case call_mode::fine:
         // The store acts whatever becomes of the caller meanwhile.
-        make([this, done, life = m_life, &world = m_fixture,
+        make([this, done, life = m_life, &fixture = m_fixture,
               &machine = m_machine](outcome<T, row_failure> result) {
-            world.deliver(usage_fixture::way, machine, life, [done, result] { done(result); });
+            fixture.deliver(usage_fixture::way, machine, life, [done, result] { done(result); });
         });
         return;
     case call_mode::refused:
@@ -74,8 +74,8 @@
 {
     call<row_batch>(
             false,
-            [&world = m_fixture, table](row_callback<row_batch> got) {
-                world.store.list(table, got);
+            [&fixture = m_fixture, table](row_callback<row_batch> got) {
+                fixture.store.list(table, got);
             },
             std::move(done));
 }
@@ -90,8 +90,8 @@
 {
     call<conditional_write>(
             true,
-            [&world = m_fixture, rows](row_callback<conditional_write> got) {
-                world.store.write(rows, got);
+            [&fixture = m_fixture, rows](row_callback<conditional_write> got) {
+                fixture.store.write(rows, got);
             },
             std::move(done));
 }
@@ -103,38 +103,38 @@
 
 void process_surroundings::send(const std::string &entry, const usage_message &message)
 {
-    usage_fixture &world = *m_fixture;
-    if (m_machine->isCut || world.random.chance(world.datagramLoss))
+    usage_fixture &fixture = *m_fixture;
+    if (m_machine->isCut || fixture.random.chance(fixture.datagramLoss))
         return;
-    for (usage_machine &to : world.machines) {
+    for (usage_machine &to : fixture.machines) {
         if (to.name != entry || to.isCut || !to.isUp)
             continue;
         const std::string bytes = encodeUsageMessage(message);
-        world.deliver(usage_fixture::way, to, to.life, [&world, &to, bytes] {
+        fixture.deliver(usage_fixture::way, to, to.life, [&fixture, &to, bytes] {
             const std::optional<usage_message> told = decodeUsageMessage(bytes);
             if (told)
-                world.duties.at(to.name)->onMessage(*told);
+                fixture.duties.at(to.name)->onMessage(*told);
         });
     }
 }
 
 void process_surroundings::report(const usage_report &report, std::function<void(bool)> done)
 {
-    usage_fixture &world = *m_fixture;
+    usage_fixture &fixture = *m_fixture;
     usage_machine &machine = *m_machine;
     const call_mode mode = machine.cloud;
     const auto answer = [&](duration after, bool isTold) {
-        world.deliver(after, machine, machine.life, [done, isTold] { done(isTold); });
+        fixture.deliver(after, machine, machine.life, [done, isTold] { done(isTold); });
     };
     if (mode == call_mode::refused) {
         answer(usage_fixture::way, false);
         return;
     }
     const milliseconds wait(
-            static_cast<std::int64_t>(latestReport.count() * world.random.uniform()));
+            static_cast<std::int64_t>(latestReport.count() * fixture.random.uniform()));
     if (mode != call_mode::silent) {
-        world.runtime.after(wait, [&world, report] {
-            world.reports.push_back({world.runtime.now(), report});
+        fixture.runtime.after(wait, [&fixture, report] {
+            fixture.reports.push_back({fixture.runtime.now(), report});
         });
     }
     if (mode == call_mode::fine)
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -57,8 +57,8 @@
 class process_runtime
 {
 public:
-    process_runtime(usage_fixture &world, usage_machine &machine)
-        : m_fixture(world)
+    process_runtime(usage_fixture &fixture, usage_machine &machine)
+        : m_fixture(fixture)
         , m_machine(machine)
         , m_life(machine.life)
     {
@@ -77,8 +77,8 @@
 class process_store
 {
 public:
-    process_store(usage_fixture &world, usage_machine &machine)
-        : m_fixture(world)
+    process_store(usage_fixture &fixture, usage_machine &machine)
+        : m_fixture(fixture)
         , m_machine(machine)
         , m_life(machine.life)
     {
