--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -40,7 +40,7 @@
     for (const taken_report &item : fixture.reports)
         CHECK(told.insert(item.report.window).second);
     // A lease, its token and one write for each save: no entry but the holder calls the store.
-    CHECK(fixture.store.writes < seconds(40) / usage_holder<process_surroundings>::saveInterval);
+    CHECK(fixture.store.writes < seconds(40) / usage_holder<process_environment>::saveInterval);
     CHECK(fixture.store.lists < 3 * entries);
 }
 
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -96,12 +96,12 @@
             std::move(done));
 }
 
-std::optional<milliseconds> process_surroundings::trueTime()
+std::optional<milliseconds> process_environment::trueTime()
 {
     return m_fixture->trueTime();
 }
 
-void process_surroundings::send(const std::string &entry, const usage_message &message)
+void process_environment::send(const std::string &entry, const usage_message &message)
 {
     usage_fixture &fixture = *m_fixture;
     if (m_machine->isCut || fixture.random.chance(fixture.datagramLoss))
@@ -118,7 +118,7 @@
     }
 }
 
-void process_surroundings::report(const usage_report &report, std::function<void(bool)> done)
+void process_environment::report(const usage_report &report, std::function<void(bool)> done)
 {
     usage_fixture &fixture = *m_fixture;
     usage_machine &machine = *m_machine;
@@ -167,9 +167,9 @@
     machine.isSuspended = false;
     machine.isDrained = false;
     machine.atThaw.clear();
-    process_surroundings around{this, &machine, std::make_shared<process_runtime>(*this, machine),
-                                std::make_shared<process_store>(*this, machine)};
-    auto duty = std::make_unique<usage_duty<process_surroundings>>(
+    process_environment around{this, &machine, std::make_shared<process_runtime>(*this, machine),
+                               std::make_shared<process_store>(*this, machine)};
+    auto duty = std::make_unique<usage_duty<process_environment>>(
             around, usage_settings{machine.name, windows, lease, due}, metrics);
     duty->setEntries(names());
     duty->start();
@@ -201,7 +201,7 @@
 {
     if (!machine.isUp || machine.isSuspended)
         return;
-    usage_duty<process_surroundings> &duty = *duties.at(machine.name);
+    usage_duty<process_environment> &duty = *duties.at(machine.name);
     duty.retire();
     deliver(drained, machine, machine.life, [this, &duty, &machine] {
         machine.isDrained = true;
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -98,7 +98,7 @@
 };
 
 /// What is around one process.
-struct process_surroundings
+struct process_environment
 {
     process_runtime &runtime() { return *m_runtime; }
     process_store &store() { return *m_store; }
@@ -163,12 +163,12 @@
     fake_store store{runtime};
     random_source random;
     std::list<usage_machine> machines;
-    std::map<std::string, std::unique_ptr<usage_duty<process_surroundings>>> duties;
+    std::map<std::string, std::unique_ptr<usage_duty<process_environment>>> duties;
     std::vector<taken_report> reports;
     window_counts truth;
     double datagramLoss = 0.01;
     metric_registry metrics;
-    std::vector<std::unique_ptr<usage_duty<process_surroundings>>> ended;
+    std::vector<std::unique_ptr<usage_duty<process_environment>>> ended;
 
 private:
     std::vector<std::string> names() const;
