--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -159,9 +159,9 @@
     for (const call_mode mode : {call_mode::refused, call_mode::silent, call_mode::unanswered}) {
         usage_fixture fixture(entries, 6);
         fixture.pass(seconds(9));
-        fixture.treatAll(&usage_machine::store, mode);
+        fixture.setModeForAll(&usage_machine::store, mode);
         fixture.pass(seconds(5));
-        fixture.treatAll(&usage_machine::store, call_mode::fine);
+        fixture.setModeForAll(&usage_machine::store, call_mode::fine);
         fixture.pass(seconds(30));
         checkExact(fixture);
     }
@@ -173,9 +173,9 @@
         INFO("store away from second ", begin);
         usage_fixture fixture(entries, 9);
         fixture.pass(seconds(begin));
-        fixture.treatAll(&usage_machine::store, call_mode::refused);
+        fixture.setModeForAll(&usage_machine::store, call_mode::refused);
         fixture.pass(milliseconds(6500));
-        fixture.treatAll(&usage_machine::store, call_mode::fine);
+        fixture.setModeForAll(&usage_machine::store, call_mode::fine);
         fixture.pass(seconds(30));
         checkExact(fixture);
     }
@@ -185,12 +185,12 @@
 {
     usage_fixture fixture(entries, 7);
     fixture.pass(seconds(9));
-    fixture.treatAll(&usage_machine::cloud, call_mode::unanswered);
+    fixture.setModeForAll(&usage_machine::cloud, call_mode::unanswered);
     fixture.pass(seconds(7));
     if (usage_machine *holder = fixture.holder())
         fixture.kill(*holder);
     fixture.pass(seconds(2));
-    fixture.treatAll(&usage_machine::cloud, call_mode::fine);
+    fixture.setModeForAll(&usage_machine::cloud, call_mode::fine);
     fixture.pass(seconds(25));
     CHECK(fixture.faults() == std::vector<std::string>());
     CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -260,7 +260,7 @@
     return items;
 }
 
-void usage_fixture::treatAll(call_mode usage_machine::*by, call_mode how)
+void usage_fixture::setModeForAll(call_mode usage_machine::*by, call_mode how)
 {
     for (usage_machine &machine : machines)
         machine.*by = how;
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -132,7 +132,7 @@
     void stop(usage_machine &machine);
 
     /// Sets how the store, or whoever takes reports, treats all machines.
-    void treatAll(call_mode usage_machine::*by, call_mode how);
+    void setModeForAll(call_mode usage_machine::*by, call_mode how);
 
     /// Lets time pass, with \p perSecond requests at each machine that is up.
     void pass(duration time, double perSecond = 7);
