--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -22,7 +22,7 @@
     CHECK(fixture.faults() == std::vector<std::string>());
     CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
     for (const taken_report &item : fixture.reports) {
-        if (fixture.truthOf(item.report.window) > 0) {
+        if (fixture.actualRequests(item.report.window) > 0) {
             INFO("window ", item.report.window);
             CHECK(fixture.errorOf(item.report.window) == 0);
         }
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -335,7 +335,7 @@
     return it == reports.end() ? nullptr : &it->report.counts;
 }
 
-std::uint64_t usage_fixture::truthOf(window_number window) const
+std::uint64_t usage_fixture::actualRequests(window_number window) const
 {
     std::uint64_t all = 0;
     const auto it = truth.find(window);
@@ -357,5 +357,5 @@
         const double said = it == told->end() ? 0 : static_cast<double>(it->second);
         wrong += std::abs(said - static_cast<double>(count));
     }
-    return wrong / static_cast<double>(truthOf(window));
+    return wrong / static_cast<double>(actualRequests(window));
 }
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -153,7 +153,7 @@
     /// as a share of the window's requests.
     double errorOf(window_number window) const;
     const customer_counts *reported(window_number window) const;
-    std::uint64_t truthOf(window_number window) const;
+    std::uint64_t actualRequests(window_number window) const;
 
     /// Runs \p action at the machine's process \p life after \p delay, unless it has ended then.
     void deliver(duration delay, usage_machine &machine, std::uint64_t life,
