--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -233,7 +233,7 @@
                 continue;
             const std::string customer = "customer-" + std::to_string(random.bits() % 24);
             duties.at(machine.name)->count(customer, runtime.now(), 1);
-            ++truth[windows.windowAt(trueTime())][customer];
+            ++actualCounts[windows.windowAt(trueTime())][customer];
         }
     }
 }
@@ -314,7 +314,7 @@
 std::vector<window_number> usage_fixture::missed(milliseconds latest) const
 {
     std::vector<window_number> found;
-    for (const auto &[window, counts] : truth) {
+    for (const auto &[window, counts] : actualCounts) {
         const milliseconds dueAt = windows.endOf(window) + due;
         if (dueAt > latest)
             continue;
@@ -338,8 +338,8 @@
 std::uint64_t usage_fixture::actualRequests(window_number window) const
 {
     std::uint64_t all = 0;
-    const auto it = truth.find(window);
-    if (it == truth.end())
+    const auto it = actualCounts.find(window);
+    if (it == actualCounts.end())
         return 0;
     for (const auto &[customer, count] : it->second)
         all += count;
@@ -352,7 +352,7 @@
     if (!told)
         return 1;
     double wrong = 0;
-    for (const auto &[customer, count] : truth.at(window)) {
+    for (const auto &[customer, count] : actualCounts.at(window)) {
         const auto it = told->find(customer);
         const double said = it == told->end() ? 0 : static_cast<double>(it->second);
         wrong += std::abs(said - static_cast<double>(count));
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -165,7 +165,7 @@
     std::list<usage_machine> machines;
     std::map<std::string, std::unique_ptr<usage_duty<process_environment>>> duties;
     std::vector<taken_report> reports;
-    window_counts truth;
+    window_counts actualCounts;
     double datagramLoss = 0.01;
     metric_registry metrics;
     std::vector<std::unique_ptr<usage_duty<process_environment>>> ended;
