--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -24,7 +24,7 @@
     for (const taken_report &item : fixture.reports) {
         if (fixture.actualRequests(item.report.window) > 0) {
             INFO("window ", item.report.window);
-            CHECK(fixture.errorOf(item.report.window) == 0);
+            CHECK(fixture.relativeError(item.report.window) == 0);
         }
     }
 }
@@ -117,7 +117,7 @@
         fixture.pass(seconds(25), 20);
         CHECK(fixture.faults() == std::vector<std::string>());
         CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
-        worst = std::max(worst, fixture.errorOf(window));
+        worst = std::max(worst, fixture.relativeError(window));
     }
     MESSAGE("worst error ", worst);
     CHECK(worst <= usageError);
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -346,7 +346,7 @@
     return all;
 }
 
-double usage_fixture::errorOf(window_number window) const
+double usage_fixture::relativeError(window_number window) const
 {
     const customer_counts *told = reported(window);
     if (!told)
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -151,7 +151,7 @@
     std::vector<window_number> missed(milliseconds latest) const;
     /// \returns the greatest difference of a customer's reported count of \p window from the truth,
     /// as a share of the window's requests.
-    double errorOf(window_number window) const;
+    double relativeError(window_number window) const;
     const customer_counts *reported(window_number window) const;
     std::uint64_t actualRequests(window_number window) const;
 
