--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -19,7 +19,7 @@
 /// Checks that all windows in which requests ran were told in time, and alike.
 static void checkExact(const usage_fixture &fixture)
 {
-    CHECK(fixture.faults() == std::vector<std::string>());
+    CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
     for (const taken_report &item : fixture.reports) {
         if (fixture.actualRequests(item.report.window) > 0) {
@@ -115,7 +115,7 @@
             fixture.kill(*machine);
         const window_number window = usage_fixture::windows.windowAt(fixture.trueTime());
         fixture.pass(seconds(25), 20);
-        CHECK(fixture.faults() == std::vector<std::string>());
+        CHECK(fixture.violations() == std::vector<std::string>());
         CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
         worst = std::max(worst, fixture.relativeError(window));
     }
@@ -147,7 +147,7 @@
     gone->isUp = false;
     ++gone->life;
     fixture.pass(seconds(30));
-    CHECK(fixture.faults() == std::vector<std::string>());
+    CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
     const taken_report &last = fixture.reports.back();
     const milliseconds at = usage_fixture::trueTimeAt(last.at);
@@ -192,7 +192,7 @@
     fixture.pass(seconds(2));
     fixture.setModeForAll(&usage_machine::cloud, call_mode::fine);
     fixture.pass(seconds(25));
-    CHECK(fixture.faults() == std::vector<std::string>());
+    CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
 }
 
@@ -261,7 +261,7 @@
             fixture.thaw(*machine);
         }
         fixture.pass(seconds(16), 2);
-        REQUIRE(fixture.faults() == std::vector<std::string>());
+        REQUIRE(fixture.violations() == std::vector<std::string>());
         REQUIRE(fixture.holder());
         told += fixture.reports.size();
         tokens += fixture.reports.empty() ? 0 : fixture.reports.back().report.token;
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -287,7 +287,7 @@
     return false;
 }
 
-std::vector<std::string> usage_fixture::faults() const
+std::vector<std::string> usage_fixture::violations() const
 {
     std::vector<std::string> found;
     std::map<window_number, customer_counts> told;
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -146,7 +146,7 @@
 
     /// \returns what the reports broke: two counts for a window, a lower token after a higher one,
     /// a token of two holders, a holder back within a lease's length of its last report.
-    std::vector<std::string> faults() const;
+    std::vector<std::string> violations() const;
     /// \returns windows that were over by \p latest and never reported, or after they were due.
     std::vector<window_number> missed(milliseconds latest) const;
     /// \returns the greatest difference of a customer's reported count of \p window from the truth,
