--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -20,7 +20,7 @@
 static void checkExact(const usage_fixture &fixture)
 {
     CHECK(fixture.violations() == std::vector<std::string>());
-    CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+    CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
     for (const taken_report &item : fixture.reports) {
         if (fixture.actualRequests(item.report.window) > 0) {
             INFO("window ", item.report.window);
@@ -116,7 +116,7 @@
         const window_number window = usage_fixture::windows.windowAt(fixture.trueTime());
         fixture.pass(seconds(25), 20);
         CHECK(fixture.violations() == std::vector<std::string>());
-        CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+        CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
         worst = std::max(worst, fixture.relativeError(window));
     }
     MESSAGE("worst error ", worst);
@@ -148,7 +148,7 @@
     ++gone->life;
     fixture.pass(seconds(30));
     CHECK(fixture.violations() == std::vector<std::string>());
-    CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+    CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
     const taken_report &last = fixture.reports.back();
     const milliseconds at = usage_fixture::trueTimeAt(last.at);
     CHECK(at - usage_fixture::windows.endOf(last.report.window) < seconds(3));
@@ -193,7 +193,7 @@
     fixture.setModeForAll(&usage_machine::cloud, call_mode::fine);
     fixture.pass(seconds(25));
     CHECK(fixture.violations() == std::vector<std::string>());
-    CHECK(fixture.missed(fixture.trueTime()) == std::vector<window_number>());
+    CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
 }
 
 /// Does something at random to some machine.
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -311,7 +311,7 @@
     return found;
 }
 
-std::vector<window_number> usage_fixture::missed(milliseconds latest) const
+std::vector<window_number> usage_fixture::lateWindows(milliseconds latest) const
 {
     std::vector<window_number> found;
     for (const auto &[window, counts] : actualCounts) {
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -148,7 +148,7 @@
     /// a token of two holders, a holder back within a lease's length of its last report.
     std::vector<std::string> violations() const;
     /// \returns windows that were over by \p latest and never reported, or after they were due.
-    std::vector<window_number> missed(milliseconds latest) const;
+    std::vector<window_number> lateWindows(milliseconds latest) const;
     /// \returns the greatest difference of a customer's reported count of \p window from the truth,
     /// as a share of the window's requests.
     double relativeError(window_number window) const;
