--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -327,7 +327,7 @@
     return found;
 }
 
-const customer_counts *usage_fixture::reported(window_number window) const
+const customer_counts *usage_fixture::reportedCounts(window_number window) const
 {
     const auto it = std::find_if(reports.begin(), reports.end(), [window](const auto &item) {
         return item.report.window == window;
@@ -348,7 +348,7 @@
 
 double usage_fixture::relativeError(window_number window) const
 {
-    const customer_counts *told = reported(window);
+    const customer_counts *told = reportedCounts(window);
     if (!told)
         return 1;
     double wrong = 0;
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -152,7 +152,7 @@
     /// \returns the greatest difference of a customer's reported count of \p window from the truth,
     /// as a share of the window's requests.
     double relativeError(window_number window) const;
-    const customer_counts *reported(window_number window) const;
+    const customer_counts *reportedCounts(window_number window) const;
     std::uint64_t actualRequests(window_number window) const;
 
     /// Runs \p action at the machine's process \p life after \p delay, unless it has ended then.
