--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -32,7 +32,7 @@
 TEST_CASE("each window is told once, with the counts of all entries")
 {
     usage_fixture fixture(entries, 1);
-    fixture.pass(seconds(40));
+    fixture.advanceTime(seconds(40));
     REQUIRE(fixture.holder());
     checkExact(fixture);
     CHECK(fixture.reports.size() >= 5);
@@ -49,7 +49,7 @@
     for (const std::string kind : {"killed while idle", "suspended", "cut off", "turned away"}) {
         INFO(kind);
         usage_fixture fixture(entries, 2);
-        fixture.pass(seconds(12));
+        fixture.advanceTime(seconds(12));
         usage_machine *first = fixture.holder();
         REQUIRE(first);
         if (kind == "suspended")
@@ -59,15 +59,15 @@
         else if (kind == "turned away")
             first->store = call_mode::refused;
         else {
-            fixture.pass(milliseconds(500), 0);
+            fixture.advanceTime(milliseconds(500), 0);
             fixture.kill(*first);
         }
-        fixture.pass(seconds(8));
+        fixture.advanceTime(seconds(8));
         if (kind == "suspended")
             fixture.thaw(*first);
         first->isCut = false;
         first->store = call_mode::fine;
-        fixture.pass(seconds(25));
+        fixture.advanceTime(seconds(25));
         usage_machine *second = fixture.holder();
         REQUIRE(second);
         // Whoever is only out of the others' reach goes on: its rows tell that it lives. One that
@@ -81,27 +81,27 @@
 TEST_CASE("a planned stop hands the duty over at once")
 {
     usage_fixture fixture(entries, 3);
-    fixture.pass(seconds(12));
+    fixture.advanceTime(seconds(12));
     usage_machine *first = fixture.holder();
     REQUIRE(first);
     fixture.stop(*first);
-    fixture.pass(milliseconds(1200));
+    fixture.advanceTime(milliseconds(1200));
     usage_machine *second = fixture.holder();
     REQUIRE(second);
     CHECK(second->name != first->name);
-    fixture.pass(seconds(25));
+    fixture.advanceTime(seconds(25));
     checkExact(fixture);
 }
 
 TEST_CASE("all entries are stopped and started again, one after the other")
 {
     usage_fixture fixture(entries, 4);
-    fixture.pass(seconds(8));
+    fixture.advanceTime(seconds(8));
     for (usage_machine *machine : fixture.all()) {
         fixture.stop(*machine);
-        fixture.pass(milliseconds(1700));
+        fixture.advanceTime(milliseconds(1700));
     }
-    fixture.pass(seconds(25));
+    fixture.advanceTime(seconds(25));
     checkExact(fixture);
 }
 
@@ -110,11 +110,11 @@
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         usage_fixture fixture(entries, seed);
-        fixture.pass(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
+        fixture.advanceTime(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
         for (usage_machine *machine : fixture.all())
             fixture.kill(*machine);
         const window_number window = usage_fixture::windows.windowAt(fixture.trueTime());
-        fixture.pass(seconds(25), 20);
+        fixture.advanceTime(seconds(25), 20);
         CHECK(fixture.violations() == std::vector<std::string>());
         CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
         worst = std::max(worst, fixture.relativeError(window));
@@ -126,27 +126,27 @@
 TEST_CASE("an entry that reaches only the store tells its counts by a row")
 {
     usage_fixture fixture(entries, 5);
-    fixture.pass(seconds(8));
+    fixture.advanceTime(seconds(8));
     usage_machine *cut = fixture.all()[3];
     if (cut == fixture.holder())
         cut = fixture.all()[4];
     cut->isCut = true;
-    fixture.pass(seconds(14));
+    fixture.advanceTime(seconds(14));
     cut->isCut = false;
-    fixture.pass(seconds(25));
+    fixture.advanceTime(seconds(25));
     checkExact(fixture);
 }
 
 TEST_CASE("an entry that is gone for good delays the windows of its end, and no later ones")
 {
     usage_fixture fixture(entries, 8);
-    fixture.pass(seconds(8));
+    fixture.advanceTime(seconds(8));
     usage_machine *gone = fixture.all()[3];
     if (gone == fixture.holder())
         gone = fixture.all()[4];
     gone->isUp = false;
     ++gone->life;
-    fixture.pass(seconds(30));
+    fixture.advanceTime(seconds(30));
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
     const taken_report &last = fixture.reports.back();
@@ -158,11 +158,11 @@
 {
     for (const call_mode mode : {call_mode::refused, call_mode::silent, call_mode::unanswered}) {
         usage_fixture fixture(entries, 6);
-        fixture.pass(seconds(9));
+        fixture.advanceTime(seconds(9));
         fixture.setModeForAll(&usage_machine::store, mode);
-        fixture.pass(seconds(5));
+        fixture.advanceTime(seconds(5));
         fixture.setModeForAll(&usage_machine::store, call_mode::fine);
-        fixture.pass(seconds(30));
+        fixture.advanceTime(seconds(30));
         checkExact(fixture);
     }
 }
@@ -172,11 +172,11 @@
     for (std::int64_t begin = 8; begin < 13; ++begin) {
         INFO("store away from second ", begin);
         usage_fixture fixture(entries, 9);
-        fixture.pass(seconds(begin));
+        fixture.advanceTime(seconds(begin));
         fixture.setModeForAll(&usage_machine::store, call_mode::refused);
-        fixture.pass(milliseconds(6500));
+        fixture.advanceTime(milliseconds(6500));
         fixture.setModeForAll(&usage_machine::store, call_mode::fine);
-        fixture.pass(seconds(30));
+        fixture.advanceTime(seconds(30));
         checkExact(fixture);
     }
 }
@@ -184,14 +184,14 @@
 TEST_CASE("a report whose answer is lost is told again, alike")
 {
     usage_fixture fixture(entries, 7);
-    fixture.pass(seconds(9));
+    fixture.advanceTime(seconds(9));
     fixture.setModeForAll(&usage_machine::cloud, call_mode::unanswered);
-    fixture.pass(seconds(7));
+    fixture.advanceTime(seconds(7));
     if (usage_machine *holder = fixture.holder())
         fixture.kill(*holder);
-    fixture.pass(seconds(2));
+    fixture.advanceTime(seconds(2));
     fixture.setModeForAll(&usage_machine::cloud, call_mode::fine);
-    fixture.pass(seconds(25));
+    fixture.advanceTime(seconds(25));
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
 }
@@ -248,11 +248,11 @@
     for (std::uint64_t seed = 1000; seed < 1000 + seeds; ++seed) {
         INFO("seed ", seed);
         usage_fixture fixture(entries, seed);
-        fixture.pass(seconds(5), 2);
+        fixture.advanceTime(seconds(5), 2);
         for (int i = 0; i < 25; ++i) {
             disturb(fixture);
-            fixture.pass(milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())),
-                         2);
+            fixture.advanceTime(
+                    milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())), 2);
         }
         for (usage_machine *machine : fixture.all()) {
             machine->store = call_mode::fine;
@@ -260,7 +260,7 @@
             machine->isCut = false;
             fixture.thaw(*machine);
         }
-        fixture.pass(seconds(16), 2);
+        fixture.advanceTime(seconds(16), 2);
         REQUIRE(fixture.violations() == std::vector<std::string>());
         REQUIRE(fixture.holder());
         told += fixture.reports.size();
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -222,7 +222,7 @@
     });
 }
 
-void usage_fixture::pass(duration time, double perSecond)
+void usage_fixture::advanceTime(duration time, double perSecond)
 {
     const std::chrono::duration<double> step = tick;
     for (duration passed{}; passed < time; passed += tick) {
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -135,7 +135,7 @@
     void setModeForAll(call_mode usage_machine::*by, call_mode how);
 
     /// Lets time pass, with \p perSecond requests at each machine that is up.
-    void pass(duration time, double perSecond = 7);
+    void advanceTime(duration time, double perSecond = 7);
 
     milliseconds trueTime() const { return trueTimeAt(runtime.now()); }
     static milliseconds trueTimeAt(time_point at);
