--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -97,7 +97,7 @@
 {
     usage_fixture fixture(entries, 4);
     fixture.advanceTime(seconds(8));
-    for (usage_machine *machine : fixture.all()) {
+    for (usage_machine *machine : fixture.allMachines()) {
         fixture.stop(*machine);
         fixture.advanceTime(milliseconds(1700));
     }
@@ -111,7 +111,7 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         usage_fixture fixture(entries, seed);
         fixture.advanceTime(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
-        for (usage_machine *machine : fixture.all())
+        for (usage_machine *machine : fixture.allMachines())
             fixture.kill(*machine);
         const window_number window = usage_fixture::windows.windowAt(fixture.trueTime());
         fixture.advanceTime(seconds(25), 20);
@@ -127,9 +127,9 @@
 {
     usage_fixture fixture(entries, 5);
     fixture.advanceTime(seconds(8));
-    usage_machine *cut = fixture.all()[3];
+    usage_machine *cut = fixture.allMachines()[3];
     if (cut == fixture.holder())
-        cut = fixture.all()[4];
+        cut = fixture.allMachines()[4];
     cut->isCut = true;
     fixture.advanceTime(seconds(14));
     cut->isCut = false;
@@ -141,9 +141,9 @@
 {
     usage_fixture fixture(entries, 8);
     fixture.advanceTime(seconds(8));
-    usage_machine *gone = fixture.all()[3];
+    usage_machine *gone = fixture.allMachines()[3];
     if (gone == fixture.holder())
-        gone = fixture.all()[4];
+        gone = fixture.allMachines()[4];
     gone->isUp = false;
     ++gone->life;
     fixture.advanceTime(seconds(30));
@@ -233,7 +233,7 @@
         fixture.stop(machine);
         return;
     default:
-        for (usage_machine *item : fixture.all()) {
+        for (usage_machine *item : fixture.allMachines()) {
             if (fixture.random.chance(0.5))
                 fixture.kill(*item);
         }
@@ -254,7 +254,7 @@
             fixture.advanceTime(
                     milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())), 2);
         }
-        for (usage_machine *machine : fixture.all()) {
+        for (usage_machine *machine : fixture.allMachines()) {
             machine->store = call_mode::fine;
             machine->cloud = call_mode::fine;
             machine->isCut = false;
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -252,7 +252,7 @@
     return nullptr;
 }
 
-std::vector<usage_machine *> usage_fixture::all()
+std::vector<usage_machine *> usage_fixture::allMachines()
 {
     std::vector<usage_machine *> items;
     for (usage_machine &machine : machines)
@@ -268,7 +268,7 @@
 
 usage_machine &usage_fixture::any()
 {
-    return *all()[random.bits() % machines.size()];
+    return *allMachines()[random.bits() % machines.size()];
 }
 
 /// \returns true when a holder was back within \p lease of its report, another one in between.
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -141,7 +141,7 @@
     static milliseconds trueTimeAt(time_point at);
     /// \returns the machine that has the duty; null: none.
     usage_machine *holder();
-    std::vector<usage_machine *> all();
+    std::vector<usage_machine *> allMachines();
     usage_machine &any();
 
     /// \returns what the reports broke: two counts for a window, a lower token after a higher one,
