--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -200,7 +200,8 @@
 static void disturb(usage_fixture &fixture)
 {
     usage_machine *holder = fixture.holder();
-    usage_machine &machine = holder && fixture.random.chance(0.6) ? *holder : fixture.any();
+    usage_machine &machine
+            = holder && fixture.random.chance(0.6) ? *holder : fixture.randomMachine();
     const milliseconds time(static_cast<std::int64_t>(500 + 5500 * fixture.random.uniform()));
     const auto heal
             = [&fixture, time](usage_machine &item, std::function<void(usage_machine &)> mend) {
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -266,7 +266,7 @@
         machine.*by = how;
 }
 
-usage_machine &usage_fixture::any()
+usage_machine &usage_fixture::randomMachine()
 {
     return *allMachines()[random.bits() % machines.size()];
 }
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -142,7 +142,7 @@
     /// \returns the machine that has the duty; null: none.
     usage_machine *holder();
     std::vector<usage_machine *> allMachines();
-    usage_machine &any();
+    usage_machine &randomMachine();
 
     /// \returns what the reports broke: two counts for a window, a lower token after a higher one,
     /// a token of two holders, a holder back within a lease's length of its last report.
