--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -28,7 +28,7 @@
 
 timer_id process_runtime::after(duration delay, std::function<void()> action)
 {
-    m_fixture.deliver(delay, m_machine, m_life, std::move(action));
+    m_fixture.schedule(delay, m_machine, m_life, std::move(action));
     return 1;
 }
 
@@ -40,7 +40,7 @@
 {
     const call_mode mode = m_machine.store;
     const auto fail = [this, done](milliseconds after, row_failure why) {
-        m_fixture.deliver(after, m_machine, m_life, [done, why] { done(failure(why)); });
+        m_fixture.schedule(after, m_machine, m_life, [done, why] { done(failure(why)); });
     };
     const row_callback<T> ignored = [](outcome<T, row_failure>) {};
     switch (mode) {
@@ -48,7 +48,7 @@
         // The store acts whatever becomes of the caller meanwhile.
         make([this, done, life = m_life, &fixture = m_fixture,
               &machine = m_machine](outcome<T, row_failure> result) {
-            fixture.deliver(usage_fixture::way, machine, life, [done, result] { done(result); });
+            fixture.schedule(usage_fixture::way, machine, life, [done, result] { done(result); });
         });
         return;
     case call_mode::refused:
@@ -110,7 +110,7 @@
         if (to.name != entry || to.isCut || !to.isUp)
             continue;
         const std::string bytes = encodeUsageMessage(message);
-        fixture.deliver(usage_fixture::way, to, to.life, [&fixture, &to, bytes] {
+        fixture.schedule(usage_fixture::way, to, to.life, [&fixture, &to, bytes] {
             const std::optional<usage_message> told = decodeUsageMessage(bytes);
             if (told)
                 fixture.duties.at(to.name)->onMessage(*told);
@@ -124,7 +124,7 @@
     usage_machine &machine = *m_machine;
     const call_mode mode = machine.cloud;
     const auto answer = [&](duration after, bool isTold) {
-        fixture.deliver(after, machine, machine.life, [done, isTold] { done(isTold); });
+        fixture.schedule(after, machine, machine.life, [done, isTold] { done(isTold); });
     };
     if (mode == call_mode::refused) {
         answer(usage_fixture::way, false);
@@ -203,14 +203,14 @@
         return;
     usage_duty<process_environment> &duty = *duties.at(machine.name);
     duty.retire();
-    deliver(drained, machine, machine.life, [this, &duty, &machine] {
+    schedule(drained, machine, machine.life, [this, &duty, &machine] {
         machine.isDrained = true;
         duty.finish(milliseconds(250), [this, &machine] { kill(machine); });
     });
 }
 
-void usage_fixture::deliver(duration delay, usage_machine &machine, std::uint64_t life,
-                            std::function<void()> action)
+void usage_fixture::schedule(duration delay, usage_machine &machine, std::uint64_t life,
+                             std::function<void()> action)
 {
     runtime.after(delay, [&machine, life, action = std::move(action)] {
         if (machine.life != life || !machine.isUp)
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -156,8 +156,8 @@
     std::uint64_t actualRequests(window_number window) const;
 
     /// Runs \p action at the machine's process \p life after \p delay, unless it has ended then.
-    void deliver(duration delay, usage_machine &machine, std::uint64_t life,
-                 std::function<void()> action);
+    void schedule(duration delay, usage_machine &machine, std::uint64_t life,
+                  std::function<void()> action);
 
     manual_runtime runtime;
     fake_store store{runtime};
