--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -64,7 +64,7 @@
         }
         fixture.advanceTime(seconds(8));
         if (kind == "suspended")
-            fixture.thaw(*first);
+            fixture.resume(*first);
         first->isCut = false;
         first->store = call_mode::fine;
         fixture.advanceTime(seconds(25));
@@ -216,7 +216,7 @@
         return;
     case 1:
         fixture.suspend(machine);
-        heal(machine, [&fixture](usage_machine &item) { fixture.thaw(item); });
+        heal(machine, [&fixture](usage_machine &item) { fixture.resume(item); });
         return;
     case 2:
         machine.isCut = true;
@@ -259,7 +259,7 @@
             machine->store = call_mode::fine;
             machine->cloud = call_mode::fine;
             machine->isCut = false;
-            fixture.thaw(*machine);
+            fixture.resume(*machine);
         }
         fixture.advanceTime(seconds(16), 2);
         REQUIRE(fixture.violations() == std::vector<std::string>());
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -189,7 +189,7 @@
     });
 }
 
-void usage_fixture::thaw(usage_machine &machine)
+void usage_fixture::resume(usage_machine &machine)
 {
     machine.isSuspended = false;
     const auto waiting = std::exchange(machine.atThaw, {});
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -127,7 +127,7 @@
     void start(usage_machine &machine);
     void kill(usage_machine &machine);
     void suspend(usage_machine &machine) { machine.isSuspended = true; }
-    void thaw(usage_machine &machine);
+    void resume(usage_machine &machine);
     /// Stops a process in order; it is up again some seconds later.
     void stop(usage_machine &machine);
 
