--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -174,7 +174,7 @@
     duty->setEntries(names());
     duty->start();
     if (duties[machine.name])
-        ended.push_back(std::move(duties[machine.name]));
+        endedDuties.push_back(std::move(duties[machine.name]));
     duties[machine.name] = std::move(duty);
 }
 
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -168,7 +168,7 @@
     window_counts actualCounts;
     double datagramLoss = 0.01;
     metric_registry metrics;
-    std::vector<std::unique_ptr<usage_duty<process_environment>>> ended;
+    std::vector<std::unique_ptr<usage_duty<process_environment>>> endedDuties;
 
 private:
     std::vector<std::string> names() const;
