--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -48,11 +48,12 @@
         // The store acts whatever becomes of the caller meanwhile.
         make([this, done, life = m_life, &fixture = m_fixture,
               &machine = m_machine](outcome<T, row_failure> result) {
-            fixture.schedule(usage_fixture::way, machine, life, [done, result] { done(result); });
+            fixture.schedule(usage_fixture::messageDelay, machine, life,
+                             [done, result] { done(result); });
         });
         return;
     case call_mode::refused:
-        fail(usage_fixture::way, row_failure::notDone);
+        fail(usage_fixture::messageDelay, row_failure::notDone);
         return;
     case call_mode::silent:
         break;
@@ -110,7 +111,7 @@
         if (to.name != entry || to.isCut || !to.isUp)
             continue;
         const std::string bytes = encodeUsageMessage(message);
-        fixture.schedule(usage_fixture::way, to, to.life, [&fixture, &to, bytes] {
+        fixture.schedule(usage_fixture::messageDelay, to, to.life, [&fixture, &to, bytes] {
             const std::optional<usage_message> told = decodeUsageMessage(bytes);
             if (told)
                 fixture.duties.at(to.name)->onMessage(*told);
@@ -127,7 +128,7 @@
         fixture.schedule(after, machine, machine.life, [done, isTold] { done(isTold); });
     };
     if (mode == call_mode::refused) {
-        answer(usage_fixture::way, false);
+        answer(usage_fixture::messageDelay, false);
         return;
     }
     const milliseconds wait(
@@ -138,7 +139,7 @@
         });
     }
     if (mode == call_mode::fine)
-        answer(wait + usage_fixture::way, true);
+        answer(wait + usage_fixture::messageDelay, true);
     else
         answer(reportTimeout, false);
 }
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -116,7 +116,7 @@
 class usage_fixture
 {
 public:
-    static constexpr milliseconds way{2};
+    static constexpr milliseconds messageDelay{2};
     static constexpr milliseconds callTimeout{1000};
     static constexpr usage_windows windows{milliseconds(5000)};
     static constexpr milliseconds lease{3000};
