--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -167,7 +167,7 @@
     machine.isUp = true;
     machine.isSuspended = false;
     machine.isDrained = false;
-    machine.atThaw.clear();
+    machine.pendingActions.clear();
     process_environment around{this, &machine, std::make_shared<process_runtime>(*this, machine),
                                std::make_shared<process_store>(*this, machine)};
     auto duty = std::make_unique<usage_duty<process_environment>>(
@@ -193,7 +193,7 @@
 void usage_fixture::resume(usage_machine &machine)
 {
     machine.isSuspended = false;
-    const auto waiting = std::exchange(machine.atThaw, {});
+    const auto waiting = std::exchange(machine.pendingActions, {});
     for (const auto &action : waiting)
         action();
 }
@@ -217,7 +217,7 @@
         if (machine.life != life || !machine.isUp)
             return;
         if (machine.isSuspended)
-            machine.atThaw.push_back(action);
+            machine.pendingActions.push_back(action);
         else
             action();
     });
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -50,7 +50,7 @@
     bool isDrained = false; ///< its callers have gone, and it ends
     call_mode store = call_mode::fine;
     call_mode cloud = call_mode::fine;
-    std::vector<std::function<void()>> atThaw; ///< what came while it was suspended
+    std::vector<std::function<void()>> pendingActions; ///< what came while it was suspended
 };
 
 /// The runtime of one process: its timers stand still while it is suspended, and end with it.
