--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -55,7 +55,7 @@
         if (kind == "suspended")
             fixture.suspend(*first);
         else if (kind == "cut off")
-            first->isCut = true;
+            first->isPartitioned = true;
         else if (kind == "turned away")
             first->store = call_mode::refused;
         else {
@@ -65,7 +65,7 @@
         fixture.advanceTime(seconds(8));
         if (kind == "suspended")
             fixture.resume(*first);
-        first->isCut = false;
+        first->isPartitioned = false;
         first->store = call_mode::fine;
         fixture.advanceTime(seconds(25));
         usage_machine *second = fixture.holder();
@@ -130,9 +130,9 @@
     usage_machine *cut = fixture.allMachines()[3];
     if (cut == fixture.holder())
         cut = fixture.allMachines()[4];
-    cut->isCut = true;
+    cut->isPartitioned = true;
     fixture.advanceTime(seconds(14));
-    cut->isCut = false;
+    cut->isPartitioned = false;
     fixture.advanceTime(seconds(25));
     checkExact(fixture);
 }
@@ -219,8 +219,8 @@
         heal(machine, [&fixture](usage_machine &item) { fixture.resume(item); });
         return;
     case 2:
-        machine.isCut = true;
-        heal(machine, [](usage_machine &item) { item.isCut = false; });
+        machine.isPartitioned = true;
+        heal(machine, [](usage_machine &item) { item.isPartitioned = false; });
         return;
     case 3:
         machine.store = mode;
@@ -258,7 +258,7 @@
         for (usage_machine *machine : fixture.allMachines()) {
             machine->store = call_mode::fine;
             machine->cloud = call_mode::fine;
-            machine->isCut = false;
+            machine->isPartitioned = false;
             fixture.resume(*machine);
         }
         fixture.advanceTime(seconds(16), 2);
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -105,10 +105,10 @@
 void process_environment::send(const std::string &entry, const usage_message &message)
 {
     usage_fixture &fixture = *m_fixture;
-    if (m_machine->isCut || fixture.random.chance(fixture.datagramLoss))
+    if (m_machine->isPartitioned || fixture.random.chance(fixture.datagramLoss))
         return;
     for (usage_machine &to : fixture.machines) {
-        if (to.name != entry || to.isCut || !to.isUp)
+        if (to.name != entry || to.isPartitioned || !to.isUp)
             continue;
         const std::string bytes = encodeUsageMessage(message);
         fixture.schedule(usage_fixture::messageDelay, to, to.life, [&fixture, &to, bytes] {
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -46,7 +46,7 @@
     std::uint64_t life = 0; ///< of the process; what belongs to an earlier one is void
     bool isUp = false;
     bool isSuspended = false;
-    bool isCut = false; ///< from the other machines
+    bool isPartitioned = false; ///< from the other machines
     bool isDrained = false; ///< its callers have gone, and it ends
     call_mode store = call_mode::fine;
     call_mode cloud = call_mode::fine;
