--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -185,12 +185,12 @@
 {
     usage_fixture fixture(entries, 7);
     fixture.advanceTime(seconds(9));
-    fixture.setModeForAll(&usage_machine::cloud, call_mode::unanswered);
+    fixture.setModeForAll(&usage_machine::reportSink, call_mode::unanswered);
     fixture.advanceTime(seconds(7));
     if (usage_machine *holder = fixture.holder())
         fixture.kill(*holder);
     fixture.advanceTime(seconds(2));
-    fixture.setModeForAll(&usage_machine::cloud, call_mode::fine);
+    fixture.setModeForAll(&usage_machine::reportSink, call_mode::fine);
     fixture.advanceTime(seconds(25));
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
@@ -227,8 +227,8 @@
         heal(machine, [](usage_machine &item) { item.store = call_mode::fine; });
         return;
     case 4:
-        machine.cloud = mode == call_mode::late ? call_mode::unanswered : mode;
-        heal(machine, [](usage_machine &item) { item.cloud = call_mode::fine; });
+        machine.reportSink = mode == call_mode::late ? call_mode::unanswered : mode;
+        heal(machine, [](usage_machine &item) { item.reportSink = call_mode::fine; });
         return;
     case 5:
         fixture.stop(machine);
@@ -257,7 +257,7 @@
         }
         for (usage_machine *machine : fixture.allMachines()) {
             machine->store = call_mode::fine;
-            machine->cloud = call_mode::fine;
+            machine->reportSink = call_mode::fine;
             machine->isPartitioned = false;
             fixture.resume(*machine);
         }
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -123,7 +123,7 @@
 {
     usage_fixture &fixture = *m_fixture;
     usage_machine &machine = *m_machine;
-    const call_mode mode = machine.cloud;
+    const call_mode mode = machine.reportSink;
     const auto answer = [&](duration after, bool isTold) {
         fixture.schedule(after, machine, machine.life, [done, isTold] { done(isTold); });
     };
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -49,7 +49,7 @@
     bool isPartitioned = false; ///< from the other machines
     bool isDrained = false; ///< its callers have gone, and it ends
     call_mode store = call_mode::fine;
-    call_mode cloud = call_mode::fine;
+    call_mode reportSink = call_mode::fine;
     std::vector<std::function<void()>> pendingActions; ///< what came while it was suspended
 };
 
