--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -66,7 +66,7 @@
         if (kind == "suspended")
             fixture.resume(*first);
         first->isPartitioned = false;
-        first->store = call_mode::fine;
+        first->store = call_mode::normal;
         fixture.advanceTime(seconds(25));
         usage_machine *second = fixture.holder();
         REQUIRE(second);
@@ -161,7 +161,7 @@
         fixture.advanceTime(seconds(9));
         fixture.setModeForAll(&usage_machine::store, mode);
         fixture.advanceTime(seconds(5));
-        fixture.setModeForAll(&usage_machine::store, call_mode::fine);
+        fixture.setModeForAll(&usage_machine::store, call_mode::normal);
         fixture.advanceTime(seconds(30));
         checkExact(fixture);
     }
@@ -175,7 +175,7 @@
         fixture.advanceTime(seconds(begin));
         fixture.setModeForAll(&usage_machine::store, call_mode::refused);
         fixture.advanceTime(milliseconds(6500));
-        fixture.setModeForAll(&usage_machine::store, call_mode::fine);
+        fixture.setModeForAll(&usage_machine::store, call_mode::normal);
         fixture.advanceTime(seconds(30));
         checkExact(fixture);
     }
@@ -190,7 +190,7 @@
     if (usage_machine *holder = fixture.holder())
         fixture.kill(*holder);
     fixture.advanceTime(seconds(2));
-    fixture.setModeForAll(&usage_machine::reportSink, call_mode::fine);
+    fixture.setModeForAll(&usage_machine::reportSink, call_mode::normal);
     fixture.advanceTime(seconds(25));
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
@@ -224,11 +224,11 @@
         return;
     case 3:
         machine.store = mode;
-        heal(machine, [](usage_machine &item) { item.store = call_mode::fine; });
+        heal(machine, [](usage_machine &item) { item.store = call_mode::normal; });
         return;
     case 4:
         machine.reportSink = mode == call_mode::late ? call_mode::unanswered : mode;
-        heal(machine, [](usage_machine &item) { item.reportSink = call_mode::fine; });
+        heal(machine, [](usage_machine &item) { item.reportSink = call_mode::normal; });
         return;
     case 5:
         fixture.stop(machine);
@@ -256,8 +256,8 @@
                     milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())), 2);
         }
         for (usage_machine *machine : fixture.allMachines()) {
-            machine->store = call_mode::fine;
-            machine->reportSink = call_mode::fine;
+            machine->store = call_mode::normal;
+            machine->reportSink = call_mode::normal;
             machine->isPartitioned = false;
             fixture.resume(*machine);
         }
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -44,7 +44,7 @@
     };
     const row_callback<T> ignored = [](outcome<T, row_failure>) {};
     switch (mode) {
-    case call_mode::fine:
+    case call_mode::normal:
         // The store acts whatever becomes of the caller meanwhile.
         make([this, done, life = m_life, &fixture = m_fixture,
               &machine = m_machine](outcome<T, row_failure> result) {
@@ -138,7 +138,7 @@
             fixture.reports.push_back({fixture.runtime.now(), report});
         });
     }
-    if (mode == call_mode::fine)
+    if (mode == call_mode::normal)
         answer(wait + usage_fixture::messageDelay, true);
     else
         answer(reportTimeout, false);
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -25,7 +25,7 @@
 
 /// How the store, or whoever takes reports, treats an entry.
 enum class call_mode {
-    fine,
+    normal,
     refused, ///< at once; nothing is done
     silent, ///< nothing is done, and nobody answers
     unanswered, ///< it is done
@@ -48,8 +48,8 @@
     bool isSuspended = false;
     bool isPartitioned = false; ///< from the other machines
     bool isDrained = false; ///< its callers have gone, and it ends
-    call_mode store = call_mode::fine;
-    call_mode reportSink = call_mode::fine;
+    call_mode store = call_mode::normal;
+    call_mode reportSink = call_mode::normal;
     std::vector<std::function<void()>> pendingActions; ///< what came while it was suspended
 };
 
