--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -21,7 +21,7 @@
 {
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
-    for (const taken_report &item : fixture.reports) {
+    for (const received_report &item : fixture.reports) {
         if (fixture.actualRequests(item.report.window) > 0) {
             INFO("window ", item.report.window);
             CHECK(fixture.relativeError(item.report.window) == 0);
@@ -37,7 +37,7 @@
     checkExact(fixture);
     CHECK(fixture.reports.size() >= 5);
     std::set<window_number> told;
-    for (const taken_report &item : fixture.reports)
+    for (const received_report &item : fixture.reports)
         CHECK(told.insert(item.report.window).second);
     // A lease, its token and one write for each save: no entry but the holder calls the store.
     CHECK(fixture.store.writes < seconds(40) / usage_holder<process_environment>::saveInterval);
@@ -149,7 +149,7 @@
     fixture.advanceTime(seconds(30));
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
-    const taken_report &last = fixture.reports.back();
+    const received_report &last = fixture.reports.back();
     const milliseconds at = usage_fixture::trueTimeAt(last.at);
     CHECK(at - usage_fixture::windows.endOf(last.report.window) < seconds(3));
 }
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -273,11 +273,11 @@
 }
 
 /// \returns true when a holder was back within \p lease of its report, another one in between.
-static bool isBackTooSoon(std::span<const taken_report> reports, milliseconds lease)
+static bool isBackTooSoon(std::span<const received_report> reports, milliseconds lease)
 {
     std::map<std::string, time_point> lastOf;
     std::string last;
-    for (const taken_report &item : reports) {
+    for (const received_report &item : reports) {
         const std::string &holder = item.report.holder;
         const auto before = lastOf.find(holder);
         if (holder != last && before != lastOf.end() && item.at - before->second < lease)
@@ -294,7 +294,7 @@
     std::map<window_number, customer_counts> told;
     std::map<std::uint64_t, std::string> holderOf;
     std::uint64_t highest = 0;
-    for (const taken_report &item : reports) {
+    for (const received_report &item : reports) {
         const usage_report &report = item.report;
         const auto [counts, isNew] = told.emplace(report.window, report.counts);
         if (!isNew && counts->second != report.counts)
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageWorld.h
@@ -33,7 +33,7 @@
 };
 
 /// A report that came through.
-struct taken_report
+struct received_report
 {
     time_point at{};
     usage_report report;
@@ -164,7 +164,7 @@
     random_source random;
     std::list<usage_machine> machines;
     std::map<std::string, std::unique_ptr<usage_duty<process_environment>>> duties;
-    std::vector<taken_report> reports;
+    std::vector<received_report> reports;
     window_counts actualCounts;
     double datagramLoss = 0.01;
     metric_registry metrics;
