--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -273,7 +273,7 @@
 }
 
 /// \returns true when a holder was back within \p lease of its report, another one in between.
-static bool isBackTooSoon(std::span<const received_report> reports, milliseconds lease)
+static bool returnsTooSoon(std::span<const received_report> reports, milliseconds lease)
 {
     std::map<std::string, time_point> lastOf;
     std::string last;
@@ -307,7 +307,7 @@
         if (!isNewToken && holder->second != report.holder)
             found.push_back("two holders with token " + std::to_string(report.token));
     }
-    if (isBackTooSoon(reports, lease))
+    if (returnsTooSoon(reports, lease))
         found.push_back("a holder was back too soon");
     return found;
 }
