--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 /// Checks that all windows in which requests ran were told in time, and alike.
-static void checkExact(const usage_fixture &fixture)
+static void checkExactReports(const usage_fixture &fixture)
 {
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
@@ -34,7 +34,7 @@
     usage_fixture fixture(entries, 1);
     fixture.advanceTime(seconds(40));
     REQUIRE(fixture.holder());
-    checkExact(fixture);
+    checkExactReports(fixture);
     CHECK(fixture.reports.size() >= 5);
     std::set<window_number> told;
     for (const received_report &item : fixture.reports)
@@ -74,7 +74,7 @@
         // was killed may be the first to be up again.
         if (kind != "killed while idle")
             CHECK((second->name == first->name) == (kind == "cut off"));
-        checkExact(fixture);
+        checkExactReports(fixture);
     }
 }
 
@@ -90,7 +90,7 @@
     REQUIRE(second);
     CHECK(second->name != first->name);
     fixture.advanceTime(seconds(25));
-    checkExact(fixture);
+    checkExactReports(fixture);
 }
 
 TEST_CASE("all entries are stopped and started again, one after the other")
@@ -102,7 +102,7 @@
         fixture.advanceTime(milliseconds(1700));
     }
     fixture.advanceTime(seconds(25));
-    checkExact(fixture);
+    checkExactReports(fixture);
 }
 
 TEST_CASE("all entries are killed together: what was counted a moment before is told")
@@ -134,7 +134,7 @@
     fixture.advanceTime(seconds(14));
     cut->isPartitioned = false;
     fixture.advanceTime(seconds(25));
-    checkExact(fixture);
+    checkExactReports(fixture);
 }
 
 TEST_CASE("an entry that is gone for good delays the windows of its end, and no later ones")
@@ -163,7 +163,7 @@
         fixture.advanceTime(seconds(5));
         fixture.setModeForAll(&usage_machine::store, call_mode::normal);
         fixture.advanceTime(seconds(30));
-        checkExact(fixture);
+        checkExactReports(fixture);
     }
 }
 
@@ -177,7 +177,7 @@
         fixture.advanceTime(milliseconds(6500));
         fixture.setModeForAll(&usage_machine::store, call_mode::normal);
         fixture.advanceTime(seconds(30));
-        checkExact(fixture);
+        checkExactReports(fixture);
     }
 }
 
