--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -197,7 +197,7 @@
 }
 
 /// Does something at random to some machine.
-static void disturb(usage_fixture &fixture)
+static void injectRandomFault(usage_fixture &fixture)
 {
     usage_machine *holder = fixture.holder();
     usage_machine &machine
@@ -251,7 +251,7 @@
         usage_fixture fixture(entries, seed);
         fixture.advanceTime(seconds(5), 2);
         for (int i = 0; i < 25; ++i) {
-            disturb(fixture);
+            injectRandomFault(fixture);
             fixture.advanceTime(
                     milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())), 2);
         }
