--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t entries = 9;
-constexpr double usageError = 0.05;
+constexpr double maxRelativeError = 0.05;
 
 } // namespace
 
@@ -120,7 +120,7 @@
         worst = std::max(worst, fixture.relativeError(window));
     }
     MESSAGE("worst error ", worst);
-    CHECK(worst <= usageError);
+    CHECK(worst <= maxRelativeError);
 }
 
 TEST_CASE("an entry that reaches only the store tells its counts by a row")
