--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -15,7 +15,7 @@
 /// True time less the runtime's clock; any number of hours.
 constexpr milliseconds epoch{1'700'000'000'123};
 constexpr milliseconds tick{10};
-constexpr milliseconds latestReport{400}; ///< a report is this long on its way at most
+constexpr milliseconds maxReportDelay{400}; ///< a report is this long on its way at most
 constexpr milliseconds restart{400};
 constexpr milliseconds drained{2600};
 
@@ -132,7 +132,7 @@
         return;
     }
     const milliseconds wait(
-            static_cast<std::int64_t>(latestReport.count() * fixture.random.uniform()));
+            static_cast<std::int64_t>(maxReportDelay.count() * fixture.random.uniform()));
     if (mode != call_mode::silent) {
         fixture.runtime.after(wait, [&fixture, report] {
             fixture.reports.push_back({fixture.runtime.now(), report});
