--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds epoch{1'700'000'000'123};
 constexpr milliseconds tick{10};
 constexpr milliseconds maxReportDelay{400}; ///< a report is this long on its way at most
-constexpr milliseconds restart{400};
+constexpr milliseconds restartDelay{400};
 constexpr milliseconds drained{2600};
 
 } // namespace
@@ -184,7 +184,7 @@
     machine.isUp = false;
     machine.isSuspended = false;
     ++machine.life;
-    runtime.after(restart, [this, &machine, life = machine.life] {
+    runtime.after(restartDelay, [this, &machine, life = machine.life] {
         if (machine.life == life)
             start(machine);
     });
