--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds tick{10};
 constexpr milliseconds maxReportDelay{400}; ///< a report is this long on its way at most
 constexpr milliseconds restartDelay{400};
-constexpr milliseconds drained{2600};
+constexpr milliseconds drainTime{2600};
 
 } // namespace
 
@@ -204,7 +204,7 @@
         return;
     usage_duty<process_environment> &duty = *duties.at(machine.name);
     duty.retire();
-    schedule(drained, machine, machine.life, [this, &duty, &machine] {
+    schedule(drainTime, machine, machine.life, [this, &duty, &machine] {
         machine.isDrained = true;
         duty.finish(milliseconds(250), [this, &machine] { kill(machine); });
     });
