--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// True time less the runtime's clock; any number of hours.
-constexpr milliseconds epoch{1'700'000'000'123};
+constexpr milliseconds trueTimeOffset{1'700'000'000'123};
 constexpr milliseconds tick{10};
 constexpr milliseconds maxReportDelay{400}; ///< a report is this long on its way at most
 constexpr milliseconds restartDelay{400};
@@ -241,7 +241,7 @@
 
 milliseconds usage_fixture::trueTimeAt(time_point at)
 {
-    return epoch + std::chrono::duration_cast<milliseconds>(at.time_since_epoch());
+    return trueTimeOffset + std::chrono::duration_cast<milliseconds>(at.time_since_epoch());
 }
 
 usage_machine *usage_fixture::holder()
