--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageWorld.cpp
@@ -14,7 +14,7 @@
 
 /// True time less the runtime's clock; any number of hours.
 constexpr milliseconds trueTimeOffset{1'700'000'000'123};
-constexpr milliseconds tick{10};
+constexpr milliseconds timeStep{10};
 constexpr milliseconds maxReportDelay{400}; ///< a report is this long on its way at most
 constexpr milliseconds restartDelay{400};
 constexpr milliseconds drainTime{2600};
@@ -225,9 +225,9 @@
 
 void usage_fixture::advanceTime(duration time, double perSecond)
 {
-    const std::chrono::duration<double> step = tick;
-    for (duration passed{}; passed < time; passed += tick) {
-        runtime.advance(tick);
+    const std::chrono::duration<double> step = timeStep;
+    for (duration passed{}; passed < time; passed += timeStep) {
+        runtime.advance(timeStep);
         for (usage_machine &machine : machines) {
             const bool serves = machine.isUp && !machine.isSuspended && !machine.isDrained;
             if (!serves || !random.chance(perSecond * step.count()))
