--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -3,7 +3,7 @@
 // Whole entries on a paused clock: what whoever takes the reports gets.
 //
 //===----------------------------------------------------------------------===//
-#include "UsageWorld.h"
+#include "UsageFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Usage/UsageWorld.cpp
+++ b/unittests/Usage/UsageFixture.cpp
@@ -1,9 +1,9 @@
-//===-- UsageWorld.cpp - entries that share the usage duty ------------------===//
+//===-- UsageFixture.cpp - entries that share the usage duty ------------------===//
 //
 // A process that has ended keeps its objects until the world ends; nothing reaches them any more.
 //
 //===----------------------------------------------------------------------===//
-#include "UsageWorld.h"
+#include "UsageFixture.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/Usage/UsageWorld.h
+++ b/unittests/Usage/UsageFixture.h
@@ -1,11 +1,11 @@
-//===-- UsageWorld.h - entries that share the usage duty ---------*- C++ -*-===//
+//===-- UsageFixture.h - entries that share the usage duty ---------*- C++ -*-===//
 //
 // Entries over one store and one taker of reports, on a paused clock. Processes are killed,
 // suspended and stopped; datagrams, the store's answers and reports are lost, late or cut off.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_UNITTESTS_USAGE_USAGEWORLD_H
-#define LAURELCROFT_UNITTESTS_USAGE_USAGEWORLD_H
+#ifndef LAURELCROFT_UNITTESTS_USAGE_USAGEFIXTURE_H
+#define LAURELCROFT_UNITTESTS_USAGE_USAGEFIXTURE_H
 
 #include "../Proxy/FakeStore.h"
 
