--- a/lib/Usage/DutyLease.cpp
+++ b/lib/Usage/DutyLease.cpp
@@ -1,6 +1,7 @@
-//===-- DutyLease.cpp - one holder of a duty at a time ----------------------===//
+//===-- DutyLease.cpp - lease for a duty ----------------------------------===//
 //
-// Pure rules; UsageHolder.h keeps a lease.
+// A lease grants a duty to one entry at a time. This file decides who may acquire the duty. These
+// functions have no side effects; usage_holder renews and stores the lease.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Usage/DutyLease.h"
