--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -1,6 +1,6 @@
-//===-- UsageMeter.cpp - what one entry has counted -------------------------===//
+//===-- UsageMeter.cpp - unacknowledged counts of one process -------------===//
 //
-// A batch never changes once it is cut: a holder may have it already.
+// A batch never changes once it is sealed, because the holder may have received it already.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Usage/UsageMeter.h"
@@ -22,8 +22,8 @@
 bool usage_meter::sealBatch(window_number closedBefore)
 {
     dropBefore(closedBefore > maxWindows ? closedBefore - maxWindows : 0);
-    const bool hasNews = !m_pending.empty() || closedBefore > m_closedBefore;
-    if (!hasNews || m_unacknowledged.size() >= maxUnacknowledged)
+    const bool hasChanges = !m_pending.empty() || closedBefore > m_closedBefore;
+    if (!hasChanges || m_unacknowledged.size() >= maxUnacknowledged)
         return false;
     usage_batch batch;
     batch.number = ++m_lastBatchNumber;
@@ -36,7 +36,8 @@
 
 bool usage_meter::fill(usage_batch &batch)
 {
-    for (std::size_t room = maxCountsPerBatch; room > 0 && !m_pending.empty(); --room) {
+    for (std::size_t remaining = maxCountsPerBatch; remaining > 0 && !m_pending.empty();
+         --remaining) {
         const auto window = m_pending.begin();
         const auto count = window->second.begin();
         batch.counts[window->first].insert(window->second.extract(count));
