--- a/lib/Usage/UsageLedger.cpp
+++ b/lib/Usage/UsageLedger.cpp
@@ -1,6 +1,6 @@
-//===-- UsageLedger.cpp - counts of all entries -----------------------------===//
+//===-- UsageLedger.cpp - combined counts of all entries ------------------===//
 //
-// The row is JSON, so that operators can read it.
+// The row is encoded as JSON so that operators can read it.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Usage/UsageLedger.h"
@@ -21,7 +21,8 @@
 std::int64_t usage_ledger::applyNotice(const usage_notice &notice)
 {
     const usage_process process{notice.entry, notice.life};
-    // What an unknown process has in a row was counted by a holder before, and forgotten since.
+    // A process may be unknown because its progress was removed. The batches up to
+    // notice.acknowledged were saved in the row before that, so they are counted already.
     const auto [it, isNew] = m_progress.try_emplace(process);
     if (isNew)
         it->second.lastCounted = notice.acknowledged;
@@ -62,14 +63,15 @@
 std::vector<std::string> usage_ledger::incompleteEntries(window_number window,
                                                          std::span<const std::string> names) const
 {
-    // In the order of lives: an earlier process of an entry has ended.
+    // m_progress is ordered by entry and life, so that the latest process of an entry decides: the
+    // earlier ones have ended.
     std::map<std::string, bool> isClosed;
     for (const std::string &name : names)
         isClosed[name] = false;
     for (const auto &[process, progress] : m_progress) {
-        const bool isTold = progress.closedBefore > window;
-        const bool isSilent = progress.closedBefore + maxAwaitedLag < window;
-        isClosed[process.first] = isTold || isSilent;
+        const bool isComplete = progress.closedBefore > window;
+        const bool isTooFarBehind = progress.closedBefore + maxAwaitedLag < window;
+        isClosed[process.first] = isComplete || isTooFarBehind;
     }
     std::vector<std::string> open;
     for (const auto &[name, closed] : isClosed) {
@@ -82,7 +84,7 @@
 void usage_ledger::decideNext()
 {
     customer_counts counts = openCounts(m_decidedBefore);
-    // Nothing is told of who has had nothing run.
+    // Customers that had no requests run are not reported.
     std::erase_if(counts, [](const auto &item) { return item.second <= 0; });
     m_decided[m_decidedBefore] = std::move(counts);
     m_open.erase(m_decidedBefore);
@@ -108,14 +110,15 @@
 {
     const std::size_t before = m_decided.size();
     m_decided.erase(m_decided.begin(), m_decided.lower_bound(window));
-    std::size_t givenUp = before - m_decided.size();
-    // Nobody has had the duty for long: what was counted then is nowhere any more.
+    std::size_t dropped = before - m_decided.size();
+    // No entry has had the duty for a long time, and the entries no longer keep the counts of these
+    // windows.
     if (m_decidedBefore < window) {
-        givenUp += window - m_decidedBefore;
+        dropped += window - m_decidedBefore;
         m_decidedBefore = window;
         m_open.erase(m_open.begin(), m_open.lower_bound(window));
     }
-    return givenUp;
+    return dropped;
 }
 
 customer_counts usage_ledger::openCounts(window_number window) const
@@ -138,10 +141,10 @@
 {
     json object = json::object();
     for (const auto &[window, customers] : counts) {
-        // A window without requests is told as well.
-        json &told = object[std::to_string(window)] = json::object();
+        // Windows without requests are written, too.
+        json &windowObject = object[std::to_string(window)] = json::object();
         for (const auto &[customer, number] : customers)
-            told[customer] = number;
+            windowObject[customer] = number;
     }
     return object;
 }
@@ -150,9 +153,9 @@
 {
     window_counts counts;
     for (const auto &[window, customers] : object.items()) {
-        customer_counts &told = counts[std::stoull(window)];
+        customer_counts &windowCounts = counts[std::stoull(window)];
         for (const auto &[customer, number] : customers.items())
-            told[customer] = number.get<std::int64_t>();
+            windowCounts[customer] = number.get<std::int64_t>();
     }
     return counts;
 }
