--- a/include/laurelcroft/Usage/UsageNotice.h
+++ b/include/laurelcroft/Usage/UsageNotice.h
@@ -1,6 +1,7 @@
-//===-- Usage/UsageNotice.h - datagrams of the usage duty --------*- C++ -*-===//
+//===-- Usage/UsageNotice.h - datagrams of the usage duty -------*- C++ -*-===//
 //
-// Entries tell the holder their counts, and the holder says what it has in its row.
+// Entries send their counts to the holder of the usage duty. The holder acknowledges the batches
+// that it has saved in its row.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_USAGE_USAGENOTICE_H
@@ -17,33 +18,33 @@
 
 namespace laurelcroft {
 
-/// Counts of one process.
+/// Unacknowledged batches of one process, sent to the holder.
 struct usage_notice
 {
     std::string entry;
-    std::uint64_t life = 0; ///< later processes of an entry have a higher one
-    std::uint64_t acknowledged = 0; ///< all batches up to it are in a row
-    std::vector<usage_batch> batches; ///< in their order
+    std::uint64_t life = 0; ///< identifies the process; increases with each restart of the entry
+    std::uint64_t acknowledged = 0; ///< all batches up to this number are saved in the row
+    std::vector<usage_batch> batches; ///< in ascending order of their numbers
 
     bool operator==(const usage_notice &) const = default;
 };
 
-/// The holder's word, also sent now and then to say that it lives.
+/// Acknowledgement from the holder, which also sends it periodically as a heartbeat.
 struct usage_ack
 {
     std::string holder;
-    std::uint64_t token = 0;
-    std::uint64_t life = 0; ///< of the process that is acknowledged; 0: none
-    std::uint64_t number = 0; ///< its batches up to this one are in a row
+    std::uint64_t token = 0; ///< fencing token of the holder's lease
+    std::uint64_t life = 0; ///< of the process whose batches are acknowledged; 0 in a heartbeat
+    std::uint64_t number = 0; ///< the batches up to this number are saved in the row
 
     bool operator==(const usage_ack &) const = default;
 };
 
-/// The holder has given the duty back.
+/// Notification that the holder has released the duty.
 struct usage_handover
 {
-    std::string holder; ///< the former one
-    std::uint64_t token = 0;
+    std::string holder; ///< the former holder
+    std::uint64_t token = 0; ///< fencing token of the released lease
 
     bool operator==(const usage_handover &) const = default;
 };
@@ -51,7 +52,7 @@
 using usage_message = std::variant<usage_notice, usage_ack, usage_handover>;
 
 std::string encodeUsageMessage(const usage_message &message);
-/// \returns nothing for bytes that are none of them.
+/// \returns nothing if \p bytes are not a valid usage message.
 std::optional<usage_message> decodeUsageMessage(std::string_view bytes);
 
 } // namespace laurelcroft
--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -1,8 +1,8 @@
-//===-- UsageNotice.cpp - datagrams of the usage duty -----------------------===//
+//===-- UsageNotice.cpp - datagrams of the usage duty ---------------------===//
 //
-// MessagePack arrays whose first item tells their kind; no other notice begins with one of these
-// words. A batch is its number, the window before which all is told, and its counts: an array for
-// each window, of its number and names and counts by turns.
+// Messages are MessagePack arrays. The first item is the kind of the message, a string that no
+// other kind of notice between entries starts with. A batch is an array of its number, closedBefore
+// and one array per window: the number of the window, then alternating customer names and counts.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Usage/UsageNotice.h"
@@ -20,7 +20,7 @@
 constexpr std::string_view ackKind = "usage-ack";
 constexpr std::string_view handoverKind = "usage-handover";
 
-/// A field is missing or of another type.
+/// Thrown if a field has an unexpected type or value.
 class malformed_message : public std::runtime_error
 {
 public:
@@ -57,12 +57,12 @@
 {
     json item = json::array({batch.number, batch.closedBefore});
     for (const auto &[window, counts] : batch.counts) {
-        json told = json::array({window});
+        json windowItem = json::array({window});
         for (const auto &[customer, count] : counts) {
-            told.push_back(customer);
-            told.push_back(count);
+            windowItem.push_back(customer);
+            windowItem.push_back(count);
         }
-        item.push_back(std::move(told));
+        item.push_back(std::move(windowItem));
     }
     return item;
 }
