--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -1,4 +1,4 @@
-//===-- Usage/UsageHolderImpl.h - members of usage_holder --------*- C++ -*-===//
+//===-- Usage/UsageHolderImpl.h - members of usage_holder -------*- C++ -*-===//
 //
 // Included by UsageHolder.h only.
 //
@@ -37,13 +37,13 @@
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::endTenure(std::string_view why)
+void usage_holder<Env>::endTenure(std::string_view reason)
 {
     if (std::exchange(m_isOver, true))
         return;
     m_metrics.add("usage_duty_total{event=\"lost\"}");
     logWarning(log_part::ledger, "usage duty lost",
-               {{"token", std::int64_t(m_row.lease.token)}, {"why", why}});
+               {{"token", std::int64_t(m_row.lease.token)}, {"why", reason}});
 }
 
 template <usage_environment Env>
@@ -68,7 +68,7 @@
 template <usage_environment Env>
 bool usage_holder<Env>::isSaveAllowed()
 {
-    // A report that is still on its way would come after the successor's.
+    // A report that is still in flight could arrive after the successor's reports.
     return !m_isReleasing || (!m_isReporting && now() >= m_reportSettledAt);
 }
 
@@ -77,22 +77,22 @@
 {
     const usage_process process{notice.entry, notice.life};
     const std::optional<usage_progress> before = m_row.ledger.progressOf(process);
-    const std::int64_t late = m_row.ledger.applyNotice(notice);
-    const bool isNews = m_row.ledger.progressOf(process) != before;
-    m_hasUnsavedChanges = m_hasUnsavedChanges || isNews;
+    const std::int64_t lateRequests = m_row.ledger.applyNotice(notice);
+    const bool hasAdvanced = m_row.ledger.progressOf(process) != before;
+    m_hasUnsavedChanges = m_hasUnsavedChanges || hasAdvanced;
     const auto saved = m_savedProgress.find(process);
-    const bool isLost = !isNews && saved != m_savedProgress.end() && !notice.batches.empty()
+    const bool isAckLost = !hasAdvanced && saved != m_savedProgress.end() && !notice.batches.empty()
             && notice.batches.back().number <= saved->second.lastCounted;
-    // The word that these are in the row has not come through.
-    if (isLost)
+    // The acknowledgement of these batches was lost, so send it again.
+    if (isAckLost)
         acknowledge(process, saved->second.lastCounted);
-    if (late == 0)
+    if (lateRequests == 0)
         return;
     m_metrics.add("usage_requests_late_total",
-                  static_cast<double>(std::max<std::int64_t>(0, late)));
+                  static_cast<double>(std::max<std::int64_t>(0, lateRequests)));
     logWarning(log_part::ledger, "usage counts came too late",
                {{"entry", notice.entry},
-                {"requests", late},
+                {"requests", lateRequests},
                 {"decided_before", std::int64_t(m_row.ledger.decidedBefore())}});
 }
 
@@ -135,7 +135,8 @@
     if (m_isOver)
         return;
     if (!result) {
-        // It may take effect even later, if the row is as it was; the next write finds out.
+        // The write may still take effect later, unless the row changes before. If it does, the
+        // next write fails with a conflict, see onConflict().
         m_hasUnsavedChanges = true;
         m_nextSaveAt = now() + retryDelay;
         m_metrics.add("usage_saves_failed_total");
@@ -162,7 +163,7 @@
         if (known == before.end() || known->second.lastCounted < progress.lastCounted)
             acknowledge(process, progress.lastCounted);
     }
-    // A write that was begun before the duty was given back has the lease go on.
+    // A write that began before the release still extends the lease.
     if (!m_isReleasing || saved.lease.until > m_bounds.earliest(now()))
         return;
     m_isOver = true;
@@ -183,7 +184,7 @@
         const duty_lease &lease = row.value().lease;
         if (lease.token != m_row.lease.token || lease.life != m_row.lease.life)
             continue;
-        // An earlier write of this holder took effect, though its answer was lost.
+        // The row was written by an earlier write of this holder whose answer was lost.
         m_hasUnsavedChanges = true;
         onConfirmed(row.value(), entry.row.version);
         return;
@@ -216,7 +217,9 @@
 template <usage_environment Env>
 std::vector<std::string> usage_holder<Env>::awaitedEntries(window_number window) const
 {
-    // An entry's row outlives it by minutes: who was never heard is not waited for again and again.
+    // The row of an entry outlives it by minutes, and the entry stays listed that long. An entry
+    // that has sent nothing since it was listed is therefore only waited for in the first few
+    // windows.
     std::vector<std::string> names;
     for (const auto &[name, since] : m_knownSince) {
         if (since + usage_ledger::maxAwaitedLag >= window)
@@ -233,11 +236,11 @@
         return false;
     if (awaitedEntries(window).empty())
         return true;
-    const auto patience
+    const auto maxWait
             = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
-    if (since >= patience - rowReadLead && m_rowsReadFor < window)
+    if (since >= maxWait - rowReadLead && m_rowsReadFor < window)
         readEntryRows(window);
-    return since >= patience && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
+    return since >= maxWait && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
 }
 
 template <usage_environment Env>
@@ -271,7 +274,7 @@
             return;
         self->m_isReadingRows = false;
         if (!result) {
-            logWarning(log_part::ledger, "rows of silent entries not read",
+            logWarning(log_part::ledger, "failed to read rows of silent entries",
                        {{"why", textOf(result.error())}});
             return;
         }
@@ -290,7 +293,7 @@
         if (notice)
             onNotice(*notice);
         else
-            logWarning(log_part::ledger, "row of counts refused", {{"key", row.key}});
+            logWarning(log_part::ledger, "malformed row of usage counts", {{"key", row.key}});
     }
 }
 
@@ -300,25 +303,25 @@
     if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holdsLease(reportMargin))
         return;
     const std::optional<decided_window> next = m_row.ledger.oldestUnreported();
-    // A decision that no row has yet may be made otherwise by a successor.
+    // A successor may decide a window differently as long as the decision is not saved in the row.
     if (!next || next->window >= m_savedDecidedBefore)
         return;
     m_isReporting = true;
     const usage_report report{m_settings.entry, m_row.lease.token, next->window, next->counts};
     const std::weak_ptr<usage_holder> weak = this->weak_from_this();
-    m_env.report(report, [weak, window = next->window](bool isTold) {
+    m_env.report(report, [weak, window = next->window](bool isAccepted) {
         if (const auto self = weak.lock())
-            self->onReported(window, isTold);
+            self->onReported(window, isAccepted);
     });
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::onReported(window_number window, bool isTold)
+void usage_holder<Env>::onReported(window_number window, bool isAccepted)
 {
     m_isReporting = false;
-    m_metrics.add(isTold ? "usage_windows_total{result=\"told\"}"
-                         : "usage_windows_total{result=\"not_taken\"}");
-    if (!isTold) {
+    m_metrics.add(isAccepted ? "usage_windows_total{result=\"told\"}"
+                             : "usage_windows_total{result=\"not_taken\"}");
+    if (!isAccepted) {
         m_nextReportAt = now() + retryDelay;
         m_reportSettledAt = now() + reportMargin;
         logWarning(log_part::ledger, "usage window not taken, trying again",
