--- a/include/laurelcroft/Usage/UsageDuty.h
+++ b/include/laurelcroft/Usage/UsageDuty.h
@@ -1,7 +1,9 @@
-//===-- Usage/UsageDuty.h - one entry's part in the usage duty ---*- C++ -*-===//
+//===-- Usage/UsageDuty.h - one entry's part in the usage duty --*- C++ -*-===//
 //
-// Each entry counts, tells the holder its counts, and stands by to follow a holder that is silent.
-// Where the holder can't be reached, counts go to it through a row.
+// The usage duty is the task of adding up the request counts of all entries and reporting them per
+// time window. One entry at a time, the holder, performs it under a lease. Every entry counts its
+// own requests, sends the counts to the holder, and may take over the duty if the holder fails. An
+// entry that can't reach the holder writes its counts to a row of the store instead.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_USAGE_USAGEDUTY_H
@@ -19,57 +21,64 @@
 
 namespace laurelcroft {
 
-/// The usage duty at one entry.
+/// Counts the requests of one entry and takes over the duty if necessary. While the entry is the
+/// holder, a usage_holder performs the duty.
 template <usage_environment Env>
 class usage_duty
 {
 public:
-    /// How often anything is looked at, and counts are told.
+    /// Interval between two calls of tick(), and the minimum interval between two notices.
     static constexpr milliseconds tickInterval{50};
-    /// Notices a second that a holder gets from all entries together; where they are many, each
-    /// tells its counts less often.
+    /// Notices per second that a holder receives from all entries together. If there are many
+    /// entries, each sends its counts less often to stay within this rate.
     static constexpr double maxNoticesPerSecond = 400;
-    /// Batches that no word has come of are told again after this.
+    /// Interval after which all unacknowledged batches are sent again.
     static constexpr milliseconds resendDelay{400};
-    /// Bytes of a datagram that batches may fill.
+    /// Maximum size of the batches in one datagram, unless a single batch is larger.
     static constexpr std::size_t maxNoticeBytes = 1200;
-    /// From a window's end until its counts are complete here: by then an endpoint has refused what
-    /// it does not run.
+    /// Time from the end of a window until its counts are complete at this entry. An endpoint that
+    /// does not run a request refuses it within this time, so the correction is included.
     static constexpr milliseconds windowCloseDelay{1000};
-    /// A holder that was not heard for this long may be gone: two heartbeats have not come. The
-    /// first in the order looks then, each further one \c rankDelay later.
+    /// Time without a message from the holder after which it may have failed: two heartbeats were
+    /// missed. The first successor then reads the rows, each further one \c rankDelay later.
     static constexpr milliseconds holderTimeout{2500};
-    /// The same for a process that has just started.
+    /// Value of holderTimeout for a process that has just started.
     static constexpr milliseconds startupHolderTimeout{1200};
+    /// Difference between the timeouts of two successive successors.
     static constexpr milliseconds rankDelay{150};
-    /// The same for an entry that is not among the successors and has counts to tell.
+    /// Value of holderTimeout for an entry that is not a successor and has unacknowledged counts.
     static constexpr milliseconds nonSuccessorTimeout{4000};
+    /// Upper bound of the delay, different for each entry, that is added to nonSuccessorTimeout.
     static constexpr milliseconds nonSuccessorJitter{500};
-    /// From one look at the rows to the next.
+    /// Bounds of the interval between two reads of the rows.
     static constexpr milliseconds minPollInterval{300};
     static constexpr milliseconds maxPollInterval{1500};
-    /// Counts that wait at most: true time may not be known for long.
+    /// Maximum number of counts that wait to be added to their windows. True time, which this
+    /// needs, may be unknown for a long time.
     static constexpr std::size_t maxWaitingCounts = 10'000;
 
-    /// \param metrics outlives this.
+    /// \param metrics must outlive this object.
     usage_duty(Env env, usage_settings settings, metric_registry &metrics);
 
+    /// Starts the periodic calls of tick().
     void start();
 
-    /// Adds \p number to the requests of \p customer that endpoints began to run at \p at; a
-    /// negative one takes back what was counted there.
+    /// Adds \p number to the requests of \p customer that endpoints began to run at \p at. A
+    /// negative number corrects an earlier count.
     void count(std::string_view customer, time_point at, std::int64_t number);
 
-    /// \param names of all entries.
+    /// Sets the list of entries, from which the order of succession is computed.
+    /// \param names names of all entries, including this one.
     void setEntries(std::vector<std::string> names);
 
-    /// Takes a datagram of another entry.
+    /// Handles a datagram from another entry.
     void onMessage(const usage_message &message);
 
-    /// This process will end: the duty is given back, and not taken again.
+    /// Releases the duty and does not acquire it again, because this process is about to end.
     void retire();
 
-    /// Calls \p done when all counts are in a row, or after \p longest.
+    /// Calls \p done once all counts are saved in the row and this entry is not the holder, or
+    /// after \p longest.
     void finish(milliseconds longest, std::function<void()> done);
 
     bool isHolder() const { return m_holder && !m_holder->isOver(); }
@@ -78,21 +87,31 @@
     using holder = usage_holder<Env>;
 
     void tick();
+    /// Adds the waiting counts to their windows.
     void applyWaitingCounts(milliseconds trueTime);
+    /// Seals a batch with the new counts, and logs the counts that were dropped as too old.
     void sealNextBatch(milliseconds trueTime);
+    /// \returns the interval between two notices of this entry, see maxNoticesPerSecond.
     milliseconds noticeInterval() const;
+    /// Sends all unacknowledged batches if resendDelay has passed, otherwise only the last one if
+    /// \p isNew.
     void sendDueBatches(bool isNew);
+    /// Sends the unacknowledged batches from index \p from on to the holder.
     void sendBatches(std::size_t from);
+    /// \returns a notice with the unacknowledged batches from index \p from on.
     usage_notice makeNotice(std::size_t from) const;
     void onAck(const usage_ack &ack);
     void onHandover(const usage_handover &handover);
     bool isSuccessor() const { return m_rank < holder::maxSuccessors; }
+    /// Reads the rows if the holder has been silent for too long.
     void checkHolder();
     void pollRows();
     void onRows(outcome<row_batch, row_failure> result, time_point askedAt);
     void onRow(usage_row row, std::uint64_t version, const row_batch &rows);
     void acquire(usage_row row, std::uint64_t version, const row_batch &rows);
+    /// Becomes the holder, with the lease and the ledger in \p row.
     void startTenure(const usage_row &row, std::uint64_t version, const row_batch &rows);
+    /// Writes the unacknowledged batches to this entry's own row.
     void writeOwnRow();
     void removeOwnRow();
     void checkFinished(time_point latest, std::function<void()> done);
@@ -103,8 +122,9 @@
     usage_settings m_settings;
     metric_registry &m_metrics;
     usage_meter m_meter;
-    std::uint64_t m_life = 0; ///< true time of this process's first count; 0: not known yet
-    /// A count that goes into its window at the next look, or once true time is known.
+    /// Identifies this process: true time when it was first known here; 0: not known yet.
+    std::uint64_t m_life = 0;
+    /// A count that is added to its window at the next tick(), or once true time is known.
     struct waiting_count
     {
         std::string customer;
@@ -112,18 +132,18 @@
         std::int64_t number = 0;
     };
     std::vector<waiting_count> m_waitingCounts;
-    std::vector<std::string> m_others; ///< in the order in which they follow a holder
-    std::size_t m_rank = 0; ///< of this entry in that order
-    std::shared_ptr<holder> m_holder; ///< while this entry has the duty
-    std::string m_holderName; ///< as known here
-    std::uint64_t m_token = 0;
+    std::vector<std::string> m_others; ///< other entries, in the order of succession
+    std::size_t m_rank = 0; ///< position of this entry in the order of succession
+    std::shared_ptr<holder> m_holder; ///< null unless this entry has the duty
+    std::string m_holderName; ///< last known holder; empty: none
+    std::uint64_t m_token = 0; ///< highest fencing token known
     store_time_bounds m_bounds;
-    time_point m_holderHeardAt{};
+    time_point m_holderHeardAt{}; ///< time of the last message from the holder
     time_point m_nextPollAt{};
     time_point m_nextNoticeAt{};
-    time_point m_lastFullSendAt{};
-    duration m_jitter{}; ///< this entry's part of nonSuccessorJitter
-    bool m_isStoreCallPending = false;
+    time_point m_lastFullSendAt{}; ///< when all unacknowledged batches were last sent
+    duration m_jitter{}; ///< added to nonSuccessorTimeout at this entry
+    bool m_isStoreCallPending = false; ///< a read of the rows or an attempt to acquire the duty
     bool m_isRetired = false;
     bool m_hasOwnRow = false;
     bool m_isWritingOwnRow = false;
--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -1,4 +1,4 @@
-//===-- Usage/UsageDutyImpl.h - members of usage_duty ------------*- C++ -*-===//
+//===-- Usage/UsageDutyImpl.h - members of usage_duty -----------*- C++ -*-===//
 //
 // Included by UsageDuty.h only.
 //
@@ -20,14 +20,15 @@
     , m_settings(std::move(settings))
     , m_metrics(metrics)
 {
-    const auto parts = static_cast<std::uint64_t>(nonSuccessorJitter.count());
-    m_jitter = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % parts));
+    const auto jitterRange = static_cast<std::uint64_t>(nonSuccessorJitter.count());
+    m_jitter = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % jitterRange));
 }
 
 template <usage_environment Env>
 void usage_duty<Env>::start()
 {
-    // A holder tells a new entry within a heartbeat; without one the duty is free at a first start.
+    // If there is a holder, its heartbeat reaches a new entry soon. Otherwise, as when all entries
+    // start for the first time, the duty is free and can be acquired early.
     m_holderHeardAt = now() - (holderTimeout - startupHolderTimeout);
     tick();
 }
@@ -36,8 +37,8 @@
 void usage_duty<Env>::setEntries(std::vector<std::string> names)
 {
     const std::vector<std::string> order = topRanked(names, usageKey, names.size());
-    const auto own = std::find(order.begin(), order.end(), m_settings.entry);
-    m_rank = static_cast<std::size_t>(own - order.begin());
+    const auto ownPosition = std::find(order.begin(), order.end(), m_settings.entry);
+    m_rank = static_cast<std::size_t>(ownPosition - order.begin());
     m_others.clear();
     std::copy_if(order.begin(), order.end(), std::back_inserter(m_others),
                  [this](const std::string &name) { return name != m_settings.entry; });
@@ -48,7 +49,7 @@
 template <usage_environment Env>
 void usage_duty<Env>::count(std::string_view customer, time_point at, std::int64_t number)
 {
-    // The store may stay away from the start on: then there is no clock.
+    // If the store has been unreachable since the start, true time is not known and counts pile up.
     if (m_waitingCounts.size() < maxWaitingCounts)
         m_waitingCounts.push_back({std::string(customer), at, number});
     else
@@ -59,8 +60,8 @@
 void usage_duty<Env>::applyWaitingCounts(milliseconds trueTime)
 {
     for (const waiting_count &item : m_waitingCounts) {
-        const auto ago = std::chrono::duration_cast<milliseconds>(now() - item.at);
-        m_meter.count(item.customer, m_settings.windows.windowAt(trueTime - ago), item.number);
+        const auto age = std::chrono::duration_cast<milliseconds>(now() - item.at);
+        m_meter.count(item.customer, m_settings.windows.windowAt(trueTime - age), item.number);
     }
     m_waitingCounts.clear();
 }
@@ -69,12 +70,12 @@
 void usage_duty<Env>::sealNextBatch(milliseconds trueTime)
 {
     m_meter.sealBatch(m_settings.windows.windowAt(trueTime - windowCloseDelay));
-    const std::int64_t givenUp = m_meter.takeDroppedCount();
-    if (givenUp <= 0)
+    const std::int64_t dropped = m_meter.takeDroppedCount();
+    if (dropped <= 0)
         return;
-    m_metrics.add("usage_requests_late_total", static_cast<double>(givenUp));
+    m_metrics.add("usage_requests_late_total", static_cast<double>(dropped));
     logWarning(log_part::ledger, "usage counts given up, nobody took them in time",
-               {{"requests", givenUp}});
+               {{"requests", dropped}});
 }
 
 template <usage_environment Env>
@@ -82,9 +83,9 @@
 {
     constexpr double msPerSecond = 1000;
     const double entries = static_cast<double>(m_others.size() + 1);
-    const milliseconds shared(
+    const milliseconds fairInterval(
             static_cast<std::int64_t>(entries * msPerSecond / maxNoticesPerSecond));
-    return std::max(tickInterval, shared);
+    return std::max(tickInterval, fairInterval);
 }
 
 template <usage_environment Env>
@@ -145,15 +146,15 @@
 template <usage_environment Env>
 void usage_duty<Env>::sendBatches(std::size_t from)
 {
-    // As many batches as fit, then the next ones.
+    // Put as many batches into each datagram as fit.
     usage_notice rest = makeNotice(from);
     usage_notice part = rest;
     part.batches.clear();
     std::size_t bytes = 0;
     for (usage_batch &batch : rest.batches) {
-        usage_notice alone = part;
-        alone.batches = {batch};
-        const std::size_t size = encodeUsageMessage(alone).size();
+        usage_notice single = part;
+        single.batches = {batch};
+        const std::size_t size = encodeUsageMessage(single).size();
         if (!part.batches.empty() && bytes + size > maxNoticeBytes) {
             m_env.send(m_holderName, part);
             part.batches.clear();
@@ -211,13 +212,13 @@
 template <usage_environment Env>
 void usage_duty<Env>::checkHolder()
 {
-    const bool hasCounts = !m_meter.unacknowledged().empty();
-    if (m_isStoreCallPending || now() < m_nextPollAt || (!isSuccessor() && !hasCounts))
+    const bool hasUnacknowledged = !m_meter.unacknowledged().empty();
+    if (m_isStoreCallPending || now() < m_nextPollAt || (!isSuccessor() && !hasUnacknowledged))
         return;
-    const duration patience = isSuccessor()
+    const duration timeout = isSuccessor()
             ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
             : duration(nonSuccessorTimeout) + m_jitter;
-    if (now() - m_holderHeardAt >= patience)
+    if (now() - m_holderHeardAt >= timeout)
         pollRows();
 }
 
@@ -239,7 +240,7 @@
     m_isStoreCallPending = false;
     m_nextPollAt = now() + maxPollInterval;
     if (!result) {
-        logWarning(log_part::ledger, "rows of the usage duty not read",
+        logWarning(log_part::ledger, "failed to read rows of the usage duty",
                    {{"why", textOf(result.error())}});
         return;
     }
@@ -255,8 +256,8 @@
     if (row)
         onRow(std::move(row.value()), it->version, rows);
     else
-        // Without its token nobody may begin: a lower one could follow.
-        logWarning(log_part::ledger, "row of the usage duty refused", {{"fault", row.error()}});
+        // The duty can't be acquired without the token in the row: the new token might be lower.
+        logWarning(log_part::ledger, "malformed row of the usage duty", {{"fault", row.error()}});
 }
 
 template <usage_environment Env>
@@ -272,21 +273,22 @@
         m_meter.acknowledge(progress->lastCounted);
     const bool isOwn = lease.holder == m_settings.entry && lease.life == m_life;
     if (isOwn && !m_isRetired && lease.until > m_bounds.latest(now())) {
-        // The answer to this process's own write was lost.
+        // This process acquired the duty, but the answer to its write was lost.
         startTenure(row, version, rows);
         return;
     }
     const bool isFree = mayAcquire(lease, m_settings.entry, earliest, m_settings.lease);
-    // All successors may be gone: their rows outlive them.
+    // The successors may all have ended: entries stay listed for a while because their rows outlive
+    // them. Any entry may then acquire the duty.
     const bool isAbandoned = earliest - lease.until > 2 * m_settings.lease;
     if (isFree && !m_isRetired && (isSuccessor() || isAbandoned)) {
         acquire(std::move(row), version, rows);
         return;
     }
-    const duration left = lease.until - earliest;
-    const duration turn = left + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
-    m_nextPollAt = now() + std::clamp<duration>(turn, minPollInterval, maxPollInterval);
-    if (left.count() > 0 && !m_meter.unacknowledged().empty())
+    const duration remaining = lease.until - earliest;
+    const duration pollDelay = remaining + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
+    m_nextPollAt = now() + std::clamp<duration>(pollDelay, minPollInterval, maxPollInterval);
+    if (remaining.count() > 0 && !m_meter.unacknowledged().empty())
         writeOwnRow();
 }
 
@@ -299,12 +301,12 @@
     const window_number current = m_settings.windows.windowAt(*trueTime);
     if (version == 0)
         row.ledger = usage_ledger(current - 1);
-    const std::size_t givenUp
+    const std::size_t dropped
             = row.ledger.dropBefore(current - std::min(current, usage_meter::maxWindows));
-    if (givenUp > 0) {
-        m_metrics.add("usage_windows_total{result=\"given_up\"}", givenUp);
+    if (dropped > 0) {
+        m_metrics.add("usage_windows_total{result=\"given_up\"}", dropped);
         logWarning(log_part::ledger, "usage windows given up, nobody had the duty in time",
-                   {{"windows", std::int64_t(givenUp)}, {"before", std::int64_t(current)}});
+                   {{"windows", std::int64_t(dropped)}, {"before", std::int64_t(current)}});
     }
     row.lease = nextLease(row.lease, m_settings.entry, m_life, m_bounds.earliest(now()),
                           m_settings.lease);
@@ -363,7 +365,7 @@
     logInfo(log_part::ledger, "usage counts told by row, the holder is silent",
             {{"holder", m_holderName}, {"batches", std::int64_t(m_meter.unacknowledged().size())}});
     m_env.store().write({write}, [this, alive = m_alive](outcome<conditional_write, row_failure>) {
-        // Whatever came of it, the next look tells whether they are counted.
+        // The result does not matter: the next read of the rows shows whether they are counted.
         if (*alive)
             m_isWritingOwnRow = false;
     });
