--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -1,6 +1,6 @@
-//===-- UsageDutyTests.cpp - usage is told once, by one holder --------------===//
+//===-- UsageDutyTests.cpp - tests for the whole usage duty ---------------===//
 //
-// Whole entries on a paused clock: what whoever takes the reports gets.
+// Runs simulated entries on a manual clock and checks the usage reports that the receiver gets.
 //
 //===----------------------------------------------------------------------===//
 #include "UsageFixture.h"
@@ -16,7 +16,7 @@
 
 } // namespace
 
-/// Checks that all windows in which requests ran were told in time, and alike.
+/// Checks that all windows with requests were reported in time and with the exact counts.
 static void checkExactReports(const usage_fixture &fixture)
 {
     CHECK(fixture.violations() == std::vector<std::string>());
@@ -29,24 +29,25 @@
     }
 }
 
-TEST_CASE("each window is told once, with the counts of all entries")
+TEST_CASE("each window is reported once, with the counts of all entries")
 {
     usage_fixture fixture(entries, 1);
     fixture.advanceTime(seconds(40));
     REQUIRE(fixture.holder());
     checkExactReports(fixture);
     CHECK(fixture.reports.size() >= 5);
-    std::set<window_number> told;
+    std::set<window_number> reported;
     for (const received_report &item : fixture.reports)
-        CHECK(told.insert(item.report.window).second);
-    // A lease, its token and one write for each save: no entry but the holder calls the store.
+        CHECK(reported.insert(item.report.window).second);
+    // Only the holder calls the store regularly. A single write per save also renews the lease.
     CHECK(fixture.store.writes < seconds(40) / usage_holder<process_environment>::saveInterval);
     CHECK(fixture.store.lists < 3 * entries);
 }
 
-TEST_CASE("a holder that is killed, suspended or cut off is followed, and nothing is lost")
+TEST_CASE("no counts are lost when the holder is killed, suspended or partitioned")
 {
-    for (const std::string kind : {"killed while idle", "suspended", "cut off", "turned away"}) {
+    for (const std::string kind :
+         {"killed while idle", "suspended", "partitioned", "store refuses"}) {
         INFO(kind);
         usage_fixture fixture(entries, 2);
         fixture.advanceTime(seconds(12));
@@ -54,9 +55,9 @@
         REQUIRE(first);
         if (kind == "suspended")
             fixture.suspend(*first);
-        else if (kind == "cut off")
+        else if (kind == "partitioned")
             first->isPartitioned = true;
-        else if (kind == "turned away")
+        else if (kind == "store refuses")
             first->store = call_mode::refused;
         else {
             fixture.advanceTime(milliseconds(500), 0);
@@ -70,10 +71,10 @@
         fixture.advanceTime(seconds(25));
         usage_machine *second = fixture.holder();
         REQUIRE(second);
-        // Whoever is only out of the others' reach goes on: its rows tell that it lives. One that
-        // was killed may be the first to be up again.
+        // A partitioned holder keeps the duty, because it still renews its lease in the row. One
+        // that was killed may restart and acquire the duty again, so either result is right.
         if (kind != "killed while idle")
-            CHECK((second->name == first->name) == (kind == "cut off"));
+            CHECK((second->name == first->name) == (kind == "partitioned"));
         checkExactReports(fixture);
     }
 }
@@ -93,7 +94,7 @@
     checkExactReports(fixture);
 }
 
-TEST_CASE("all entries are stopped and started again, one after the other")
+TEST_CASE("no counts are lost in a rolling restart of all entries")
 {
     usage_fixture fixture(entries, 4);
     fixture.advanceTime(seconds(8));
@@ -105,7 +106,7 @@
     checkExactReports(fixture);
 }
 
-TEST_CASE("all entries are killed together: what was counted a moment before is told")
+TEST_CASE("few counts are lost when all entries are killed together")
 {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -123,29 +124,29 @@
     CHECK(worst <= maxRelativeError);
 }
 
-TEST_CASE("an entry that reaches only the store tells its counts by a row")
+TEST_CASE("an entry that reaches only the store sends its counts through a row")
 {
     usage_fixture fixture(entries, 5);
     fixture.advanceTime(seconds(8));
-    usage_machine *cut = fixture.allMachines()[3];
-    if (cut == fixture.holder())
-        cut = fixture.allMachines()[4];
-    cut->isPartitioned = true;
+    usage_machine *partitioned = fixture.allMachines()[3];
+    if (partitioned == fixture.holder())
+        partitioned = fixture.allMachines()[4];
+    partitioned->isPartitioned = true;
     fixture.advanceTime(seconds(14));
-    cut->isPartitioned = false;
+    partitioned->isPartitioned = false;
     fixture.advanceTime(seconds(25));
     checkExactReports(fixture);
 }
 
-TEST_CASE("an entry that is gone for good delays the windows of its end, and no later ones")
+TEST_CASE("an entry that ends for good delays only the windows around its end")
 {
     usage_fixture fixture(entries, 8);
     fixture.advanceTime(seconds(8));
-    usage_machine *gone = fixture.allMachines()[3];
-    if (gone == fixture.holder())
-        gone = fixture.allMachines()[4];
-    gone->isUp = false;
-    ++gone->life;
+    usage_machine *ended = fixture.allMachines()[3];
+    if (ended == fixture.holder())
+        ended = fixture.allMachines()[4];
+    ended->isUp = false;
+    ++ended->life;
     fixture.advanceTime(seconds(30));
     CHECK(fixture.violations() == std::vector<std::string>());
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
@@ -154,7 +155,7 @@
     CHECK(at - usage_fixture::windows.endOf(last.report.window) < seconds(3));
 }
 
-TEST_CASE("an outage of the store is waited for: windows that are not due yet are told exactly")
+TEST_CASE("counts are exact after a store outage that ends before windows are due")
 {
     for (const call_mode mode : {call_mode::refused, call_mode::silent, call_mode::unanswered}) {
         usage_fixture fixture(entries, 6);
@@ -167,10 +168,11 @@
     }
 }
 
-TEST_CASE("who gains the duty late hears all entries before it decides what is overdue")
+TEST_CASE("a holder that acquires the duty late receives all counts before it decides overdue "
+          "windows")
 {
     for (std::int64_t begin = 8; begin < 13; ++begin) {
-        INFO("store away from second ", begin);
+        INFO("store unavailable from second ", begin);
         usage_fixture fixture(entries, 9);
         fixture.advanceTime(seconds(begin));
         fixture.setModeForAll(&usage_machine::store, call_mode::refused);
@@ -181,7 +183,7 @@
     }
 }
 
-TEST_CASE("a report whose answer is lost is told again, alike")
+TEST_CASE("a report whose answer is lost is sent again with the same counts")
 {
     usage_fixture fixture(entries, 7);
     fixture.advanceTime(seconds(9));
@@ -196,16 +198,16 @@
     CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
 }
 
-/// Does something at random to some machine.
+/// Injects a random fault into a random machine, with a preference for the holder.
 static void injectRandomFault(usage_fixture &fixture)
 {
     usage_machine *holder = fixture.holder();
     usage_machine &machine
             = holder && fixture.random.chance(0.6) ? *holder : fixture.randomMachine();
     const milliseconds time(static_cast<std::int64_t>(500 + 5500 * fixture.random.uniform()));
-    const auto heal
-            = [&fixture, time](usage_machine &item, std::function<void(usage_machine &)> mend) {
-                  fixture.runtime.after(time, [&item, mend] { mend(item); });
+    const auto recoverLater
+            = [&fixture, time](usage_machine &item, std::function<void(usage_machine &)> recover) {
+                  fixture.runtime.after(time, [&item, recover] { recover(item); });
               };
     constexpr std::array modes{call_mode::refused, call_mode::silent, call_mode::unanswered,
                                call_mode::late};
@@ -216,19 +218,19 @@
         return;
     case 1:
         fixture.suspend(machine);
-        heal(machine, [&fixture](usage_machine &item) { fixture.resume(item); });
+        recoverLater(machine, [&fixture](usage_machine &item) { fixture.resume(item); });
         return;
     case 2:
         machine.isPartitioned = true;
-        heal(machine, [](usage_machine &item) { item.isPartitioned = false; });
+        recoverLater(machine, [](usage_machine &item) { item.isPartitioned = false; });
         return;
     case 3:
         machine.store = mode;
-        heal(machine, [](usage_machine &item) { item.store = call_mode::normal; });
+        recoverLater(machine, [](usage_machine &item) { item.store = call_mode::normal; });
         return;
     case 4:
         machine.reportSink = mode == call_mode::late ? call_mode::unanswered : mode;
-        heal(machine, [](usage_machine &item) { item.reportSink = call_mode::normal; });
+        recoverLater(machine, [](usage_machine &item) { item.reportSink = call_mode::normal; });
         return;
     case 5:
         fixture.stop(machine);
@@ -241,10 +243,10 @@
     }
 }
 
-TEST_CASE("whatever happens: one holder, rising tokens, never two counts for a window")
+TEST_CASE("random faults: one holder at a time, rising tokens, one count per window")
 {
     constexpr std::uint64_t seeds = 200;
-    std::size_t told = 0;
+    std::size_t reported = 0;
     std::size_t tokens = 0;
     for (std::uint64_t seed = 1000; seed < 1000 + seeds; ++seed) {
         INFO("seed ", seed);
@@ -264,10 +266,10 @@
         fixture.advanceTime(seconds(16), 2);
         REQUIRE(fixture.violations() == std::vector<std::string>());
         REQUIRE(fixture.holder());
-        told += fixture.reports.size();
+        reported += fixture.reports.size();
         tokens += fixture.reports.empty() ? 0 : fixture.reports.back().report.token;
     }
-    // The play is one: the duty is told, and changes hands.
-    CHECK(told > 5 * seeds);
+    // The simulation must have reported windows and changed the holder often enough to be relevant.
+    CHECK(reported > 5 * seeds);
     CHECK(tokens > 3 * seeds);
 }
--- a/unittests/Usage/UsageFixture.cpp
+++ b/unittests/Usage/UsageFixture.cpp
@@ -1,6 +1,7 @@
-//===-- UsageFixture.cpp - entries that share the usage duty ------------------===//
+//===-- UsageFixture.cpp - simulated entries for usage tests --------------===//
 //
-// A process that has ended keeps its objects until the world ends; nothing reaches them any more.
+// The objects of an ended process are kept until the fixture is destroyed, but they receive no more
+// calls.
 //
 //===----------------------------------------------------------------------===//
 #include "UsageFixture.h"
@@ -12,12 +13,12 @@
 
 namespace {
 
-/// True time less the runtime's clock; any number of hours.
+/// Difference between true time and the runtime's clock; an arbitrary value.
 constexpr milliseconds trueTimeOffset{1'700'000'000'123};
-constexpr milliseconds timeStep{10};
-constexpr milliseconds maxReportDelay{400}; ///< a report is this long on its way at most
-constexpr milliseconds restartDelay{400};
-constexpr milliseconds drainTime{2600};
+constexpr milliseconds timeStep{10}; ///< step of advanceTime()
+constexpr milliseconds maxReportDelay{400}; ///< upper bound of a report's delivery time
+constexpr milliseconds restartDelay{400}; ///< from the end of a process to the next start
+constexpr milliseconds drainTime{2600}; ///< from retire() until requests stop
 
 } // namespace
 
@@ -35,19 +36,19 @@
 void process_runtime::cancel(timer_id) { }
 
 template <class T>
-void process_store::call(bool isWrite, std::function<void(row_callback<T>)> make,
+void process_store::call(bool isWrite, std::function<void(row_callback<T>)> execute,
                          row_callback<T> done)
 {
     const call_mode mode = m_machine.store;
-    const auto fail = [this, done](milliseconds after, row_failure why) {
-        m_fixture.schedule(after, m_machine, m_life, [done, why] { done(failure(why)); });
+    const auto fail = [this, done](milliseconds after, row_failure reason) {
+        m_fixture.schedule(after, m_machine, m_life, [done, reason] { done(failure(reason)); });
     };
     const row_callback<T> ignored = [](outcome<T, row_failure>) {};
     switch (mode) {
     case call_mode::normal:
-        // The store acts whatever becomes of the caller meanwhile.
-        make([this, done, life = m_life, &fixture = m_fixture,
-              &machine = m_machine](outcome<T, row_failure> result) {
+        // The store executes the call even if the caller ends in the meantime.
+        execute([this, done, life = m_life, &fixture = m_fixture,
+                 &machine = m_machine](outcome<T, row_failure> result) {
             fixture.schedule(usage_fixture::messageDelay, machine, life,
                              [done, result] { done(result); });
         });
@@ -58,13 +59,13 @@
     case call_mode::silent:
         break;
     case call_mode::unanswered:
-        make(ignored);
+        execute(ignored);
         break;
     case call_mode::late:
         if (isWrite) {
             const milliseconds wait(
                     static_cast<std::int64_t>(1000 + 5000 * m_fixture.random.uniform()));
-            m_fixture.runtime.after(wait, [make, ignored] { make(ignored); });
+            m_fixture.runtime.after(wait, [execute, ignored] { execute(ignored); });
         }
         break;
     }
@@ -75,8 +76,8 @@
 {
     call<row_batch>(
             false,
-            [&fixture = m_fixture, table](row_callback<row_batch> got) {
-                fixture.store.list(table, got);
+            [&fixture = m_fixture, table](row_callback<row_batch> callback) {
+                fixture.store.list(table, callback);
             },
             std::move(done));
 }
@@ -91,8 +92,8 @@
 {
     call<conditional_write>(
             true,
-            [&fixture = m_fixture, rows](row_callback<conditional_write> got) {
-                fixture.store.write(rows, got);
+            [&fixture = m_fixture, rows](row_callback<conditional_write> callback) {
+                fixture.store.write(rows, callback);
             },
             std::move(done));
 }
@@ -112,9 +113,9 @@
             continue;
         const std::string bytes = encodeUsageMessage(message);
         fixture.schedule(usage_fixture::messageDelay, to, to.life, [&fixture, &to, bytes] {
-            const std::optional<usage_message> told = decodeUsageMessage(bytes);
-            if (told)
-                fixture.duties.at(to.name)->onMessage(*told);
+            const std::optional<usage_message> decoded = decodeUsageMessage(bytes);
+            if (decoded)
+                fixture.duties.at(to.name)->onMessage(*decoded);
         });
     }
 }
@@ -124,8 +125,8 @@
     usage_fixture &fixture = *m_fixture;
     usage_machine &machine = *m_machine;
     const call_mode mode = machine.reportSink;
-    const auto answer = [&](duration after, bool isTold) {
-        fixture.schedule(after, machine, machine.life, [done, isTold] { done(isTold); });
+    const auto answer = [&](duration after, bool isAccepted) {
+        fixture.schedule(after, machine, machine.life, [done, isAccepted] { done(isAccepted); });
     };
     if (mode == call_mode::refused) {
         answer(usage_fixture::messageDelay, false);
@@ -168,10 +169,11 @@
     machine.isSuspended = false;
     machine.isDrained = false;
     machine.pendingActions.clear();
-    process_environment around{this, &machine, std::make_shared<process_runtime>(*this, machine),
-                               std::make_shared<process_store>(*this, machine)};
+    process_environment environment{this, &machine,
+                                    std::make_shared<process_runtime>(*this, machine),
+                                    std::make_shared<process_store>(*this, machine)};
     auto duty = std::make_unique<usage_duty<process_environment>>(
-            around, usage_settings{machine.name, windows, lease, due}, metrics);
+            environment, usage_settings{machine.name, windows, lease, due}, metrics);
     duty->setEntries(names());
     duty->start();
     if (duties[machine.name])
@@ -261,10 +263,10 @@
     return items;
 }
 
-void usage_fixture::setModeForAll(call_mode usage_machine::*by, call_mode how)
+void usage_fixture::setModeForAll(call_mode usage_machine::*target, call_mode mode)
 {
     for (usage_machine &machine : machines)
-        machine.*by = how;
+        machine.*target = mode;
 }
 
 usage_machine &usage_fixture::randomMachine()
@@ -272,7 +274,8 @@
     return *allMachines()[random.bits() % machines.size()];
 }
 
-/// \returns true when a holder was back within \p lease of its report, another one in between.
+/// \returns true if a holder reported again within \p lease of its last report although another
+/// holder had reported in between.
 static bool returnsTooSoon(std::span<const received_report> reports, milliseconds lease)
 {
     std::map<std::string, time_point> lastOf;
@@ -291,14 +294,14 @@
 std::vector<std::string> usage_fixture::violations() const
 {
     std::vector<std::string> found;
-    std::map<window_number, customer_counts> told;
+    std::map<window_number, customer_counts> reported;
     std::map<std::uint64_t, std::string> holderOf;
     std::uint64_t highest = 0;
     for (const received_report &item : reports) {
         const usage_report &report = item.report;
-        const auto [counts, isNew] = told.emplace(report.window, report.counts);
+        const auto [counts, isNew] = reported.emplace(report.window, report.counts);
         if (!isNew && counts->second != report.counts)
-            found.push_back("two counts for window " + std::to_string(report.window));
+            found.push_back("different counts for window " + std::to_string(report.window));
         if (report.token < highest)
             found.push_back("token " + std::to_string(report.token) + " after "
                             + std::to_string(highest));
@@ -308,7 +311,7 @@
             found.push_back("two holders with token " + std::to_string(report.token));
     }
     if (returnsTooSoon(reports, lease))
-        found.push_back("a holder was back too soon");
+        found.push_back("a former holder returned too soon");
     return found;
 }
 
@@ -319,10 +322,10 @@
         const milliseconds dueAt = windows.endOf(window) + due;
         if (dueAt > latest)
             continue;
-        const bool isTold = std::any_of(reports.begin(), reports.end(), [&](const auto &item) {
+        const bool isReported = std::any_of(reports.begin(), reports.end(), [&](const auto &item) {
             return item.report.window == window && trueTimeAt(item.at) <= dueAt;
         });
-        if (!isTold)
+        if (!isReported)
             found.push_back(window);
     }
     return found;
@@ -338,25 +341,25 @@
 
 std::uint64_t usage_fixture::actualRequests(window_number window) const
 {
-    std::uint64_t all = 0;
+    std::uint64_t total = 0;
     const auto it = actualCounts.find(window);
     if (it == actualCounts.end())
         return 0;
     for (const auto &[customer, count] : it->second)
-        all += count;
-    return all;
+        total += count;
+    return total;
 }
 
 double usage_fixture::relativeError(window_number window) const
 {
-    const customer_counts *told = reportedCounts(window);
-    if (!told)
+    const customer_counts *reported = reportedCounts(window);
+    if (!reported)
         return 1;
-    double wrong = 0;
+    double difference = 0;
     for (const auto &[customer, count] : actualCounts.at(window)) {
-        const auto it = told->find(customer);
-        const double said = it == told->end() ? 0 : static_cast<double>(it->second);
-        wrong += std::abs(said - static_cast<double>(count));
+        const auto it = reported->find(customer);
+        const double reportedCount = it == reported->end() ? 0 : static_cast<double>(it->second);
+        difference += std::abs(reportedCount - static_cast<double>(count));
     }
-    return wrong / static_cast<double>(actualRequests(window));
+    return difference / static_cast<double>(actualRequests(window));
 }
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -1,6 +1,7 @@
-//===-- UsagePartsTests.cpp - counts, leases and datagrams ------------------===//
+//===-- UsagePartsTests.cpp - counts, leases and messages -----------------===//
 //
-// The pure parts of the usage duty.
+// Tests for the parts of the usage duty that need no environment: usage_meter, usage_ledger, the
+// lease rules, and the encoding of the row and the datagrams.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/StoreTimeBounds.h"
@@ -17,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a batch is kept as it is until it is acknowledged")
+TEST_CASE("a batch is kept unchanged until it is acknowledged")
 {
     usage_meter meter;
     CHECK_FALSE(meter.sealBatch(0));
@@ -36,7 +37,7 @@
     CHECK(meter.isFullyAcknowledged());
 }
 
-TEST_CASE("a window is closed with the batch that has the last of its counts")
+TEST_CASE("a window is closed by the batch that contains the last of its counts")
 {
     usage_meter meter;
     for (std::size_t i = 0; i < usage_meter::maxCountsPerBatch + 1; ++i)
@@ -47,7 +48,7 @@
     CHECK(meter.unacknowledged()[1].closedBefore == 8);
 }
 
-TEST_CASE("what nobody takes is bounded, and counted when it is given up")
+TEST_CASE("unacknowledged counts are bounded, and dropped counts are added up")
 {
     usage_meter meter;
     for (window_number window = 100; window < 200; ++window) {
@@ -59,7 +60,7 @@
     CHECK(meter.takeDroppedCount() == 0);
 }
 
-TEST_CASE("a batch counts once, in order, whatever comes twice")
+TEST_CASE("a batch is counted once and in order, even if it arrives twice")
 {
     usage_ledger ledger(7);
     const usage_batch first{1, 7, {{7, {{"a", 2}}}}};
@@ -77,7 +78,7 @@
     CHECK(ledger.oldestUnreported()->counts == customer_counts{{"a", 3}, {"b", 5}});
 }
 
-TEST_CASE("a process that restarted closes what its earlier life left open")
+TEST_CASE("a restarted process closes the windows that its previous process left open")
 {
     usage_ledger ledger(7);
     ledger.applyNotice({"e", 1, 0, {{1, 7, {}}}});
@@ -86,7 +87,7 @@
     CHECK(ledger.incompleteEntries(7, {}).empty());
 }
 
-TEST_CASE("windows that nobody had in time are given up")
+TEST_CASE("windows that were not decided in time are dropped")
 {
     usage_ledger ledger(7);
     CHECK(ledger.dropBefore(20) == 13);
@@ -94,7 +95,7 @@
     CHECK(ledger.dropBefore(20) == 0);
 }
 
-TEST_CASE("the row of the duty comes back as it was written")
+TEST_CASE("the duty's row is decoded as it was encoded, and malformed rows are refused")
 {
     usage_row row;
     row.lease = {"e", 3, 9, milliseconds(5), {{"f", milliseconds(4)}}};
@@ -102,16 +103,16 @@
     row.ledger = usage_ledger(7);
     row.ledger.applyNotice({"e", 3, 0, {{1, 8, {{7, {{"a", 2}}}, {8, {{"b", 1}}}}}}});
     row.ledger.decideNext();
-    const outcome<usage_row, std::string> back = decodeUsageRow(encodeUsageRow(row));
-    REQUIRE(back);
-    CHECK(back.value().lease == row.lease);
-    CHECK(back.value().save == row.save);
-    CHECK(back.value().ledger == row.ledger);
+    const outcome<usage_row, std::string> decoded = decodeUsageRow(encodeUsageRow(row));
+    REQUIRE(decoded);
+    CHECK(decoded.value().lease == row.lease);
+    CHECK(decoded.value().save == row.save);
+    CHECK(decoded.value().ledger == row.ledger);
     for (const char *text : {"", "{}", "[1]", R"({"lease":{"holder":7}})"})
         CHECK_FALSE(decodeUsageRow(text));
 }
 
-TEST_CASE("datagrams come back as they were sent, and others are refused")
+TEST_CASE("datagrams are decoded as they were encoded, and truncated ones are refused")
 {
     const std::vector<usage_message> messages{
             usage_notice{"e", 3, 4, {{5, 8, {{7, {{"a", 2}}}}}, {6, 9, {}}}},
@@ -124,7 +125,7 @@
     }
 }
 
-TEST_CASE("a lease is free once it is over, but not for who had it before the last holder")
+TEST_CASE("an ended lease is free, but not for a recent holder that another one has replaced")
 {
     const duty_lease first = nextLease({}, "a", 1, milliseconds(1000), leaseLength);
     CHECK(first.token == 1);
@@ -132,7 +133,7 @@
     CHECK(mayAcquire(first, "b", milliseconds(4000), leaseLength));
     duty_lease second = nextLease(first, "b", 1, milliseconds(4000), leaseLength);
     CHECK(second.token == 2);
-    second.until = milliseconds(4500); // given back
+    second.until = milliseconds(4500); // released early
     CHECK_FALSE(mayAcquire(second, "a", milliseconds(6999), leaseLength));
     CHECK(mayAcquire(second, "a", milliseconds(7000), leaseLength));
     CHECK(mayAcquire(second, "b", milliseconds(4500), leaseLength));
@@ -140,7 +141,7 @@
     CHECK_FALSE(mayAcquire(again, "a", milliseconds(6999), leaseLength));
 }
 
-TEST_CASE("the store's clock is between what a holder and a successor take it for")
+TEST_CASE("the store's clock is between its lower and its upper bound")
 {
     const time_point asked{seconds(100)};
     const time_point answered = asked + milliseconds(40);
