--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -147,23 +147,23 @@
 void usage_duty<Env>::sendBatches(std::size_t from)
 {
     // Put as many batches into each datagram as fit.
-    usage_notice rest = makeNotice(from);
-    usage_notice part = rest;
-    part.batches.clear();
+    usage_notice notice = makeNotice(from);
+    usage_notice datagram = notice;
+    datagram.batches.clear();
     std::size_t bytes = 0;
-    for (usage_batch &batch : rest.batches) {
-        usage_notice single = part;
+    for (usage_batch &batch : notice.batches) {
+        usage_notice single = datagram;
         single.batches = {batch};
         const std::size_t size = encodeUsageMessage(single).size();
-        if (!part.batches.empty() && bytes + size > maxNoticeBytes) {
-            m_env.send(m_holderName, part);
-            part.batches.clear();
+        if (!datagram.batches.empty() && bytes + size > maxNoticeBytes) {
+            m_env.send(m_holderName, datagram);
+            datagram.batches.clear();
             bytes = 0;
         }
-        part.batches.push_back(std::move(batch));
+        datagram.batches.push_back(std::move(batch));
         bytes += size;
     }
-    m_env.send(m_holderName, part);
+    m_env.send(m_holderName, datagram);
 }
 
 template <usage_environment Env>
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -206,12 +206,13 @@
 void usage_holder<Env>::setEntries(std::vector<std::string> others)
 {
     m_others = std::move(others);
-    std::map<std::string, window_number> since;
+    std::map<std::string, window_number> knownSince;
     for (const std::string &name : m_others) {
         const auto known = m_knownSince.find(name);
-        since[name] = known == m_knownSince.end() ? m_row.ledger.decidedBefore() : known->second;
+        knownSince[name]
+                = known == m_knownSince.end() ? m_row.ledger.decidedBefore() : known->second;
     }
-    m_knownSince = std::move(since);
+    m_knownSince = std::move(knownSince);
 }
 
 template <usage_environment Env>
@@ -231,22 +232,22 @@
 template <usage_environment Env>
 bool usage_holder<Env>::mayDecide(window_number window, milliseconds trueTime)
 {
-    const milliseconds since = trueTime - m_settings.windows.endOf(window);
-    if (since < settleTime)
+    const milliseconds sinceEnd = trueTime - m_settings.windows.endOf(window);
+    if (sinceEnd < settleTime)
         return false;
     if (awaitedEntries(window).empty())
         return true;
     const auto maxWait
             = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
-    if (since >= maxWait - rowReadLead && m_rowsReadFor < window)
+    if (sinceEnd >= maxWait - rowReadLead && m_rowsReadFor < window)
         readEntryRows(window);
-    return since >= maxWait && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
+    return sinceEnd >= maxWait && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
 }
 
 template <usage_environment Env>
 void usage_holder<Env>::decideWindow(window_number window)
 {
-    const std::vector<std::string> open = awaitedEntries(window);
+    const std::vector<std::string> silentEntries = awaitedEntries(window);
     const customer_counts counts = m_row.ledger.openCounts(window);
     std::int64_t requests = 0;
     for (const auto &[customer, count] : counts)
@@ -257,8 +258,8 @@
             {{"window", std::int64_t(window)},
              {"customers", std::int64_t(counts.size())},
              {"requests", requests},
-             {"entries_silent", std::int64_t(open.size())},
-             {"silent", open.empty() ? "" : open.front()}});
+             {"entries_silent", std::int64_t(silentEntries.size())},
+             {"silent", silentEntries.empty() ? "" : silentEntries.front()}});
 }
 
 template <usage_environment Env>
