--- a/include/laurelcroft/Usage/UsageDutyImpl.h
+++ b/include/laurelcroft/Usage/UsageDutyImpl.h
@@ -1,4 +1,4 @@
-//===-- Usage/UsageDutyImpl.h - members of usage_duty ------------*- C++ -*-===//
+//===-- Usage/UsageDutyImpl.h - members of usage_duty -----------*- C++ -*-===//
 //
 // Included by UsageDuty.h only.
 //
@@ -20,15 +20,16 @@
     , m_settings(std::move(settings))
     , m_metrics(metrics)
 {
-    const auto parts = static_cast<std::uint64_t>(spreadOfOthers.count());
-    m_spread = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % parts));
+    const auto jitterRange = static_cast<std::uint64_t>(nonSuccessorJitter.count());
+    m_jitter = milliseconds(static_cast<std::int64_t>(stableHash(m_settings.entry) % jitterRange));
 }
 
 template <usage_environment Env>
 void usage_duty<Env>::start()
 {
-    // A holder tells a new entry within a heartbeat; without one the duty is free at a first start.
-    m_heardAt = now() - (silence - firstSilence);
+    // If there is a holder, its heartbeat reaches a new entry soon. Otherwise, as when all entries
+    // start for the first time, the duty is free and can be acquired early.
+    m_holderHeardAt = now() - (holderTimeout - startupHolderTimeout);
     tick();
 }
 
@@ -36,8 +37,8 @@
 void usage_duty<Env>::setEntries(std::vector<std::string> names)
 {
     const std::vector<std::string> order = topRanked(names, usageKey, names.size());
-    const auto own = std::find(order.begin(), order.end(), m_settings.entry);
-    m_rank = static_cast<std::size_t>(own - order.begin());
+    const auto ownPosition = std::find(order.begin(), order.end(), m_settings.entry);
+    m_rank = static_cast<std::size_t>(ownPosition - order.begin());
     m_others.clear();
     std::copy_if(order.begin(), order.end(), std::back_inserter(m_others),
                  [this](const std::string &name) { return name != m_settings.entry; });
@@ -48,48 +49,49 @@
 template <usage_environment Env>
 void usage_duty<Env>::count(std::string_view customer, time_point at, std::int64_t number)
 {
-    // The store may stay away from the start on: then there is no clock.
-    if (m_waiting.size() < mostWaiting)
-        m_waiting.push_back({std::string(customer), at, number});
+    // If the store has been unreachable since the start, true time is not known and counts pile up.
+    if (m_waitingCounts.size() < maxWaitingCounts)
+        m_waitingCounts.push_back({std::string(customer), at, number});
     else
         m_metrics.add("usage_requests_late_total");
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::countWaiting(milliseconds trueTime)
+void usage_duty<Env>::applyWaitingCounts(milliseconds trueTime)
 {
-    for (const waiting_count &item : m_waiting) {
-        const auto ago = std::chrono::duration_cast<milliseconds>(now() - item.at);
-        m_meter.count(item.customer, m_settings.windows.at(trueTime - ago), item.number);
+    for (const waiting_count &item : m_waitingCounts) {
+        const auto age = std::chrono::duration_cast<milliseconds>(now() - item.at);
+        m_meter.count(item.customer, m_settings.windows.windowAt(trueTime - age), item.number);
     }
-    m_waiting.clear();
+    m_waitingCounts.clear();
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::cutBatch(milliseconds trueTime)
+void usage_duty<Env>::sealNextBatch(milliseconds trueTime)
 {
-    m_meter.cut(m_settings.windows.at(trueTime - answerWait));
-    const std::int64_t givenUp = m_meter.takeGivenUp();
-    if (givenUp <= 0)
+    m_meter.sealBatch(m_settings.windows.windowAt(trueTime - windowCloseDelay));
+    const std::int64_t dropped = m_meter.takeDroppedCount();
+    if (dropped <= 0)
         return;
-    m_metrics.add("usage_requests_late_total", static_cast<double>(givenUp));
+    m_metrics.add("usage_requests_late_total", static_cast<double>(dropped));
     logWarning(log_part::ledger, "usage counts given up, nobody took them in time",
-               {{"requests", givenUp}});
+               {{"requests", dropped}});
 }
 
 template <usage_environment Env>
-milliseconds usage_duty<Env>::tellEvery() const
+milliseconds usage_duty<Env>::noticeInterval() const
 {
     constexpr double msPerSecond = 1000;
     const double entries = static_cast<double>(m_others.size() + 1);
-    const milliseconds shared(static_cast<std::int64_t>(entries * msPerSecond / noticesPerSecond));
-    return std::max(tickEvery, shared);
+    const milliseconds fairInterval(
+            static_cast<std::int64_t>(entries * msPerSecond / maxNoticesPerSecond));
+    return std::max(tickInterval, fairInterval);
 }
 
 template <usage_environment Env>
 void usage_duty<Env>::tick()
 {
-    m_env.runtime().after(tickEvery, [this, alive = m_alive] {
+    m_env.runtime().after(tickInterval, [this, alive = m_alive] {
         if (*alive)
             tick();
     });
@@ -98,28 +100,28 @@
         return;
     if (m_life == 0)
         m_life = static_cast<std::uint64_t>(trueTime->count());
-    countWaiting(*trueTime);
-    const bool isDue = now() >= m_nextTellAt;
+    applyWaitingCounts(*trueTime);
+    const bool isDue = now() >= m_nextNoticeAt;
     const std::size_t before = m_meter.unacknowledged().size();
     if (isDue) {
-        m_nextTellAt = now() + tellEvery() - tickEvery / 2;
-        cutBatch(*trueTime);
+        m_nextNoticeAt = now() + noticeInterval() - tickInterval / 2;
+        sealNextBatch(*trueTime);
     }
     if (m_holder && m_holder->isOver())
         m_holder = nullptr;
     if (m_holder) {
-        m_holder->take(noticeFrom(0));
+        m_holder->onNotice(makeNotice(0));
         m_holder->tick();
     } else {
-        tellHolder(m_meter.unacknowledged().size() > before);
-        watch();
+        sendDueBatches(m_meter.unacknowledged().size() > before);
+        checkHolder();
     }
     if (m_hasOwnRow && m_meter.unacknowledged().empty())
-        dropOwnRow();
+        removeOwnRow();
 }
 
 template <usage_environment Env>
-usage_notice usage_duty<Env>::noticeFrom(std::size_t from) const
+usage_notice usage_duty<Env>::makeNotice(std::size_t from) const
 {
     usage_notice notice{m_settings.entry, m_life, m_meter.lastAcknowledged(), {}};
     const auto &batches = m_meter.unacknowledged();
@@ -128,48 +130,48 @@
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::tellHolder(bool isNew)
+void usage_duty<Env>::sendDueBatches(bool isNew)
 {
     const std::size_t batches = m_meter.unacknowledged().size();
     if (m_holderName.empty() || m_holderName == m_settings.entry || batches == 0)
         return;
-    if (now() - m_allToldAt >= tellAgainAfter) {
-        m_allToldAt = now();
-        tell(0);
+    if (now() - m_lastFullSendAt >= resendDelay) {
+        m_lastFullSendAt = now();
+        sendBatches(0);
     } else if (isNew) {
-        tell(batches - 1);
+        sendBatches(batches - 1);
     }
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::tell(std::size_t from)
+void usage_duty<Env>::sendBatches(std::size_t from)
 {
-    // As many batches as fit, then the next ones.
-    usage_notice rest = noticeFrom(from);
-    usage_notice part = rest;
-    part.batches.clear();
+    // Put as many batches into each datagram as fit.
+    usage_notice notice = makeNotice(from);
+    usage_notice datagram = notice;
+    datagram.batches.clear();
     std::size_t bytes = 0;
-    for (usage_batch &batch : rest.batches) {
-        usage_notice alone = part;
-        alone.batches = {batch};
-        const std::size_t size = encodeUsageMessage(alone).size();
-        if (!part.batches.empty() && bytes + size > mostNoticeBytes) {
-            m_env.tell(m_holderName, part);
-            part.batches.clear();
+    for (usage_batch &batch : notice.batches) {
+        usage_notice single = datagram;
+        single.batches = {batch};
+        const std::size_t size = encodeUsageMessage(single).size();
+        if (!datagram.batches.empty() && bytes + size > maxNoticeBytes) {
+            m_env.send(m_holderName, datagram);
+            datagram.batches.clear();
             bytes = 0;
         }
-        part.batches.push_back(std::move(batch));
+        datagram.batches.push_back(std::move(batch));
         bytes += size;
     }
-    m_env.tell(m_holderName, part);
+    m_env.send(m_holderName, datagram);
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::take(const usage_message &message)
+void usage_duty<Env>::onMessage(const usage_message &message)
 {
     if (const auto *notice = std::get_if<usage_notice>(&message)) {
         if (m_holder)
-            m_holder->take(*notice);
+            m_holder->onNotice(*notice);
     } else if (const auto *ack = std::get_if<usage_ack>(&message)) {
         onAck(*ack);
     } else {
@@ -183,17 +185,17 @@
     if (ack.token < m_token)
         return;
     if (m_holder && ack.holder != m_settings.entry && ack.token > m_holder->lease().token)
-        m_holder->takenOver();
+        m_holder->onTakenOver();
     if (ack.holder != m_holderName) {
         logInfo(log_part::ledger, "usage duty is elsewhere",
                 {{"holder", ack.holder}, {"token", std::int64_t(ack.token)}});
-        m_allToldAt = {};
+        m_lastFullSendAt = {};
     }
     m_holderName = ack.holder;
     m_token = ack.token;
-    m_heardAt = now();
+    m_holderHeardAt = now();
     if (ack.life == m_life)
-        m_meter.acknowledged(ack.number);
+        m_meter.acknowledge(ack.number);
 }
 
 template <usage_environment Env>
@@ -203,27 +205,27 @@
         return;
     m_holderName = handover.holder;
     m_token = handover.token;
-    m_heardAt = now() - silence;
-    m_nextLookAt = now();
+    m_holderHeardAt = now() - holderTimeout;
+    m_nextPollAt = now();
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::watch()
+void usage_duty<Env>::checkHolder()
 {
-    const bool hasCounts = !m_meter.unacknowledged().empty();
-    if (m_isLooking || now() < m_nextLookAt || (!isSuccessor() && !hasCounts))
+    const bool hasUnacknowledged = !m_meter.unacknowledged().empty();
+    if (m_isStoreCallPending || now() < m_nextPollAt || (!isSuccessor() && !hasUnacknowledged))
         return;
-    const duration patience = isSuccessor()
-            ? duration(silence + rankStep * static_cast<std::int64_t>(m_rank))
-            : duration(silenceOfOthers) + m_spread;
-    if (now() - m_heardAt >= patience)
-        look();
+    const duration timeout = isSuccessor()
+            ? duration(holderTimeout + rankDelay * static_cast<std::int64_t>(m_rank))
+            : duration(nonSuccessorTimeout) + m_jitter;
+    if (now() - m_holderHeardAt >= timeout)
+        pollRows();
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::look()
+void usage_duty<Env>::pollRows()
 {
-    m_isLooking = true;
+    m_isStoreCallPending = true;
     m_env.store().list(
             std::string(usageTable),
             [this, askedAt = now(), alive = m_alive](outcome<row_batch, row_failure> result) {
@@ -235,10 +237,10 @@
 template <usage_environment Env>
 void usage_duty<Env>::onRows(outcome<row_batch, row_failure> result, time_point askedAt)
 {
-    m_isLooking = false;
-    m_nextLookAt = now() + longestLook;
+    m_isStoreCallPending = false;
+    m_nextPollAt = now() + maxPollInterval;
     if (!result) {
-        logWarning(log_part::ledger, "rows of the usage duty not read",
+        logWarning(log_part::ledger, "failed to read rows of the usage duty",
                    {{"why", textOf(result.error())}});
         return;
     }
@@ -254,8 +256,8 @@
     if (row)
         onRow(std::move(row.value()), it->version, rows);
     else
-        // Without its token nobody may begin: a lower one could follow.
-        logWarning(log_part::ledger, "row of the usage duty refused", {{"fault", row.error()}});
+        // The duty can't be acquired without the token in the row: the new token might be lower.
+        logWarning(log_part::ledger, "malformed row of the usage duty", {{"fault", row.error()}});
 }
 
 template <usage_environment Env>
@@ -268,24 +270,25 @@
         m_holderName = lease.holder;
     }
     if (const auto progress = row.ledger.progressOf(process()))
-        m_meter.acknowledged(progress->counted);
+        m_meter.acknowledge(progress->lastCounted);
     const bool isOwn = lease.holder == m_settings.entry && lease.life == m_life;
     if (isOwn && !m_isRetired && lease.until > m_bounds.latest(now())) {
-        // The answer to this process's own write was lost.
-        hold(row, version, rows);
+        // This process acquired the duty, but the answer to its write was lost.
+        startTenure(row, version, rows);
         return;
     }
     const bool isFree = mayAcquire(lease, m_settings.entry, earliest, m_settings.lease);
-    // All successors may be gone: their rows outlive them.
+    // The successors may all have ended: entries stay listed for a while because their rows outlive
+    // them. Any entry may then acquire the duty.
     const bool isAbandoned = earliest - lease.until > 2 * m_settings.lease;
     if (isFree && !m_isRetired && (isSuccessor() || isAbandoned)) {
         acquire(std::move(row), version, rows);
         return;
     }
-    const duration left = lease.until - earliest;
-    const duration turn = left + rankStep * static_cast<std::int64_t>(m_rank) / 3;
-    m_nextLookAt = now() + std::clamp<duration>(turn, shortestLook, longestLook);
-    if (left.count() > 0 && !m_meter.unacknowledged().empty())
+    const duration remaining = lease.until - earliest;
+    const duration pollDelay = remaining + rankDelay * static_cast<std::int64_t>(m_rank) / 3;
+    m_nextPollAt = now() + std::clamp<duration>(pollDelay, minPollInterval, maxPollInterval);
+    if (remaining.count() > 0 && !m_meter.unacknowledged().empty())
         writeOwnRow();
 }
 
@@ -295,20 +298,20 @@
     const std::optional<milliseconds> trueTime = m_env.trueTime();
     if (!trueTime)
         return;
-    const window_number current = m_settings.windows.at(*trueTime);
+    const window_number current = m_settings.windows.windowAt(*trueTime);
     if (version == 0)
         row.ledger = usage_ledger(current - 1);
-    const std::size_t givenUp
-            = row.ledger.giveUpBefore(current - std::min(current, usage_meter::mostWindows));
-    if (givenUp > 0) {
-        m_metrics.add("usage_windows_total{result=\"given_up\"}", givenUp);
+    const std::size_t dropped
+            = row.ledger.dropBefore(current - std::min(current, usage_meter::maxWindows));
+    if (dropped > 0) {
+        m_metrics.add("usage_windows_total{result=\"given_up\"}", dropped);
         logWarning(log_part::ledger, "usage windows given up, nobody had the duty in time",
-                   {{"windows", std::int64_t(givenUp)}, {"before", std::int64_t(current)}});
+                   {{"windows", std::int64_t(dropped)}, {"before", std::int64_t(current)}});
     }
     row.lease = nextLease(row.lease, m_settings.entry, m_life, m_bounds.earliest(now()),
                           m_settings.lease);
     ++row.save;
-    m_isLooking = true;
+    m_isStoreCallPending = true;
     const row_write write{std::string(usageTable), std::string(usageKey), encodeUsageRow(row),
                           version};
     m_env.store().write(
@@ -317,19 +320,20 @@
              alive = m_alive](outcome<conditional_write, row_failure> result) {
                 if (!*alive)
                     return;
-                m_isLooking = false;
-                m_nextLookAt = now() + shortestLook;
+                m_isStoreCallPending = false;
+                m_nextPollAt = now() + minPollInterval;
                 logInfo(log_part::ledger, "usage duty asked for",
                         {{"token", std::int64_t(row.lease.token)}, {"result", textOf(result)}});
                 if (!result || !result.value().done)
                     return;
                 m_bounds.note(result.value().storeTime, askedAt, now());
-                hold(row, result.value().version, rows);
+                startTenure(row, result.value().version, rows);
             });
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::hold(const usage_row &row, std::uint64_t version, const row_batch &rows)
+void usage_duty<Env>::startTenure(const usage_row &row, std::uint64_t version,
+                                  const row_batch &rows)
 {
     m_metrics.add("usage_duty_total{event=\"gained\"}");
     m_metrics.set("usage_duty_token", static_cast<double>(row.lease.token));
@@ -343,10 +347,10 @@
     m_holder = std::make_shared<holder>(m_env, m_settings, m_metrics, row, version, m_bounds,
                                         [this](const usage_ack &ack) { onAck(ack); });
     m_holder->setEntries(m_others);
-    m_holder->announce();
-    m_holder->takeRows(rows);
+    m_holder->announceHolder();
+    m_holder->applyEntryRows(rows);
     if (m_isRetired)
-        m_holder->release();
+        m_holder->releaseDuty();
 }
 
 template <usage_environment Env>
@@ -357,18 +361,18 @@
     m_hasOwnRow = true;
     m_metrics.add("usage_rows_written_total");
     const row_write write{std::string(usageTable), usageEntryKey(m_settings.entry),
-                          encodeUsageMessage(noticeFrom(0)), std::nullopt};
+                          encodeUsageMessage(makeNotice(0)), std::nullopt};
     logInfo(log_part::ledger, "usage counts told by row, the holder is silent",
             {{"holder", m_holderName}, {"batches", std::int64_t(m_meter.unacknowledged().size())}});
     m_env.store().write({write}, [this, alive = m_alive](outcome<conditional_write, row_failure>) {
-        // Whatever came of it, the next look tells whether they are counted.
+        // The result does not matter: the next read of the rows shows whether they are counted.
         if (*alive)
             m_isWritingOwnRow = false;
     });
 }
 
 template <usage_environment Env>
-void usage_duty<Env>::dropOwnRow()
+void usage_duty<Env>::removeOwnRow()
 {
     if (std::exchange(m_isWritingOwnRow, true))
         return;
@@ -388,17 +392,17 @@
 {
     m_isRetired = true;
     if (isHolder())
-        m_holder->release();
+        m_holder->releaseDuty();
 }
 
 template <usage_environment Env>
 void usage_duty<Env>::finish(milliseconds longest, std::function<void()> done)
 {
     if (const std::optional<milliseconds> trueTime = m_env.trueTime()) {
-        countWaiting(*trueTime);
-        cutBatch(*trueTime);
-        m_allToldAt = {};
-        tellHolder(true);
+        applyWaitingCounts(*trueTime);
+        sealNextBatch(*trueTime);
+        m_lastFullSendAt = {};
+        sendDueBatches(true);
     }
     checkFinished(now() + longest, std::move(done));
 }
@@ -406,15 +410,16 @@
 template <usage_environment Env>
 void usage_duty<Env>::checkFinished(time_point latest, std::function<void()> done)
 {
-    const bool isSettled = m_waiting.empty() && m_meter.isSettled() && !isHolder();
+    const bool isSettled = m_waitingCounts.empty() && m_meter.isFullyAcknowledged() && !isHolder();
     if (isSettled || now() >= latest) {
         done();
         return;
     }
-    m_env.runtime().after(tickEvery / 4, [this, latest, done = std::move(done), alive = m_alive] {
-        if (*alive)
-            checkFinished(latest, done);
-    });
+    m_env.runtime().after(tickInterval / 4,
+                          [this, latest, done = std::move(done), alive = m_alive] {
+                              if (*alive)
+                                  checkFinished(latest, done);
+                          });
 }
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Usage/UsageHolderImpl.h
+++ b/include/laurelcroft/Usage/UsageHolderImpl.h
@@ -1,4 +1,4 @@
-//===-- Usage/UsageHolderImpl.h - members of usage_holder --------*- C++ -*-===//
+//===-- Usage/UsageHolderImpl.h - members of usage_holder -------*- C++ -*-===//
 //
 // Included by UsageHolder.h only.
 //
@@ -23,7 +23,7 @@
     , m_row(std::move(row))
     , m_version(version)
     , m_bounds(bounds)
-    , m_until(m_row.lease.until)
+    , m_confirmedUntil(m_row.lease.until)
     , m_savedProgress(m_row.ledger.progress())
     , m_savedDecidedBefore(m_row.ledger.decidedBefore())
     , m_gainedAt(env.runtime().now())
@@ -31,19 +31,19 @@
 }
 
 template <usage_environment Env>
-bool usage_holder<Env>::holds(milliseconds margin)
+bool usage_holder<Env>::holdsLease(milliseconds margin)
 {
-    return !m_isOver && m_bounds.latest(now()) + margin < m_until;
+    return !m_isOver && m_bounds.latest(now()) + margin < m_confirmedUntil;
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::lose(std::string_view why)
+void usage_holder<Env>::endTenure(std::string_view reason)
 {
     if (std::exchange(m_isOver, true))
         return;
     m_metrics.add("usage_duty_total{event=\"lost\"}");
     logWarning(log_part::ledger, "usage duty lost",
-               {{"token", std::int64_t(m_row.lease.token)}, {"why", why}});
+               {{"token", std::int64_t(m_row.lease.token)}, {"why", reason}});
 }
 
 template <usage_environment Env>
@@ -51,48 +51,48 @@
 {
     if (m_isOver)
         return;
-    if (!holds(milliseconds(0))) {
-        lose("lease is over");
+    if (!holdsLease(milliseconds(0))) {
+        endTenure("lease is over");
         return;
     }
     if (!m_isReleasing)
-        decideDue();
+        decideDueWindows();
     const bool isRenewalDue = now() - m_savedAt >= m_settings.lease / 4;
-    const bool isSaveDue = m_hasNews || isRenewalDue || m_isReleasing;
-    if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && mayGiveBackNow())
+    const bool isSaveDue = m_hasUnsavedChanges || isRenewalDue || m_isReleasing;
+    if (isSaveDue && !m_isSaving && now() >= m_nextSaveAt && isSaveAllowed())
         save();
-    reportNext();
+    reportNextWindow();
     heartbeat();
 }
 
 template <usage_environment Env>
-bool usage_holder<Env>::mayGiveBackNow()
+bool usage_holder<Env>::isSaveAllowed()
 {
-    // A report that is still on its way would come after the successor's.
-    return !m_isReleasing || (!m_isReporting && now() >= m_reportsOverAt);
+    // A report that is still in flight could arrive after the successor's reports.
+    return !m_isReleasing || (!m_isReporting && now() >= m_reportSettledAt);
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::take(const usage_notice &notice)
+void usage_holder<Env>::onNotice(const usage_notice &notice)
 {
     const usage_process process{notice.entry, notice.life};
     const std::optional<usage_progress> before = m_row.ledger.progressOf(process);
-    const std::int64_t late = m_row.ledger.count(notice);
-    const bool isNews = m_row.ledger.progressOf(process) != before;
-    m_hasNews = m_hasNews || isNews;
+    const std::int64_t lateRequests = m_row.ledger.applyNotice(notice);
+    const bool hasAdvanced = m_row.ledger.progressOf(process) != before;
+    m_hasUnsavedChanges = m_hasUnsavedChanges || hasAdvanced;
     const auto saved = m_savedProgress.find(process);
-    const bool isLost = !isNews && saved != m_savedProgress.end() && !notice.batches.empty()
-            && notice.batches.back().number <= saved->second.counted;
-    // The word that these are in the row has not come through.
-    if (isLost)
-        acknowledge(process, saved->second.counted);
-    if (late == 0)
+    const bool isAckLost = !hasAdvanced && saved != m_savedProgress.end() && !notice.batches.empty()
+            && notice.batches.back().number <= saved->second.lastCounted;
+    // The acknowledgement of these batches was lost, so send it again.
+    if (isAckLost)
+        acknowledge(process, saved->second.lastCounted);
+    if (lateRequests == 0)
         return;
     m_metrics.add("usage_requests_late_total",
-                  static_cast<double>(std::max<std::int64_t>(0, late)));
+                  static_cast<double>(std::max<std::int64_t>(0, lateRequests)));
     logWarning(log_part::ledger, "usage counts came too late",
                {{"entry", notice.entry},
-                {"requests", late},
+                {"requests", lateRequests},
                 {"decided_before", std::int64_t(m_row.ledger.decidedBefore())}});
 }
 
@@ -103,16 +103,16 @@
     if (process.first == m_settings.entry)
         m_onOwnAck(ack);
     else
-        m_env.tell(process.first, ack);
+        m_env.send(process.first, ack);
 }
 
 template <usage_environment Env>
 void usage_holder<Env>::save()
 {
     m_isSaving = true;
-    m_hasNews = false;
+    m_hasUnsavedChanges = false;
     m_savedAt = now();
-    m_nextSaveAt = m_savedAt + saveEvery;
+    m_nextSaveAt = m_savedAt + saveInterval;
     const milliseconds earliest = m_bounds.earliest(m_savedAt);
     ++m_row.save;
     m_row.lease.until = m_isReleasing ? earliest : earliest + m_settings.lease;
@@ -135,9 +135,10 @@
     if (m_isOver)
         return;
     if (!result) {
-        // It may take effect even later, if the row is as it was; the next write finds out.
-        m_hasNews = true;
-        m_nextSaveAt = now() + retryPause;
+        // The write may still take effect later, unless the row changes before. If it does, the
+        // next write fails with a conflict, see onConflict().
+        m_hasUnsavedChanges = true;
+        m_nextSaveAt = now() + retryDelay;
         m_metrics.add("usage_saves_failed_total");
         return;
     }
@@ -153,24 +154,24 @@
 void usage_holder<Env>::onConfirmed(const usage_row &saved, std::uint64_t version)
 {
     m_version = version;
-    m_until = saved.lease.until;
+    m_confirmedUntil = saved.lease.until;
     m_savedDecidedBefore = saved.ledger.decidedBefore();
     const std::map<usage_process, usage_progress> before
             = std::exchange(m_savedProgress, saved.ledger.progress());
     for (const auto &[process, progress] : m_savedProgress) {
         const auto known = before.find(process);
-        if (known == before.end() || known->second.counted < progress.counted)
-            acknowledge(process, progress.counted);
+        if (known == before.end() || known->second.lastCounted < progress.lastCounted)
+            acknowledge(process, progress.lastCounted);
     }
-    // A write that was begun before the duty was given back has the lease go on.
+    // A write that began before the release still extends the lease.
     if (!m_isReleasing || saved.lease.until > m_bounds.earliest(now()))
         return;
     m_isOver = true;
     m_metrics.add("usage_duty_total{event=\"handed_over\"}");
     logInfo(log_part::ledger, "usage duty handed over",
             {{"token", std::int64_t(m_row.lease.token)}});
-    for (std::size_t i = 0; i < std::min(toldOfHandover, m_others.size()); ++i)
-        m_env.tell(m_others[i], usage_handover{m_settings.entry, m_row.lease.token});
+    for (std::size_t i = 0; i < std::min(maxHandoverRecipients, m_others.size()); ++i)
+        m_env.send(m_others[i], usage_handover{m_settings.entry, m_row.lease.token});
 }
 
 template <usage_environment Env>
@@ -183,82 +184,86 @@
         const duty_lease &lease = row.value().lease;
         if (lease.token != m_row.lease.token || lease.life != m_row.lease.life)
             continue;
-        // An earlier write of this holder took effect, though its answer was lost.
-        m_hasNews = true;
+        // The row was written by an earlier write of this holder whose answer was lost.
+        m_hasUnsavedChanges = true;
         onConfirmed(row.value(), entry.row.version);
         return;
     }
-    lose("row was taken over");
+    endTenure("row was taken over");
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::decideDue()
+void usage_holder<Env>::decideDueWindows()
 {
     const std::optional<milliseconds> trueTime = m_env.trueTime();
     if (!trueTime)
         return;
     while (mayDecide(m_row.ledger.decidedBefore(), *trueTime))
-        decide(m_row.ledger.decidedBefore());
+        decideWindow(m_row.ledger.decidedBefore());
 }
 
 template <usage_environment Env>
 void usage_holder<Env>::setEntries(std::vector<std::string> others)
 {
     m_others = std::move(others);
-    std::map<std::string, window_number> since;
+    std::map<std::string, window_number> knownSince;
     for (const std::string &name : m_others) {
         const auto known = m_knownSince.find(name);
-        since[name] = known == m_knownSince.end() ? m_row.ledger.decidedBefore() : known->second;
+        knownSince[name]
+                = known == m_knownSince.end() ? m_row.ledger.decidedBefore() : known->second;
     }
-    m_knownSince = std::move(since);
+    m_knownSince = std::move(knownSince);
 }
 
 template <usage_environment Env>
-std::vector<std::string> usage_holder<Env>::waitedFor(window_number window) const
+std::vector<std::string> usage_holder<Env>::awaitedEntries(window_number window) const
 {
-    // An entry's row outlives it by minutes: who was never heard is not waited for again and again.
+    // The row of an entry outlives it by minutes, and the entry stays listed that long. An entry
+    // that has sent nothing since it was listed is therefore only waited for in the first few
+    // windows.
     std::vector<std::string> names;
     for (const auto &[name, since] : m_knownSince) {
-        if (since + usage_ledger::waitedWindows >= window)
+        if (since + usage_ledger::maxAwaitedLag >= window)
             names.push_back(name);
     }
-    return m_row.ledger.openFor(window, names);
+    return m_row.ledger.incompleteEntries(window, names);
 }
 
 template <usage_environment Env>
 bool usage_holder<Env>::mayDecide(window_number window, milliseconds trueTime)
 {
-    const milliseconds since = trueTime - m_settings.windows.endOf(window);
-    if (since < settleTime)
+    const milliseconds sinceEnd = trueTime - m_settings.windows.endOf(window);
+    if (sinceEnd < settleTime)
         return false;
-    if (waitedFor(window).empty())
+    if (awaitedEntries(window).empty())
         return true;
-    const auto patience = std::chrono::duration_cast<milliseconds>(m_settings.due * patiencePart);
-    if (since >= patience - rowsBefore && m_rowsReadFor < window)
-        readRows(window);
-    return since >= patience && !m_isReadingRows && now() - m_gainedAt >= hearTime;
+    const auto maxWait
+            = std::chrono::duration_cast<milliseconds>(m_settings.due * silentEntryWaitShare);
+    if (sinceEnd >= maxWait - rowReadLead && m_rowsReadFor < window)
+        readEntryRows(window);
+    return sinceEnd >= maxWait && !m_isReadingRows && now() - m_gainedAt >= takeoverWait;
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::decide(window_number window)
+void usage_holder<Env>::decideWindow(window_number window)
 {
-    const std::vector<std::string> open = waitedFor(window);
+    const std::vector<std::string> silentEntries = awaitedEntries(window);
     const customer_counts counts = m_row.ledger.openCounts(window);
     std::int64_t requests = 0;
     for (const auto &[customer, count] : counts)
         requests += count;
     m_row.ledger.decideNext();
-    m_hasNews = true;
+    m_hasUnsavedChanges = true;
     logInfo(log_part::ledger, "usage window decided",
             {{"window", std::int64_t(window)},
              {"customers", std::int64_t(counts.size())},
              {"requests", requests},
-             {"entries_silent", std::int64_t(open.size())},
-             {"silent", open.empty() ? "" : open.front()}});
+             {"entries_silent", std::int64_t(silentEntries.size())},
+             {"silent", silentEntries.empty() ? "" : silentEntries.front()}});
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::readRows(window_number window)
+void usage_holder<Env>::readEntryRows(window_number window)
 {
     if (std::exchange(m_isReadingRows, true))
         return;
@@ -270,16 +275,16 @@
             return;
         self->m_isReadingRows = false;
         if (!result) {
-            logWarning(log_part::ledger, "rows of silent entries not read",
+            logWarning(log_part::ledger, "failed to read rows of silent entries",
                        {{"why", textOf(result.error())}});
             return;
         }
-        self->takeRows(result.value());
+        self->applyEntryRows(result.value());
     });
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::takeRows(const row_batch &rows)
+void usage_holder<Env>::applyEntryRows(const row_batch &rows)
 {
     for (const store_row &row : rows.rows) {
         if (!isUsageEntryKey(row.key))
@@ -287,47 +292,47 @@
         const std::optional<usage_message> message = decodeUsageMessage(row.value);
         const auto *notice = message ? std::get_if<usage_notice>(&*message) : nullptr;
         if (notice)
-            take(*notice);
+            onNotice(*notice);
         else
-            logWarning(log_part::ledger, "row of counts refused", {{"key", row.key}});
+            logWarning(log_part::ledger, "malformed row of usage counts", {{"key", row.key}});
     }
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::reportNext()
+void usage_holder<Env>::reportNextWindow()
 {
-    if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holds(reportMargin))
+    if (m_isReporting || m_isReleasing || now() < m_nextReportAt || !holdsLease(reportMargin))
         return;
-    const std::optional<decided_window> next = m_row.ledger.oldestUntold();
-    // A decision that no row has yet may be made otherwise by a successor.
+    const std::optional<decided_window> next = m_row.ledger.oldestUnreported();
+    // A successor may decide a window differently as long as the decision is not saved in the row.
     if (!next || next->window >= m_savedDecidedBefore)
         return;
     m_isReporting = true;
     const usage_report report{m_settings.entry, m_row.lease.token, next->window, next->counts};
     const std::weak_ptr<usage_holder> weak = this->weak_from_this();
-    m_env.report(report, [weak, window = next->window](bool isTold) {
+    m_env.report(report, [weak, window = next->window](bool isAccepted) {
         if (const auto self = weak.lock())
-            self->onReported(window, isTold);
+            self->onReported(window, isAccepted);
     });
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::onReported(window_number window, bool isTold)
+void usage_holder<Env>::onReported(window_number window, bool isAccepted)
 {
     m_isReporting = false;
-    m_metrics.add(isTold ? "usage_windows_total{result=\"told\"}"
-                         : "usage_windows_total{result=\"not_taken\"}");
-    if (!isTold) {
-        m_nextReportAt = now() + retryPause;
-        m_reportsOverAt = now() + reportMargin;
+    m_metrics.add(isAccepted ? "usage_windows_total{result=\"told\"}"
+                             : "usage_windows_total{result=\"not_taken\"}");
+    if (!isAccepted) {
+        m_nextReportAt = now() + retryDelay;
+        m_reportSettledAt = now() + reportMargin;
         logWarning(log_part::ledger, "usage window not taken, trying again",
                    {{"window", std::int64_t(window)}});
         return;
     }
     logInfo(log_part::ledger, "usage window told",
             {{"window", std::int64_t(window)}, {"token", std::int64_t(m_row.lease.token)}});
-    m_row.ledger.told(window);
-    m_hasNews = true;
+    m_row.ledger.markReported(window);
+    m_hasUnsavedChanges = true;
 }
 
 template <usage_environment Env>
@@ -335,24 +340,24 @@
 {
     if (now() < m_nextHeartbeatAt)
         return;
-    m_nextHeartbeatAt = now() + heartbeatEvery;
-    const std::size_t successors = std::min(mostSuccessors, m_others.size());
+    m_nextHeartbeatAt = now() + heartbeatInterval;
+    const std::size_t successors = std::min(maxSuccessors, m_others.size());
     for (std::size_t i = 0; i < successors; ++i)
-        m_env.tell(m_others[i], lifeSign());
+        m_env.send(m_others[i], makeHeartbeat());
     const std::size_t rest = m_others.size() - successors;
-    for (std::size_t i = 0; i < std::min(mostSuccessors, rest); ++i)
-        m_env.tell(m_others[successors + m_nextOther++ % rest], lifeSign());
+    for (std::size_t i = 0; i < std::min(maxSuccessors, rest); ++i)
+        m_env.send(m_others[successors + m_nextHeartbeatIndex++ % rest], makeHeartbeat());
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::announce()
+void usage_holder<Env>::announceHolder()
 {
     for (const std::string &entry : m_others)
-        m_env.tell(entry, lifeSign());
+        m_env.send(entry, makeHeartbeat());
 }
 
 template <usage_environment Env>
-void usage_holder<Env>::release()
+void usage_holder<Env>::releaseDuty()
 {
     m_isReleasing = true;
     m_nextSaveAt = now();
--- a/lib/Usage/UsageMeter.cpp
+++ b/lib/Usage/UsageMeter.cpp
@@ -1,6 +1,6 @@
-//===-- UsageMeter.cpp - what one entry has counted -------------------------===//
+//===-- UsageMeter.cpp - unacknowledged counts of one process -------------===//
 //
-// A batch never changes once it is cut: a holder may have it already.
+// A batch never changes once it is sealed, because the holder may have received it already.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Usage/UsageMeter.h"
@@ -11,7 +11,7 @@
 
 void usage_meter::count(std::string_view customer, window_number window, std::int64_t number)
 {
-    customer_counts &counts = m_new[window];
+    customer_counts &counts = m_pending[window];
     const auto it = counts.find(customer);
     if (it == counts.end())
         counts.emplace(customer, number);
@@ -19,14 +19,14 @@
         it->second += number;
 }
 
-bool usage_meter::cut(window_number closedBefore)
+bool usage_meter::sealBatch(window_number closedBefore)
 {
-    giveUpBefore(closedBefore > mostWindows ? closedBefore - mostWindows : 0);
-    const bool hasNews = !m_new.empty() || closedBefore > m_closedBefore;
-    if (!hasNews || m_unacknowledged.size() >= mostUnacknowledged)
+    dropBefore(closedBefore > maxWindows ? closedBefore - maxWindows : 0);
+    const bool hasChanges = !m_pending.empty() || closedBefore > m_closedBefore;
+    if (!hasChanges || m_unacknowledged.size() >= maxUnacknowledged)
         return false;
     usage_batch batch;
-    batch.number = ++m_lastNumber;
+    batch.number = ++m_lastBatchNumber;
     if (fill(batch))
         m_closedBefore = closedBefore;
     batch.closedBefore = m_closedBefore;
@@ -36,17 +36,18 @@
 
 bool usage_meter::fill(usage_batch &batch)
 {
-    for (std::size_t room = mostCounts; room > 0 && !m_new.empty(); --room) {
-        const auto window = m_new.begin();
+    for (std::size_t remaining = maxCountsPerBatch; remaining > 0 && !m_pending.empty();
+         --remaining) {
+        const auto window = m_pending.begin();
         const auto count = window->second.begin();
         batch.counts[window->first].insert(window->second.extract(count));
         if (window->second.empty())
-            m_new.erase(window);
+            m_pending.erase(window);
     }
-    return m_new.empty();
+    return m_pending.empty();
 }
 
-void usage_meter::acknowledged(std::uint64_t number)
+void usage_meter::acknowledge(std::uint64_t number)
 {
     while (!m_unacknowledged.empty() && m_unacknowledged.front().number <= number) {
         m_lastAcknowledged = m_unacknowledged.front().number;
@@ -54,16 +55,16 @@
     }
 }
 
-void usage_meter::giveUpBefore(window_number window)
+void usage_meter::dropBefore(window_number window)
 {
-    while (!m_new.empty() && m_new.begin()->first < window) {
-        for (const auto &[customer, count] : m_new.begin()->second)
-            m_givenUp += count;
-        m_new.erase(m_new.begin());
+    while (!m_pending.empty() && m_pending.begin()->first < window) {
+        for (const auto &[customer, count] : m_pending.begin()->second)
+            m_droppedCount += count;
+        m_pending.erase(m_pending.begin());
     }
 }
 
-std::int64_t usage_meter::takeGivenUp()
+std::int64_t usage_meter::takeDroppedCount()
 {
-    return std::exchange(m_givenUp, 0);
+    return std::exchange(m_droppedCount, 0);
 }
--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -1,8 +1,8 @@
-//===-- UsageNotice.cpp - datagrams of the usage duty -----------------------===//
+//===-- UsageNotice.cpp - datagrams of the usage duty ---------------------===//
 //
-// MessagePack arrays whose first item tells their kind; no other notice begins with one of these
-// words. A batch is its number, the window before which all is told, and its counts: an array for
-// each window, of its number and names and counts by turns.
+// Messages are MessagePack arrays. The first item is the kind of the message, a string that no
+// other kind of notice between entries starts with. A batch is an array of its number, closedBefore
+// and one array per window: the number of the window, then alternating customer names and counts.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Usage/UsageNotice.h"
@@ -20,11 +20,11 @@
 constexpr std::string_view ackKind = "usage-ack";
 constexpr std::string_view handoverKind = "usage-handover";
 
-/// A field is missing or of another type.
-class malformed : public std::runtime_error
+/// Thrown if a field has an unexpected type or value.
+class malformed_message : public std::runtime_error
 {
 public:
-    malformed()
+    malformed_message()
         : std::runtime_error("usage message is malformed")
     {
     }
@@ -32,24 +32,24 @@
 
 } // namespace
 
-static std::uint64_t numberIn(const json &item)
+static std::uint64_t decodeUnsigned(const json &item)
 {
     if (!item.is_number_unsigned())
-        throw malformed();
+        throw malformed_message();
     return item.get<std::uint64_t>();
 }
 
-static std::int64_t countIn(const json &item)
+static std::int64_t decodeSigned(const json &item)
 {
     if (!item.is_number_integer())
-        throw malformed();
+        throw malformed_message();
     return item.get<std::int64_t>();
 }
 
-static std::string nameIn(const json &item)
+static std::string decodeName(const json &item)
 {
     if (!isName(item))
-        throw malformed();
+        throw malformed_message();
     return item.get<std::string>();
 }
 
@@ -57,34 +57,34 @@
 {
     json item = json::array({batch.number, batch.closedBefore});
     for (const auto &[window, counts] : batch.counts) {
-        json told = json::array({window});
+        json windowItem = json::array({window});
         for (const auto &[customer, count] : counts) {
-            told.push_back(customer);
-            told.push_back(count);
+            windowItem.push_back(customer);
+            windowItem.push_back(count);
         }
-        item.push_back(std::move(told));
+        item.push_back(std::move(windowItem));
     }
     return item;
 }
 
 static void decodeWindow(const json &item, usage_batch &batch)
 {
-    customer_counts &counts = batch.counts[numberIn(item.at(0))];
+    customer_counts &counts = batch.counts[decodeUnsigned(item.at(0))];
     for (std::size_t i = 1; i < item.size(); i += 2)
-        counts[nameIn(item.at(i))] = countIn(item.at(i + 1));
+        counts[decodeName(item.at(i))] = decodeSigned(item.at(i + 1));
 }
 
 static usage_batch decodeBatch(const json &item)
 {
     usage_batch batch;
-    batch.number = numberIn(item.at(0));
-    batch.closedBefore = numberIn(item.at(1));
+    batch.number = decodeUnsigned(item.at(0));
+    batch.closedBefore = decodeUnsigned(item.at(1));
     for (std::size_t i = 2; i < item.size(); ++i)
         decodeWindow(item.at(i), batch);
     return batch;
 }
 
-static json encoded(const usage_notice &notice)
+static json toJson(const usage_notice &notice)
 {
     json item = json::array({noticeKind, notice.entry, notice.life, notice.acknowledged});
     for (const usage_batch &batch : notice.batches)
@@ -92,28 +92,28 @@
     return item;
 }
 
-static json encoded(const usage_ack &ack)
+static json toJson(const usage_ack &ack)
 {
     return json::array({ackKind, ack.holder, ack.token, ack.life, ack.number});
 }
 
-static json encoded(const usage_handover &handover)
+static json toJson(const usage_handover &handover)
 {
     return json::array({handoverKind, handover.holder, handover.token});
 }
 
-static usage_message decode(const json &item)
+static usage_message fromJson(const json &item)
 {
-    const std::string kind = nameIn(item.at(0));
-    const std::string entry = nameIn(item.at(1));
-    const std::uint64_t number = numberIn(item.at(2));
+    const std::string kind = decodeName(item.at(0));
+    const std::string entry = decodeName(item.at(1));
+    const std::uint64_t number = decodeUnsigned(item.at(2));
     if (kind == handoverKind)
         return usage_handover{entry, number};
     if (kind == ackKind)
-        return usage_ack{entry, number, numberIn(item.at(3)), numberIn(item.at(4))};
+        return usage_ack{entry, number, decodeUnsigned(item.at(3)), decodeUnsigned(item.at(4))};
     if (kind != noticeKind)
-        throw malformed();
-    usage_notice notice{entry, number, numberIn(item.at(3)), {}};
+        throw malformed_message();
+    usage_notice notice{entry, number, decodeUnsigned(item.at(3)), {}};
     for (std::size_t i = 4; i < item.size(); ++i)
         notice.batches.push_back(decodeBatch(item.at(i)));
     return notice;
@@ -121,7 +121,7 @@
 
 std::string laurelcroft::encodeUsageMessage(const usage_message &message)
 {
-    return packed(std::visit([](const auto &item) { return encoded(item); }, message));
+    return packed(std::visit([](const auto &item) { return toJson(item); }, message));
 }
 
 std::optional<usage_message> laurelcroft::decodeUsageMessage(std::string_view bytes)
@@ -132,8 +132,8 @@
     if (!isMessage)
         return std::nullopt;
     try {
-        return decode(item);
-    } catch (const malformed &) {
+        return fromJson(item);
+    } catch (const malformed_message &) {
         return std::nullopt;
     } catch (const json::exception &) {
         return std::nullopt;
--- a/unittests/Usage/UsageDutyTests.cpp
+++ b/unittests/Usage/UsageDutyTests.cpp
@@ -1,9 +1,9 @@
-//===-- UsageDutyTests.cpp - usage is told once, by one holder --------------===//
+//===-- UsageDutyTests.cpp - tests for the whole usage duty ---------------===//
 //
-// Whole entries on a paused clock: what whoever takes the reports gets.
+// Runs simulated entries on a manual clock and checks the usage reports that the receiver gets.
 //
 //===----------------------------------------------------------------------===//
-#include "UsageWorld.h"
+#include "UsageFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -12,260 +12,264 @@
 namespace {
 
 constexpr std::size_t entries = 9;
-constexpr double usageError = 0.05;
+constexpr double maxRelativeError = 0.05;
 
 } // namespace
 
-/// Checks that all windows in which requests ran were told in time, and alike.
-static void checkExact(const usage_world &world)
+/// Checks that all windows with requests were reported in time and with the exact counts.
+static void checkExactReports(const usage_fixture &fixture)
 {
-    CHECK(world.faults() == std::vector<std::string>());
-    CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
-    for (const taken_report &item : world.reports) {
-        if (world.truthOf(item.report.window) > 0) {
+    CHECK(fixture.violations() == std::vector<std::string>());
+    CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
+    for (const received_report &item : fixture.reports) {
+        if (fixture.actualRequests(item.report.window) > 0) {
             INFO("window ", item.report.window);
-            CHECK(world.errorOf(item.report.window) == 0);
+            CHECK(fixture.relativeError(item.report.window) == 0);
         }
     }
 }
 
-TEST_CASE("each window is told once, with the counts of all entries")
+TEST_CASE("each window is reported once, with the counts of all entries")
 {
-    usage_world world(entries, 1);
-    world.pass(seconds(40));
-    REQUIRE(world.holder());
-    checkExact(world);
-    CHECK(world.reports.size() >= 5);
-    std::set<window_number> told;
-    for (const taken_report &item : world.reports)
-        CHECK(told.insert(item.report.window).second);
-    // A lease, its token and one write for each save: no entry but the holder calls the store.
-    CHECK(world.store.writes < seconds(40) / usage_holder<process_surroundings>::saveEvery);
-    CHECK(world.store.lists < 3 * entries);
+    usage_fixture fixture(entries, 1);
+    fixture.advanceTime(seconds(40));
+    REQUIRE(fixture.holder());
+    checkExactReports(fixture);
+    CHECK(fixture.reports.size() >= 5);
+    std::set<window_number> reported;
+    for (const received_report &item : fixture.reports)
+        CHECK(reported.insert(item.report.window).second);
+    // Only the holder calls the store regularly. A single write per save also renews the lease.
+    CHECK(fixture.store.writes < seconds(40) / usage_holder<process_environment>::saveInterval);
+    CHECK(fixture.store.lists < 3 * entries);
 }
 
-TEST_CASE("a holder that is killed, suspended or cut off is followed, and nothing is lost")
+TEST_CASE("no counts are lost when the holder is killed, suspended or partitioned")
 {
-    for (const std::string kind : {"killed while idle", "suspended", "cut off", "turned away"}) {
+    for (const std::string kind :
+         {"killed while idle", "suspended", "partitioned", "store refuses"}) {
         INFO(kind);
-        usage_world world(entries, 2);
-        world.pass(seconds(12));
-        usage_machine *first = world.holder();
+        usage_fixture fixture(entries, 2);
+        fixture.advanceTime(seconds(12));
+        usage_machine *first = fixture.holder();
         REQUIRE(first);
         if (kind == "suspended")
-            world.suspend(*first);
-        else if (kind == "cut off")
-            first->isCut = true;
-        else if (kind == "turned away")
+            fixture.suspend(*first);
+        else if (kind == "partitioned")
+            first->isPartitioned = true;
+        else if (kind == "store refuses")
             first->store = call_mode::refused;
         else {
-            world.pass(milliseconds(500), 0);
-            world.kill(*first);
+            fixture.advanceTime(milliseconds(500), 0);
+            fixture.kill(*first);
         }
-        world.pass(seconds(8));
+        fixture.advanceTime(seconds(8));
         if (kind == "suspended")
-            world.thaw(*first);
-        first->isCut = false;
-        first->store = call_mode::fine;
-        world.pass(seconds(25));
-        usage_machine *second = world.holder();
+            fixture.resume(*first);
+        first->isPartitioned = false;
+        first->store = call_mode::normal;
+        fixture.advanceTime(seconds(25));
+        usage_machine *second = fixture.holder();
         REQUIRE(second);
-        // Whoever is only out of the others' reach goes on: its rows tell that it lives. One that
-        // was killed may be the first to be up again.
+        // A partitioned holder keeps the duty, because it still renews its lease in the row. One
+        // that was killed may restart and acquire the duty again, so either result is right.
         if (kind != "killed while idle")
-            CHECK((second->name == first->name) == (kind == "cut off"));
-        checkExact(world);
+            CHECK((second->name == first->name) == (kind == "partitioned"));
+        checkExactReports(fixture);
     }
 }
 
 TEST_CASE("a planned stop hands the duty over at once")
 {
-    usage_world world(entries, 3);
-    world.pass(seconds(12));
-    usage_machine *first = world.holder();
+    usage_fixture fixture(entries, 3);
+    fixture.advanceTime(seconds(12));
+    usage_machine *first = fixture.holder();
     REQUIRE(first);
-    world.stop(*first);
-    world.pass(milliseconds(1200));
-    usage_machine *second = world.holder();
+    fixture.stop(*first);
+    fixture.advanceTime(milliseconds(1200));
+    usage_machine *second = fixture.holder();
     REQUIRE(second);
     CHECK(second->name != first->name);
-    world.pass(seconds(25));
-    checkExact(world);
+    fixture.advanceTime(seconds(25));
+    checkExactReports(fixture);
 }
 
-TEST_CASE("all entries are stopped and started again, one after the other")
+TEST_CASE("no counts are lost in a rolling restart of all entries")
 {
-    usage_world world(entries, 4);
-    world.pass(seconds(8));
-    for (usage_machine *machine : world.all()) {
-        world.stop(*machine);
-        world.pass(milliseconds(1700));
+    usage_fixture fixture(entries, 4);
+    fixture.advanceTime(seconds(8));
+    for (usage_machine *machine : fixture.allMachines()) {
+        fixture.stop(*machine);
+        fixture.advanceTime(milliseconds(1700));
     }
-    world.pass(seconds(25));
-    checkExact(world);
+    fixture.advanceTime(seconds(25));
+    checkExactReports(fixture);
 }
 
-TEST_CASE("all entries are killed together: what was counted a moment before is told")
+TEST_CASE("few counts are lost when all entries are killed together")
 {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        usage_world world(entries, seed);
-        world.pass(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
-        for (usage_machine *machine : world.all())
-            world.kill(*machine);
-        const window_number window = usage_world::windows.at(world.trueTime());
-        world.pass(seconds(25), 20);
-        CHECK(world.faults() == std::vector<std::string>());
-        CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
-        worst = std::max(worst, world.errorOf(window));
+        usage_fixture fixture(entries, seed);
+        fixture.advanceTime(seconds(12) + milliseconds(137 * static_cast<std::int64_t>(seed)), 20);
+        for (usage_machine *machine : fixture.allMachines())
+            fixture.kill(*machine);
+        const window_number window = usage_fixture::windows.windowAt(fixture.trueTime());
+        fixture.advanceTime(seconds(25), 20);
+        CHECK(fixture.violations() == std::vector<std::string>());
+        CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
+        worst = std::max(worst, fixture.relativeError(window));
     }
     MESSAGE("worst error ", worst);
-    CHECK(worst <= usageError);
+    CHECK(worst <= maxRelativeError);
 }
 
-TEST_CASE("an entry that reaches only the store tells its counts by a row")
+TEST_CASE("an entry that reaches only the store sends its counts through a row")
 {
-    usage_world world(entries, 5);
-    world.pass(seconds(8));
-    usage_machine *cut = world.all()[3];
-    if (cut == world.holder())
-        cut = world.all()[4];
-    cut->isCut = true;
-    world.pass(seconds(14));
-    cut->isCut = false;
-    world.pass(seconds(25));
-    checkExact(world);
+    usage_fixture fixture(entries, 5);
+    fixture.advanceTime(seconds(8));
+    usage_machine *partitioned = fixture.allMachines()[3];
+    if (partitioned == fixture.holder())
+        partitioned = fixture.allMachines()[4];
+    partitioned->isPartitioned = true;
+    fixture.advanceTime(seconds(14));
+    partitioned->isPartitioned = false;
+    fixture.advanceTime(seconds(25));
+    checkExactReports(fixture);
 }
 
-TEST_CASE("an entry that is gone for good delays the windows of its end, and no later ones")
+TEST_CASE("an entry that ends for good delays only the windows around its end")
 {
-    usage_world world(entries, 8);
-    world.pass(seconds(8));
-    usage_machine *gone = world.all()[3];
-    if (gone == world.holder())
-        gone = world.all()[4];
-    gone->isUp = false;
-    ++gone->life;
-    world.pass(seconds(30));
-    CHECK(world.faults() == std::vector<std::string>());
-    CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
-    const taken_report &last = world.reports.back();
-    const milliseconds at = usage_world::trueTimeAt(last.at);
-    CHECK(at - usage_world::windows.endOf(last.report.window) < seconds(3));
+    usage_fixture fixture(entries, 8);
+    fixture.advanceTime(seconds(8));
+    usage_machine *ended = fixture.allMachines()[3];
+    if (ended == fixture.holder())
+        ended = fixture.allMachines()[4];
+    ended->isUp = false;
+    ++ended->life;
+    fixture.advanceTime(seconds(30));
+    CHECK(fixture.violations() == std::vector<std::string>());
+    CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
+    const received_report &last = fixture.reports.back();
+    const milliseconds at = usage_fixture::trueTimeAt(last.at);
+    CHECK(at - usage_fixture::windows.endOf(last.report.window) < seconds(3));
 }
 
-TEST_CASE("an outage of the store is waited for: windows that are not due yet are told exactly")
+TEST_CASE("counts are exact after a store outage that ends before windows are due")
 {
     for (const call_mode mode : {call_mode::refused, call_mode::silent, call_mode::unanswered}) {
-        usage_world world(entries, 6);
-        world.pass(seconds(9));
-        world.treatAll(&usage_machine::store, mode);
-        world.pass(seconds(5));
-        world.treatAll(&usage_machine::store, call_mode::fine);
-        world.pass(seconds(30));
-        checkExact(world);
+        usage_fixture fixture(entries, 6);
+        fixture.advanceTime(seconds(9));
+        fixture.setModeForAll(&usage_machine::store, mode);
+        fixture.advanceTime(seconds(5));
+        fixture.setModeForAll(&usage_machine::store, call_mode::normal);
+        fixture.advanceTime(seconds(30));
+        checkExactReports(fixture);
     }
 }
 
-TEST_CASE("who gains the duty late hears all entries before it decides what is overdue")
+TEST_CASE("a holder that acquires the duty late receives all counts before it decides overdue "
+          "windows")
 {
     for (std::int64_t begin = 8; begin < 13; ++begin) {
-        INFO("store away from second ", begin);
-        usage_world world(entries, 9);
-        world.pass(seconds(begin));
-        world.treatAll(&usage_machine::store, call_mode::refused);
-        world.pass(milliseconds(6500));
-        world.treatAll(&usage_machine::store, call_mode::fine);
-        world.pass(seconds(30));
-        checkExact(world);
+        INFO("store unavailable from second ", begin);
+        usage_fixture fixture(entries, 9);
+        fixture.advanceTime(seconds(begin));
+        fixture.setModeForAll(&usage_machine::store, call_mode::refused);
+        fixture.advanceTime(milliseconds(6500));
+        fixture.setModeForAll(&usage_machine::store, call_mode::normal);
+        fixture.advanceTime(seconds(30));
+        checkExactReports(fixture);
     }
 }
 
-TEST_CASE("a report whose answer is lost is told again, alike")
+TEST_CASE("a report whose answer is lost is sent again with the same counts")
 {
-    usage_world world(entries, 7);
-    world.pass(seconds(9));
-    world.treatAll(&usage_machine::cloud, call_mode::unanswered);
-    world.pass(seconds(7));
-    if (usage_machine *holder = world.holder())
-        world.kill(*holder);
-    world.pass(seconds(2));
-    world.treatAll(&usage_machine::cloud, call_mode::fine);
-    world.pass(seconds(25));
-    CHECK(world.faults() == std::vector<std::string>());
-    CHECK(world.missed(world.trueTime()) == std::vector<window_number>());
+    usage_fixture fixture(entries, 7);
+    fixture.advanceTime(seconds(9));
+    fixture.setModeForAll(&usage_machine::reportSink, call_mode::unanswered);
+    fixture.advanceTime(seconds(7));
+    if (usage_machine *holder = fixture.holder())
+        fixture.kill(*holder);
+    fixture.advanceTime(seconds(2));
+    fixture.setModeForAll(&usage_machine::reportSink, call_mode::normal);
+    fixture.advanceTime(seconds(25));
+    CHECK(fixture.violations() == std::vector<std::string>());
+    CHECK(fixture.lateWindows(fixture.trueTime()) == std::vector<window_number>());
 }
 
-/// Does something at random to some machine.
-static void disturb(usage_world &world)
+/// Injects a random fault into a random machine, with a preference for the holder.
+static void injectRandomFault(usage_fixture &fixture)
 {
-    usage_machine *holder = world.holder();
-    usage_machine &machine = holder && world.random.chance(0.6) ? *holder : world.any();
-    const milliseconds time(static_cast<std::int64_t>(500 + 5500 * world.random.uniform()));
-    const auto heal
-            = [&world, time](usage_machine &item, std::function<void(usage_machine &)> mend) {
-                  world.runtime.after(time, [&item, mend] { mend(item); });
+    usage_machine *holder = fixture.holder();
+    usage_machine &machine
+            = holder && fixture.random.chance(0.6) ? *holder : fixture.randomMachine();
+    const milliseconds time(static_cast<std::int64_t>(500 + 5500 * fixture.random.uniform()));
+    const auto recoverLater
+            = [&fixture, time](usage_machine &item, std::function<void(usage_machine &)> recover) {
+                  fixture.runtime.after(time, [&item, recover] { recover(item); });
               };
     constexpr std::array modes{call_mode::refused, call_mode::silent, call_mode::unanswered,
                                call_mode::late};
-    const call_mode mode = modes[world.random.bits() % modes.size()];
-    switch (world.random.bits() % 7) {
+    const call_mode mode = modes[fixture.random.bits() % modes.size()];
+    switch (fixture.random.bits() % 7) {
     case 0:
-        world.kill(machine);
+        fixture.kill(machine);
         return;
     case 1:
-        world.suspend(machine);
-        heal(machine, [&world](usage_machine &item) { world.thaw(item); });
+        fixture.suspend(machine);
+        recoverLater(machine, [&fixture](usage_machine &item) { fixture.resume(item); });
         return;
     case 2:
-        machine.isCut = true;
-        heal(machine, [](usage_machine &item) { item.isCut = false; });
+        machine.isPartitioned = true;
+        recoverLater(machine, [](usage_machine &item) { item.isPartitioned = false; });
         return;
     case 3:
         machine.store = mode;
-        heal(machine, [](usage_machine &item) { item.store = call_mode::fine; });
+        recoverLater(machine, [](usage_machine &item) { item.store = call_mode::normal; });
         return;
     case 4:
-        machine.cloud = mode == call_mode::late ? call_mode::unanswered : mode;
-        heal(machine, [](usage_machine &item) { item.cloud = call_mode::fine; });
+        machine.reportSink = mode == call_mode::late ? call_mode::unanswered : mode;
+        recoverLater(machine, [](usage_machine &item) { item.reportSink = call_mode::normal; });
         return;
     case 5:
-        world.stop(machine);
+        fixture.stop(machine);
         return;
     default:
-        for (usage_machine *item : world.all()) {
-            if (world.random.chance(0.5))
-                world.kill(*item);
+        for (usage_machine *item : fixture.allMachines()) {
+            if (fixture.random.chance(0.5))
+                fixture.kill(*item);
         }
     }
 }
 
-TEST_CASE("whatever happens: one holder, rising tokens, never two counts for a window")
+TEST_CASE("random faults: one holder at a time, rising tokens, one count per window")
 {
     constexpr std::uint64_t seeds = 200;
-    std::size_t told = 0;
+    std::size_t reported = 0;
     std::size_t tokens = 0;
     for (std::uint64_t seed = 1000; seed < 1000 + seeds; ++seed) {
         INFO("seed ", seed);
-        usage_world world(entries, seed);
-        world.pass(seconds(5), 2);
+        usage_fixture fixture(entries, seed);
+        fixture.advanceTime(seconds(5), 2);
         for (int i = 0; i < 25; ++i) {
-            disturb(world);
-            world.pass(milliseconds(static_cast<std::int64_t>(2500 * world.random.uniform())), 2);
+            injectRandomFault(fixture);
+            fixture.advanceTime(
+                    milliseconds(static_cast<std::int64_t>(2500 * fixture.random.uniform())), 2);
         }
-        for (usage_machine *machine : world.all()) {
-            machine->store = call_mode::fine;
-            machine->cloud = call_mode::fine;
-            machine->isCut = false;
-            world.thaw(*machine);
+        for (usage_machine *machine : fixture.allMachines()) {
+            machine->store = call_mode::normal;
+            machine->reportSink = call_mode::normal;
+            machine->isPartitioned = false;
+            fixture.resume(*machine);
         }
-        world.pass(seconds(16), 2);
-        REQUIRE(world.faults() == std::vector<std::string>());
-        REQUIRE(world.holder());
-        told += world.reports.size();
-        tokens += world.reports.empty() ? 0 : world.reports.back().report.token;
+        fixture.advanceTime(seconds(16), 2);
+        REQUIRE(fixture.violations() == std::vector<std::string>());
+        REQUIRE(fixture.holder());
+        reported += fixture.reports.size();
+        tokens += fixture.reports.empty() ? 0 : fixture.reports.back().report.token;
     }
-    // The play is one: the duty is told, and changes hands.
-    CHECK(told > 5 * seeds);
+    // The simulation must have reported windows and changed the holder often enough to be relevant.
+    CHECK(reported > 5 * seeds);
     CHECK(tokens > 3 * seeds);
 }
--- a/unittests/Usage/UsagePartsTests.cpp
+++ b/unittests/Usage/UsagePartsTests.cpp
@@ -1,6 +1,7 @@
-//===-- UsagePartsTests.cpp - counts, leases and datagrams ------------------===//
+//===-- UsagePartsTests.cpp - counts, leases and messages -----------------===//
 //
-// The pure parts of the usage duty.
+// Tests for the parts of the usage duty that need no environment: usage_meter, usage_ledger, the
+// lease rules, and the encoding of the row and the datagrams.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/StoreTimeBounds.h"
@@ -17,101 +18,101 @@
 
 } // namespace
 
-TEST_CASE("a batch is kept as it is until it is acknowledged")
+TEST_CASE("a batch is kept unchanged until it is acknowledged")
 {
     usage_meter meter;
-    CHECK_FALSE(meter.cut(0));
+    CHECK_FALSE(meter.sealBatch(0));
     meter.count("a", 7, 1);
     meter.count("a", 7, 1);
-    REQUIRE(meter.cut(7));
+    REQUIRE(meter.sealBatch(7));
     meter.count("a", 7, 1);
-    REQUIRE(meter.cut(8));
+    REQUIRE(meter.sealBatch(8));
     REQUIRE(meter.unacknowledged().size() == 2);
     CHECK(meter.unacknowledged()[0] == usage_batch{1, 7, {{7, {{"a", 2}}}}});
     CHECK(meter.unacknowledged()[1] == usage_batch{2, 8, {{7, {{"a", 1}}}}});
-    meter.acknowledged(1);
+    meter.acknowledge(1);
     CHECK(meter.lastAcknowledged() == 1);
-    CHECK_FALSE(meter.isSettled());
-    meter.acknowledged(2);
-    CHECK(meter.isSettled());
+    CHECK_FALSE(meter.isFullyAcknowledged());
+    meter.acknowledge(2);
+    CHECK(meter.isFullyAcknowledged());
 }
 
-TEST_CASE("a window is closed with the batch that has the last of its counts")
+TEST_CASE("a window is closed by the batch that contains the last of its counts")
 {
     usage_meter meter;
-    for (std::size_t i = 0; i < usage_meter::mostCounts + 1; ++i)
+    for (std::size_t i = 0; i < usage_meter::maxCountsPerBatch + 1; ++i)
         meter.count("customer-" + std::to_string(i), 7, 1);
-    REQUIRE(meter.cut(8));
-    REQUIRE(meter.cut(8));
+    REQUIRE(meter.sealBatch(8));
+    REQUIRE(meter.sealBatch(8));
     CHECK(meter.unacknowledged()[0].closedBefore < 8);
     CHECK(meter.unacknowledged()[1].closedBefore == 8);
 }
 
-TEST_CASE("what nobody takes is bounded, and counted when it is given up")
+TEST_CASE("unacknowledged counts are bounded, and dropped counts are added up")
 {
     usage_meter meter;
     for (window_number window = 100; window < 200; ++window) {
         meter.count("a", window, 1);
-        meter.cut(window);
+        meter.sealBatch(window);
     }
-    CHECK(meter.unacknowledged().size() == usage_meter::mostUnacknowledged);
-    CHECK(meter.takeGivenUp() > 50);
-    CHECK(meter.takeGivenUp() == 0);
+    CHECK(meter.unacknowledged().size() == usage_meter::maxUnacknowledged);
+    CHECK(meter.takeDroppedCount() > 50);
+    CHECK(meter.takeDroppedCount() == 0);
 }
 
-TEST_CASE("a batch counts once, in order, whatever comes twice")
+TEST_CASE("a batch is counted once and in order, even if it arrives twice")
 {
     usage_ledger ledger(7);
     const usage_batch first{1, 7, {{7, {{"a", 2}}}}};
     const usage_batch second{2, 8, {{7, {{"a", 1}, {"b", 5}}}}};
-    ledger.count({"e", 1, 0, {second}});
+    ledger.applyNotice({"e", 1, 0, {second}});
     CHECK(ledger.openCounts(7).empty());
-    ledger.count({"e", 1, 0, {first, second}});
-    ledger.count({"e", 1, 0, {first, second}});
+    ledger.applyNotice({"e", 1, 0, {first, second}});
+    ledger.applyNotice({"e", 1, 0, {first, second}});
     CHECK(ledger.openCounts(7) == customer_counts{{"a", 3}, {"b", 5}});
-    CHECK(ledger.openFor(7, std::vector<std::string>{"e"}).empty());
-    CHECK(ledger.openFor(7, std::vector<std::string>{"e", "f"}).size() == 1);
+    CHECK(ledger.incompleteEntries(7, std::vector<std::string>{"e"}).empty());
+    CHECK(ledger.incompleteEntries(7, std::vector<std::string>{"e", "f"}).size() == 1);
     ledger.decideNext();
-    CHECK(ledger.count({"f", 1, 0, {first}}) == 2);
-    REQUIRE(ledger.oldestUntold());
-    CHECK(ledger.oldestUntold()->counts == customer_counts{{"a", 3}, {"b", 5}});
+    CHECK(ledger.applyNotice({"f", 1, 0, {first}}) == 2);
+    REQUIRE(ledger.oldestUnreported());
+    CHECK(ledger.oldestUnreported()->counts == customer_counts{{"a", 3}, {"b", 5}});
 }
 
-TEST_CASE("a process that restarted closes what its earlier life left open")
+TEST_CASE("a restarted process closes the windows that its previous process left open")
 {
     usage_ledger ledger(7);
-    ledger.count({"e", 1, 0, {{1, 7, {}}}});
-    CHECK(ledger.openFor(7, {}).size() == 1);
-    ledger.count({"e", 2, 0, {{1, 8, {}}}});
-    CHECK(ledger.openFor(7, {}).empty());
+    ledger.applyNotice({"e", 1, 0, {{1, 7, {}}}});
+    CHECK(ledger.incompleteEntries(7, {}).size() == 1);
+    ledger.applyNotice({"e", 2, 0, {{1, 8, {}}}});
+    CHECK(ledger.incompleteEntries(7, {}).empty());
 }
 
-TEST_CASE("windows that nobody had in time are given up")
+TEST_CASE("windows that were not decided in time are dropped")
 {
     usage_ledger ledger(7);
-    CHECK(ledger.giveUpBefore(20) == 13);
+    CHECK(ledger.dropBefore(20) == 13);
     CHECK(ledger.decidedBefore() == 20);
-    CHECK(ledger.giveUpBefore(20) == 0);
+    CHECK(ledger.dropBefore(20) == 0);
 }
 
-TEST_CASE("the row of the duty comes back as it was written")
+TEST_CASE("the duty's row is decoded as it was encoded, and malformed rows are refused")
 {
     usage_row row;
     row.lease = {"e", 3, 9, milliseconds(5), {{"f", milliseconds(4)}}};
     row.save = 12;
     row.ledger = usage_ledger(7);
-    row.ledger.count({"e", 3, 0, {{1, 8, {{7, {{"a", 2}}}, {8, {{"b", 1}}}}}}});
+    row.ledger.applyNotice({"e", 3, 0, {{1, 8, {{7, {{"a", 2}}}, {8, {{"b", 1}}}}}}});
     row.ledger.decideNext();
-    const outcome<usage_row, std::string> back = decodeUsageRow(encodeUsageRow(row));
-    REQUIRE(back);
-    CHECK(back.value().lease == row.lease);
-    CHECK(back.value().save == row.save);
-    CHECK(back.value().ledger == row.ledger);
+    const outcome<usage_row, std::string> decoded = decodeUsageRow(encodeUsageRow(row));
+    REQUIRE(decoded);
+    CHECK(decoded.value().lease == row.lease);
+    CHECK(decoded.value().save == row.save);
+    CHECK(decoded.value().ledger == row.ledger);
     for (const char *text : {"", "{}", "[1]", R"({"lease":{"holder":7}})"})
         CHECK_FALSE(decodeUsageRow(text));
 }
 
-TEST_CASE("datagrams come back as they were sent, and others are refused")
+TEST_CASE("datagrams are decoded as they were encoded, and truncated ones are refused")
 {
     const std::vector<usage_message> messages{
             usage_notice{"e", 3, 4, {{5, 8, {{7, {{"a", 2}}}}}, {6, 9, {}}}},
@@ -124,7 +125,7 @@
     }
 }
 
-TEST_CASE("a lease is free once it is over, but not for who had it before the last holder")
+TEST_CASE("an ended lease is free, but not for a recent holder that another one has replaced")
 {
     const duty_lease first = nextLease({}, "a", 1, milliseconds(1000), leaseLength);
     CHECK(first.token == 1);
@@ -132,7 +133,7 @@
     CHECK(mayAcquire(first, "b", milliseconds(4000), leaseLength));
     duty_lease second = nextLease(first, "b", 1, milliseconds(4000), leaseLength);
     CHECK(second.token == 2);
-    second.until = milliseconds(4500); // given back
+    second.until = milliseconds(4500); // released early
     CHECK_FALSE(mayAcquire(second, "a", milliseconds(6999), leaseLength));
     CHECK(mayAcquire(second, "a", milliseconds(7000), leaseLength));
     CHECK(mayAcquire(second, "b", milliseconds(4500), leaseLength));
@@ -140,7 +141,7 @@
     CHECK_FALSE(mayAcquire(again, "a", milliseconds(6999), leaseLength));
 }
 
-TEST_CASE("the store's clock is between what a holder and a successor take it for")
+TEST_CASE("the store's clock is between its lower and its upper bound")
 {
     const time_point asked{seconds(100)};
     const time_point answered = asked + milliseconds(40);
