--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -47,7 +47,7 @@
     std::string pool;
     std::uint32_t slots = 8; ///< attempts the endpoint runs at once
     std::uint32_t mostAttempts = 64; ///< running and waiting; above it: refused
-    duration aliveTick = milliseconds(100);
+    duration freezeCheckInterval = milliseconds(100);
     /// A gap that counts as a freeze; shorter than an entry waits for an admission, so
     /// that an offer which was given up is void when a frozen agent wakes.
     duration frozenAfter = milliseconds(500);
@@ -222,7 +222,7 @@
         noteAlive();
         expire(m_revoked);
         expire(m_recent);
-        m_runtime.after(m_options.aliveTick, [this] { tick(); });
+        m_runtime.after(m_options.freezeCheckInterval, [this] { tick(); });
     }
 
     template <class M>
