--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -50,7 +50,7 @@
     duration freezeCheckInterval = milliseconds(100);
     /// A gap that counts as a freeze; shorter than an entry waits for an admission, so
     /// that an offer which was given up is void when a frozen agent wakes.
-    duration frozenAfter = milliseconds(500);
+    duration freezeThreshold = milliseconds(500);
     duration orphanGrace = seconds(10); ///< an entry may resume within this
     duration duplicateLife = seconds(900); ///< how long a request id is remembered
     std::size_t mostRemembered = 200000;
