--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -52,7 +52,7 @@
     /// that an offer which was given up is void when a frozen agent wakes.
     duration freezeThreshold = milliseconds(500);
     duration orphanGrace = seconds(10); ///< an entry may resume within this
-    duration duplicateLife = seconds(900); ///< how long a request id is remembered
+    duration duplicateRetention = seconds(900); ///< how long a request id is remembered
     std::size_t mostRemembered = 200000;
     std::uint64_t firstIncarnation = 1;
 };
