--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -46,7 +46,7 @@
     std::string instance;
     std::string pool;
     std::uint32_t slots = 8; ///< attempts the endpoint runs at once
-    std::uint32_t mostAttempts = 64; ///< running and waiting; above it: refused
+    std::uint32_t maxAttempts = 64; ///< running and waiting; above it: refused
     duration freezeCheckInterval = milliseconds(100);
     /// A gap that counts as a freeze; shorter than an entry waits for an admission, so
     /// that an offer which was given up is void when a frozen agent wakes.
@@ -91,7 +91,7 @@
     bool isDraining() const { return m_draining; }
 
     /// Sets the attempts that may run and wait; fewer than run now refuses new ones.
-    void setMostAttempts(std::uint32_t most) { m_options.mostAttempts = most; }
+    void setMostAttempts(std::uint32_t most) { m_options.maxAttempts = most; }
 
     /// \returns true when nothing runs and nothing is owed to the table.
     bool isIdle() const
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -94,7 +94,7 @@
     if (offer.kind() == wire::work_chat
         && m_loaded.count(offer.target() + "@" + offer.version()) == 0)
         return wire::refusal_not_loaded;
-    if (m_works.size() >= m_options.mostAttempts)
+    if (m_works.size() >= m_options.maxAttempts)
         return wire::refusal_full;
     return wire::refusal_none;
 }
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -324,7 +324,7 @@
     options.slots = static_cast<std::uint32_t>(given.number("slots"));
     // Rounded up, so that a small endpoint lets one wait as well.
     const auto waiting = (options.slots * given.number("waiting-percent") + 99) / 100;
-    options.mostAttempts = options.slots + static_cast<std::uint32_t>(waiting);
+    options.maxAttempts = options.slots + static_cast<std::uint32_t>(waiting);
     options.firstIncarnation = static_cast<std::uint64_t>(wallMilliseconds());
 
     blockStopSignals();
