--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -91,7 +91,7 @@
     bool isDraining() const { return m_draining; }
 
     /// Sets the attempts that may run and wait; fewer than run now refuses new ones.
-    void setMostAttempts(std::uint32_t most) { m_options.maxAttempts = most; }
+    void setMaxAttempts(std::uint32_t most) { m_options.maxAttempts = most; }
 
     /// \returns true when nothing runs and nothing is owed to the table.
     bool isIdle() const
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -222,10 +222,10 @@
         break;
     case fault_kind::poolFull:
         for (auto &[id, item] : m_agents)
-            item->core->setMostAttempts(0);
+            item->core->setMaxAttempts(0);
         clock.after(poolOutage, [this] {
             for (auto &[id, item] : m_agents)
-                item->core->setMostAttempts(64);
+                item->core->setMaxAttempts(64);
         });
         break;
     case fault_kind::stopEntry:
