--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -53,7 +53,7 @@
     duration freezeThreshold = milliseconds(500);
     duration orphanGrace = seconds(10); ///< an entry may resume within this
     duration duplicateRetention = seconds(900); ///< how long a request id is remembered
-    std::size_t mostRemembered = 200000;
+    std::size_t maxRememberedKeys = 200000;
     std::uint64_t firstIncarnation = 1;
 };
 
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -27,7 +27,7 @@
     while (!m_ages[&known].empty()) {
         const auto &[at, key] = m_ages[&known].front();
         if (m_runtime.now() - at < m_options.duplicateRetention
-            && m_ages[&known].size() <= m_options.mostRemembered)
+            && m_ages[&known].size() <= m_options.maxRememberedKeys)
             return;
         known.erase(key);
         m_ages[&known].pop_front();
