--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -102,7 +102,7 @@
     /// Handles a message of an entry on an attempt's stream.
     void onEntryMessage(link_stream_id stream, const wire::from_entry &message)
     {
-        noteAlive();
+        detectFreeze();
         if (message.has_offer())
             onOffer(stream, message.offer(), message.bundle_epoch());
         else if (message.has_resume())
@@ -116,7 +116,7 @@
     /// The stream of an attempt was lost or ended.
     void onStreamClosed(link_stream_id stream)
     {
-        noteAlive();
+        detectFreeze();
         attempt *const item = findByStream(stream);
         m_streams.erase(stream);
         if (item == nullptr)
@@ -132,7 +132,7 @@
     /// Answers whether an offer that was not answered has started; if not, it never will.
     wire::revoked onRevoke(const wire::revoke &message)
     {
-        noteAlive();
+        detectFreeze();
         wire::revoked answer;
         answer.set_bundle_epoch(m_keeper.epoch());
         const attempt_key key{message.request_id(), message.attempt()};
@@ -215,11 +215,11 @@
 
     /// A gap longer than a freeze's bound begins a new life: whatever was offered to
     /// the one before is refused, because its entry may have given it up.
-    void noteAlive();
+    void detectFreeze();
 
     void tick()
     {
-        noteAlive();
+        detectFreeze();
         expire(m_revoked);
         expire(m_recent);
         m_runtime.after(m_options.freezeCheckInterval, [this] { tick(); });
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -9,7 +9,7 @@
 namespace laurelcroft {
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::noteAlive()
+void agent_core<Runtime, Table, Env>::detectFreeze()
 {
     const time_point now = m_runtime.now();
     if (now - m_lastAlive > m_options.freezeThreshold) {
