--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -69,7 +69,7 @@
         , m_env(env)
         , m_options(std::move(options))
         , m_incarnation(m_options.firstIncarnation)
-        , m_lastAlive(runtime.now())
+        , m_lastActivity(runtime.now())
         , m_keeper(runtime, env, std::move(rule), [this](const auto &taken) { onBundle(taken); })
         , m_outbox(runtime, table, env, m_options.instance)
         , m_claims(runtime, table, m_options.instance)
@@ -307,7 +307,7 @@
     Env &m_env;
     agent_options m_options;
     std::uint64_t m_incarnation;
-    time_point m_lastAlive;
+    time_point m_lastActivity;
     bool m_draining = false;
     keeper_type m_keeper;
     bill_outbox<Runtime, Table, Env> m_outbox;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -12,12 +12,12 @@
 void agent_core<Runtime, Table, Env>::detectFreeze()
 {
     const time_point now = m_runtime.now();
-    if (now - m_lastAlive > m_options.freezeThreshold) {
+    if (now - m_lastActivity > m_options.freezeThreshold) {
         m_incarnation += 1;
         logWarning(log_part::agent, "woke from a freeze, offers made before are void",
                    {{"incarnation", static_cast<std::int64_t>(m_incarnation)}});
     }
-    m_lastAlive = now;
+    m_lastActivity = now;
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
