--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -231,7 +231,7 @@
     void remember(std::set<attempt_key> &known, const attempt_key &key)
     {
         if (known.insert(key).second)
-            m_ages[&known].emplace_back(m_runtime.now(), key);
+            m_insertionOrder[&known].emplace_back(m_runtime.now(), key);
     }
 
     attempt *find(const attempt_key &key)
@@ -318,7 +318,7 @@
     std::unordered_map<work_id, attempt_key> m_works;
     std::set<attempt_key> m_revoked;
     std::set<attempt_key> m_recent;
-    std::map<const void *, std::deque<std::pair<time_point, attempt_key>>> m_ages;
+    std::map<const void *, std::deque<std::pair<time_point, attempt_key>>> m_insertionOrder;
     std::set<std::string> m_loaded;
     work_id m_lastWork = 0;
 };
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -24,13 +24,13 @@
 template <class M>
 void agent_core<Runtime, Table, Env>::expire(M &known)
 {
-    while (!m_ages[&known].empty()) {
-        const auto &[at, key] = m_ages[&known].front();
+    while (!m_insertionOrder[&known].empty()) {
+        const auto &[at, key] = m_insertionOrder[&known].front();
         if (m_runtime.now() - at < m_options.duplicateRetention
-            && m_ages[&known].size() <= m_options.maxRememberedKeys)
+            && m_insertionOrder[&known].size() <= m_options.maxRememberedKeys)
             return;
         known.erase(key);
-        m_ages[&known].pop_front();
+        m_insertionOrder[&known].pop_front();
     }
 }
 
