--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -136,7 +136,7 @@
         wire::revoked answer;
         answer.set_bundle_epoch(m_keeper.epoch());
         const attempt_key key{message.request_id(), message.attempt()};
-        const bool ran = find(key) != nullptr || m_recent.count(key) != 0;
+        const bool ran = find(key) != nullptr || m_recentKeys.count(key) != 0;
         answer.set_state(ran ? wire::attempt_started : wire::attempt_never_started);
         if (!ran)
             remember(m_revoked, key);
@@ -221,7 +221,7 @@
     {
         detectFreeze();
         expire(m_revoked);
-        expire(m_recent);
+        expire(m_recentKeys);
         m_runtime.after(m_options.freezeCheckInterval, [this] { tick(); });
     }
 
@@ -317,7 +317,7 @@
     std::unordered_map<link_stream_id, attempt_key> m_streams;
     std::unordered_map<work_id, attempt_key> m_works;
     std::set<attempt_key> m_revoked;
-    std::set<attempt_key> m_recent;
+    std::set<attempt_key> m_recentKeys;
     std::map<const void *, std::deque<std::pair<time_point, attempt_key>>> m_insertionOrder;
     std::set<std::string> m_loaded;
     work_id m_lastWork = 0;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -60,7 +60,7 @@
     item->stream = stream;
     item->work = ++m_lastWork;
     item->startedAt = m_runtime.now();
-    remember(m_recent, item->key);
+    remember(m_recentKeys, item->key);
     m_streams[stream] = item->key;
     m_works[item->work] = item->key;
     const work_id work = item->work;
@@ -123,11 +123,11 @@
     // entries number their attempts alike: only one that still runs is the same.
     if (offer.repeatable())
         return m_attempts.count(key) != 0;
-    if (m_recent.count(key) != 0)
+    if (m_recentKeys.count(key) != 0)
         return true;
     // Any attempt of a request that may not be repeated counts, whatever its number.
-    const auto it = m_recent.lower_bound({offer.request_id(), 0});
-    return it != m_recent.end() && it->requestId == offer.request_id();
+    const auto it = m_recentKeys.lower_bound({offer.request_id(), 0});
+    return it != m_recentKeys.end() && it->requestId == offer.request_id();
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
