--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -139,7 +139,7 @@
         const bool ran = find(key) != nullptr || m_recentKeys.count(key) != 0;
         answer.set_state(ran ? wire::attempt_started : wire::attempt_never_started);
         if (!ran)
-            remember(m_revoked, key);
+            remember(m_revokedKeys, key);
         return answer;
     }
 
@@ -220,7 +220,7 @@
     void tick()
     {
         detectFreeze();
-        expire(m_revoked);
+        expire(m_revokedKeys);
         expire(m_recentKeys);
         m_runtime.after(m_options.freezeCheckInterval, [this] { tick(); });
     }
@@ -316,7 +316,7 @@
     attempt_map m_attempts;
     std::unordered_map<link_stream_id, attempt_key> m_streams;
     std::unordered_map<work_id, attempt_key> m_works;
-    std::set<attempt_key> m_revoked;
+    std::set<attempt_key> m_revokedKeys;
     std::set<attempt_key> m_recentKeys;
     std::map<const void *, std::deque<std::pair<time_point, attempt_key>>> m_insertionOrder;
     std::set<std::string> m_loaded;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -87,7 +87,7 @@
     if (permitted != wire::refusal_none)
         return permitted;
     const attempt_key key{offer.request_id(), offer.attempt()};
-    if (m_revoked.count(key) != 0)
+    if (m_revokedKeys.count(key) != 0)
         return wire::refusal_revoked;
     if (isDuplicate(offer, key))
         return wire::refusal_duplicate;
