--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -118,7 +118,7 @@
     {
         detectFreeze();
         attempt *const item = findByStream(stream);
-        m_streams.erase(stream);
+        m_keyByStream.erase(stream);
         if (item == nullptr)
             return;
         item->stream = 0;
@@ -242,8 +242,8 @@
 
     attempt *findByStream(link_stream_id stream)
     {
-        const auto it = m_streams.find(stream);
-        return it == m_streams.end() ? nullptr : find(it->second);
+        const auto it = m_keyByStream.find(stream);
+        return it == m_keyByStream.end() ? nullptr : find(it->second);
     }
 
     attempt *findByWork(work_id work)
@@ -271,7 +271,7 @@
     void forget(attempt &item)
     {
         m_works.erase(item.work);
-        m_streams.erase(item.stream);
+        m_keyByStream.erase(item.stream);
         m_attempts.erase(attempt_key(item.key));
     }
 
@@ -314,7 +314,7 @@
     claim_book<Runtime, Table> m_claims;
     load_meter m_load;
     attempt_map m_attempts;
-    std::unordered_map<link_stream_id, attempt_key> m_streams;
+    std::unordered_map<link_stream_id, attempt_key> m_keyByStream;
     std::unordered_map<work_id, attempt_key> m_works;
     std::set<attempt_key> m_revokedKeys;
     std::set<attempt_key> m_recentKeys;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -61,7 +61,7 @@
     item->work = ++m_lastWork;
     item->startedAt = m_runtime.now();
     remember(m_recentKeys, item->key);
-    m_streams[stream] = item->key;
+    m_keyByStream[stream] = item->key;
     m_works[item->work] = item->key;
     const work_id work = item->work;
     m_attempts[item->key] = std::move(item);
@@ -142,10 +142,10 @@
         return;
     }
     if (item->stream != 0)
-        m_streams.erase(item->stream);
+        m_keyByStream.erase(item->stream);
     item->stream = stream;
     item->orphanings += 1;
-    m_streams[stream] = item->key;
+    m_keyByStream[stream] = item->key;
     answer.mutable_admission()->set_refusal(wire::refusal_none);
     m_env.sendToEntry(stream, answer);
     sendPiece(*item, resume.offset());
