--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -160,7 +160,7 @@
         attempt *const item = findByWork(work);
         if (item == nullptr)
             return;
-        m_works.erase(work);
+        m_keyByWork.erase(work);
         item->running = false;
         item->result = result;
         countIfUnknown(*item);
@@ -182,7 +182,7 @@
     wire::load_report load() const
     {
         wire::load_report report;
-        const auto running = static_cast<std::uint32_t>(m_works.size());
+        const auto running = static_cast<std::uint32_t>(m_keyByWork.size());
         report.set_running(std::min(running, m_options.slots));
         report.set_queued(running > m_options.slots ? running - m_options.slots : 0);
         report.set_slots(m_options.slots);
@@ -248,8 +248,8 @@
 
     attempt *findByWork(work_id work)
     {
-        const auto it = m_works.find(work);
-        return it == m_works.end() ? nullptr : find(it->second);
+        const auto it = m_keyByWork.find(work);
+        return it == m_keyByWork.end() ? nullptr : find(it->second);
     }
 
     void onOffer(link_stream_id stream, const wire::offer &offer, bundle_epoch epoch);
@@ -270,7 +270,7 @@
 
     void forget(attempt &item)
     {
-        m_works.erase(item.work);
+        m_keyByWork.erase(item.work);
         m_keyByStream.erase(item.stream);
         m_attempts.erase(attempt_key(item.key));
     }
@@ -315,7 +315,7 @@
     load_meter m_load;
     attempt_map m_attempts;
     std::unordered_map<link_stream_id, attempt_key> m_keyByStream;
-    std::unordered_map<work_id, attempt_key> m_works;
+    std::unordered_map<work_id, attempt_key> m_keyByWork;
     std::set<attempt_key> m_revokedKeys;
     std::set<attempt_key> m_recentKeys;
     std::map<const void *, std::deque<std::pair<time_point, attempt_key>>> m_insertionOrder;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -62,7 +62,7 @@
     item->startedAt = m_runtime.now();
     remember(m_recentKeys, item->key);
     m_keyByStream[stream] = item->key;
-    m_works[item->work] = item->key;
+    m_keyByWork[item->work] = item->key;
     const work_id work = item->work;
     m_attempts[item->key] = std::move(item);
     m_env.sendToEntry(stream, answer);
@@ -94,7 +94,7 @@
     if (offer.kind() == wire::work_chat
         && m_loaded.count(offer.target() + "@" + offer.version()) == 0)
         return wire::refusal_not_loaded;
-    if (m_works.size() >= m_options.maxAttempts)
+    if (m_keyByWork.size() >= m_options.maxAttempts)
         return wire::refusal_full;
     return wire::refusal_none;
 }
