--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -253,7 +253,7 @@
     }
 
     void onOffer(link_stream_id stream, const wire::offer &offer, bundle_epoch epoch);
-    wire::refusal judge(const wire::offer &offer, bundle_epoch epoch);
+    wire::refusal checkOffer(const wire::offer &offer, bundle_epoch epoch);
     wire::refusal checkPermission(const wire::offer &offer) const;
     bool isDuplicate(const wire::offer &offer, const attempt_key &key) const;
     void onResume(link_stream_id stream, const wire::resume &resume);
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -38,7 +38,7 @@
 void agent_core<Runtime, Table, Env>::onOffer(link_stream_id stream, const wire::offer &offer,
                                               bundle_epoch epoch)
 {
-    const wire::refusal refusal = judge(offer, epoch);
+    const wire::refusal refusal = checkOffer(offer, epoch);
     wire::from_agent answer = header();
     answer.mutable_admission()->set_refusal(refusal);
     logInfo(log_part::agent, refusal == wire::refusal_none ? "offer admitted" : "offer refused",
@@ -70,7 +70,7 @@
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-auto agent_core<Runtime, Table, Env>::judge(const wire::offer &offer, bundle_epoch epoch)
+auto agent_core<Runtime, Table, Env>::checkOffer(const wire::offer &offer, bundle_epoch epoch)
         -> wire::refusal
 {
     if (offer.incarnation() != m_incarnation)
