--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -263,12 +263,12 @@
         attempt *const item = findByStream(stream);
         m_env.resetStream(stream);
         if (item != nullptr)
-            forget(*item);
+            removeAttempt(*item);
     }
 
     void onCancel(link_stream_id stream);
 
-    void forget(attempt &item)
+    void removeAttempt(attempt &item)
     {
         m_keyByWork.erase(item.work);
         m_keyByStream.erase(item.stream);
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -163,7 +163,7 @@
     logInfo(log_part::agent, "attempt cancelled by its entry", {{"request", item->key.requestId}});
     if (item->running)
         m_env.cancelWork(item->work);
-    forget(*item);
+    removeAttempt(*item);
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
@@ -225,7 +225,7 @@
             answered.answer = item.answer;
         m_claims.finish(answered);
     }
-    forget(item);
+    removeAttempt(item);
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
