--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -300,7 +300,7 @@
     wire::bill provisionalBill(const attempt &item) const;
     /// Orders the endpoint to hold every version of its pool that may be used.
     void onBundle(const typename keeper_type::ptr &taken);
-    void order(order_action action, const std::string &name, bundle_epoch fence);
+    void orderVersion(order_action action, const std::string &name, bundle_epoch fence);
     static constexpr duration orderRetry = seconds(1);
 
     Runtime &m_runtime;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -264,17 +264,17 @@
     }
     for (const std::string &name : std::set<std::string>(m_loaded)) {
         if (wanted.count(name) == 0)
-            order(order_action::unload, name, taken->accepted.epoch);
+            orderVersion(order_action::unload, name, taken->accepted.epoch);
     }
     for (const std::string &name : wanted) {
         if (m_loaded.count(name) == 0)
-            order(order_action::load, name, taken->accepted.epoch);
+            orderVersion(order_action::load, name, taken->accepted.epoch);
     }
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::order(order_action action, const std::string &name,
-                                            bundle_epoch fence)
+void agent_core<Runtime, Table, Env>::orderVersion(order_action action, const std::string &name,
+                                                   bundle_epoch fence)
 {
     // No new work for a version that goes, from the moment the order is decided.
     if (action == order_action::unload)
@@ -290,7 +290,7 @@
         if (!done)
             m_runtime.after(orderRetry, [this, action, name, fence] {
                 if (fence == m_keeper.epoch())
-                    order(action, name, fence);
+                    orderVersion(action, name, fence);
             });
     });
 }
