--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -301,7 +301,7 @@
     /// Orders the endpoint to hold every version of its pool that may be used.
     void onBundle(const typename keeper_type::ptr &taken);
     void orderVersion(order_action action, const std::string &name, bundle_epoch fence);
-    static constexpr duration orderRetry = seconds(1);
+    static constexpr duration orderRetryDelay = seconds(1);
 
     Runtime &m_runtime;
     Env &m_env;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -288,7 +288,7 @@
         if (done && action == order_action::load)
             m_loaded.insert(name);
         if (!done)
-            m_runtime.after(orderRetry, [this, action, name, fence] {
+            m_runtime.after(orderRetryDelay, [this, action, name, fence] {
                 if (fence == m_keeper.epoch())
                     orderVersion(action, name, fence);
             });
