--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -37,7 +37,7 @@
     env.resetStream(stream);
     env.startWork(work, offer);
     env.cancelWork(work);
-    env.giveOrder(order, done);
+    env.sendOrder(order, done);
 };
 
 /// Bounds of one agent.
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -281,7 +281,7 @@
         m_loaded.erase(name);
     logInfo(log_part::placement, action == order_action::load ? "load ordered" : "unload ordered",
             {{"version", name}, {"fence", static_cast<std::int64_t>(fence)}});
-    m_env.giveOrder({action, name, fence}, [this, action, name, fence](bool done) {
+    m_env.sendOrder({action, name, fence}, [this, action, name, fence](bool done) {
         // A newer epoch has given its own orders meanwhile.
         if (fence != m_keeper.epoch())
             return;
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -65,7 +65,7 @@
     void resetStream(link_stream_id stream);
     void startWork(work_id work, const wire::offer &offer) { m_endpoint.start(work, offer); }
     void cancelWork(work_id work) { m_endpoint.cancel(work); }
-    void giveOrder(const engine_order &order, std::function<void(bool)> done)
+    void sendOrder(const engine_order &order, std::function<void(bool)> done)
     {
         m_endpoint.order(order, std::move(done));
     }
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -438,7 +438,7 @@
     runtime.run([this, work] { works.erase(work); });
 }
 
-void fake_agent::giveOrder(const engine_order &, std::function<void(bool)> done)
+void fake_agent::sendOrder(const engine_order &, std::function<void(bool)> done)
 {
     runtime.after(milliseconds(5), [done] { done(true); });
 }
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -240,7 +240,7 @@
     void startWork(work_id work, const wire::offer &offer);
     void startEngine(work_id work, const wire::offer &offer, time_point givenAt);
     void cancelWork(work_id work);
-    void giveOrder(const engine_order &order, std::function<void(bool)> done);
+    void sendOrder(const engine_order &order, std::function<void(bool)> done);
 
     bool holdBills(const wire::bill_copy &copy) override;
     std::shared_ptr<const accepted_bundle> current() const override;
