--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -125,7 +125,7 @@
         m_runtime.after(m_options.orphanGrace, [this, key = item->key, life = ++item->orphanings] {
             attempt *const found = find(key);
             if (found != nullptr && found->stream == 0 && found->orphanings == life)
-                orphan(*found);
+                onOrphaned(*found);
         });
     }
 
@@ -288,7 +288,7 @@
     void sendEnd(const attempt &item);
     /// The entry did not come back. What may be repeated is cancelled: nobody waits for
     /// it. What may not goes on, and its answer is kept in its claim.
-    void orphan(attempt &item);
+    void onOrphaned(attempt &item);
     /// Work that ended early told no usage: the events that came are counted.
     static void countIfUnknown(attempt &item)
     {
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -190,7 +190,7 @@
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::orphan(attempt &item)
+void agent_core<Runtime, Table, Env>::onOrphaned(attempt &item)
 {
     logWarning(log_part::agent, "attempt lost its entry", {{"request", item.key.requestId}});
     item.orphaned = true;
