--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -122,11 +122,12 @@
         if (item == nullptr)
             return;
         item->stream = 0;
-        m_runtime.after(m_options.orphanGrace, [this, key = item->key, life = ++item->orphanings] {
-            attempt *const found = find(key);
-            if (found != nullptr && found->stream == 0 && found->orphanings == life)
-                onOrphaned(*found);
-        });
+        m_runtime.after(
+                m_options.orphanGrace, [this, key = item->key, life = ++item->orphanGeneration] {
+                    attempt *const found = find(key);
+                    if (found != nullptr && found->stream == 0 && found->orphanGeneration == life)
+                        onOrphaned(*found);
+                });
     }
 
     /// Answers whether an offer that was not answered has started; if not, it never will.
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -144,7 +144,7 @@
     if (item->stream != 0)
         m_keyByStream.erase(item->stream);
     item->stream = stream;
-    item->orphanings += 1;
+    item->orphanGeneration += 1;
     m_keyByStream[stream] = item->key;
     answer.mutable_admission()->set_refusal(wire::refusal_none);
     m_env.sendToEntry(stream, answer);
--- a/include/laurelcroft/Agent/Attempt.h
+++ b/include/laurelcroft/Agent/Attempt.h
@@ -55,7 +55,8 @@
     time_point startedAt{};
     bool running = true;
     bool orphaned = false;
-    int orphanings = 0; ///< counts losses of the stream, so that an old timer is told from a new
+    int orphanGeneration
+            = 0; ///< counts losses of the stream, so that an old timer is told from a new
     std::string answer;
     work_result result;
 };
