--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -164,7 +164,7 @@
         m_keyByWork.erase(work);
         item->running = false;
         item->result = result;
-        countIfUnknown(*item);
+        estimateMissingUsage(*item);
         m_load.finished(m_runtime.now(), result.usage.generated_tokens(),
                         m_runtime.now() - item->startedAt);
         sendEnd(*item);
@@ -291,7 +291,7 @@
     /// it. What may not goes on, and its answer is kept in its claim.
     void onOrphaned(attempt &item);
     /// Work that ended early told no usage: the events that came are counted.
-    static void countIfUnknown(attempt &item)
+    static void estimateMissingUsage(attempt &item)
     {
         if (item.result.failed && item.result.usage.generated_tokens() == 0)
             item.result.usage.set_generated_tokens(countEvents(item.answer));
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -204,7 +204,7 @@
     item.running = false;
     item.result.failed = true;
     item.result.executed = wire::execution_yes;
-    countIfUnknown(item);
+    estimateMissingUsage(item);
     settleOrphan(item);
 }
 
