--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -70,7 +70,8 @@
         , m_options(std::move(options))
         , m_incarnation(m_options.firstIncarnation)
         , m_lastActivity(runtime.now())
-        , m_keeper(runtime, env, std::move(rule), [this](const auto &taken) { onBundle(taken); })
+        , m_keeper(runtime, env, std::move(rule),
+                   [this](const auto &taken) { onBundleInstalled(taken); })
         , m_outbox(runtime, table, env, m_options.instance)
         , m_claims(runtime, table, m_options.instance)
     {
@@ -300,7 +301,7 @@
     void settleOrphan(attempt &item);
     wire::bill provisionalBill(const attempt &item) const;
     /// Orders the endpoint to hold every version of its pool that may be used.
-    void onBundle(const typename keeper_type::ptr &taken);
+    void onBundleInstalled(const typename keeper_type::ptr &taken);
     void orderVersion(order_action action, const std::string &name, bundle_epoch fence);
     static constexpr duration orderRetryDelay = seconds(1);
 
