--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -62,7 +62,7 @@
 class agent_core
 {
 public:
-    using keeper_type = bundle_tracker<Runtime, Env>;
+    using tracker_type = bundle_tracker<Runtime, Env>;
 
     agent_core(Runtime &runtime, Table &table, Env &env, signoff_rule rule, agent_options options)
         : m_runtime(runtime)
@@ -79,7 +79,7 @@
 
     void start() { tick(); }
 
-    keeper_type &keeper() { return m_keeper; }
+    tracker_type &keeper() { return m_keeper; }
     auto &outbox() { return m_outbox; }
     std::uint64_t incarnation() const { return m_incarnation; }
 
@@ -301,7 +301,7 @@
     void settleOrphan(attempt &item);
     wire::bill provisionalBill(const attempt &item) const;
     /// Orders the endpoint to hold every version of its pool that may be used.
-    void onBundleInstalled(const typename keeper_type::ptr &taken);
+    void onBundleInstalled(const typename tracker_type::ptr &taken);
     void orderVersion(order_action action, const std::string &name, bundle_epoch fence);
     static constexpr duration orderRetryDelay = seconds(1);
 
@@ -311,7 +311,7 @@
     std::uint64_t m_incarnation;
     time_point m_lastActivity;
     bool m_draining = false;
-    keeper_type m_keeper;
+    tracker_type m_keeper;
     bill_outbox<Runtime, Table, Env> m_outbox;
     claim_book<Runtime, Table> m_claims;
     load_meter m_load;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -251,7 +251,7 @@
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::onBundleInstalled(const typename keeper_type::ptr &taken)
+void agent_core<Runtime, Table, Env>::onBundleInstalled(const typename tracker_type::ptr &taken)
 {
     std::set<std::string> wanted;
     for (const model &item : taken->rules.models) {
