--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -70,8 +70,8 @@
         , m_options(std::move(options))
         , m_incarnation(m_options.firstIncarnation)
         , m_lastActivity(runtime.now())
-        , m_keeper(runtime, env, std::move(rule),
-                   [this](const auto &taken) { onBundleInstalled(taken); })
+        , m_bundleTracker(runtime, env, std::move(rule),
+                          [this](const auto &taken) { onBundleInstalled(taken); })
         , m_outbox(runtime, table, env, m_options.instance)
         , m_claims(runtime, table, m_options.instance)
     {
@@ -79,7 +79,7 @@
 
     void start() { tick(); }
 
-    tracker_type &keeper() { return m_keeper; }
+    tracker_type &keeper() { return m_bundleTracker; }
     auto &outbox() { return m_outbox; }
     std::uint64_t incarnation() const { return m_incarnation; }
 
@@ -136,7 +136,7 @@
     {
         detectFreeze();
         wire::revoked answer;
-        answer.set_bundle_epoch(m_keeper.epoch());
+        answer.set_bundle_epoch(m_bundleTracker.epoch());
         const attempt_key key{message.request_id(), message.attempt()};
         const bool ran = find(key) != nullptr || m_recentKeys.count(key) != 0;
         answer.set_state(ran ? wire::attempt_started : wire::attempt_never_started);
@@ -206,7 +206,7 @@
     wire::from_agent header() const
     {
         wire::from_agent message;
-        message.set_bundle_epoch(m_keeper.epoch());
+        message.set_bundle_epoch(m_bundleTracker.epoch());
         message.set_incarnation(m_incarnation);
         *message.mutable_load() = load();
         return message;
@@ -311,7 +311,7 @@
     std::uint64_t m_incarnation;
     time_point m_lastActivity;
     bool m_draining = false;
-    tracker_type m_keeper;
+    tracker_type m_bundleTracker;
     bill_outbox<Runtime, Table, Env> m_outbox;
     claim_book<Runtime, Table> m_claims;
     load_meter m_load;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -46,7 +46,7 @@
              {"attempt", static_cast<std::int64_t>(offer.attempt())},
              {"target", offer.target()},
              {"version", offer.version()},
-             {"epoch", static_cast<std::int64_t>(m_keeper.epoch())},
+             {"epoch", static_cast<std::int64_t>(m_bundleTracker.epoch())},
              {"reason", textOf(refusal)}});
     if (refusal != wire::refusal_none) {
         m_env.sendToEntry(stream, answer);
@@ -56,7 +56,7 @@
     auto item = std::make_unique<attempt>();
     item->key = {offer.request_id(), offer.attempt()};
     item->offer = offer;
-    item->epoch = m_keeper.epoch();
+    item->epoch = m_bundleTracker.epoch();
     item->stream = stream;
     item->work = ++m_lastWork;
     item->startedAt = m_runtime.now();
@@ -77,10 +77,10 @@
         return wire::refusal_incarnation;
     if (m_draining)
         return wire::refusal_draining;
-    if (!m_keeper.current())
+    if (!m_bundleTracker.current())
         return wire::refusal_no_bundle;
-    if (epoch > m_keeper.epoch()) {
-        m_keeper.observePeerEpoch(offer.entry(), epoch, false, duration(0));
+    if (epoch > m_bundleTracker.epoch()) {
+        m_bundleTracker.observePeerEpoch(offer.entry(), epoch, false, duration(0));
         return wire::refusal_behind;
     }
     const wire::refusal permitted = checkPermission(offer);
@@ -103,7 +103,7 @@
 auto agent_core<Runtime, Table, Env>::checkPermission(const wire::offer &offer) const
         -> wire::refusal
 {
-    const bundle &rules = m_keeper.current()->rules;
+    const bundle &rules = m_bundleTracker.current()->rules;
     const customer *who = rules.findCustomer(offer.customer());
     if (who == nullptr)
         return wire::refusal_not_allowed;
@@ -244,7 +244,7 @@
     step.set_version(item.offer.version());
     step.set_endpoint(m_options.instance);
     *step.mutable_usage() = item.result.usage;
-    const auto current = m_keeper.current();
+    const auto current = m_bundleTracker.current();
     step.set_cost(current ? costOf(current->rules, step) : 0);
     bill.set_cost(step.cost());
     return bill;
@@ -283,13 +283,13 @@
             {{"version", name}, {"fence", static_cast<std::int64_t>(fence)}});
     m_env.sendOrder({action, name, fence}, [this, action, name, fence](bool done) {
         // A newer epoch has given its own orders meanwhile.
-        if (fence != m_keeper.epoch())
+        if (fence != m_bundleTracker.epoch())
             return;
         if (done && action == order_action::load)
             m_loaded.insert(name);
         if (!done)
             m_runtime.after(orderRetryDelay, [this, action, name, fence] {
-                if (fence == m_keeper.epoch())
+                if (fence == m_bundleTracker.epoch())
                     orderVersion(action, name, fence);
             });
     });
