--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -314,7 +314,7 @@
     tracker_type m_bundleTracker;
     bill_outbox<Runtime, Table, Env> m_outbox;
     claim_book<Runtime, Table> m_claims;
-    load_meter m_load;
+    token_rate_meter m_load;
     attempt_map m_attempts;
     std::unordered_map<link_stream_id, attempt_key> m_keyByStream;
     std::unordered_map<work_id, attempt_key> m_keyByWork;
--- a/include/laurelcroft/Agent/Attempt.h
+++ b/include/laurelcroft/Agent/Attempt.h
@@ -72,7 +72,7 @@
 };
 
 /// Smoothed speed of an endpoint.
-class load_meter
+class token_rate_meter
 {
 public:
     void finished(time_point now, std::uint64_t tokens, duration took);
