--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -166,8 +166,8 @@
         item->running = false;
         item->result = result;
         estimateMissingUsage(*item);
-        m_load.finished(m_runtime.now(), result.usage.generated_tokens(),
-                        m_runtime.now() - item->startedAt);
+        m_load.addSample(m_runtime.now(), result.usage.generated_tokens(),
+                         m_runtime.now() - item->startedAt);
         sendEnd(*item);
         if (item->orphaned)
             settleOrphan(*item);
--- a/include/laurelcroft/Agent/Attempt.h
+++ b/include/laurelcroft/Agent/Attempt.h
@@ -75,7 +75,7 @@
 class token_rate_meter
 {
 public:
-    void finished(time_point now, std::uint64_t tokens, duration took);
+    void addSample(time_point now, std::uint64_t tokens, duration took);
 
     /// \returns generated tokens a second of one request; 0 before the first.
     double tokensPerSecond() const { return m_tokensPerSecond; }
--- a/lib/Agent/Attempt.cpp
+++ b/lib/Agent/Attempt.cpp
@@ -72,7 +72,7 @@
     return (prompt * item->inputCost + generated * item->outputCost) / tokensPerUnit;
 }
 
-void token_rate_meter::finished(time_point, std::uint64_t tokens, duration took)
+void token_rate_meter::addSample(time_point, std::uint64_t tokens, duration took)
 {
     const double elapsed = std::chrono::duration<double>(took).count();
     if (tokens == 0 || elapsed <= 0)
