--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -166,8 +166,8 @@
         item->running = false;
         item->result = result;
         estimateMissingUsage(*item);
-        m_load.addSample(m_runtime.now(), result.usage.generated_tokens(),
-                         m_runtime.now() - item->startedAt);
+        m_tokenRate.addSample(m_runtime.now(), result.usage.generated_tokens(),
+                              m_runtime.now() - item->startedAt);
         sendEnd(*item);
         if (item->orphaned)
             settleOrphan(*item);
@@ -188,7 +188,7 @@
         report.set_running(std::min(running, m_options.slots));
         report.set_queued(running > m_options.slots ? running - m_options.slots : 0);
         report.set_slots(m_options.slots);
-        report.set_tokens_per_second(m_load.tokensPerSecond());
+        report.set_tokens_per_second(m_tokenRate.tokensPerSecond());
         report.set_draining(m_draining);
         return report;
     }
@@ -314,7 +314,7 @@
     tracker_type m_bundleTracker;
     bill_outbox<Runtime, Table, Env> m_outbox;
     claim_book<Runtime, Table> m_claims;
-    token_rate_meter m_load;
+    token_rate_meter m_tokenRate;
     attempt_map m_attempts;
     std::unordered_map<link_stream_id, attempt_key> m_keyByStream;
     std::unordered_map<work_id, attempt_key> m_keyByWork;
