--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -194,7 +194,7 @@
     }
 
     /// \returns the load with the versions that the endpoint holds.
-    wire::load_report fullLoad() const
+    wire::load_report loadWithVersions() const
     {
         wire::load_report report = load();
         for (const std::string &name : m_loaded)
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -216,7 +216,7 @@
     handlers.onClosed = [this, id](bool) { m_loadStreams.erase(id); };
     stream->setEvents(std::move(handlers));
     wire::from_agent message = m_core.header();
-    *message.mutable_load() = m_core.fullLoad();
+    *message.mutable_load() = m_core.loadWithVersions();
     stream->send(message.SerializeAsString());
 }
 
@@ -240,7 +240,7 @@
 
 void agent_process::reportLoad(bool always)
 {
-    const wire::load_report load = m_core.fullLoad();
+    const wire::load_report load = m_core.loadWithVersions();
     if (!always && !isUrgent(load) && !isDue(load))
         return;
     m_lastLoad = load;
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -211,7 +211,7 @@
             if (!agent->runtime.isRunning() || isCut(entryId, agentId))
                 continue;
             wire::from_agent message = agent->core->header();
-            *message.mutable_load() = agent->core->fullLoad();
+            *message.mutable_load() = agent->core->loadWithVersions();
             entry->runtime.run([raw = entry.get(), id = agentId, message, now = clock.now()] {
                 raw->core->directory().onReport(id, message, now);
                 raw->core->hearEpoch(id, message.bundle_epoch());
