--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -203,7 +203,7 @@
     }
 
     /// A message with the header that every answer of this agent carries.
-    wire::from_agent header() const
+    wire::from_agent makeMessage() const
     {
         wire::from_agent message;
         message.set_bundle_epoch(m_bundleTracker.epoch());
@@ -281,7 +281,7 @@
     {
         if (item.stream == 0 || offset >= item.answer.size())
             return;
-        wire::from_agent message = header();
+        wire::from_agent message = makeMessage();
         message.mutable_piece()->set_offset(offset);
         message.mutable_piece()->set_data(item.answer.substr(offset));
         m_env.sendToEntry(item.stream, message);
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -39,7 +39,7 @@
                                               bundle_epoch epoch)
 {
     const wire::refusal refusal = checkOffer(offer, epoch);
-    wire::from_agent answer = header();
+    wire::from_agent answer = makeMessage();
     answer.mutable_admission()->set_refusal(refusal);
     logInfo(log_part::agent, refusal == wire::refusal_none ? "offer admitted" : "offer refused",
             {{"request", offer.request_id()},
@@ -134,7 +134,7 @@
 void agent_core<Runtime, Table, Env>::onResume(link_stream_id stream, const wire::resume &resume)
 {
     attempt *const item = find({resume.request_id(), resume.attempt()});
-    wire::from_agent answer = header();
+    wire::from_agent answer = makeMessage();
     if (item == nullptr || resume.offset() > item->answer.size()) {
         answer.mutable_admission()->set_refusal(wire::refusal_unknown_attempt);
         m_env.sendToEntry(stream, answer);
@@ -171,7 +171,7 @@
 {
     if (item.stream == 0)
         return;
-    wire::from_agent message = header();
+    wire::from_agent message = makeMessage();
     if (item.result.failed) {
         wire::fault &fault = *message.mutable_fault();
         fault.set_executed(item.result.executed);
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -180,7 +180,7 @@
     }
     if (stream->path() == "/status") {
         answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
-            return m_core.header().SerializeAsString();
+            return m_core.makeMessage().SerializeAsString();
         });
         return;
     }
@@ -215,7 +215,7 @@
     link_stream::events handlers;
     handlers.onClosed = [this, id](bool) { m_loadStreams.erase(id); };
     stream->setEvents(std::move(handlers));
-    wire::from_agent message = m_core.header();
+    wire::from_agent message = m_core.makeMessage();
     *message.mutable_load() = m_core.loadWithVersions();
     stream->send(message.SerializeAsString());
 }
@@ -245,7 +245,7 @@
         return;
     m_lastLoad = load;
     m_lastLoadAt = m_node.runtime().now();
-    wire::from_agent message = m_core.header();
+    wire::from_agent message = m_core.makeMessage();
     *message.mutable_load() = load;
     const std::string bytes = message.SerializeAsString();
     for (const auto &[id, stream] : m_loadStreams)
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -210,7 +210,7 @@
         for (auto &[agentId, agent] : m_agents) {
             if (!agent->runtime.isRunning() || isCut(entryId, agentId))
                 continue;
-            wire::from_agent message = agent->core->header();
+            wire::from_agent message = agent->core->makeMessage();
             *message.mutable_load() = agent->core->loadWithVersions();
             entry->runtime.run([raw = entry.get(), id = agentId, message, now = clock.now()] {
                 raw->core->directory().onReport(id, message, now);
