--- a/lib/Agent/Attempt.cpp
+++ b/lib/Agent/Attempt.cpp
@@ -10,7 +10,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr double smoothing = 0.1;
+constexpr double smoothingFactor = 0.1;
 constexpr double tokensPerUnit = 1000.0;
 /// A cached prompt token costs this share of a computed one.
 constexpr double cachedShare = 0.1;
@@ -81,5 +81,5 @@
     if (m_tokensPerSecond == 0)
         m_tokensPerSecond = speed;
     else
-        m_tokensPerSecond += smoothing * (speed - m_tokensPerSecond);
+        m_tokensPerSecond += smoothingFactor * (speed - m_tokensPerSecond);
 }
