--- a/lib/Agent/Attempt.cpp
+++ b/lib/Agent/Attempt.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr double smoothingFactor = 0.1;
-constexpr double tokensPerUnit = 1000.0;
+constexpr double tokensPerPriceUnit = 1000.0;
 /// A cached prompt token costs this share of a computed one.
 constexpr double cachedShare = 0.1;
 } // namespace
@@ -69,7 +69,7 @@
     const auto cached = static_cast<double>(std::min(used.cached_tokens(), used.prompt_tokens()));
     const double prompt = static_cast<double>(used.prompt_tokens()) - cached * (1 - cachedShare);
     const auto generated = static_cast<double>(used.generated_tokens());
-    return (prompt * item->inputCost + generated * item->outputCost) / tokensPerUnit;
+    return (prompt * item->inputCost + generated * item->outputCost) / tokensPerPriceUnit;
 }
 
 void token_rate_meter::addSample(time_point, std::uint64_t tokens, duration took)
