--- a/lib/Agent/Attempt.cpp
+++ b/lib/Agent/Attempt.cpp
@@ -13,7 +13,7 @@
 constexpr double smoothingFactor = 0.1;
 constexpr double tokensPerPriceUnit = 1000.0;
 /// A cached prompt token costs this share of a computed one.
-constexpr double cachedShare = 0.1;
+constexpr double cachedTokenPriceFactor = 0.1;
 } // namespace
 
 std::uint64_t laurelcroft::countEvents(std::string_view stream)
@@ -67,7 +67,8 @@
         return 0;
     const wire::usage &used = step.usage();
     const auto cached = static_cast<double>(std::min(used.cached_tokens(), used.prompt_tokens()));
-    const double prompt = static_cast<double>(used.prompt_tokens()) - cached * (1 - cachedShare);
+    const double prompt
+            = static_cast<double>(used.prompt_tokens()) - cached * (1 - cachedTokenPriceFactor);
     const auto generated = static_cast<double>(used.generated_tokens());
     return (prompt * item->inputCost + generated * item->outputCost) / tokensPerPriceUnit;
 }
