--- a/include/laurelcroft/Agent/EndpointClient.h
+++ b/include/laurelcroft/Agent/EndpointClient.h
@@ -23,7 +23,7 @@
 public:
     /// Takes data and \returns the whole events in it that are to be passed on; the
     /// closing usage is taken out and the end mark noted.
-    std::string take(std::string_view data);
+    std::string feed(std::string_view data);
 
     bool sawEnd() const { return m_sawEnd; }
     const wire::usage &usage() const { return m_usage; }
--- a/lib/Agent/EndpointClient.cpp
+++ b/lib/Agent/EndpointClient.cpp
@@ -50,7 +50,7 @@
     return true;
 }
 
-std::string event_reader::take(std::string_view data)
+std::string event_reader::feed(std::string_view data)
 {
     m_rest += data;
     std::string passed;
@@ -173,7 +173,7 @@
         item.body += data;
         return;
     }
-    const std::string passed = item.events.take(data);
+    const std::string passed = item.events.feed(data);
     if (!passed.empty())
         events.onData(work, passed);
 }
--- a/unittests/Agent/AgentTests.cpp
+++ b/unittests/Agent/AgentTests.cpp
@@ -21,7 +21,7 @@
         event_reader reader;
         std::string passed;
         for (std::size_t at = 0; at < streamText.size(); at += size)
-            passed += reader.take(std::string_view(streamText).substr(at, size));
+            passed += reader.feed(std::string_view(streamText).substr(at, size));
         CHECK(reader.sawEnd());
         CHECK(passed + "data: [DONE]\n\n" == streamText);
         CHECK(reader.usage().cached_tokens() == 4);
@@ -32,7 +32,7 @@
 TEST_CASE("a stream without its end mark is not whole")
 {
     event_reader reader;
-    reader.take(std::string_view(streamText).substr(0, streamText.size() - 5));
+    reader.feed(std::string_view(streamText).substr(0, streamText.size() - 5));
     CHECK_FALSE(reader.sawEnd());
     CHECK(countEvents(streamText) == 3);
     CHECK(countEvents("") == 0);
