--- a/include/laurelcroft/Agent/EndpointClient.h
+++ b/include/laurelcroft/Agent/EndpointClient.h
@@ -32,7 +32,7 @@
 private:
     bool takeEvent(std::string_view event);
 
-    std::string m_rest;
+    std::string m_buffer;
     bool m_sawEnd = false;
     wire::usage m_usage;
     double m_score = 0;
--- a/lib/Agent/EndpointClient.cpp
+++ b/lib/Agent/EndpointClient.cpp
@@ -52,19 +52,19 @@
 
 std::string event_reader::feed(std::string_view data)
 {
-    m_rest += data;
+    m_buffer += data;
     std::string passed;
     std::size_t begin = 0;
     for (;;) {
-        const std::size_t end = m_rest.find(eventEnd, begin);
+        const std::size_t end = m_buffer.find(eventEnd, begin);
         if (end == std::string::npos)
             break;
-        const std::string_view event = std::string_view(m_rest).substr(begin, end - begin);
+        const std::string_view event = std::string_view(m_buffer).substr(begin, end - begin);
         if (takeEvent(event))
             passed.append(event).append(eventEnd);
         begin = end + eventEnd.size();
     }
-    m_rest.erase(0, begin);
+    m_buffer.erase(0, begin);
     return passed;
 }
 
