--- a/include/laurelcroft/Agent/EndpointClient.h
+++ b/include/laurelcroft/Agent/EndpointClient.h
@@ -30,7 +30,7 @@
     double score() const { return m_score; }
 
 private:
-    bool takeEvent(std::string_view event);
+    bool handleEvent(std::string_view event);
 
     std::string m_buffer;
     bool m_sawEnd = false;
--- a/lib/Agent/EndpointClient.cpp
+++ b/lib/Agent/EndpointClient.cpp
@@ -35,7 +35,7 @@
     return true;
 }
 
-bool event_reader::takeEvent(std::string_view event)
+bool event_reader::handleEvent(std::string_view event)
 {
     if (event.substr(0, dataField.size()) != dataField)
         return true;
@@ -60,7 +60,7 @@
         if (end == std::string::npos)
             break;
         const std::string_view event = std::string_view(m_buffer).substr(begin, end - begin);
-        if (takeEvent(event))
+        if (handleEvent(event))
             passed.append(event).append(eventEnd);
         begin = end + eventEnd.size();
     }
