--- a/include/laurelcroft/Agent/EndpointClient.h
+++ b/include/laurelcroft/Agent/EndpointClient.h
@@ -63,7 +63,7 @@
     void resume(work_id work);
 
     /// Gives an order with its fence. \param done true when the endpoint carried it out.
-    void order(const engine_order &order, std::function<void(bool)> done);
+    void postOrder(const engine_order &order, std::function<void(bool)> done);
 
 private:
     struct state;
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -67,7 +67,7 @@
     void cancelWork(work_id work) { m_endpoint.cancel(work); }
     void sendOrder(const engine_order &order, std::function<void(bool)> done)
     {
-        m_endpoint.order(order, std::move(done));
+        m_endpoint.postOrder(order, std::move(done));
     }
 
 private:
--- a/lib/Agent/EndpointClient.cpp
+++ b/lib/Agent/EndpointClient.cpp
@@ -212,7 +212,7 @@
     events.onEnd(work, done);
 }
 
-void endpoint_client::order(const engine_order &order, std::function<void(bool)> done)
+void endpoint_client::postOrder(const engine_order &order, std::function<void(bool)> done)
 {
     http_call call;
     call.method = "POST";
