--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t slowReaderBytes = 1U << 20;
 constexpr duration loadTick = milliseconds(250);
-constexpr duration longestSilence = seconds(5);
+constexpr duration maxReportInterval = seconds(5);
 /// A report on the link, with its frame, and what all of them may take.
 constexpr std::int64_t reportBytes = 110;
 constexpr std::int64_t reportBytesPerSecond = 800;
@@ -235,7 +235,7 @@
         return false;
     const auto pending = static_cast<double>(now.running() + now.queued());
     const auto before = static_cast<double>(m_lastLoad.running() + m_lastLoad.queued());
-    return age > longestSilence || std::abs(pending - before) > 0.1 * before;
+    return age > maxReportInterval || std::abs(pending - before) > 0.1 * before;
 }
 
 void agent_process::reportLoad(bool always)
