--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -19,7 +19,7 @@
 /// Bytes queued towards an entry at which the endpoint's answer is no longer read.
 
 constexpr std::size_t slowReaderBytes = 1U << 20;
-constexpr duration loadTick = milliseconds(250);
+constexpr duration loadCheckInterval = milliseconds(250);
 constexpr duration maxReportInterval = seconds(5);
 /// A report on the link, with its frame, and what all of them may take.
 constexpr std::int64_t reportBytes = 110;
@@ -257,7 +257,7 @@
     reportLoad(false);
     announceNewEpoch();
     m_core.outbox().adoptOld();
-    m_node.runtime().after(loadTick, [this] { tick(); });
+    m_node.runtime().after(loadCheckInterval, [this] { tick(); });
 }
 
 void agent_process::announceNewEpoch()
