--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -24,7 +24,7 @@
 /// A report on the link, with its frame, and what all of them may take.
 constexpr std::int64_t reportBytes = 110;
 constexpr std::int64_t reportBytesPerSecond = 800;
-constexpr duration leastDrain = milliseconds(500);
+constexpr duration minDrainTime = milliseconds(500);
 
 /// The environment of the core: streams of entries, the endpoint, the other instances.
 class agent_io : public node_environment
@@ -342,7 +342,7 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.least = leastDrain;
+    steps.least = minDrainTime;
     steps.longest = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
     // The routing duty goes first: what stops after it has no thread to race with.
