--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -40,7 +40,7 @@
     /// Tells which work a stream carries, to stop reading it for a slow entry.
     void setWorkOf(std::function<work_id(link_stream_id)> workOf) { m_workOf = std::move(workOf); }
 
-    link_stream_id adopt(const std::shared_ptr<link_stream> &stream)
+    link_stream_id addStream(const std::shared_ptr<link_stream> &stream)
     {
         m_streams[++m_lastStream] = stream;
         return m_lastStream;
@@ -189,7 +189,7 @@
 
 void agent_process::onAttemptStream(const std::shared_ptr<link_stream> &stream)
 {
-    const link_stream_id id = m_io.adopt(stream);
+    const link_stream_id id = m_io.addStream(stream);
     link_stream::events handlers;
     handlers.onMessage = [this, id](std::string_view bytes) {
         wire::from_entry message;
