--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -45,7 +45,7 @@
         m_streams[++m_lastStream] = stream;
         return m_lastStream;
     }
-    void forget(link_stream_id stream)
+    void removeStream(link_stream_id stream)
     {
         m_streams.erase(stream);
         m_paused.erase(stream);
@@ -199,7 +199,7 @@
             m_io.closeStream(id);
     };
     handlers.onClosed = [this, id](bool) {
-        m_io.forget(id);
+        m_io.removeStream(id);
         m_core.onStreamClosed(id);
     };
     // An entry that ends its side without a word has given the attempt up.
