--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -50,7 +50,7 @@
         m_streams.erase(stream);
         m_paused.erase(stream);
     }
-    void drained(link_stream_id stream)
+    void onStreamDrained(link_stream_id stream)
     {
         const auto paused = m_paused.extract(stream);
         if (!paused.empty())
@@ -204,7 +204,7 @@
     };
     // An entry that ends its side without a word has given the attempt up.
     handlers.onEnd = [this, id] { m_io.closeStream(id); };
-    handlers.onDrained = [this, id] { m_io.drained(id); };
+    handlers.onDrained = [this, id] { m_io.onStreamDrained(id); };
     stream->setEvents(std::move(handlers));
 }
 
