--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -115,7 +115,7 @@
     std::uint64_t m_lastLoadStream = 0;
     wire::load_report m_lastLoad;
     time_point m_lastLoadAt{};
-    bundle_epoch m_announced = 0;
+    bundle_epoch m_announcedEpoch = 0;
 };
 
 } // namespace
@@ -262,9 +262,9 @@
 
 void agent_process::announceNewEpoch()
 {
-    if (m_core.keeper().epoch() == m_announced)
+    if (m_core.keeper().epoch() == m_announcedEpoch)
         return;
-    m_announced = m_core.keeper().epoch();
+    m_announcedEpoch = m_core.keeper().epoch();
     m_node.announce();
 }
 
