--- a/include/laurelcroft/Node/Drain.h
+++ b/include/laurelcroft/Node/Drain.h
@@ -20,7 +20,7 @@
 {
     std::function<void()> begin;
     std::function<bool()> isIdle;
-    duration least = milliseconds(0); ///< time that the others need to hear of it
+    duration minDuration = milliseconds(0); ///< time that the others need to hear of it
     duration longest = seconds(120);
 };
 
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -342,7 +342,7 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.least = minDrainTime;
+    steps.minDuration = minDrainTime;
     steps.longest = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
     // The routing duty goes first: what stops after it has no thread to race with.
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -450,7 +450,7 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.least = leastDrain;
+    steps.minDuration = leastDrain;
     steps.longest = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
     // The routing duty goes first: what stops after it has no thread to race with.
--- a/lib/Node/Drain.cpp
+++ b/lib/Node/Drain.cpp
@@ -50,7 +50,7 @@
     const time_point began = bootNow();
     for (;;) {
         const duration passed = bootNow() - began;
-        if (passed >= steps.least && askIdle(routing, steps.isIdle))
+        if (passed >= steps.minDuration && askIdle(routing, steps.isIdle))
             break;
         if (passed >= steps.longest) {
             logWarning(log_part::start, "planned stop ends before all work is done");
