--- a/include/laurelcroft/Node/Drain.h
+++ b/include/laurelcroft/Node/Drain.h
@@ -21,7 +21,7 @@
     std::function<void()> begin;
     std::function<bool()> isIdle;
     duration minDuration = milliseconds(0); ///< time that the others need to hear of it
-    duration longest = seconds(120);
+    duration maxDuration = seconds(120);
 };
 
 /// Blocks until a signal came and the drain ended. \returns true when it ended idle.
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -451,7 +451,7 @@
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
     steps.minDuration = leastDrain;
-    steps.longest = seconds(given.number("drain-timeout"));
+    steps.maxDuration = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
     // The routing duty goes first: what stops after it has no thread to race with.
     routing.stop();
--- a/lib/Node/Drain.cpp
+++ b/lib/Node/Drain.cpp
@@ -52,7 +52,7 @@
         const duration passed = bootNow() - began;
         if (passed >= steps.minDuration && askIdle(routing, steps.isIdle))
             break;
-        if (passed >= steps.longest) {
+        if (passed >= steps.maxDuration) {
             logWarning(log_part::start, "planned stop ends before all work is done");
             return false;
         }
