--- a/lib/Node/Drain.cpp
+++ b/lib/Node/Drain.cpp
@@ -14,7 +14,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr auto idleCheck = std::chrono::milliseconds(20);
+constexpr auto idleCheckInterval = std::chrono::milliseconds(20);
 }
 
 static sigset_t stopSignals()
@@ -56,7 +56,7 @@
             logWarning(log_part::start, "planned stop ends before all work is done");
             return false;
         }
-        std::this_thread::sleep_for(idleCheck);
+        std::this_thread::sleep_for(idleCheckInterval);
     }
     logInfo(log_part::start, "planned stop ends");
     return true;
