--- a/lib/Node/Drain.cpp
+++ b/lib/Node/Drain.cpp
@@ -33,7 +33,7 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-static bool askIdle(duty_thread &routing, const std::function<bool()> &isIdle)
+static bool queryIdle(duty_thread &routing, const std::function<bool()> &isIdle)
 {
     std::promise<bool> answer;
     routing.post([&] { answer.set_value(isIdle()); });
@@ -50,7 +50,7 @@
     const time_point began = bootNow();
     for (;;) {
         const duration passed = bootNow() - began;
-        if (passed >= steps.minDuration && askIdle(routing, steps.isIdle))
+        if (passed >= steps.minDuration && queryIdle(routing, steps.isIdle))
             break;
         if (passed >= steps.maxDuration) {
             logWarning(log_part::start, "planned stop ends before all work is done");
