--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-struct fleet_duty::state
+struct membership_thread::state
 {
     state(duty_thread &routing, wire::member self, std::string key, membership_options options,
           std::function<void(fleet_news &&)> onNews)
@@ -67,19 +67,20 @@
     void begin(const std::vector<std::string> &seeds);
 };
 
-fleet_duty::fleet_duty(duty_thread &routing, wire::member self, std::string key,
-                       membership_options options, std::function<void(fleet_news &&)> onNews)
+membership_thread::membership_thread(duty_thread &routing, wire::member self, std::string key,
+                                     membership_options options,
+                                     std::function<void(fleet_news &&)> onNews)
     : m_state(std::make_unique<state>(routing, std::move(self), std::move(key), options,
                                       std::move(onNews)))
 {
 }
 
-fleet_duty::~fleet_duty()
+membership_thread::~membership_thread()
 {
     stop();
 }
 
-std::string fleet_duty::open(const std::string &host, std::uint16_t port)
+std::string membership_thread::open(const std::string &host, std::uint16_t port)
 {
     asio::error_code error;
     const auto ip = asio::ip::make_address(host, error);
@@ -97,12 +98,12 @@
     return {};
 }
 
-std::string fleet_duty::address() const
+std::string membership_thread::address() const
 {
     return m_state->self.gossip_address();
 }
 
-void fleet_duty::state::receive()
+void membership_thread::state::receive()
 {
     port.socket.async_receive_from(
             asio::buffer(input), from, [this](const asio::error_code &error, std::size_t size) {
@@ -117,7 +118,7 @@
             });
 }
 
-void fleet_duty::state::begin(const std::vector<std::string> &seeds)
+void membership_thread::state::begin(const std::vector<std::string> &seeds)
 {
     membership_events events;
     events.onMember = [this](const wire::member &item) { news.push(item); };
@@ -129,14 +130,14 @@
     protocol->start(seeds);
 }
 
-void fleet_duty::start(const std::string &linkAddress, const std::vector<std::string> &seeds)
+void membership_thread::start(const std::string &linkAddress, const std::vector<std::string> &seeds)
 {
     m_state->self.set_link_address(linkAddress);
     m_state->duty.post([inner = m_state.get(), seeds] { inner->begin(seeds); });
     m_state->duty.start();
 }
 
-void fleet_duty::setDigest(const epoch_digest &digest, bool announce)
+void membership_thread::setDigest(const epoch_digest &digest, bool announce)
 {
     m_state->duty.post([inner = m_state.get(), digest, announce] {
         inner->protocol->setDigest(digest);
@@ -145,23 +146,23 @@
     });
 }
 
-void fleet_duty::addSeeds(const std::vector<std::string> &seeds)
+void membership_thread::addSeeds(const std::vector<std::string> &seeds)
 {
     m_state->duty.post([inner = m_state.get(), seeds] { inner->protocol->addSeeds(seeds); });
 }
 
-void fleet_duty::spreadHealth(const wire::version_health &health)
+void membership_thread::spreadHealth(const wire::version_health &health)
 {
     m_state->duty.post(
             [inner = m_state.get(), health] { inner->protocol->gossipVersionHealth(health); });
 }
 
-void fleet_duty::leave()
+void membership_thread::leave()
 {
     m_state->duty.post([inner = m_state.get()] { inner->protocol->leave(); });
 }
 
-void fleet_duty::stop()
+void membership_thread::stop()
 {
     m_state->duty.stop();
 }
--- a/lib/Node/FleetDuty.h
+++ b/lib/Node/FleetDuty.h
@@ -21,13 +21,13 @@
 /// News from the fleet duty to the routing duty.
 using fleet_news = std::variant<wire::member, epoch_observation, wire::version_health>;
 
-class fleet_duty
+class membership_thread
 {
 public:
     /// \param onNews runs on \p routing.
-    fleet_duty(duty_thread &routing, wire::member self, std::string key, membership_options options,
-               std::function<void(fleet_news &&)> onNews);
-    ~fleet_duty();
+    membership_thread(duty_thread &routing, wire::member self, std::string key,
+                      membership_options options, std::function<void(fleet_news &&)> onNews);
+    ~membership_thread();
 
     /// Binds the socket; \returns an empty string or what failed.
     std::string open(const std::string &host, std::uint16_t port);
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -60,7 +60,7 @@
     link_identity identity;
     node_events events;
     std::unique_ptr<link_server> server;
-    std::unique_ptr<fleet_duty> fleet;
+    std::unique_ptr<membership_thread> fleet;
     std::map<std::string, wire::member> members;
     std::map<std::string, std::unique_ptr<link_client>> links;
 
@@ -158,7 +158,7 @@
     own.set_role(self.options.role);
     own.set_data_centre(self.options.dataCentre);
     own.set_pool(self.options.pool);
-    self.fleet = std::make_unique<fleet_duty>(
+    self.fleet = std::make_unique<membership_thread>(
             self.routing, own, self.options.siteKey, self.options.membership,
             [inner = m_state.get()](fleet_news &&news) { inner->onNews(std::move(news)); });
     std::string host;
