--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -1,9 +1,9 @@
-//===-- FleetDuty.cpp - membership on a thread of its own -------------------===//
+//===-- MembershipThread.cpp - membership on a thread of its own ----------===//
 //
 // Everything below runs on the fleet duty but for the functions that post to it.
 //
 //===----------------------------------------------------------------------===//
-#include "FleetDuty.h"
+#include "MembershipThread.h"
 
 #include "laurelcroft/Support/Log.h"
 #include "laurelcroft/Support/UdpAddress.h"
--- a/lib/Node/FleetDuty.h
+++ b/lib/Node/MembershipThread.h
@@ -1,11 +1,11 @@
-//===-- FleetDuty.h - membership on a thread of its own ----------*- C++ -*-===//
+//===-- MembershipThread.h - membership on a thread of its own --*- C++ -*-===//
 //
 // Private to Node: the UDP socket and the protocol, so that heavy streaming on
 // the routing duty never delays a heartbeat.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_LIB_NODE_FLEETDUTY_H
-#define LAURELCROFT_LIB_NODE_FLEETDUTY_H
+#ifndef LAURELCROFT_LIB_NODE_MEMBERSHIPTHREAD_H
+#define LAURELCROFT_LIB_NODE_MEMBERSHIPTHREAD_H
 
 #include "laurelcroft/Fleet/Membership.h"
 #include "laurelcroft/Support/Duty.h"
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -5,7 +5,7 @@
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Node/Node.h"
 
-#include "FleetDuty.h"
+#include "MembershipThread.h"
 #include "laurelcroft/Fleet/Ranking.h"
 #include "laurelcroft/Support/Log.h"
 
