--- a/lib/Node/MembershipThread.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -40,18 +40,18 @@
 {
     state(duty_thread &routing, wire::member self, std::string key, membership_options options,
           std::function<void(fleet_news &&)> onNews)
-        : duty("fleet")
-        , runtime(duty.context())
-        , port{udp::socket(duty.context())}
+        : thread("fleet")
+        , runtime(thread.context())
+        , port{udp::socket(thread.context())}
         , random(std::random_device{}())
-        , news(duty, routing, newsRing, std::move(onNews))
+        , news(thread, routing, newsRing, std::move(onNews))
         , self(std::move(self))
         , key(std::move(key))
         , options(options)
     {
     }
 
-    duty_thread duty;
+    duty_thread thread;
     asio_runtime runtime;
     udp_port port;
     random_source random;
@@ -133,13 +133,13 @@
 void membership_thread::start(const std::string &linkAddress, const std::vector<std::string> &seeds)
 {
     m_state->self.set_link_address(linkAddress);
-    m_state->duty.post([inner = m_state.get(), seeds] { inner->begin(seeds); });
-    m_state->duty.start();
+    m_state->thread.post([inner = m_state.get(), seeds] { inner->begin(seeds); });
+    m_state->thread.start();
 }
 
 void membership_thread::setDigest(const epoch_digest &digest, bool announce)
 {
-    m_state->duty.post([inner = m_state.get(), digest, announce] {
+    m_state->thread.post([inner = m_state.get(), digest, announce] {
         inner->protocol->setDigest(digest);
         if (announce)
             inner->protocol->gossipToRandomMembers();
@@ -148,21 +148,21 @@
 
 void membership_thread::addSeeds(const std::vector<std::string> &seeds)
 {
-    m_state->duty.post([inner = m_state.get(), seeds] { inner->protocol->addSeeds(seeds); });
+    m_state->thread.post([inner = m_state.get(), seeds] { inner->protocol->addSeeds(seeds); });
 }
 
 void membership_thread::spreadHealth(const wire::version_health &health)
 {
-    m_state->duty.post(
+    m_state->thread.post(
             [inner = m_state.get(), health] { inner->protocol->gossipVersionHealth(health); });
 }
 
 void membership_thread::leave()
 {
-    m_state->duty.post([inner = m_state.get()] { inner->protocol->leave(); });
+    m_state->thread.post([inner = m_state.get()] { inner->protocol->leave(); });
 }
 
 void membership_thread::stop()
 {
-    m_state->duty.stop();
+    m_state->thread.stop();
 }
