--- a/lib/Node/MembershipThread.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -39,7 +39,7 @@
 struct membership_thread::state
 {
     state(duty_thread &routing, wire::member self, std::string key, membership_options options,
-          std::function<void(fleet_news &&)> onNews)
+          std::function<void(membership_update &&)> onNews)
         : thread("fleet")
         , runtime(thread.context())
         , port{udp::socket(thread.context())}
@@ -55,7 +55,7 @@
     asio_runtime runtime;
     udp_port port;
     random_source random;
-    channel<fleet_news> news;
+    channel<membership_update> news;
     wire::member self;
     std::string key;
     membership_options options;
@@ -69,7 +69,7 @@
 
 membership_thread::membership_thread(duty_thread &routing, wire::member self, std::string key,
                                      membership_options options,
-                                     std::function<void(fleet_news &&)> onNews)
+                                     std::function<void(membership_update &&)> onNews)
     : m_state(std::make_unique<state>(routing, std::move(self), std::move(key), options,
                                       std::move(onNews)))
 {
--- a/lib/Node/MembershipThread.h
+++ b/lib/Node/MembershipThread.h
@@ -19,14 +19,14 @@
 namespace laurelcroft {
 
 /// News from the fleet duty to the routing duty.
-using fleet_news = std::variant<wire::member, epoch_observation, wire::version_health>;
+using membership_update = std::variant<wire::member, epoch_observation, wire::version_health>;
 
 class membership_thread
 {
 public:
     /// \param onNews runs on \p routing.
     membership_thread(duty_thread &routing, wire::member self, std::string key,
-                      membership_options options, std::function<void(fleet_news &&)> onNews);
+                      membership_options options, std::function<void(membership_update &&)> onNews);
     ~membership_thread();
 
     /// Binds the socket; \returns an empty string or what failed.
