--- a/lib/Node/MembershipThread.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::size_t newsRing = 4096;
+constexpr std::size_t updateQueueCapacity = 4096;
 
 /// Sends datagrams; what cannot be sent now is lost, as on any network.
 struct udp_port
@@ -44,7 +44,7 @@
         , runtime(thread.context())
         , port{udp::socket(thread.context())}
         , random(std::random_device{}())
-        , news(thread, routing, newsRing, std::move(onNews))
+        , news(thread, routing, updateQueueCapacity, std::move(onNews))
         , self(std::move(self))
         , key(std::move(key))
         , options(options)
