--- a/lib/Node/MembershipThread.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -44,7 +44,7 @@
         , runtime(thread.context())
         , port{udp::socket(thread.context())}
         , random(std::random_device{}())
-        , news(thread, routing, updateQueueCapacity, std::move(onNews))
+        , updates(thread, routing, updateQueueCapacity, std::move(onNews))
         , self(std::move(self))
         , key(std::move(key))
         , options(options)
@@ -55,7 +55,7 @@
     asio_runtime runtime;
     udp_port port;
     random_source random;
-    channel<membership_update> news;
+    channel<membership_update> updates;
     wire::member self;
     std::string key;
     membership_options options;
@@ -121,9 +121,9 @@
 void membership_thread::state::begin(const std::vector<std::string> &seeds)
 {
     membership_events events;
-    events.onMember = [this](const wire::member &item) { news.push(item); };
-    events.onEpoch = [this](const epoch_observation &item) { news.push(item); };
-    events.onHealth = [this](const wire::version_health &item) { news.push(item); };
+    events.onMember = [this](const wire::member &item) { updates.push(item); };
+    events.onEpoch = [this](const epoch_observation &item) { updates.push(item); };
+    events.onHealth = [this](const wire::version_health &item) { updates.push(item); };
     protocol = std::make_unique<membership<asio_runtime, udp_port>>(
             runtime, port, random, self, key, options, std::move(events));
     receive();
