--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -64,7 +64,7 @@
     std::map<std::string, wire::member> members;
     std::map<std::string, std::unique_ptr<link_client>> links;
 
-    void onNews(membership_update &&news);
+    void onMembershipUpdate(membership_update &&news);
     void onMember(const wire::member &item);
     void onStream(const std::shared_ptr<link_stream> &stream);
     void pollTick();
@@ -160,7 +160,9 @@
     own.set_pool(self.options.pool);
     self.fleet = std::make_unique<membership_thread>(
             self.routing, own, self.options.siteKey, self.options.membership,
-            [inner = m_state.get()](membership_update &&news) { inner->onNews(std::move(news)); });
+            [inner = m_state.get()](membership_update &&news) {
+                inner->onMembershipUpdate(std::move(news));
+            });
     std::string host;
     std::uint16_t port = 0;
     if (!splitAddress(self.options.gossipAddress, host, port))
@@ -198,7 +200,7 @@
     m_state->links.clear();
 }
 
-void node::state::onNews(membership_update &&news)
+void node::state::onMembershipUpdate(membership_update &&news)
 {
     if (const auto *item = std::get_if<wire::member>(&news))
         onMember(*item);
