--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -60,7 +60,7 @@
     link_identity identity;
     node_events events;
     std::unique_ptr<link_server> server;
-    std::unique_ptr<membership_thread> fleet;
+    std::unique_ptr<membership_thread> membershipThread;
     std::map<std::string, wire::member> members;
     std::map<std::string, std::unique_ptr<link_client>> links;
 
@@ -158,7 +158,7 @@
     own.set_role(self.options.role);
     own.set_data_centre(self.options.dataCentre);
     own.set_pool(self.options.pool);
-    self.fleet = std::make_unique<membership_thread>(
+    self.membershipThread = std::make_unique<membership_thread>(
             self.routing, own, self.options.siteKey, self.options.membership,
             [inner = m_state.get()](membership_update &&news) {
                 inner->onMembershipUpdate(std::move(news));
@@ -167,11 +167,11 @@
     std::uint16_t port = 0;
     if (!splitAddress(self.options.gossipAddress, host, port))
         return "'" + self.options.gossipAddress + "' is not host:port";
-    error = self.fleet->open(host, port);
+    error = self.membershipThread->open(host, port);
     if (!error.empty())
         return "gossip: " + error;
-    self.options.gossipAddress = self.fleet->address();
-    self.fleet->start(self.options.linkAddress, self.options.seeds);
+    self.options.gossipAddress = self.membershipThread->address();
+    self.membershipThread->start(self.options.linkAddress, self.options.seeds);
     self.routing.post([inner = m_state.get()] {
         inner->pollTick();
         inner->digestTick();
@@ -187,13 +187,13 @@
 
 void node::leave()
 {
-    m_state->fleet->leave();
+    m_state->membershipThread->leave();
 }
 
 void node::stop()
 {
-    if (m_state->fleet)
-        m_state->fleet->stop();
+    if (m_state->membershipThread)
+        m_state->membershipThread->stop();
     if (m_state->server)
         m_state->server->close();
     // Streams tell their owners that they are cut: that must come while those live.
@@ -263,7 +263,7 @@
 
 void node::state::digestTick()
 {
-    fleet->setDigest(events.digest(), false);
+    membershipThread->setDigest(events.digest(), false);
     runtime.after(digestPeriod, [this] { digestTick(); });
 }
 
@@ -281,7 +281,7 @@
             if (!item.leaving && item.id != options.instance && seeds.size() < holdersOffered)
                 seeds.push_back(item.gossipAddress);
         }
-        fleet->addSeeds(seeds);
+        membershipThread->addSeeds(seeds);
     });
 }
 
@@ -416,12 +416,12 @@
 
 void node::announce()
 {
-    m_state->fleet->setDigest(m_state->events.digest(), true);
+    m_state->membershipThread->setDigest(m_state->events.digest(), true);
 }
 
 void node::spreadHealth(const wire::version_health &health)
 {
-    m_state->fleet->spreadHealth(health);
+    m_state->membershipThread->spreadHealth(health);
 }
 
 std::string laurelcroft::bundleObjectKey(std::string_view hash)
