--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -120,7 +120,7 @@
     void announce();
 
     /// Spreads that this instance stopped a version.
-    void spreadHealth(const wire::version_health &health);
+    void gossipVersionHealth(const wire::version_health &health);
 
 private:
     struct state;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -216,7 +216,7 @@
     health.set_model(model);
     health.set_version(version);
     health.set_stopped(true);
-    ownNode().spreadHealth(health);
+    ownNode().gossipVersionHealth(health);
 }
 
 node_events entry_process::nodeEvents()
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -419,7 +419,7 @@
     m_state->membershipThread->setDigest(m_state->events.digest(), true);
 }
 
-void node::spreadHealth(const wire::version_health &health)
+void node::gossipVersionHealth(const wire::version_health &health)
 {
     m_state->membershipThread->spreadHealth(health);
 }
