--- a/lib/Node/MembershipThread.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -151,7 +151,7 @@
     m_state->thread.post([inner = m_state.get(), seeds] { inner->protocol->addSeeds(seeds); });
 }
 
-void membership_thread::spreadHealth(const wire::version_health &health)
+void membership_thread::gossipVersionHealth(const wire::version_health &health)
 {
     m_state->thread.post(
             [inner = m_state.get(), health] { inner->protocol->gossipVersionHealth(health); });
--- a/lib/Node/MembershipThread.h
+++ b/lib/Node/MembershipThread.h
@@ -38,7 +38,7 @@
 
     void setDigest(const epoch_digest &digest, bool announce);
     void addSeeds(const std::vector<std::string> &seeds);
-    void spreadHealth(const wire::version_health &health);
+    void gossipVersionHealth(const wire::version_health &health);
     void leave();
     void stop();
 
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -421,7 +421,7 @@
 
 void node::gossipVersionHealth(const wire::version_health &health)
 {
-    m_state->membershipThread->spreadHealth(health);
+    m_state->membershipThread->gossipVersionHealth(health);
 }
 
 std::string laurelcroft::bundleObjectKey(std::string_view hash)
