--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -117,7 +117,7 @@
                         std::function<void(std::optional<std::string>)> done);
 
     /// Puts the digest on datagrams and tells a few members at once.
-    void announce();
+    void gossipDigest();
 
     /// Spreads that this instance stopped a version.
     void gossipVersionHealth(const wire::version_health &health);
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -265,7 +265,7 @@
     if (m_core.keeper().epoch() == m_announcedEpoch)
         return;
     m_announcedEpoch = m_core.keeper().epoch();
-    m_node.announce();
+    m_node.gossipDigest();
 }
 
 void agent_io::sendToEntry(link_stream_id stream, const wire::from_agent &message)
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -373,7 +373,7 @@
     m_ready = m_core.isReady();
     if (m_core.keeper().epoch() != m_announced) {
         m_announced = m_core.keeper().epoch();
-        m_node.announce();
+        m_node.gossipDigest();
     }
     m_core.outbox().adoptOld();
     m_metrics.set("in_flight", static_cast<double>(m_core.inFlight()));
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -414,7 +414,7 @@
                          });
 }
 
-void node::announce()
+void node::gossipDigest()
 {
     m_state->membershipThread->setDigest(m_state->events.digest(), true);
 }
