--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -105,8 +105,9 @@
                                       link_stream::events handlers);
 
     /// Asks one question and waits for one answer, at most \p timeout.
-    void ask(const std::string &instance, std::string_view path, const std::string &question,
-             duration timeout, std::function<void(std::optional<std::string>)> done);
+    void sendRequest(const std::string &instance, std::string_view path,
+                     const std::string &question, duration timeout,
+                     std::function<void(std::optional<std::string>)> done);
 
     void askBundle(const std::string &instance,
                    std::function<void(std::optional<fetched_bundle>)> done);
--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -85,12 +85,12 @@
             take(onReport(report));
             continue;
         }
-        m_node.ask(home, demandPath, report.SerializeAsString(), reportTimeout,
-                   [this](const std::optional<std::string> &answer) {
-                       wire::demand_reply reply;
-                       if (answer && reply.ParseFromString(*answer))
-                           take(reply);
-                   });
+        m_node.sendRequest(home, demandPath, report.SerializeAsString(), reportTimeout,
+                           [this](const std::optional<std::string> &answer) {
+                               wire::demand_reply reply;
+                               if (answer && reply.ParseFromString(*answer))
+                                   take(reply);
+                           });
     }
     m_node.runtime().after(periodOf(entries.size()), [this] { tick(); });
 }
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -183,14 +183,14 @@
 void entry_io::revoke(const std::string &instance, const wire::revoke &message,
                       std::function<void(std::optional<wire::revoked>)> done)
 {
-    ownNode().ask(instance, "/revoke", message.SerializeAsString(), revokeTimeout,
-                  [done = std::move(done)](const std::optional<std::string> &answer) {
-                      wire::revoked reply;
-                      if (answer && reply.ParseFromString(*answer))
-                          done(reply);
-                      else
-                          done(std::nullopt);
-                  });
+    ownNode().sendRequest(instance, "/revoke", message.SerializeAsString(), revokeTimeout,
+                          [done = std::move(done)](const std::optional<std::string> &answer) {
+                              wire::revoked reply;
+                              if (answer && reply.ParseFromString(*answer))
+                                  done(reply);
+                              else
+                                  done(std::nullopt);
+                          });
 }
 
 void entry_io::note(const decision &made)
--- a/lib/Entry/FleetStatus.cpp
+++ b/lib/Entry/FleetStatus.cpp
@@ -48,15 +48,16 @@
         const wire::member item = all->left.front();
         all->left.pop_front();
         all->asked += 1;
-        instance.ask(item.id(), "/status", "", answerTimeout,
-                     [&instance, all, item](const std::optional<std::string> &answer) {
-                         all->asked -= 1;
-                         wire::from_agent header;
-                         const bool known = answer && header.ParseFromString(*answer);
-                         addLine(*all, item,
-                                 known ? ordered_json(header.bundle_epoch()) : ordered_json());
-                         askNext(instance, all);
-                     });
+        instance.sendRequest(item.id(), "/status", "", answerTimeout,
+                             [&instance, all, item](const std::optional<std::string> &answer) {
+                                 all->asked -= 1;
+                                 wire::from_agent header;
+                                 const bool known = answer && header.ParseFromString(*answer);
+                                 addLine(*all, item,
+                                         known ? ordered_json(header.bundle_epoch())
+                                               : ordered_json());
+                                 askNext(instance, all);
+                             });
     }
     if (all->asked != 0 || !all->left.empty() || !all->done)
         return;
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -327,8 +327,9 @@
     return openNowhere(m_state->routing.context(), path, std::move(handlers));
 }
 
-void node::ask(const std::string &instance, std::string_view path, const std::string &question,
-               duration timeout, std::function<void(std::optional<std::string>)> done)
+void node::sendRequest(const std::string &instance, std::string_view path,
+                       const std::string &question, duration timeout,
+                       std::function<void(std::optional<std::string>)> done)
 {
     struct pending_question
     {
@@ -365,29 +366,29 @@
 {
     wire::bundle_request question;
     question.set_bundle_epoch(m_state->events.digest().epoch);
-    ask(instance, bundlePath, question.SerializeAsString(), askTimeout,
-        [done = std::move(done)](const std::optional<std::string> &answer) {
-            wire::bundle_reply reply;
-            if (!answer || !reply.ParseFromString(*answer)) {
-                done(std::nullopt);
-                return;
-            }
-            const auto accepted = decodeAcceptance(reply.acceptance());
-            if (accepted)
-                done(fetched_bundle{*accepted, reply.text()});
-            else
-                done(std::nullopt);
-        });
+    sendRequest(instance, bundlePath, question.SerializeAsString(), askTimeout,
+                [done = std::move(done)](const std::optional<std::string> &answer) {
+                    wire::bundle_reply reply;
+                    if (!answer || !reply.ParseFromString(*answer)) {
+                        done(std::nullopt);
+                        return;
+                    }
+                    const auto accepted = decodeAcceptance(reply.acceptance());
+                    if (accepted)
+                        done(fetched_bundle{*accepted, reply.text()});
+                    else
+                        done(std::nullopt);
+                });
 }
 
 void node::copyBills(const std::string &holder, const wire::bill_copy &copy,
                      std::function<void(bool)> done)
 {
-    ask(holder, billsPath, copy.SerializeAsString(), billCopyTimeout,
-        [done = std::move(done)](const std::optional<std::string> &answer) {
-            wire::bill_copied reply;
-            done(answer && reply.ParseFromString(*answer) && reply.held() == 1);
-        });
+    sendRequest(holder, billsPath, copy.SerializeAsString(), billCopyTimeout,
+                [done = std::move(done)](const std::optional<std::string> &answer) {
+                    wire::bill_copied reply;
+                    done(answer && reply.ParseFromString(*answer) && reply.held() == 1);
+                });
 }
 
 void node::readCurrentRow(std::function<void(std::optional<acceptance>)> done)
