--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t pollersPerDataCentre = 2;
 constexpr std::size_t holdersOffered = 4;
-constexpr duration askTimeout = milliseconds(1000);
+constexpr duration requestTimeout = milliseconds(1000);
 constexpr duration billCopyTimeout = milliseconds(300);
 constexpr duration digestPeriod = milliseconds(500);
 constexpr duration listPeriod = seconds(10);
@@ -366,7 +366,7 @@
 {
     wire::bundle_request question;
     question.set_bundle_epoch(m_state->events.digest().epoch);
-    sendRequest(instance, bundlePath, question.SerializeAsString(), askTimeout,
+    sendRequest(instance, bundlePath, question.SerializeAsString(), requestTimeout,
                 [done = std::move(done)](const std::optional<std::string> &answer) {
                     wire::bundle_reply reply;
                     if (!answer || !reply.ParseFromString(*answer)) {
