--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -109,8 +109,8 @@
                      const std::string &question, duration timeout,
                      std::function<void(std::optional<std::string>)> done);
 
-    void askBundle(const std::string &instance,
-                   std::function<void(std::optional<fetched_bundle>)> done);
+    void requestBundle(const std::string &instance,
+                       std::function<void(std::optional<fetched_bundle>)> done);
     void copyBills(const std::string &holder, const wire::bill_copy &copy,
                    std::function<void(bool)> done);
     void readCurrentRow(std::function<void(std::optional<acceptance>)> done);
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -50,7 +50,7 @@
     void fetchFromPeer(const std::string &peer,
                        std::function<void(std::optional<fetched_bundle>)> done)
     {
-        m_node.askBundle(peer, std::move(done));
+        m_node.requestBundle(peer, std::move(done));
     }
 
 private:
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -361,8 +361,8 @@
     });
 }
 
-void node::askBundle(const std::string &instance,
-                     std::function<void(std::optional<fetched_bundle>)> done)
+void node::requestBundle(const std::string &instance,
+                         std::function<void(std::optional<fetched_bundle>)> done)
 {
     wire::bundle_request question;
     question.set_bundle_epoch(m_state->events.digest().epoch);
