--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -136,8 +136,8 @@
 
 /// Answers a stream that carries one question.
 /// \param reply turns the question into the answer; nothing resets the stream.
-void answerOnce(const std::shared_ptr<link_stream> &stream,
-                std::function<std::optional<std::string>(std::string_view)> reply);
+void answerSingleRequest(const std::shared_ptr<link_stream> &stream,
+                         std::function<std::optional<std::string>(std::string_view)> reply);
 
 } // namespace laurelcroft
 
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -170,16 +170,17 @@
         return;
     }
     if (stream->path() == "/revoke") {
-        answerOnce(stream, [this](std::string_view question) -> std::optional<std::string> {
-            wire::revoke message;
-            if (!message.ParseFromArray(question.data(), static_cast<int>(question.size())))
-                return std::nullopt;
-            return m_core.onRevoke(message).SerializeAsString();
-        });
+        answerSingleRequest(
+                stream, [this](std::string_view question) -> std::optional<std::string> {
+                    wire::revoke message;
+                    if (!message.ParseFromArray(question.data(), static_cast<int>(question.size())))
+                        return std::nullopt;
+                    return m_core.onRevoke(message).SerializeAsString();
+                });
         return;
     }
     if (stream->path() == "/status") {
-        answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
+        answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
             return m_core.makeMessage().SerializeAsString();
         });
         return;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -349,19 +349,20 @@
 void entry_process::onStream(const std::shared_ptr<link_stream> &stream)
 {
     if (stream->path() == demandPath) {
-        answerOnce(stream, [this](std::string_view question) -> std::optional<std::string> {
-            wire::demand_report report;
-            if (!report.ParseFromArray(question.data(), static_cast<int>(question.size())))
-                return std::nullopt;
-            return m_sharing.onReport(report).SerializeAsString();
-        });
+        answerSingleRequest(
+                stream, [this](std::string_view question) -> std::optional<std::string> {
+                    wire::demand_report report;
+                    if (!report.ParseFromArray(question.data(), static_cast<int>(question.size())))
+                        return std::nullopt;
+                    return m_sharing.onReport(report).SerializeAsString();
+                });
         return;
     }
     if (stream->path() != "/status") {
         stream->reset();
         return;
     }
-    answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
+    answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
         wire::from_agent header;
         header.set_bundle_epoch(m_core.keeper().epoch());
         return header.SerializeAsString();
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -230,20 +230,21 @@
 void node::state::onStream(const std::shared_ptr<link_stream> &stream)
 {
     if (stream->path() == bundlePath) {
-        answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
+        answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
             return events.onBundleRequest().SerializeAsString();
         });
         return;
     }
     if (stream->path() == billsPath) {
-        answerOnce(stream, [this](std::string_view question) -> std::optional<std::string> {
-            wire::bill_copy copy;
-            if (!copy.ParseFromArray(question.data(), static_cast<int>(question.size())))
-                return std::nullopt;
-            wire::bill_copied copied;
-            copied.set_held(events.onBillCopy(copy) ? 1 : 0);
-            return copied.SerializeAsString();
-        });
+        answerSingleRequest(
+                stream, [this](std::string_view question) -> std::optional<std::string> {
+                    wire::bill_copy copy;
+                    if (!copy.ParseFromArray(question.data(), static_cast<int>(question.size())))
+                        return std::nullopt;
+                    wire::bill_copied copied;
+                    copied.set_held(events.onBillCopy(copy) ? 1 : 0);
+                    return copied.SerializeAsString();
+                });
         return;
     }
     events.onStream(stream);
@@ -430,8 +431,9 @@
     return "bundles/" + std::string(hash);
 }
 
-void laurelcroft::answerOnce(const std::shared_ptr<link_stream> &stream,
-                             std::function<std::optional<std::string>(std::string_view)> reply)
+void laurelcroft::answerSingleRequest(
+        const std::shared_ptr<link_stream> &stream,
+        std::function<std::optional<std::string>(std::string_view)> reply)
 {
     link_stream::events handlers;
     handlers.onMessage = [weak = std::weak_ptr<link_stream>(stream),
