--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -59,7 +59,7 @@
 
 /// Fills the events that a node answers from \p core's keeper and outbox alone.
 template <class Core>
-void answerFromCore(node_events &events, Core &core)
+void bindCoreEvents(node_events &events, Core &core)
 {
     events.onEpoch = [&core](const epoch_observation &seen) {
         core.keeper().observePeerEpoch(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -136,7 +136,7 @@
         if (item.state() == wire::member_dead)
             m_core.outbox().peerGone(item.id());
     };
-    answerFromCore(events, m_core);
+    bindCoreEvents(events, m_core);
     events.onHealth = [](const wire::version_health &) {};
     events.onStream = [this](const auto &stream) { onStream(stream); };
     return events;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -223,7 +223,7 @@
 {
     node_events events;
     events.onMember = [this](const wire::member &item) { onMember(item); };
-    answerFromCore(events, m_core);
+    bindCoreEvents(events, m_core);
     events.onHealth = [this](const wire::version_health &health) {
         if (health.stopped())
             m_core.hearStop(health.model(), health.version());
