--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t pollersPerDataCentre = 2;
-constexpr std::size_t holdersOffered = 4;
+constexpr std::size_t maxCandidates = 4;
 constexpr duration requestTimeout = milliseconds(1000);
 constexpr duration billCopyTimeout = milliseconds(300);
 constexpr duration digestPeriod = milliseconds(500);
@@ -279,7 +279,7 @@
         if (!items)
             return;
         for (const listed_instance &item : *items) {
-            if (!item.leaving && item.id != options.instance && seeds.size() < holdersOffered)
+            if (!item.leaving && item.id != options.instance && seeds.size() < maxCandidates)
                 seeds.push_back(item.gossipAddress);
         }
         membershipThread->addSeeds(seeds);
@@ -302,8 +302,8 @@
             continue;
         (item.data_centre() == m_state->options.dataCentre ? near : far).push_back(id);
     }
-    std::vector<std::string> holders = topRanked(far, m_state->options.instance, holdersOffered);
-    for (std::string &id : topRanked(near, m_state->options.instance, holdersOffered))
+    std::vector<std::string> holders = topRanked(far, m_state->options.instance, maxCandidates);
+    for (std::string &id : topRanked(near, m_state->options.instance, maxCandidates))
         holders.push_back(std::move(id));
     return holders;
 }
