--- a/lib/Node/NodeSettings.cpp
+++ b/lib/Node/NodeSettings.cpp
@@ -8,7 +8,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr std::size_t shortestSiteKey = 16;
+constexpr std::size_t minSiteKeyLength = 16;
 }
 
 void laurelcroft::addNodeSettings(settings &declared)
@@ -57,7 +57,7 @@
     options.pollPeriod = milliseconds(given.number("poll-period"));
     options.membership.period = milliseconds(given.number("probe-period"));
     options.membership.probeTimeout = options.membership.period * 3 / 10;
-    if (options.siteKey.size() < shortestSiteKey)
+    if (options.siteKey.size() < minSiteKeyLength)
         return "--site-key: must have at least 16 characters";
     if (options.signoff.required > options.signoff.trustedKeys.size())
         return "--signoff-required: more keys are required than --signoff-keys names";
