--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -1,8 +1,9 @@
 //===-- Agent/AgentCore.h - admits and runs attempts -------------*- C++ -*-===//
 //
-// The decisions of the process beside an endpoint: what to admit, what a refusal
-// means, what becomes of an attempt whose entry is lost. All I/O is behind the
-// environment, so that tests run this code over fakes under a paused clock.
+// The logic of an agent: admission of offers, detection of duplicates, load and
+// unload orders to the endpoint, and the handling of attempts whose entry is lost.
+// All I/O goes through the environment, so that tests can run this code with fakes
+// and a simulated clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_AGENT_AGENTCORE_H
@@ -23,7 +24,7 @@
 
 namespace laurelcroft {
 
-/// What the core needs of its process.
+/// Operations that the core requires from the process that hosts it.
 template <class E>
 concept agent_environment
         = bundle_source<E> && bill_port<E> && requires(E env, link_stream_id stream,
@@ -40,19 +41,20 @@
     env.sendOrder(order, done);
 };
 
-/// Bounds of one agent.
+/// Identity and limits of one agent.
 struct agent_options
 {
     std::string instance;
     std::string pool;
-    std::uint32_t slots = 8; ///< attempts the endpoint runs at once
-    std::uint32_t maxAttempts = 64; ///< running and waiting; above it: refused
+    std::uint32_t slots = 8; ///< attempts that the endpoint runs concurrently
+    std::uint32_t maxAttempts = 64; ///< running and waiting; further offers are refused
     duration freezeCheckInterval = milliseconds(100);
-    /// A gap that counts as a freeze; shorter than an entry waits for an admission, so
-    /// that an offer which was given up is void when a frozen agent wakes.
+    /// A longer gap between two events means that the process was frozen. It must be shorter
+    /// than an entry waits for an admission, so that an offer that the entry has given up is
+    /// refused when a frozen agent continues.
     duration freezeThreshold = milliseconds(500);
-    duration orphanGrace = seconds(10); ///< an entry may resume within this
-    duration duplicateRetention = seconds(900); ///< how long a request id is remembered
+    duration orphanGrace = seconds(10); ///< time for an entry to resume an attempt
+    duration duplicateRetention = seconds(900); ///< time that an attempt key is remembered
     std::size_t maxRememberedKeys = 200000;
     std::uint64_t firstIncarnation = 1;
 };
@@ -71,7 +73,7 @@
         , m_incarnation(m_options.firstIncarnation)
         , m_lastActivity(runtime.now())
         , m_bundleTracker(runtime, env, std::move(rule),
-                          [this](const auto &taken) { onBundleInstalled(taken); })
+                          [this](const auto &installed) { onBundleInstalled(installed); })
         , m_outbox(runtime, table, env, m_options.instance)
         , m_claims(runtime, table, m_options.instance)
     {
@@ -83,7 +85,8 @@
     auto &outbox() { return m_outbox; }
     std::uint64_t incarnation() const { return m_incarnation; }
 
-    /// Refuses new work from now on; running attempts finish.
+    /// Refuses new offers from now on and writes the bill copies held for other instances to the
+    /// table. Admitted attempts finish.
     void drain()
     {
         m_draining = true;
@@ -91,16 +94,17 @@
     }
     bool isDraining() const { return m_draining; }
 
-    /// Sets the attempts that may run and wait; fewer than run now refuses new ones.
-    void setMaxAttempts(std::uint32_t most) { m_options.maxAttempts = most; }
+    /// Sets the limit on running and waiting attempts. Below their current number, offers are
+    /// refused until enough attempts have ended.
+    void setMaxAttempts(std::uint32_t limit) { m_options.maxAttempts = limit; }
 
-    /// \returns true when nothing runs and nothing is owed to the table.
+    /// \returns true if no attempt is left and all bills and claims are written to the table.
     bool isIdle() const
     {
         return m_attempts.empty() && m_outbox.isEmpty() && m_claims.pending() == 0;
     }
 
-    /// Handles a message of an entry on an attempt's stream.
+    /// Handles a message that an entry sent on the stream of an attempt.
     void onEntryMessage(link_stream_id stream, const wire::from_entry &message)
     {
         detectFreeze();
@@ -114,7 +118,7 @@
             onCancel(stream);
     }
 
-    /// The stream of an attempt was lost or ended.
+    /// Handles the end or loss of a stream. The attempt is orphaned unless it is resumed in time.
     void onStreamClosed(link_stream_id stream)
     {
         detectFreeze();
@@ -123,15 +127,17 @@
         if (item == nullptr)
             return;
         item->stream = 0;
-        m_runtime.after(
-                m_options.orphanGrace, [this, key = item->key, life = ++item->orphanGeneration] {
-                    attempt *const found = find(key);
-                    if (found != nullptr && found->stream == 0 && found->orphanGeneration == life)
-                        onOrphaned(*found);
-                });
+        m_runtime.after(m_options.orphanGrace,
+                        [this, key = item->key, generation = ++item->orphanGeneration] {
+                            attempt *const found = find(key);
+                            if (found != nullptr && found->stream == 0
+                                && found->orphanGeneration == generation)
+                                onOrphaned(*found);
+                        });
     }
 
-    /// Answers whether an offer that was not answered has started; if not, it never will.
+    /// Reports whether an offer that the entry got no reply to was admitted. If not, its key is
+    /// remembered, so that the offer is refused when it still arrives.
     wire::revoked onRevoke(const wire::revoke &message)
     {
         detectFreeze();
@@ -145,7 +151,7 @@
         return answer;
     }
 
-    /// Data of the endpoint's answer.
+    /// Handles data of the endpoint's answer.
     void onWorkData(work_id work, std::string_view data)
     {
         attempt *const item = findByWork(work);
@@ -156,7 +162,7 @@
         sendPiece(*item, offset);
     }
 
-    /// The endpoint's answer is whole, or failed.
+    /// Handles the completion or failure of the endpoint's answer.
     void onWorkEnd(work_id work, const work_result &result)
     {
         attempt *const item = findByWork(work);
@@ -173,14 +179,14 @@
             settleOrphan(*item);
     }
 
-    /// \returns the work that runs for \p stream; 0 when none does.
+    /// \returns the work that runs for \p stream, or 0 if there is none.
     work_id workOf(link_stream_id stream)
     {
         const attempt *const item = findByStream(stream);
         return item != nullptr && item->running ? item->work : 0;
     }
 
-    /// \returns the load as it is now.
+    /// \returns the current load without the loaded versions.
     wire::load_report load() const
     {
         wire::load_report report;
@@ -193,7 +199,7 @@
         return report;
     }
 
-    /// \returns the load with the versions that the endpoint holds.
+    /// \returns the current load with the versions that the endpoint has loaded.
     wire::load_report loadWithVersions() const
     {
         wire::load_report report = load();
@@ -202,7 +208,7 @@
         return report;
     }
 
-    /// A message with the header that every answer of this agent carries.
+    /// \returns a message without a body; bundle epoch, incarnation and load are set.
     wire::from_agent makeMessage() const
     {
         wire::from_agent message;
@@ -215,8 +221,8 @@
 private:
     using attempt_map = std::map<attempt_key, std::unique_ptr<attempt>>;
 
-    /// A gap longer than a freeze's bound begins a new life: whatever was offered to
-    /// the one before is refused, because its entry may have given it up.
+    /// Starts a new incarnation if more than \c freezeThreshold has passed since the last call.
+    /// Offers to earlier incarnations are refused because their entries may have given them up.
     void detectFreeze();
 
     void tick()
@@ -227,6 +233,7 @@
         m_runtime.after(m_options.freezeCheckInterval, [this] { tick(); });
     }
 
+    /// Removes keys that are older than \c duplicateRetention or exceed \c maxRememberedKeys.
     template <class M>
     void expire(M &known);
 
@@ -288,20 +295,25 @@
     }
 
     void sendEnd(const attempt &item);
-    /// The entry did not come back. What may be repeated is cancelled: nobody waits for
-    /// it. What may not goes on, and its answer is kept in its claim.
+    /// Handles an attempt that its entry did not resume within \c orphanGrace. A repeatable one is
+    /// cancelled because nobody waits for its answer. Any other runs to its end, and its answer is
+    /// stored in its claim if it has one.
     void onOrphaned(attempt &item);
-    /// Work that ended early told no usage: the events that came are counted.
+    /// Failed work may have no usage data: estimates the generated tokens by the number of
+    /// events received.
     static void estimateMissingUsage(attempt &item)
     {
         if (item.result.failed && item.result.usage.generated_tokens() == 0)
             item.result.usage.set_generated_tokens(countEvents(item.answer));
     }
 
+    /// Writes a provisional bill unless the work did not run, stores a complete answer in the claim
+    /// if there is one, and removes the attempt.
     void settleOrphan(attempt &item);
     wire::bill provisionalBill(const attempt &item) const;
-    /// Orders the endpoint to hold every version of its pool that may be used.
-    void onBundleInstalled(const typename tracker_type::ptr &taken);
+    /// Orders the endpoint to load all versions of its pool that are not withdrawn and to unload
+    /// all others.
+    void onBundleInstalled(const typename tracker_type::ptr &installed);
     void orderVersion(order_action action, const std::string &name, bundle_epoch fence);
     static constexpr duration orderRetryDelay = seconds(1);
 
@@ -320,6 +332,7 @@
     std::unordered_map<work_id, attempt_key> m_keyByWork;
     std::set<attempt_key> m_revokedKeys;
     std::set<attempt_key> m_recentKeys;
+    /// Insertion times of the keys in m_revokedKeys and m_recentKeys, oldest first, by set.
     std::map<const void *, std::deque<std::pair<time_point, attempt_key>>> m_insertionOrder;
     std::set<std::string> m_loaded;
     work_id m_lastWork = 0;
--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -14,7 +14,7 @@
     const time_point now = m_runtime.now();
     if (now - m_lastActivity > m_options.freezeThreshold) {
         m_incarnation += 1;
-        logWarning(log_part::agent, "woke from a freeze, offers made before are void",
+        logWarning(log_part::agent, "process was frozen, earlier offers are refused",
                    {{"incarnation", static_cast<std::int64_t>(m_incarnation)}});
     }
     m_lastActivity = now;
@@ -104,14 +104,14 @@
         -> wire::refusal
 {
     const bundle &rules = m_bundleTracker.current()->rules;
-    const customer *who = rules.findCustomer(offer.customer());
-    if (who == nullptr)
+    const customer *requester = rules.findCustomer(offer.customer());
+    if (requester == nullptr)
         return wire::refusal_not_allowed;
     const model *item = rules.findModel(offer.target());
     const model_version *version = item == nullptr ? nullptr : findVersion(*item, offer.version());
     if (version != nullptr && version->state == version_state::withdrawn)
         return wire::refusal_withdrawn;
-    const bool allowed = mayUse(rules, *who, offer.target(), offer.version());
+    const bool allowed = mayUse(rules, *requester, offer.target(), offer.version());
     return allowed ? wire::refusal_none : wire::refusal_not_allowed;
 }
 
@@ -119,13 +119,14 @@
 auto agent_core<Runtime, Table, Env>::isDuplicate(const wire::offer &offer,
                                                   const attempt_key &key) const -> bool
 {
-    // A caller may bring a repeatable request to another entry under the same key, and
-    // entries number their attempts alike: only one that still runs is the same.
+    // A caller may send a repeatable request again through another entry with the same request
+    // id, and every entry numbers its attempts from the same start. An equal key is therefore a
+    // duplicate only while the first attempt is still held.
     if (offer.repeatable())
         return m_attempts.count(key) != 0;
     if (m_recentKeys.count(key) != 0)
         return true;
-    // Any attempt of a request that may not be repeated counts, whatever its number.
+    // A request that is not repeatable is a duplicate if any attempt of it was admitted.
     const auto it = m_recentKeys.lower_bound({offer.request_id(), 0});
     return it != m_recentKeys.end() && it->requestId == offer.request_id();
 }
@@ -160,7 +161,7 @@
     m_env.resetStream(stream);
     if (item == nullptr)
         return;
-    logInfo(log_part::agent, "attempt cancelled by its entry", {{"request", item->key.requestId}});
+    logInfo(log_part::agent, "attempt cancelled by the entry", {{"request", item->key.requestId}});
     if (item->running)
         m_env.cancelWork(item->work);
     removeAttempt(*item);
@@ -192,7 +193,8 @@
 template <runtime_like Runtime, table_like Table, agent_environment Env>
 void agent_core<Runtime, Table, Env>::onOrphaned(attempt &item)
 {
-    logWarning(log_part::agent, "attempt lost its entry", {{"request", item.key.requestId}});
+    logWarning(log_part::agent, "attempt was not resumed in time",
+               {{"request", item.key.requestId}});
     item.orphaned = true;
     if (!item.running) {
         settleOrphan(item);
@@ -251,10 +253,10 @@
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::onBundleInstalled(const typename tracker_type::ptr &taken)
+void agent_core<Runtime, Table, Env>::onBundleInstalled(const typename tracker_type::ptr &installed)
 {
     std::set<std::string> wanted;
-    for (const model &item : taken->rules.models) {
+    for (const model &item : installed->rules.models) {
         if (item.pool != m_options.pool)
             continue;
         for (const model_version &version : item.versions) {
@@ -264,11 +266,11 @@
     }
     for (const std::string &name : std::set<std::string>(m_loaded)) {
         if (wanted.count(name) == 0)
-            orderVersion(order_action::unload, name, taken->accepted.epoch);
+            orderVersion(order_action::unload, name, installed->accepted.epoch);
     }
     for (const std::string &name : wanted) {
         if (m_loaded.count(name) == 0)
-            orderVersion(order_action::load, name, taken->accepted.epoch);
+            orderVersion(order_action::load, name, installed->accepted.epoch);
     }
 }
 
@@ -276,13 +278,13 @@
 void agent_core<Runtime, Table, Env>::orderVersion(order_action action, const std::string &name,
                                                    bundle_epoch fence)
 {
-    // No new work for a version that goes, from the moment the order is decided.
+    // Refuse new work for the version as soon as its unload is decided.
     if (action == order_action::unload)
         m_loaded.erase(name);
     logInfo(log_part::placement, action == order_action::load ? "load ordered" : "unload ordered",
             {{"version", name}, {"fence", static_cast<std::int64_t>(fence)}});
     m_env.sendOrder({action, name, fence}, [this, action, name, fence](bool done) {
-        // A newer epoch has given its own orders meanwhile.
+        // A bundle with a newer epoch has issued its own orders in the meantime.
         if (fence != m_bundleTracker.epoch())
             return;
         if (done && action == order_action::load)
