--- a/include/laurelcroft/Agent/Attempt.h
+++ b/include/laurelcroft/Agent/Attempt.h
@@ -1,6 +1,7 @@
-//===-- Agent/Attempt.h - one attempt at an endpoint -------------*- C++ -*-===//
+//===-- Agent/Attempt.h - attempts, engine orders, costs ---------*- C++ -*-===//
 //
-// The typed state of what an agent runs.
+// Data types of the agent core: attempts and their results, orders to the engine, the
+// token rate, and the cost of a bill step.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_AGENT_ATTEMPT_H
@@ -17,13 +18,13 @@
 
 namespace laurelcroft {
 
-/// Number of a stream to an entry; 0 is none.
+/// Id of a stream to an entry; 0 means none.
 using link_stream_id = std::uint64_t;
 
-/// Number of a piece of work at the endpoint.
+/// Id of a call to the endpoint.
 using work_id = std::uint64_t;
 
-/// Names one attempt of one request.
+/// Identifies one attempt of a request.
 struct attempt_key
 {
     std::string requestId;
@@ -32,11 +33,11 @@
     auto operator<=>(const attempt_key &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// How the endpoint's work ended.
+/// Outcome of a call to the endpoint.
 struct work_result
 {
     bool failed = false;
-    wire::execution executed = wire::execution_yes; ///< of a failed one
+    wire::execution executed = wire::execution_yes; ///< whether failed work was executed
     std::string message;
     int status = 0;
     std::string contentType;
@@ -44,7 +45,7 @@
     double score = 0;
 };
 
-/// One attempt that was admitted and is not settled.
+/// An admitted attempt that is not settled yet.
 struct attempt
 {
     attempt_key key;
@@ -55,15 +56,16 @@
     time_point startedAt{};
     bool running = true;
     bool orphaned = false;
-    int orphanGeneration
-            = 0; ///< counts losses of the stream, so that an old timer is told from a new
+    /// Changes on each loss and resume of the stream, so that timers of earlier losses are ignored.
+    int orphanGeneration = 0;
     std::string answer;
     work_result result;
 };
 
 enum class order_action { load, unload };
 
-/// An order to an engine, with the fence that older orders lose against.
+/// A load or unload order to an engine. The fence is a fencing token: the engine rejects orders
+/// with a lower one.
 struct engine_order
 {
     order_action action = order_action::load;
@@ -71,25 +73,26 @@
     std::uint64_t fence = 0;
 };
 
-/// Smoothed speed of an endpoint.
+/// Exponential moving average of the token rate of an endpoint.
 class token_rate_meter
 {
 public:
     void addSample(time_point now, std::uint64_t tokens, duration took);
 
-    /// \returns generated tokens a second of one request; 0 before the first.
+    /// \returns the generated tokens per second of one request; 0 before the first sample.
     double tokensPerSecond() const { return m_tokensPerSecond; }
 
 private:
     double m_tokensPerSecond = 0;
 };
 
-/// \returns the number of server-sent events in \p stream.
+/// \returns the number of server-sent events in \p stream, counted by their data fields.
 std::uint64_t countEvents(std::string_view stream);
 
+/// \returns the text of \p refusal for logs and decision records.
 std::string_view textOf(wire::refusal refusal);
 
-/// \returns the cost of one step under \p rules.
+/// \returns the cost of \p step at the prices in \p rules; 0 for an unknown target.
 double costOf(const bundle &rules, const wire::bill_step &step);
 
 } // namespace laurelcroft
--- a/lib/Agent/Attempt.cpp
+++ b/lib/Agent/Attempt.cpp
@@ -1,6 +1,6 @@
-//===-- Attempt.cpp - one attempt at an endpoint ----------------------------===//
+//===-- Attempt.cpp - refusal texts, costs, token rate ----------------------===//
 //
-// Texts, costs and the speed meter.
+// Functions of the data types in Attempt.h.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/Attempt.h"
@@ -12,7 +12,7 @@
 namespace {
 constexpr double smoothingFactor = 0.1;
 constexpr double tokensPerPriceUnit = 1000.0;
-/// A cached prompt token costs this share of a computed one.
+/// Price of a cached prompt token relative to a computed one.
 constexpr double cachedTokenPriceFactor = 0.1;
 } // namespace
 
