--- a/include/laurelcroft/Agent/EndpointClient.h
+++ b/include/laurelcroft/Agent/EndpointClient.h
@@ -1,7 +1,7 @@
-//===-- Agent/EndpointClient.h - talks to one endpoint -----------*- C++ -*-===//
+//===-- Agent/EndpointClient.h - HTTP client of one endpoint -----*- C++ -*-===//
 //
-// Runs work at a model engine or a plain service over HTTP and reads what it
-// answers: whole or streamed, with usage and the engine's own confidence.
+// Sends work to a model engine or a service over HTTP and reads the answer, whole or
+// streamed, with its token usage and the confidence that the engine reports.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_AGENT_ENDPOINTCLIENT_H
@@ -17,12 +17,12 @@
 
 namespace laurelcroft {
 
-/// Reads a stream of server-sent events piece by piece.
+/// Incremental parser of a stream of server-sent events.
 class event_reader
 {
 public:
-    /// Takes data and \returns the whole events in it that are to be passed on; the
-    /// closing usage is taken out and the end mark noted.
+    /// Appends \p data and \returns the events that are complete now, to be forwarded. Stores the
+    /// usage and score of the last event and removes the `[DONE]` marker.
     std::string feed(std::string_view data);
 
     bool sawEnd() const { return m_sawEnd; }
@@ -30,6 +30,7 @@
     double score() const { return m_score; }
 
 private:
+    /// \returns true if \p event is to be forwarded.
     bool handleEvent(std::string_view event);
 
     std::string m_buffer;
@@ -38,17 +39,18 @@
     double m_score = 0;
 };
 
-/// Reads usage and confidence from a JSON answer.
-/// \returns false when \p body is no JSON object with a usage.
+/// Reads the token usage and the confidence from a JSON answer.
+/// \returns false if \p body is not a JSON object with a \c usage object.
 bool readUsage(std::string_view body, wire::usage &usage, double &score);
 
+/// Callbacks of an endpoint client.
 struct endpoint_events
 {
     std::function<void(work_id, std::string_view)> onData;
     std::function<void(work_id, const work_result &)> onEnd;
 };
 
-/// The client of one endpoint.
+/// HTTP client of one endpoint.
 class endpoint_client
 {
 public:
@@ -58,11 +60,11 @@
     void start(work_id work, const wire::offer &offer);
     void cancel(work_id work);
 
-    /// Stops and continues reading, for a reader that is slower than the engine.
+    /// Pauses and resumes reading the endpoint's answer while the entry reads too slowly.
     void pause(work_id work);
     void resume(work_id work);
 
-    /// Gives an order with its fence. \param done true when the endpoint carried it out.
+    /// Sends a load or unload order. \param done gets true if the endpoint answered with 200.
     void postOrder(const engine_order &order, std::function<void(bool)> done);
 
 private:
--- a/lib/Agent/EndpointClient.cpp
+++ b/lib/Agent/EndpointClient.cpp
@@ -1,7 +1,8 @@
-//===-- EndpointClient.cpp - talks to one endpoint --------------------------===//
+//===-- EndpointClient.cpp - HTTP client of one endpoint --------------------===//
 //
-// The agent stands beside its endpoint, so that a connection costs little: work
-// that may not be repeated gets one of its own.
+// Requests that are not repeatable use a new connection each: the HTTP library would
+// send a request again if a reused connection turned out to be closed. The agent runs
+// next to its endpoint, so that connections are cheap.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/EndpointClient.h"
@@ -44,7 +45,7 @@
         m_sawEnd = true;
         return false;
     }
-    // Only the closing event carries a usage; the search spares a parse of each token.
+    // Only the last event has usage data; searching for the key avoids parsing every event.
     if (data.find("\"usage\"") != std::string_view::npos)
         readUsage(data, m_usage, m_score);
     return true;
@@ -53,7 +54,7 @@
 std::string event_reader::feed(std::string_view data)
 {
     m_buffer += data;
-    std::string passed;
+    std::string forwarded;
     std::size_t begin = 0;
     for (;;) {
         const std::size_t end = m_buffer.find(eventEnd, begin);
@@ -61,11 +62,11 @@
             break;
         const std::string_view event = std::string_view(m_buffer).substr(begin, end - begin);
         if (handleEvent(event))
-            passed.append(event).append(eventEnd);
+            forwarded.append(event).append(eventEnd);
         begin = end + eventEnd.size();
     }
     m_buffer.erase(0, begin);
-    return passed;
+    return forwarded;
 }
 
 struct endpoint_client::state
@@ -113,7 +114,7 @@
         return call;
     }
     call.url = url + "/v1/chat/completions";
-    // The caller may have named a cascade: the engine is told model and version.
+    // The caller may have requested a cascade; the engine needs the chosen model and version.
     json body = json::parse(offer.body(), nullptr, false);
     if (body.is_object()) {
         body["model"] = offer.target() + "@" + offer.version();
@@ -173,9 +174,9 @@
         item.body += data;
         return;
     }
-    const std::string passed = item.events.feed(data);
-    if (!passed.empty())
-        events.onData(work, passed);
+    const std::string forwarded = item.events.feed(data);
+    if (!forwarded.empty())
+        events.onData(work, forwarded);
 }
 
 void endpoint_client::state::end(work_id work, const outcome<int, http_error> &result)
