--- a/include/laurelcroft/Agent/AgentProcess.h
+++ b/include/laurelcroft/Agent/AgentProcess.h
@@ -1,6 +1,6 @@
-//===-- Agent/AgentProcess.h - the process beside an endpoint ----*- C++ -*-===//
+//===-- Agent/AgentProcess.h - process of an agent ---------------*- C++ -*-===//
 //
-// Joins the agent's decisions with links, platform and endpoint.
+// Connects the agent core with its links, the platform services and the endpoint.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_AGENT_AGENTPROCESS_H
@@ -10,11 +10,11 @@
 
 namespace laurelcroft {
 
-/// Declares the agent's settings.
+/// Adds the settings of an agent to \p declared.
 void addAgentSettings(settings &declared);
 
-/// Runs an agent until SIGTERM or SIGINT and a drain.
-/// \returns the exit code: 0 after a drain, 1 when it could not start.
+/// Runs an agent until SIGTERM or SIGINT, then drains it.
+/// \returns the exit code: 0 after a drain, 1 if the agent could not start.
 int runAgent(const settings &given);
 
 } // namespace laurelcroft
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -1,6 +1,6 @@
-//===-- AgentProcess.cpp - the process beside an endpoint -------------------===//
+//===-- AgentProcess.cpp - process of an agent ------------------------------===//
 //
-// Streams of entries on one side, the endpoint on the other, the core between.
+// Connects the streams of entries and the client of the endpoint to the agent core.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/AgentProcess.h"
@@ -16,17 +16,16 @@
 
 namespace {
 
-/// Bytes queued towards an entry at which the endpoint's answer is no longer read.
-
+/// Bytes queued for an entry at which reading the endpoint's answer is paused.
 constexpr std::size_t slowReaderBytes = 1U << 20;
 constexpr duration loadCheckInterval = milliseconds(250);
 constexpr duration maxReportInterval = seconds(5);
-/// A report on the link, with its frame, and what all of them may take.
+/// Size of a load report including its frame, and the rate limit of all load reports.
 constexpr std::int64_t reportBytes = 110;
 constexpr std::int64_t reportBytesPerSecond = 800;
 constexpr duration minDrainTime = milliseconds(500);
 
-/// The environment of the core: streams of entries, the endpoint, the other instances.
+/// Environment of the agent core: streams of entries, the endpoint and the other instances.
 class agent_io : public node_environment
 {
 public:
@@ -37,7 +36,8 @@
     {
     }
 
-    /// Tells which work a stream carries, to stop reading it for a slow entry.
+    /// Sets the function that maps a stream to its work, so that work can be paused for a slow
+    /// entry.
     void setWorkOf(std::function<work_id(link_stream_id)> workOf) { m_workOf = std::move(workOf); }
 
     link_stream_id addStream(const std::shared_ptr<link_stream> &stream)
@@ -58,10 +58,10 @@
     }
 
     void sendToEntry(link_stream_id stream, const wire::from_agent &message);
-    /// Ends this side after what is queued.
+    /// Ends this side of the stream after the queued messages are sent.
     void closeStream(link_stream_id stream);
 
-    /// Ends a stream whose entry wants nothing more, whatever is queued.
+    /// Resets a stream that its entry no longer needs; queued messages are dropped.
     void resetStream(link_stream_id stream);
     void startWork(work_id work, const wire::offer &offer) { m_endpoint.start(work, offer); }
     void cancelWork(work_id work) { m_endpoint.cancel(work); }
@@ -170,13 +170,12 @@
         return;
     }
     if (stream->path() == "/revoke") {
-        answerSingleRequest(
-                stream, [this](std::string_view question) -> std::optional<std::string> {
-                    wire::revoke message;
-                    if (!message.ParseFromArray(question.data(), static_cast<int>(question.size())))
-                        return std::nullopt;
-                    return m_core.onRevoke(message).SerializeAsString();
-                });
+        answerSingleRequest(stream, [this](std::string_view request) -> std::optional<std::string> {
+            wire::revoke message;
+            if (!message.ParseFromArray(request.data(), static_cast<int>(request.size())))
+                return std::nullopt;
+            return m_core.onRevoke(message).SerializeAsString();
+        });
         return;
     }
     if (stream->path() == "/status") {
@@ -203,7 +202,7 @@
         m_io.removeStream(id);
         m_core.onStreamClosed(id);
     };
-    // An entry that ends its side without a word has given the attempt up.
+    // An entry that ends its side without a settled or cancel message has given up the attempt.
     handlers.onEnd = [this, id] { m_io.closeStream(id); };
     handlers.onDrained = [this, id] { m_io.onStreamDrained(id); };
     stream->setEvents(std::move(handlers));
@@ -221,7 +220,7 @@
     stream->send(message.SerializeAsString());
 }
 
-/// \returns true for a change that no entry may learn late.
+/// \returns true if \p now has a change that entries must learn without delay.
 bool agent_process::isUrgent(const wire::load_report &now) const
 {
     return now.draining() != m_lastLoad.draining() || now.loaded_size() != m_lastLoad.loaded_size();
@@ -230,7 +229,8 @@
 bool agent_process::isDue(const wire::load_report &now) const
 {
     const duration age = m_node.runtime().now() - m_lastLoadAt;
-    // The more entries listen, the rarer the reports: they also ride on every answer.
+    // Keep the rate limit for any number of entries by reporting less often to more of them.
+    // Every message of an attempt also contains the load.
     const auto streams = static_cast<std::int64_t>(m_loadStreams.size());
     if (age < streams * reportBytes * seconds(1) / reportBytesPerSecond)
         return false;
@@ -301,12 +301,13 @@
 void laurelcroft::addAgentSettings(settings &declared)
 {
     addNodeSettings(declared);
-    declared.addRequired("pool", "pool that the endpoint belongs to");
-    declared.addRequired("endpoint-url", "endpoint beside this agent");
-    declared.addNumber("slots", 8, 1, 4096, "requests", "that the endpoint runs at once");
+    declared.addRequired("pool", "pool of the endpoint");
+    declared.addRequired("endpoint-url", "URL of the endpoint that this agent serves");
+    declared.addNumber("slots", 8, 1, 4096, "requests",
+                       "attempts that the endpoint runs concurrently");
     declared.addNumber("waiting-percent", 25, 0, 10000, "%",
-                       "of the slots: attempts that may wait; more are refused at once");
-    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "longest planned stop");
+                       "attempts that may wait, as a share of the slots; further ones are refused");
+    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "time limit of a drain");
 }
 
 int laurelcroft::runAgent(const settings &given)
@@ -323,7 +324,7 @@
     options.instance = nodeOptions.instance;
     options.pool = nodeOptions.pool;
     options.slots = static_cast<std::uint32_t>(given.number("slots"));
-    // Rounded up, so that a small endpoint lets one wait as well.
+    // Round up, so that an endpoint with few slots also has room for a waiting attempt.
     const auto waiting = (options.slots * given.number("waiting-percent") + 99) / 100;
     options.maxAttempts = options.slots + static_cast<std::uint32_t>(waiting);
     options.firstIncarnation = static_cast<std::uint64_t>(wallMilliseconds());
@@ -346,7 +347,7 @@
     steps.minDuration = minDrainTime;
     steps.maxDuration = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
-    // The routing duty goes first: what stops after it has no thread to race with.
+    // Stop the routing thread first, so that it cannot race with the rest of the shutdown.
     routing.stop();
     process.stop();
     stopLog();
