--- a/unittests/Agent/AgentTests.cpp
+++ b/unittests/Agent/AgentTests.cpp
@@ -1,6 +1,6 @@
-//===-- AgentTests.cpp - reading an endpoint's answers, costs ---------------===//
+//===-- AgentTests.cpp - tests of endpoint answers and costs ----------------===//
 //
-// The agent's core itself is driven by the fault matrix.
+// The agent core is tested by test/FaultMatrix.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/EndpointClient.h"
@@ -15,7 +15,7 @@
           "\"prompt_tokens_details\":{\"cached_tokens\":4}},\"confidence\":0.75}\n\n"
           "data: [DONE]\n\n";
 
-TEST_CASE("events are read whatever the cuts between the pieces")
+TEST_CASE("events are parsed for any size of the pieces that they arrive in")
 {
     for (std::size_t size = 1; size < streamText.size(); ++size) {
         event_reader reader;
@@ -29,7 +29,7 @@
     }
 }
 
-TEST_CASE("a stream without its end mark is not whole")
+TEST_CASE("a stream without the [DONE] marker is incomplete")
 {
     event_reader reader;
     reader.feed(std::string_view(streamText).substr(0, streamText.size() - 5));
@@ -38,7 +38,7 @@
     CHECK(countEvents("") == 0);
 }
 
-TEST_CASE("usage of a whole answer, and none in another body")
+TEST_CASE("readUsage reads a complete answer and rejects bodies without usage")
 {
     wire::usage usage;
     double score = 0;
@@ -49,7 +49,7 @@
     CHECK_FALSE(readUsage("no json", usage, score));
 }
 
-TEST_CASE("cost: cached prompt tokens are cheaper; services cost a call")
+TEST_CASE("cached prompt tokens cost less and a service has a fixed cost per call")
 {
     bundle rules;
     rules.models = {{"m", "p", 1, 10, {}}};
