--- a/include/laurelcroft/Node/Drain.h
+++ b/include/laurelcroft/Node/Drain.h
@@ -1,7 +1,7 @@
-//===-- Node/Drain.h - planned stop of a process -----------------*- C++ -*-===//
+//===-- Node/Drain.h - graceful shutdown -------------------------*- C++ -*-===//
 //
-// SIGTERM or SIGINT begins a drain; the process ends when it is idle, or when the
-// drain's bound has passed.
+// SIGTERM or SIGINT starts a drain. The process exits when it is idle or when the time
+// limit of the drain has passed.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_NODE_DRAIN_H
@@ -14,21 +14,22 @@
 
 namespace laurelcroft {
 
-/// What a drain does; all run on the main thread but for \c begin and \c isIdle,
-/// which run on the routing duty.
+/// Callbacks and time limits of a drain. The callbacks run on the routing thread.
 struct drain_steps
 {
     std::function<void()> begin;
     std::function<bool()> isIdle;
-    duration minDuration = milliseconds(0); ///< time that the others need to hear of it
+    duration minDuration = milliseconds(0); ///< time for other instances to learn of the drain
     duration maxDuration = seconds(120);
 };
 
-/// Blocks until a signal came and the drain ended. \returns true when it ended idle.
-/// Call \c blockStopSignals first, before any thread starts.
+/// Blocks until a stop signal arrives and the drain that follows has ended.
+/// \returns true if the process became idle, false if the time limit passed first.
+/// \c blockStopSignals must be called first, before any thread starts.
 bool waitAndDrain(duty_thread &routing, const drain_steps &steps);
 
-/// Keeps the stop signals for \c waitAndDrain in all threads.
+/// Blocks the stop signals in all threads, so that only \c waitAndDrain receives them, and
+/// ignores SIGPIPE.
 void blockStopSignals();
 
 } // namespace laurelcroft
--- a/lib/Node/Drain.cpp
+++ b/lib/Node/Drain.cpp
@@ -1,6 +1,6 @@
-//===-- Drain.cpp - planned stop of a process -------------------------------===//
+//===-- Drain.cpp - graceful shutdown ---------------------------------------===//
 //
-// The main thread waits for the signal and asks the routing duty for its state.
+// The main thread waits for the stop signal, then polls the routing thread until it is idle.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Node/Drain.h"
@@ -45,19 +45,19 @@
     const sigset_t signals = stopSignals();
     int received = 0;
     sigwait(&signals, &received);
-    logInfo(log_part::start, "planned stop begins");
+    logInfo(log_part::start, "drain begins");
     routing.post(steps.begin);
-    const time_point began = bootNow();
+    const time_point start = bootNow();
     for (;;) {
-        const duration passed = bootNow() - began;
-        if (passed >= steps.minDuration && queryIdle(routing, steps.isIdle))
+        const duration elapsed = bootNow() - start;
+        if (elapsed >= steps.minDuration && queryIdle(routing, steps.isIdle))
             break;
-        if (passed >= steps.maxDuration) {
-            logWarning(log_part::start, "planned stop ends before all work is done");
+        if (elapsed >= steps.maxDuration) {
+            logWarning(log_part::start, "drain timed out with unfinished work");
             return false;
         }
         std::this_thread::sleep_for(idleCheckInterval);
     }
-    logInfo(log_part::start, "planned stop ends");
+    logInfo(log_part::start, "drain complete");
     return true;
 }
