--- a/lib/Node/MembershipThread.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -1,6 +1,7 @@
-//===-- MembershipThread.cpp - membership on a thread of its own ----------===//
+//===-- MembershipThread.cpp - runs the membership protocol -----------------===//
 //
-// Everything below runs on the fleet duty but for the functions that post to it.
+// The public functions except open, address and stop post to the thread. The protocol
+// and the socket are used on the thread only once it has started.
 //
 //===----------------------------------------------------------------------===//
 #include "MembershipThread.h"
@@ -21,7 +22,8 @@
 
 constexpr std::size_t updateQueueCapacity = 4096;
 
-/// Sends datagrams; what cannot be sent now is lost, as on any network.
+/// Sends datagrams. A datagram that cannot be sent at once is dropped; the protocol tolerates
+/// lost datagrams.
 struct udp_port
 {
     udp::socket socket;
@@ -39,12 +41,12 @@
 struct membership_thread::state
 {
     state(duty_thread &routing, wire::member self, std::string key, membership_options options,
-          std::function<void(membership_update &&)> onNews)
+          std::function<void(membership_update &&)> onUpdate)
         : thread("fleet")
         , runtime(thread.context())
         , port{udp::socket(thread.context())}
         , random(std::random_device{}())
-        , updates(thread, routing, updateQueueCapacity, std::move(onNews))
+        , updates(thread, routing, updateQueueCapacity, std::move(onUpdate))
         , self(std::move(self))
         , key(std::move(key))
         , options(options)
@@ -69,9 +71,9 @@
 
 membership_thread::membership_thread(duty_thread &routing, wire::member self, std::string key,
                                      membership_options options,
-                                     std::function<void(membership_update &&)> onNews)
+                                     std::function<void(membership_update &&)> onUpdate)
     : m_state(std::make_unique<state>(routing, std::move(self), std::move(key), options,
-                                      std::move(onNews)))
+                                      std::move(onUpdate)))
 {
 }
 
@@ -85,7 +87,7 @@
     asio::error_code error;
     const auto ip = asio::ip::make_address(host, error);
     if (error)
-        return "'" + host + "' is not an IP number";
+        return "'" + host + "' is not an IP address";
     udp::socket &socket = m_state->port.socket;
     socket.open(udp::v4(), error);
     socket.bind(udp::endpoint(ip, port), error);
--- a/lib/Node/MembershipThread.h
+++ b/lib/Node/MembershipThread.h
@@ -1,7 +1,7 @@
-//===-- MembershipThread.h - membership on a thread of its own --*- C++ -*-===//
+//===-- MembershipThread.h - runs the membership protocol --------*- C++ -*-===//
 //
-// Private to Node: the UDP socket and the protocol, so that heavy streaming on
-// the routing duty never delays a heartbeat.
+// Private to Node. The UDP socket and the protocol have a thread of their own, so that
+// heavy streaming on the routing thread does not delay probes.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_NODE_MEMBERSHIPTHREAD_H
@@ -18,24 +18,29 @@
 
 namespace laurelcroft {
 
-/// News from the fleet duty to the routing duty.
+/// An event of the membership protocol, passed to the routing thread.
 using membership_update = std::variant<wire::member, epoch_observation, wire::version_health>;
 
+/// The membership protocol of this instance, its UDP socket and its thread.
 class membership_thread
 {
 public:
-    /// \param onNews runs on \p routing.
+    /// \param onUpdate runs on \p routing.
     membership_thread(duty_thread &routing, wire::member self, std::string key,
-                      membership_options options, std::function<void(membership_update &&)> onNews);
+                      membership_options options,
+                      std::function<void(membership_update &&)> onUpdate);
     ~membership_thread();
 
-    /// Binds the socket; \returns an empty string or what failed.
+    /// Binds the socket. \returns an empty string or an error message.
     std::string open(const std::string &host, std::uint16_t port);
+    /// \returns the address that the socket is bound to, as host:port.
     std::string address() const;
 
-    /// Begins the protocol with the link address that is known by now.
+    /// Starts the thread and the protocol, which announces \p linkAddress to other members.
     void start(const std::string &linkAddress, const std::vector<std::string> &seeds);
 
+    /// Sets the digest that all later datagrams carry.
+    /// \param announce also sends it to a few random members at once.
     void setDigest(const epoch_digest &digest, bool announce);
     void addSeeds(const std::vector<std::string> &seeds);
     void gossipVersionHealth(const wire::version_health &health);
