--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -1,8 +1,7 @@
-//===-- Node/Node.h - what every instance of the system has ------*- C++ -*-===//
+//===-- Node/Node.h - common part of entries and agents ----------*- C++ -*-===//
 //
-// Membership on a duty of its own, links to other instances, clients of the
-// platform, and the questions that all instances answer. Entry and agent stand on
-// top of it.
+// Membership, links to other instances, clients of the platform services, and the
+// requests that every instance handles. Entries and agents are built on it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_NODE_NODE_H
@@ -30,9 +29,9 @@
 {
     std::string instance;
     std::string dataCentre;
-    std::string linkAddress; ///< host:port, port 0: a free one
-    std::string gossipAddress; ///< host:port, port 0: a free one
-    std::vector<std::string> seeds; ///< gossip addresses
+    std::string linkAddress; ///< host:port; port 0 selects a free port
+    std::string gossipAddress; ///< host:port; port 0 selects a free port
+    std::vector<std::string> seeds; ///< gossip addresses of the first peers
     std::string siteKey;
     wire::member_role role = wire::role_entry;
     std::string pool;
@@ -41,23 +40,23 @@
     platform_options objects;
     platform_options ratings;
     platform_options list;
-    duration pollPeriod = seconds(1); ///< of the table's row, by the lowest ranked
+    duration pollPeriod = seconds(1); ///< of the bundle row, by top-ranked instances
     membership_options membership;
 };
 
-/// Declares the settings that entry and agent share.
+/// Adds the settings that entry and agent share to \p declared.
 void addNodeSettings(settings &declared);
 
-/// Reads them. \returns an empty string or what is wrong.
+/// Reads these settings into \p options. \returns an empty string or an error message.
 std::string readNodeOptions(const settings &given, node_options &options);
 
-/// What the node tells the side above it; all on the routing duty.
+/// Callbacks of a node; all run on the routing thread.
 struct node_events
 {
     std::function<void(const wire::member &)> onMember;
     std::function<void(const epoch_observation &)> onEpoch;
     std::function<void(const wire::version_health &)> onHealth;
-    /// A stream of another instance with a path that the node does not answer itself.
+    /// A stream from another instance with a path that the node does not handle itself.
     std::function<void(std::shared_ptr<link_stream>)> onStream;
     std::function<wire::bundle_reply()> onBundleRequest;
     std::function<bool(const wire::bill_copy &)> onBillCopy;
@@ -65,7 +64,7 @@
     std::function<void()> pollTable;
 };
 
-/// One instance among others.
+/// One instance of the system.
 class node
 {
 public:
@@ -74,14 +73,14 @@
     node(const node &) = delete;
     node &operator=(const node &) = delete;
 
-    /// Opens its ports and begins. \returns an empty string or what failed.
+    /// Opens the ports and starts the node. \returns an empty string or an error message.
     std::string start(node_events events);
 
-    /// Tells the others that this instance leaves.
+    /// Announces to other instances that this one is leaving.
     void leave();
 
-    /// Ends the membership duty and all links; call it when the routing duty has stopped
-    /// and while the owners of streams still live.
+    /// Stops the membership thread and closes all links. Must be called after the routing thread
+    /// has stopped and before the owners of streams are destroyed.
     void stop();
 
     asio_runtime &runtime();
@@ -91,23 +90,23 @@
     http_rating_service &ratings();
     const node_options &options() const;
 
-    /// \returns the members known now, this instance not among them.
+    /// \returns the known members without this instance.
     const std::map<std::string, wire::member> &members() const;
 
-    /// \returns ids of the live entries, this instance included.
+    /// \returns the ids of live entries, with that of this instance.
     std::vector<std::string> liveEntries() const;
 
-    /// \returns other live instances to hold a bill's copy, best first.
+    /// \returns members that can hold copies of bills, those in other data centres first.
     std::vector<std::string> billHolders() const;
 
-    /// Opens a stream to \p instance; it closes, not clean, when that is not known.
+    /// Opens a stream to \p instance. If that is not a known member, onClosed(false) follows.
     std::shared_ptr<link_stream> open(const std::string &instance, std::string_view path,
                                       link_stream::events handlers);
 
-    /// Asks one question and waits for one answer, at most \p timeout.
-    void sendRequest(const std::string &instance, std::string_view path,
-                     const std::string &question, duration timeout,
-                     std::function<void(std::optional<std::string>)> done);
+    /// Sends one request on a new stream. \param done gets the reply, or nothing if there is none
+    /// within \p timeout.
+    void sendRequest(const std::string &instance, std::string_view path, const std::string &request,
+                     duration timeout, std::function<void(std::optional<std::string>)> done);
 
     void requestBundle(const std::string &instance,
                        std::function<void(std::optional<fetched_bundle>)> done);
@@ -117,10 +116,10 @@
     void readBundleText(const std::string &hash,
                         std::function<void(std::optional<std::string>)> done);
 
-    /// Puts the digest on datagrams and tells a few members at once.
+    /// Updates the digest that datagrams carry and sends it to a few random members at once.
     void gossipDigest();
 
-    /// Spreads that this instance stopped a version.
+    /// Gossips that this instance stopped a version.
     void gossipVersionHealth(const wire::version_health &health);
 
 private:
@@ -128,14 +127,14 @@
     std::unique_ptr<state> m_state;
 };
 
-/// Key of the table's row that says which bundle is in force.
+/// Key of the table row that names the bundle in force.
 inline constexpr std::string_view currentRowKey = "bundle/current";
 
-/// Key of a bundle's text in the object store.
+/// \returns the key of the text of a bundle in the object store.
 std::string bundleObjectKey(std::string_view hash);
 
-/// Answers a stream that carries one question.
-/// \param reply turns the question into the answer; nothing resets the stream.
+/// Handles a stream that carries a single request.
+/// \param reply returns the reply to a request, or nothing to reset the stream.
 void answerSingleRequest(const std::shared_ptr<link_stream> &stream,
                          std::function<std::optional<std::string>(std::string_view)> reply);
 
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -1,7 +1,7 @@
-//===-- Node/NodeEnvironment.h - what both cores ask of a node ---*- C++ -*-===//
+//===-- Node/NodeEnvironment.h - environment of both cores -------*- C++ -*-===//
 //
-// The part of a core's environment that is the same for entry and agent: bills'
-// holders, the bundle's sources, and what a node answers from the keeper.
+// The part of the environment that entry and agent cores share: holders of bill copies,
+// sources of bundles, and the node events that are handled by the core.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_NODE_NODEENVIRONMENT_H
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// Base of the two environments; satisfies bill_port and bundle_source.
+/// Base class of the environments of both cores; satisfies bill_port and bundle_source.
 class node_environment
 {
 public:
@@ -57,7 +57,7 @@
     node m_node;
 };
 
-/// Fills the events that a node answers from \p core's keeper and outbox alone.
+/// Sets the node events that only need the bundle tracker and the bill outbox of \p core.
 template <class Core>
 void bindCoreEvents(node_events &events, Core &core)
 {
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -1,6 +1,6 @@
-//===-- Node.cpp - what every instance of the system has --------------------===//
+//===-- Node.cpp - common part of entries and agents ------------------------===//
 //
-// Runs on the routing duty; news of the fleet arrive there through a ring.
+// Runs on the routing thread. Membership updates arrive there through a bounded channel.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Node/Node.h"
@@ -64,7 +64,7 @@
     std::map<std::string, wire::member> members;
     std::map<std::string, std::unique_ptr<link_client>> links;
 
-    void onMembershipUpdate(membership_update &&news);
+    void onMembershipUpdate(membership_update &&update);
     void onMember(const wire::member &item);
     void onStream(const std::shared_ptr<link_stream> &stream);
     void pollTick();
@@ -160,8 +160,8 @@
     own.set_pool(self.options.pool);
     self.membershipThread = std::make_unique<membership_thread>(
             self.routing, own, self.options.siteKey, self.options.membership,
-            [inner = m_state.get()](membership_update &&news) {
-                inner->onMembershipUpdate(std::move(news));
+            [inner = m_state.get()](membership_update &&update) {
+                inner->onMembershipUpdate(std::move(update));
             });
     std::string host;
     std::uint16_t port = 0;
@@ -196,17 +196,17 @@
         m_state->membershipThread->stop();
     if (m_state->server)
         m_state->server->close();
-    // Streams tell their owners that they are cut: that must come while those live.
+    // Closing a link calls onClosed of its streams, whose owners must still exist.
     m_state->links.clear();
 }
 
-void node::state::onMembershipUpdate(membership_update &&news)
+void node::state::onMembershipUpdate(membership_update &&update)
 {
-    if (const auto *item = std::get_if<wire::member>(&news))
+    if (const auto *item = std::get_if<wire::member>(&update))
         onMember(*item);
-    else if (const auto *sighting = std::get_if<epoch_observation>(&news))
-        events.onEpoch(*sighting);
-    else if (const auto *health = std::get_if<wire::version_health>(&news))
+    else if (const auto *observation = std::get_if<epoch_observation>(&update))
+        events.onEpoch(*observation);
+    else if (const auto *health = std::get_if<wire::version_health>(&update))
         events.onHealth(*health);
 }
 
@@ -215,7 +215,7 @@
     const auto known = members.find(item.id());
     const bool stateChanged = known == members.end() || known->second.state() != item.state();
     if (stateChanged)
-        logInfo(log_part::fleet, "member changed",
+        logInfo(log_part::fleet, "member state changed",
                 {{"member", item.id()},
                  {"state", static_cast<std::int64_t>(item.state())},
                  {"data_centre", item.data_centre()}});
@@ -236,15 +236,14 @@
         return;
     }
     if (stream->path() == billsPath) {
-        answerSingleRequest(
-                stream, [this](std::string_view question) -> std::optional<std::string> {
-                    wire::bill_copy copy;
-                    if (!copy.ParseFromArray(question.data(), static_cast<int>(question.size())))
-                        return std::nullopt;
-                    wire::bill_copied copied;
-                    copied.set_held(events.onBillCopy(copy) ? 1 : 0);
-                    return copied.SerializeAsString();
-                });
+        answerSingleRequest(stream, [this](std::string_view request) -> std::optional<std::string> {
+            wire::bill_copy copy;
+            if (!copy.ParseFromArray(request.data(), static_cast<int>(request.size())))
+                return std::nullopt;
+            wire::bill_copied copied;
+            copied.set_held(events.onBillCopy(copy) ? 1 : 0);
+            return copied.SerializeAsString();
+        });
         return;
     }
     events.onStream(stream);
@@ -254,10 +253,11 @@
 {
     const std::vector<std::string> ids = liveIds(
             [this](const wire::member &item) { return item.data_centre() == options.dataCentre; });
-    const bool isMine = isTopRanked(ids, "bundle-poll", pollersPerDataCentre, options.instance);
-    // Without a bundle everybody asks, but slowly: a peer is likely to be faster.
-    const bool hasNone = events.digest().epoch == 0;
-    if (isMine || (hasNone && random.chance(0.3)))
+    const bool isPoller = isTopRanked(ids, "bundle-poll", pollersPerDataCentre, options.instance);
+    // Every instance without a bundle polls as well, but less often, because a peer will usually
+    // provide one sooner.
+    const bool hasNoBundle = events.digest().epoch == 0;
+    if (isPoller || (hasNoBundle && random.chance(0.3)))
         events.pollTable();
     runtime.after(options.pollPeriod, [this] { pollTick(); });
 }
@@ -268,7 +268,8 @@
     runtime.after(digestPeriod, [this] { digestTick(); });
 }
 
-/// The platform's list lags: it only finds first peers when the seeds are all gone.
+/// Reads the instance list of the platform while no member is known, to find peers if all seeds
+/// are gone. It is not read at other times because it lags behind the actual state.
 void node::state::listTick()
 {
     runtime.after(listPeriod, [this] { listTick(); });
@@ -297,7 +298,7 @@
     std::vector<std::string> near;
     std::vector<std::string> far;
     for (const auto &[id, item] : m_state->members) {
-        // A suspect may be dead: a copy there would be no second copy.
+        // A suspected member may be dead, and its copy lost.
         if (item.state() != wire::member_alive)
             continue;
         (item.data_centre() == m_state->options.dataCentre ? near : far).push_back(id);
@@ -329,10 +330,10 @@
 }
 
 void node::sendRequest(const std::string &instance, std::string_view path,
-                       const std::string &question, duration timeout,
+                       const std::string &request, duration timeout,
                        std::function<void(std::optional<std::string>)> done)
 {
-    struct pending_question
+    struct pending_request
     {
         std::function<void(std::optional<std::string>)> done;
         timer_id timer = 0;
@@ -342,7 +343,7 @@
                 once(std::move(answer));
         }
     };
-    const auto pending = std::make_shared<pending_question>();
+    const auto pending = std::make_shared<pending_request>();
     pending->done = std::move(done);
     link_stream::events handlers;
     handlers.onMessage = [pending, this](std::string_view answer) {
@@ -354,7 +355,7 @@
         pending->finish(std::nullopt);
     };
     const auto stream = open(instance, path, std::move(handlers));
-    stream->send(question);
+    stream->send(request);
     stream->finish();
     pending->timer = m_state->runtime.after(timeout, [pending, stream] {
         stream->reset();
@@ -365,9 +366,9 @@
 void node::requestBundle(const std::string &instance,
                          std::function<void(std::optional<fetched_bundle>)> done)
 {
-    wire::bundle_request question;
-    question.set_bundle_epoch(m_state->events.digest().epoch);
-    sendRequest(instance, bundlePath, question.SerializeAsString(), requestTimeout,
+    wire::bundle_request request;
+    request.set_bundle_epoch(m_state->events.digest().epoch);
+    sendRequest(instance, bundlePath, request.SerializeAsString(), requestTimeout,
                 [done = std::move(done)](const std::optional<std::string> &answer) {
                     wire::bundle_reply reply;
                     if (!answer || !reply.ParseFromString(*answer)) {
@@ -437,11 +438,11 @@
 {
     link_stream::events handlers;
     handlers.onMessage = [weak = std::weak_ptr<link_stream>(stream),
-                          reply = std::move(reply)](std::string_view question) {
+                          reply = std::move(reply)](std::string_view request) {
         const auto open = weak.lock();
         if (!open)
             return;
-        const auto answer = reply(question);
+        const auto answer = reply(request);
         if (!answer) {
             open->reset();
             return;
