--- a/lib/Node/NodeSettings.cpp
+++ b/lib/Node/NodeSettings.cpp
@@ -1,6 +1,6 @@
 //===-- NodeSettings.cpp - settings that entry and agent share --------------===//
 //
-// Names, defaults and ranges stand here once.
+// Declares their names, defaults and ranges, and validates their values.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Node/Node.h"
@@ -13,22 +13,28 @@
 
 void laurelcroft::addNodeSettings(settings &declared)
 {
-    declared.addRequired("instance", "name of this instance, unique in the site");
-    declared.addRequired("data-centre", "data centre that the instance stands in");
-    declared.addText("link-address", "127.0.0.1:0", "host:port for links of other instances");
+    declared.addRequired("instance", "unique name of this instance in the site");
+    declared.addRequired("data-centre", "data centre of this instance");
+    declared.addText("link-address", "127.0.0.1:0",
+                     "host:port that accepts links from other instances");
     declared.addText("gossip-address", "127.0.0.1:0", "host:port for membership datagrams");
     declared.addText("seeds", "", "gossip addresses of first peers, separated by commas");
     declared.addRequired("site-key", "shared secret of all instances, at least 16 characters");
-    declared.addRequired("signoff-keys", "public keys that may sign off, separated by commas");
-    declared.addNumber("signoff-required", 1, 1, 16, "keys", "distinct keys that must sign off");
-    declared.addRequired("table-url", "table service");
-    declared.addRequired("objects-url", "object store");
-    declared.addText("ratings-url", "", "rating service; empty: no ratings");
-    declared.addText("list-url", "", "instance list; empty: seeds only");
-    declared.addNumber("table-rate", 50, 1, 10000, "calls/s", "own rate towards the table");
-    declared.addNumber("table-timeout", 1000, 10, 60000, "ms", "deadline of a call to the table");
-    declared.addNumber("poll-period", 1000, 100, 60000, "ms", "between readings of the bundle row");
-    declared.addNumber("probe-period", 1000, 50, 60000, "ms", "between membership probes");
+    declared.addRequired("signoff-keys",
+                         "public keys trusted to sign off bundles, separated by commas");
+    declared.addNumber("signoff-required", 1, 1, 16, "keys",
+                       "number of distinct keys that must sign off a bundle");
+    declared.addRequired("table-url", "URL of the table service");
+    declared.addRequired("objects-url", "URL of the object store");
+    declared.addText("ratings-url", "", "URL of the rating service; no ratings if empty");
+    declared.addText("list-url", "", "URL of the instance list; only seeds are used if empty");
+    declared.addNumber("table-rate", 50, 1, 10000, "calls/s",
+                       "rate limit of this instance for the table service");
+    declared.addNumber("table-timeout", 1000, 10, 60000, "ms",
+                       "timeout of a call to the table service");
+    declared.addNumber("poll-period", 1000, 100, 60000, "ms",
+                       "interval between reads of the bundle row");
+    declared.addNumber("probe-period", 1000, 50, 60000, "ms", "interval between membership probes");
     declared.addText("log-level", "info", "debug, info, warning or error");
     declared.addFlag("log-json", "write the log as JSON lines");
 }
@@ -60,7 +66,7 @@
     if (options.siteKey.size() < minSiteKeyLength)
         return "--site-key: must have at least 16 characters";
     if (options.signoff.required > options.signoff.trustedKeys.size())
-        return "--signoff-required: more keys are required than --signoff-keys names";
+        return "--signoff-required: exceeds the number of keys in --signoff-keys";
     std::string host;
     std::uint16_t port = 0;
     for (const char *name : {"link-address", "gossip-address"}) {
