--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -9,28 +9,28 @@
 namespace laurelcroft {
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::noteAlive()
+void agent_core<Runtime, Table, Env>::detectFreeze()
 {
     const time_point now = m_runtime.now();
-    if (now - m_lastAlive > m_options.frozenAfter) {
+    if (now - m_lastActivity > m_options.freezeThreshold) {
         m_incarnation += 1;
-        logWarning(log_part::agent, "woke from a freeze, offers made before are void",
+        logWarning(log_part::agent, "process was frozen, earlier offers are refused",
                    {{"incarnation", static_cast<std::int64_t>(m_incarnation)}});
     }
-    m_lastAlive = now;
+    m_lastActivity = now;
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
 template <class M>
 void agent_core<Runtime, Table, Env>::expire(M &known)
 {
-    while (!m_ages[&known].empty()) {
-        const auto &[at, key] = m_ages[&known].front();
-        if (m_runtime.now() - at < m_options.duplicateLife
-            && m_ages[&known].size() <= m_options.mostRemembered)
+    while (!m_insertionOrder[&known].empty()) {
+        const auto &[at, key] = m_insertionOrder[&known].front();
+        if (m_runtime.now() - at < m_options.duplicateRetention
+            && m_insertionOrder[&known].size() <= m_options.maxRememberedKeys)
             return;
         known.erase(key);
-        m_ages[&known].pop_front();
+        m_insertionOrder[&known].pop_front();
     }
 }
 
@@ -38,15 +38,15 @@
 void agent_core<Runtime, Table, Env>::onOffer(link_stream_id stream, const wire::offer &offer,
                                               bundle_epoch epoch)
 {
-    const wire::refusal refusal = judge(offer, epoch);
-    wire::from_agent answer = header();
+    const wire::refusal refusal = checkOffer(offer, epoch);
+    wire::from_agent answer = makeMessage();
     answer.mutable_admission()->set_refusal(refusal);
     logInfo(log_part::agent, refusal == wire::refusal_none ? "offer admitted" : "offer refused",
             {{"request", offer.request_id()},
              {"attempt", static_cast<std::int64_t>(offer.attempt())},
              {"target", offer.target()},
              {"version", offer.version()},
-             {"epoch", static_cast<std::int64_t>(m_keeper.epoch())},
+             {"epoch", static_cast<std::int64_t>(m_bundleTracker.epoch())},
              {"reason", textOf(refusal)}});
     if (refusal != wire::refusal_none) {
         m_env.sendToEntry(stream, answer);
@@ -56,13 +56,13 @@
     auto item = std::make_unique<attempt>();
     item->key = {offer.request_id(), offer.attempt()};
     item->offer = offer;
-    item->epoch = m_keeper.epoch();
+    item->epoch = m_bundleTracker.epoch();
     item->stream = stream;
     item->work = ++m_lastWork;
     item->startedAt = m_runtime.now();
-    remember(m_recent, item->key);
-    m_streams[stream] = item->key;
-    m_works[item->work] = item->key;
+    remember(m_recentKeys, item->key);
+    m_keyByStream[stream] = item->key;
+    m_keyByWork[item->work] = item->key;
     const work_id work = item->work;
     m_attempts[item->key] = std::move(item);
     m_env.sendToEntry(stream, answer);
@@ -70,31 +70,31 @@
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-auto agent_core<Runtime, Table, Env>::judge(const wire::offer &offer, bundle_epoch epoch)
+auto agent_core<Runtime, Table, Env>::checkOffer(const wire::offer &offer, bundle_epoch epoch)
         -> wire::refusal
 {
     if (offer.incarnation() != m_incarnation)
         return wire::refusal_incarnation;
     if (m_draining)
         return wire::refusal_draining;
-    if (!m_keeper.current())
+    if (!m_bundleTracker.current())
         return wire::refusal_no_bundle;
-    if (epoch > m_keeper.epoch()) {
-        m_keeper.observePeerEpoch(offer.entry(), epoch, false, duration(0));
+    if (epoch > m_bundleTracker.epoch()) {
+        m_bundleTracker.observePeerEpoch(offer.entry(), epoch, false, duration(0));
         return wire::refusal_behind;
     }
     const wire::refusal permitted = checkPermission(offer);
     if (permitted != wire::refusal_none)
         return permitted;
     const attempt_key key{offer.request_id(), offer.attempt()};
-    if (m_revoked.count(key) != 0)
+    if (m_revokedKeys.count(key) != 0)
         return wire::refusal_revoked;
     if (isDuplicate(offer, key))
         return wire::refusal_duplicate;
     if (offer.kind() == wire::work_chat
         && m_loaded.count(offer.target() + "@" + offer.version()) == 0)
         return wire::refusal_not_loaded;
-    if (m_works.size() >= m_options.mostAttempts)
+    if (m_keyByWork.size() >= m_options.maxAttempts)
         return wire::refusal_full;
     return wire::refusal_none;
 }
@@ -103,15 +103,15 @@
 auto agent_core<Runtime, Table, Env>::checkPermission(const wire::offer &offer) const
         -> wire::refusal
 {
-    const bundle &rules = m_keeper.current()->rules;
-    const customer *who = rules.findCustomer(offer.customer());
-    if (who == nullptr)
+    const bundle &rules = m_bundleTracker.current()->rules;
+    const customer *requester = rules.findCustomer(offer.customer());
+    if (requester == nullptr)
         return wire::refusal_not_allowed;
     const model *item = rules.findModel(offer.target());
     const model_version *version = item == nullptr ? nullptr : findVersion(*item, offer.version());
     if (version != nullptr && version->state == version_state::withdrawn)
         return wire::refusal_withdrawn;
-    const bool allowed = mayUse(rules, *who, offer.target(), offer.version());
+    const bool allowed = mayUse(rules, *requester, offer.target(), offer.version());
     return allowed ? wire::refusal_none : wire::refusal_not_allowed;
 }
 
@@ -119,22 +119,23 @@
 auto agent_core<Runtime, Table, Env>::isDuplicate(const wire::offer &offer,
                                                   const attempt_key &key) const -> bool
 {
-    // A caller may bring a repeatable request to another entry under the same key, and
-    // entries number their attempts alike: only one that still runs is the same.
+    // A caller may send a repeatable request again through another entry with the same request
+    // id, and every entry numbers its attempts from the same start. An equal key is therefore a
+    // duplicate only while the first attempt is still held.
     if (offer.repeatable())
         return m_attempts.count(key) != 0;
-    if (m_recent.count(key) != 0)
+    if (m_recentKeys.count(key) != 0)
         return true;
-    // Any attempt of a request that may not be repeated counts, whatever its number.
-    const auto it = m_recent.lower_bound({offer.request_id(), 0});
-    return it != m_recent.end() && it->requestId == offer.request_id();
+    // A request that is not repeatable is a duplicate if any attempt of it was admitted.
+    const auto it = m_recentKeys.lower_bound({offer.request_id(), 0});
+    return it != m_recentKeys.end() && it->requestId == offer.request_id();
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
 void agent_core<Runtime, Table, Env>::onResume(link_stream_id stream, const wire::resume &resume)
 {
     attempt *const item = find({resume.request_id(), resume.attempt()});
-    wire::from_agent answer = header();
+    wire::from_agent answer = makeMessage();
     if (item == nullptr || resume.offset() > item->answer.size()) {
         answer.mutable_admission()->set_refusal(wire::refusal_unknown_attempt);
         m_env.sendToEntry(stream, answer);
@@ -142,10 +143,10 @@
         return;
     }
     if (item->stream != 0)
-        m_streams.erase(item->stream);
+        m_keyByStream.erase(item->stream);
     item->stream = stream;
-    item->orphanings += 1;
-    m_streams[stream] = item->key;
+    item->orphanGeneration += 1;
+    m_keyByStream[stream] = item->key;
     answer.mutable_admission()->set_refusal(wire::refusal_none);
     m_env.sendToEntry(stream, answer);
     sendPiece(*item, resume.offset());
@@ -160,10 +161,10 @@
     m_env.resetStream(stream);
     if (item == nullptr)
         return;
-    logInfo(log_part::agent, "attempt cancelled by its entry", {{"request", item->key.requestId}});
+    logInfo(log_part::agent, "attempt cancelled by the entry", {{"request", item->key.requestId}});
     if (item->running)
         m_env.cancelWork(item->work);
-    forget(*item);
+    removeAttempt(*item);
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
@@ -171,7 +172,7 @@
 {
     if (item.stream == 0)
         return;
-    wire::from_agent message = header();
+    wire::from_agent message = makeMessage();
     if (item.result.failed) {
         wire::fault &fault = *message.mutable_fault();
         fault.set_executed(item.result.executed);
@@ -190,9 +191,10 @@
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::orphan(attempt &item)
+void agent_core<Runtime, Table, Env>::onOrphaned(attempt &item)
 {
-    logWarning(log_part::agent, "attempt lost its entry", {{"request", item.key.requestId}});
+    logWarning(log_part::agent, "attempt was not resumed in time",
+               {{"request", item.key.requestId}});
     item.orphaned = true;
     if (!item.running) {
         settleOrphan(item);
@@ -204,7 +206,7 @@
     item.running = false;
     item.result.failed = true;
     item.result.executed = wire::execution_yes;
-    countIfUnknown(item);
+    estimateMissingUsage(item);
     settleOrphan(item);
 }
 
@@ -225,7 +227,7 @@
             answered.answer = item.answer;
         m_claims.finish(answered);
     }
-    forget(item);
+    removeAttempt(item);
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
@@ -244,17 +246,17 @@
     step.set_version(item.offer.version());
     step.set_endpoint(m_options.instance);
     *step.mutable_usage() = item.result.usage;
-    const auto current = m_keeper.current();
+    const auto current = m_bundleTracker.current();
     step.set_cost(current ? costOf(current->rules, step) : 0);
     bill.set_cost(step.cost());
     return bill;
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::onBundle(const typename keeper_type::ptr &taken)
+void agent_core<Runtime, Table, Env>::onBundleInstalled(const typename tracker_type::ptr &installed)
 {
     std::set<std::string> wanted;
-    for (const model &item : taken->rules.models) {
+    for (const model &item : installed->rules.models) {
         if (item.pool != m_options.pool)
             continue;
         for (const model_version &version : item.versions) {
@@ -264,33 +266,33 @@
     }
     for (const std::string &name : std::set<std::string>(m_loaded)) {
         if (wanted.count(name) == 0)
-            order(order_action::unload, name, taken->accepted.epoch);
+            orderVersion(order_action::unload, name, installed->accepted.epoch);
     }
     for (const std::string &name : wanted) {
         if (m_loaded.count(name) == 0)
-            order(order_action::load, name, taken->accepted.epoch);
+            orderVersion(order_action::load, name, installed->accepted.epoch);
     }
 }
 
 template <runtime_like Runtime, table_like Table, agent_environment Env>
-void agent_core<Runtime, Table, Env>::order(order_action action, const std::string &name,
-                                            bundle_epoch fence)
+void agent_core<Runtime, Table, Env>::orderVersion(order_action action, const std::string &name,
+                                                   bundle_epoch fence)
 {
-    // No new work for a version that goes, from the moment the order is decided.
+    // Refuse new work for the version as soon as its unload is decided.
     if (action == order_action::unload)
         m_loaded.erase(name);
     logInfo(log_part::placement, action == order_action::load ? "load ordered" : "unload ordered",
             {{"version", name}, {"fence", static_cast<std::int64_t>(fence)}});
-    m_env.giveOrder({action, name, fence}, [this, action, name, fence](bool done) {
-        // A newer epoch has given its own orders meanwhile.
-        if (fence != m_keeper.epoch())
+    m_env.sendOrder({action, name, fence}, [this, action, name, fence](bool done) {
+        // A bundle with a newer epoch has issued its own orders in the meantime.
+        if (fence != m_bundleTracker.epoch())
             return;
         if (done && action == order_action::load)
             m_loaded.insert(name);
         if (!done)
-            m_runtime.after(orderRetry, [this, action, name, fence] {
-                if (fence == m_keeper.epoch())
-                    order(action, name, fence);
+            m_runtime.after(orderRetryDelay, [this, action, name, fence] {
+                if (fence == m_bundleTracker.epoch())
+                    orderVersion(action, name, fence);
             });
     });
 }
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -1,6 +1,6 @@
-//===-- AgentProcess.cpp - the process beside an endpoint -------------------===//
+//===-- AgentProcess.cpp - process of an agent ------------------------------===//
 //
-// Streams of entries on one side, the endpoint on the other, the core between.
+// Connects the streams of entries and the client of the endpoint to the agent core.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/AgentProcess.h"
@@ -16,17 +16,16 @@
 
 namespace {
 
-/// Bytes queued towards an entry at which the endpoint's answer is no longer read.
-
+/// Bytes queued for an entry at which reading the endpoint's answer is paused.
 constexpr std::size_t slowReaderBytes = 1U << 20;
-constexpr duration loadTick = milliseconds(250);
-constexpr duration longestSilence = seconds(5);
-/// A report on the link, with its frame, and what all of them may take.
+constexpr duration loadCheckInterval = milliseconds(250);
+constexpr duration maxReportInterval = seconds(5);
+/// Size of a load report including its frame, and the rate limit of all load reports.
 constexpr std::int64_t reportBytes = 110;
 constexpr std::int64_t reportBytesPerSecond = 800;
-constexpr duration leastDrain = milliseconds(500);
+constexpr duration minDrainTime = milliseconds(500);
 
-/// The environment of the core: streams of entries, the endpoint, the other instances.
+/// Environment of the agent core: streams of entries, the endpoint and the other instances.
 class agent_io : public node_environment
 {
 public:
@@ -37,20 +36,21 @@
     {
     }
 
-    /// Tells which work a stream carries, to stop reading it for a slow entry.
+    /// Sets the function that maps a stream to its work, so that work can be paused for a slow
+    /// entry.
     void setWorkOf(std::function<work_id(link_stream_id)> workOf) { m_workOf = std::move(workOf); }
 
-    link_stream_id adopt(const std::shared_ptr<link_stream> &stream)
+    link_stream_id addStream(const std::shared_ptr<link_stream> &stream)
     {
         m_streams[++m_lastStream] = stream;
         return m_lastStream;
     }
-    void forget(link_stream_id stream)
+    void removeStream(link_stream_id stream)
     {
         m_streams.erase(stream);
         m_paused.erase(stream);
     }
-    void drained(link_stream_id stream)
+    void onStreamDrained(link_stream_id stream)
     {
         const auto paused = m_paused.extract(stream);
         if (!paused.empty())
@@ -58,16 +58,16 @@
     }
 
     void sendToEntry(link_stream_id stream, const wire::from_agent &message);
-    /// Ends this side after what is queued.
+    /// Ends this side of the stream after the queued messages are sent.
     void closeStream(link_stream_id stream);
 
-    /// Ends a stream whose entry wants nothing more, whatever is queued.
+    /// Resets a stream that its entry no longer needs; queued messages are dropped.
     void resetStream(link_stream_id stream);
     void startWork(work_id work, const wire::offer &offer) { m_endpoint.start(work, offer); }
     void cancelWork(work_id work) { m_endpoint.cancel(work); }
-    void giveOrder(const engine_order &order, std::function<void(bool)> done)
+    void sendOrder(const engine_order &order, std::function<void(bool)> done)
     {
-        m_endpoint.order(order, std::move(done));
+        m_endpoint.postOrder(order, std::move(done));
     }
 
 private:
@@ -115,7 +115,7 @@
     std::uint64_t m_lastLoadStream = 0;
     wire::load_report m_lastLoad;
     time_point m_lastLoadAt{};
-    bundle_epoch m_announced = 0;
+    bundle_epoch m_announcedEpoch = 0;
 };
 
 } // namespace
@@ -136,7 +136,7 @@
         if (item.state() == wire::member_dead)
             m_core.outbox().peerGone(item.id());
     };
-    answerFromCore(events, m_core);
+    bindCoreEvents(events, m_core);
     events.onHealth = [](const wire::version_health &) {};
     events.onStream = [this](const auto &stream) { onStream(stream); };
     return events;
@@ -170,17 +170,17 @@
         return;
     }
     if (stream->path() == "/revoke") {
-        answerOnce(stream, [this](std::string_view question) -> std::optional<std::string> {
+        answerSingleRequest(stream, [this](std::string_view request) -> std::optional<std::string> {
             wire::revoke message;
-            if (!message.ParseFromArray(question.data(), static_cast<int>(question.size())))
+            if (!message.ParseFromArray(request.data(), static_cast<int>(request.size())))
                 return std::nullopt;
             return m_core.onRevoke(message).SerializeAsString();
         });
         return;
     }
     if (stream->path() == "/status") {
-        answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
-            return m_core.header().SerializeAsString();
+        answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
+            return m_core.makeMessage().SerializeAsString();
         });
         return;
     }
@@ -189,7 +189,7 @@
 
 void agent_process::onAttemptStream(const std::shared_ptr<link_stream> &stream)
 {
-    const link_stream_id id = m_io.adopt(stream);
+    const link_stream_id id = m_io.addStream(stream);
     link_stream::events handlers;
     handlers.onMessage = [this, id](std::string_view bytes) {
         wire::from_entry message;
@@ -199,12 +199,12 @@
             m_io.closeStream(id);
     };
     handlers.onClosed = [this, id](bool) {
-        m_io.forget(id);
+        m_io.removeStream(id);
         m_core.onStreamClosed(id);
     };
-    // An entry that ends its side without a word has given the attempt up.
+    // An entry that ends its side without a settled or cancel message has given up the attempt.
     handlers.onEnd = [this, id] { m_io.closeStream(id); };
-    handlers.onDrained = [this, id] { m_io.drained(id); };
+    handlers.onDrained = [this, id] { m_io.onStreamDrained(id); };
     stream->setEvents(std::move(handlers));
 }
 
@@ -215,12 +215,12 @@
     link_stream::events handlers;
     handlers.onClosed = [this, id](bool) { m_loadStreams.erase(id); };
     stream->setEvents(std::move(handlers));
-    wire::from_agent message = m_core.header();
-    *message.mutable_load() = m_core.fullLoad();
+    wire::from_agent message = m_core.makeMessage();
+    *message.mutable_load() = m_core.loadWithVersions();
     stream->send(message.SerializeAsString());
 }
 
-/// \returns true for a change that no entry may learn late.
+/// \returns true if \p now has a change that entries must learn without delay.
 bool agent_process::isUrgent(const wire::load_report &now) const
 {
     return now.draining() != m_lastLoad.draining() || now.loaded_size() != m_lastLoad.loaded_size();
@@ -229,23 +229,24 @@
 bool agent_process::isDue(const wire::load_report &now) const
 {
     const duration age = m_node.runtime().now() - m_lastLoadAt;
-    // The more entries listen, the rarer the reports: they also ride on every answer.
+    // Keep the rate limit for any number of entries by reporting less often to more of them.
+    // Every message of an attempt also contains the load.
     const auto streams = static_cast<std::int64_t>(m_loadStreams.size());
     if (age < streams * reportBytes * seconds(1) / reportBytesPerSecond)
         return false;
     const auto pending = static_cast<double>(now.running() + now.queued());
     const auto before = static_cast<double>(m_lastLoad.running() + m_lastLoad.queued());
-    return age > longestSilence || std::abs(pending - before) > 0.1 * before;
+    return age > maxReportInterval || std::abs(pending - before) > 0.1 * before;
 }
 
 void agent_process::reportLoad(bool always)
 {
-    const wire::load_report load = m_core.fullLoad();
+    const wire::load_report load = m_core.loadWithVersions();
     if (!always && !isUrgent(load) && !isDue(load))
         return;
     m_lastLoad = load;
     m_lastLoadAt = m_node.runtime().now();
-    wire::from_agent message = m_core.header();
+    wire::from_agent message = m_core.makeMessage();
     *message.mutable_load() = load;
     const std::string bytes = message.SerializeAsString();
     for (const auto &[id, stream] : m_loadStreams)
@@ -257,15 +258,15 @@
     reportLoad(false);
     announceNewEpoch();
     m_core.outbox().adoptOld();
-    m_node.runtime().after(loadTick, [this] { tick(); });
+    m_node.runtime().after(loadCheckInterval, [this] { tick(); });
 }
 
 void agent_process::announceNewEpoch()
 {
-    if (m_core.keeper().epoch() == m_announced)
+    if (m_core.keeper().epoch() == m_announcedEpoch)
         return;
-    m_announced = m_core.keeper().epoch();
-    m_node.announce();
+    m_announcedEpoch = m_core.keeper().epoch();
+    m_node.gossipDigest();
 }
 
 void agent_io::sendToEntry(link_stream_id stream, const wire::from_agent &message)
@@ -300,12 +301,13 @@
 void laurelcroft::addAgentSettings(settings &declared)
 {
     addNodeSettings(declared);
-    declared.addRequired("pool", "pool that the endpoint belongs to");
-    declared.addRequired("endpoint-url", "endpoint beside this agent");
-    declared.addNumber("slots", 8, 1, 4096, "requests", "that the endpoint runs at once");
+    declared.addRequired("pool", "pool of the endpoint");
+    declared.addRequired("endpoint-url", "URL of the endpoint that this agent serves");
+    declared.addNumber("slots", 8, 1, 4096, "requests",
+                       "attempts that the endpoint runs concurrently");
     declared.addNumber("waiting-percent", 25, 0, 10000, "%",
-                       "of the slots: attempts that may wait; more are refused at once");
-    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "longest planned stop");
+                       "attempts that may wait, as a share of the slots; further ones are refused");
+    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "time limit of a drain");
 }
 
 int laurelcroft::runAgent(const settings &given)
@@ -322,9 +324,9 @@
     options.instance = nodeOptions.instance;
     options.pool = nodeOptions.pool;
     options.slots = static_cast<std::uint32_t>(given.number("slots"));
-    // Rounded up, so that a small endpoint lets one wait as well.
+    // Round up, so that an endpoint with few slots also has room for a waiting attempt.
     const auto waiting = (options.slots * given.number("waiting-percent") + 99) / 100;
-    options.mostAttempts = options.slots + static_cast<std::uint32_t>(waiting);
+    options.maxAttempts = options.slots + static_cast<std::uint32_t>(waiting);
     options.firstIncarnation = static_cast<std::uint64_t>(wallMilliseconds());
 
     blockStopSignals();
@@ -342,10 +344,10 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.least = leastDrain;
-    steps.longest = seconds(given.number("drain-timeout"));
+    steps.minDuration = minDrainTime;
+    steps.maxDuration = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
-    // The routing duty goes first: what stops after it has no thread to race with.
+    // Stop the routing thread first, so that it cannot race with the rest of the shutdown.
     routing.stop();
     process.stop();
     stopLog();
--- a/lib/Agent/Attempt.cpp
+++ b/lib/Agent/Attempt.cpp
@@ -1,6 +1,6 @@
-//===-- Attempt.cpp - one attempt at an endpoint ----------------------------===//
+//===-- Attempt.cpp - refusal texts, costs, token rate ----------------------===//
 //
-// Texts, costs and the speed meter.
+// Functions of the data types in Attempt.h.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/Attempt.h"
@@ -10,10 +10,10 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr double smoothing = 0.1;
-constexpr double tokensPerUnit = 1000.0;
-/// A cached prompt token costs this share of a computed one.
-constexpr double cachedShare = 0.1;
+constexpr double smoothingFactor = 0.1;
+constexpr double tokensPerPriceUnit = 1000.0;
+/// Price of a cached prompt token relative to a computed one.
+constexpr double cachedTokenPriceFactor = 0.1;
 } // namespace
 
 std::uint64_t laurelcroft::countEvents(std::string_view stream)
@@ -67,12 +67,13 @@
         return 0;
     const wire::usage &used = step.usage();
     const auto cached = static_cast<double>(std::min(used.cached_tokens(), used.prompt_tokens()));
-    const double prompt = static_cast<double>(used.prompt_tokens()) - cached * (1 - cachedShare);
+    const double prompt
+            = static_cast<double>(used.prompt_tokens()) - cached * (1 - cachedTokenPriceFactor);
     const auto generated = static_cast<double>(used.generated_tokens());
-    return (prompt * item->inputCost + generated * item->outputCost) / tokensPerUnit;
+    return (prompt * item->inputCost + generated * item->outputCost) / tokensPerPriceUnit;
 }
 
-void load_meter::finished(time_point, std::uint64_t tokens, duration took)
+void token_rate_meter::addSample(time_point, std::uint64_t tokens, duration took)
 {
     const double elapsed = std::chrono::duration<double>(took).count();
     if (tokens == 0 || elapsed <= 0)
@@ -81,5 +82,5 @@
     if (m_tokensPerSecond == 0)
         m_tokensPerSecond = speed;
     else
-        m_tokensPerSecond += smoothing * (speed - m_tokensPerSecond);
+        m_tokensPerSecond += smoothingFactor * (speed - m_tokensPerSecond);
 }
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -183,14 +183,14 @@
 void entry_io::revoke(const std::string &instance, const wire::revoke &message,
                       std::function<void(std::optional<wire::revoked>)> done)
 {
-    ownNode().ask(instance, "/revoke", message.SerializeAsString(), revokeTimeout,
-                  [done = std::move(done)](const std::optional<std::string> &answer) {
-                      wire::revoked reply;
-                      if (answer && reply.ParseFromString(*answer))
-                          done(reply);
-                      else
-                          done(std::nullopt);
-                  });
+    ownNode().sendRequest(instance, "/revoke", message.SerializeAsString(), revokeTimeout,
+                          [done = std::move(done)](const std::optional<std::string> &answer) {
+                              wire::revoked reply;
+                              if (answer && reply.ParseFromString(*answer))
+                                  done(reply);
+                              else
+                                  done(std::nullopt);
+                          });
 }
 
 void entry_io::note(const decision &made)
@@ -216,14 +216,14 @@
     health.set_model(model);
     health.set_version(version);
     health.set_stopped(true);
-    ownNode().spreadHealth(health);
+    ownNode().gossipVersionHealth(health);
 }
 
 node_events entry_process::nodeEvents()
 {
     node_events events;
     events.onMember = [this](const wire::member &item) { onMember(item); };
-    answerFromCore(events, m_core);
+    bindCoreEvents(events, m_core);
     events.onHealth = [this](const wire::version_health &health) {
         if (health.stopped())
             m_core.hearStop(health.model(), health.version());
@@ -349,19 +349,20 @@
 void entry_process::onStream(const std::shared_ptr<link_stream> &stream)
 {
     if (stream->path() == demandPath) {
-        answerOnce(stream, [this](std::string_view question) -> std::optional<std::string> {
-            wire::demand_report report;
-            if (!report.ParseFromArray(question.data(), static_cast<int>(question.size())))
-                return std::nullopt;
-            return m_sharing.onReport(report).SerializeAsString();
-        });
+        answerSingleRequest(
+                stream, [this](std::string_view question) -> std::optional<std::string> {
+                    wire::demand_report report;
+                    if (!report.ParseFromArray(question.data(), static_cast<int>(question.size())))
+                        return std::nullopt;
+                    return m_sharing.onReport(report).SerializeAsString();
+                });
         return;
     }
     if (stream->path() != "/status") {
         stream->reset();
         return;
     }
-    answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
+    answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
         wire::from_agent header;
         header.set_bundle_epoch(m_core.keeper().epoch());
         return header.SerializeAsString();
@@ -373,7 +374,7 @@
     m_ready = m_core.isReady();
     if (m_core.keeper().epoch() != m_announced) {
         m_announced = m_core.keeper().epoch();
-        m_node.announce();
+        m_node.gossipDigest();
     }
     m_core.outbox().adoptOld();
     m_metrics.set("in_flight", static_cast<double>(m_core.inFlight()));
@@ -450,8 +451,8 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.least = leastDrain;
-    steps.longest = seconds(given.number("drain-timeout"));
+    steps.minDuration = leastDrain;
+    steps.maxDuration = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
     // The routing duty goes first: what stops after it has no thread to race with.
     routing.stop();
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/MembershipThread.cpp
@@ -1,9 +1,10 @@
-//===-- FleetDuty.cpp - membership on a thread of its own -------------------===//
+//===-- MembershipThread.cpp - runs the membership protocol -----------------===//
 //
-// Everything below runs on the fleet duty but for the functions that post to it.
+// The public functions except open, address and stop post to the thread. The protocol
+// and the socket are used on the thread only once it has started.
 //
 //===----------------------------------------------------------------------===//
-#include "FleetDuty.h"
+#include "MembershipThread.h"
 
 #include "laurelcroft/Support/Log.h"
 #include "laurelcroft/Support/UdpAddress.h"
@@ -19,9 +20,10 @@
 
 namespace {
 
-constexpr std::size_t newsRing = 4096;
+constexpr std::size_t updateQueueCapacity = 4096;
 
-/// Sends datagrams; what cannot be sent now is lost, as on any network.
+/// Sends datagrams. A datagram that cannot be sent at once is dropped; the protocol tolerates
+/// lost datagrams.
 struct udp_port
 {
     udp::socket socket;
@@ -36,26 +38,26 @@
 
 } // namespace
 
-struct fleet_duty::state
+struct membership_thread::state
 {
     state(duty_thread &routing, wire::member self, std::string key, membership_options options,
-          std::function<void(fleet_news &&)> onNews)
-        : duty("fleet")
-        , runtime(duty.context())
-        , port{udp::socket(duty.context())}
+          std::function<void(membership_update &&)> onUpdate)
+        : thread("fleet")
+        , runtime(thread.context())
+        , port{udp::socket(thread.context())}
         , random(std::random_device{}())
-        , news(duty, routing, newsRing, std::move(onNews))
+        , updates(thread, routing, updateQueueCapacity, std::move(onUpdate))
         , self(std::move(self))
         , key(std::move(key))
         , options(options)
     {
     }
 
-    duty_thread duty;
+    duty_thread thread;
     asio_runtime runtime;
     udp_port port;
     random_source random;
-    channel<fleet_news> news;
+    channel<membership_update> updates;
     wire::member self;
     std::string key;
     membership_options options;
@@ -67,24 +69,25 @@
     void begin(const std::vector<std::string> &seeds);
 };
 
-fleet_duty::fleet_duty(duty_thread &routing, wire::member self, std::string key,
-                       membership_options options, std::function<void(fleet_news &&)> onNews)
+membership_thread::membership_thread(duty_thread &routing, wire::member self, std::string key,
+                                     membership_options options,
+                                     std::function<void(membership_update &&)> onUpdate)
     : m_state(std::make_unique<state>(routing, std::move(self), std::move(key), options,
-                                      std::move(onNews)))
+                                      std::move(onUpdate)))
 {
 }
 
-fleet_duty::~fleet_duty()
+membership_thread::~membership_thread()
 {
     stop();
 }
 
-std::string fleet_duty::open(const std::string &host, std::uint16_t port)
+std::string membership_thread::open(const std::string &host, std::uint16_t port)
 {
     asio::error_code error;
     const auto ip = asio::ip::make_address(host, error);
     if (error)
-        return "'" + host + "' is not an IP number";
+        return "'" + host + "' is not an IP address";
     udp::socket &socket = m_state->port.socket;
     socket.open(udp::v4(), error);
     socket.bind(udp::endpoint(ip, port), error);
@@ -97,12 +100,12 @@
     return {};
 }
 
-std::string fleet_duty::address() const
+std::string membership_thread::address() const
 {
     return m_state->self.gossip_address();
 }
 
-void fleet_duty::state::receive()
+void membership_thread::state::receive()
 {
     port.socket.async_receive_from(
             asio::buffer(input), from, [this](const asio::error_code &error, std::size_t size) {
@@ -117,51 +120,51 @@
             });
 }
 
-void fleet_duty::state::begin(const std::vector<std::string> &seeds)
+void membership_thread::state::begin(const std::vector<std::string> &seeds)
 {
     membership_events events;
-    events.onMember = [this](const wire::member &item) { news.push(item); };
-    events.onEpoch = [this](const epoch_observation &item) { news.push(item); };
-    events.onHealth = [this](const wire::version_health &item) { news.push(item); };
+    events.onMember = [this](const wire::member &item) { updates.push(item); };
+    events.onEpoch = [this](const epoch_observation &item) { updates.push(item); };
+    events.onHealth = [this](const wire::version_health &item) { updates.push(item); };
     protocol = std::make_unique<membership<asio_runtime, udp_port>>(
             runtime, port, random, self, key, options, std::move(events));
     receive();
     protocol->start(seeds);
 }
 
-void fleet_duty::start(const std::string &linkAddress, const std::vector<std::string> &seeds)
+void membership_thread::start(const std::string &linkAddress, const std::vector<std::string> &seeds)
 {
     m_state->self.set_link_address(linkAddress);
-    m_state->duty.post([inner = m_state.get(), seeds] { inner->begin(seeds); });
-    m_state->duty.start();
+    m_state->thread.post([inner = m_state.get(), seeds] { inner->begin(seeds); });
+    m_state->thread.start();
 }
 
-void fleet_duty::setDigest(const epoch_digest &digest, bool announce)
+void membership_thread::setDigest(const epoch_digest &digest, bool announce)
 {
-    m_state->duty.post([inner = m_state.get(), digest, announce] {
+    m_state->thread.post([inner = m_state.get(), digest, announce] {
         inner->protocol->setDigest(digest);
         if (announce)
             inner->protocol->gossipToRandomMembers();
     });
 }
 
-void fleet_duty::addSeeds(const std::vector<std::string> &seeds)
+void membership_thread::addSeeds(const std::vector<std::string> &seeds)
 {
-    m_state->duty.post([inner = m_state.get(), seeds] { inner->protocol->addSeeds(seeds); });
+    m_state->thread.post([inner = m_state.get(), seeds] { inner->protocol->addSeeds(seeds); });
 }
 
-void fleet_duty::spreadHealth(const wire::version_health &health)
+void membership_thread::gossipVersionHealth(const wire::version_health &health)
 {
-    m_state->duty.post(
+    m_state->thread.post(
             [inner = m_state.get(), health] { inner->protocol->gossipVersionHealth(health); });
 }
 
-void fleet_duty::leave()
+void membership_thread::leave()
 {
-    m_state->duty.post([inner = m_state.get()] { inner->protocol->leave(); });
+    m_state->thread.post([inner = m_state.get()] { inner->protocol->leave(); });
 }
 
-void fleet_duty::stop()
+void membership_thread::stop()
 {
-    m_state->duty.stop();
+    m_state->thread.stop();
 }
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -1,11 +1,11 @@
-//===-- Node.cpp - what every instance of the system has --------------------===//
+//===-- Node.cpp - common part of entries and agents ------------------------===//
 //
-// Runs on the routing duty; news of the fleet arrive there through a ring.
+// Runs on the routing thread. Membership updates arrive there through a bounded channel.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Node/Node.h"
 
-#include "FleetDuty.h"
+#include "MembershipThread.h"
 #include "laurelcroft/Fleet/Ranking.h"
 #include "laurelcroft/Support/Log.h"
 
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr std::size_t pollersPerDataCentre = 2;
-constexpr std::size_t holdersOffered = 4;
-constexpr duration askTimeout = milliseconds(1000);
+constexpr std::size_t maxCandidates = 4;
+constexpr duration requestTimeout = milliseconds(1000);
 constexpr duration billCopyTimeout = milliseconds(300);
 constexpr duration digestPeriod = milliseconds(500);
 constexpr duration listPeriod = seconds(10);
@@ -60,11 +60,11 @@
     link_identity identity;
     node_events events;
     std::unique_ptr<link_server> server;
-    std::unique_ptr<fleet_duty> fleet;
+    std::unique_ptr<membership_thread> membershipThread;
     std::map<std::string, wire::member> members;
     std::map<std::string, std::unique_ptr<link_client>> links;
 
-    void onNews(fleet_news &&news);
+    void onMembershipUpdate(membership_update &&update);
     void onMember(const wire::member &item);
     void onStream(const std::shared_ptr<link_stream> &stream);
     void pollTick();
@@ -158,18 +158,20 @@
     own.set_role(self.options.role);
     own.set_data_centre(self.options.dataCentre);
     own.set_pool(self.options.pool);
-    self.fleet = std::make_unique<fleet_duty>(
+    self.membershipThread = std::make_unique<membership_thread>(
             self.routing, own, self.options.siteKey, self.options.membership,
-            [inner = m_state.get()](fleet_news &&news) { inner->onNews(std::move(news)); });
+            [inner = m_state.get()](membership_update &&update) {
+                inner->onMembershipUpdate(std::move(update));
+            });
     std::string host;
     std::uint16_t port = 0;
     if (!splitAddress(self.options.gossipAddress, host, port))
         return "'" + self.options.gossipAddress + "' is not host:port";
-    error = self.fleet->open(host, port);
+    error = self.membershipThread->open(host, port);
     if (!error.empty())
         return "gossip: " + error;
-    self.options.gossipAddress = self.fleet->address();
-    self.fleet->start(self.options.linkAddress, self.options.seeds);
+    self.options.gossipAddress = self.membershipThread->address();
+    self.membershipThread->start(self.options.linkAddress, self.options.seeds);
     self.routing.post([inner = m_state.get()] {
         inner->pollTick();
         inner->digestTick();
@@ -185,26 +187,26 @@
 
 void node::leave()
 {
-    m_state->fleet->leave();
+    m_state->membershipThread->leave();
 }
 
 void node::stop()
 {
-    if (m_state->fleet)
-        m_state->fleet->stop();
+    if (m_state->membershipThread)
+        m_state->membershipThread->stop();
     if (m_state->server)
         m_state->server->close();
-    // Streams tell their owners that they are cut: that must come while those live.
+    // Closing a link calls onClosed of its streams, whose owners must still exist.
     m_state->links.clear();
 }
 
-void node::state::onNews(fleet_news &&news)
+void node::state::onMembershipUpdate(membership_update &&update)
 {
-    if (const auto *item = std::get_if<wire::member>(&news))
+    if (const auto *item = std::get_if<wire::member>(&update))
         onMember(*item);
-    else if (const auto *sighting = std::get_if<epoch_observation>(&news))
-        events.onEpoch(*sighting);
-    else if (const auto *health = std::get_if<wire::version_health>(&news))
+    else if (const auto *observation = std::get_if<epoch_observation>(&update))
+        events.onEpoch(*observation);
+    else if (const auto *health = std::get_if<wire::version_health>(&update))
         events.onHealth(*health);
 }
 
@@ -213,7 +215,7 @@
     const auto known = members.find(item.id());
     const bool stateChanged = known == members.end() || known->second.state() != item.state();
     if (stateChanged)
-        logInfo(log_part::fleet, "member changed",
+        logInfo(log_part::fleet, "member state changed",
                 {{"member", item.id()},
                  {"state", static_cast<std::int64_t>(item.state())},
                  {"data_centre", item.data_centre()}});
@@ -228,15 +230,15 @@
 void node::state::onStream(const std::shared_ptr<link_stream> &stream)
 {
     if (stream->path() == bundlePath) {
-        answerOnce(stream, [this](std::string_view) -> std::optional<std::string> {
+        answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
             return events.onBundleRequest().SerializeAsString();
         });
         return;
     }
     if (stream->path() == billsPath) {
-        answerOnce(stream, [this](std::string_view question) -> std::optional<std::string> {
+        answerSingleRequest(stream, [this](std::string_view request) -> std::optional<std::string> {
             wire::bill_copy copy;
-            if (!copy.ParseFromArray(question.data(), static_cast<int>(question.size())))
+            if (!copy.ParseFromArray(request.data(), static_cast<int>(request.size())))
                 return std::nullopt;
             wire::bill_copied copied;
             copied.set_held(events.onBillCopy(copy) ? 1 : 0);
@@ -251,21 +253,23 @@
 {
     const std::vector<std::string> ids = liveIds(
             [this](const wire::member &item) { return item.data_centre() == options.dataCentre; });
-    const bool isMine = isTopRanked(ids, "bundle-poll", pollersPerDataCentre, options.instance);
-    // Without a bundle everybody asks, but slowly: a peer is likely to be faster.
-    const bool hasNone = events.digest().epoch == 0;
-    if (isMine || (hasNone && random.chance(0.3)))
+    const bool isPoller = isTopRanked(ids, "bundle-poll", pollersPerDataCentre, options.instance);
+    // Every instance without a bundle polls as well, but less often, because a peer will usually
+    // provide one sooner.
+    const bool hasNoBundle = events.digest().epoch == 0;
+    if (isPoller || (hasNoBundle && random.chance(0.3)))
         events.pollTable();
     runtime.after(options.pollPeriod, [this] { pollTick(); });
 }
 
 void node::state::digestTick()
 {
-    fleet->setDigest(events.digest(), false);
+    membershipThread->setDigest(events.digest(), false);
     runtime.after(digestPeriod, [this] { digestTick(); });
 }
 
-/// The platform's list lags: it only finds first peers when the seeds are all gone.
+/// Reads the instance list of the platform while no member is known, to find peers if all seeds
+/// are gone. It is not read at other times because it lags behind the actual state.
 void node::state::listTick()
 {
     runtime.after(listPeriod, [this] { listTick(); });
@@ -276,10 +280,10 @@
         if (!items)
             return;
         for (const listed_instance &item : *items) {
-            if (!item.leaving && item.id != options.instance && seeds.size() < holdersOffered)
+            if (!item.leaving && item.id != options.instance && seeds.size() < maxCandidates)
                 seeds.push_back(item.gossipAddress);
         }
-        fleet->addSeeds(seeds);
+        membershipThread->addSeeds(seeds);
     });
 }
 
@@ -294,13 +298,13 @@
     std::vector<std::string> near;
     std::vector<std::string> far;
     for (const auto &[id, item] : m_state->members) {
-        // A suspect may be dead: a copy there would be no second copy.
+        // A suspected member may be dead, and its copy lost.
         if (item.state() != wire::member_alive)
             continue;
         (item.data_centre() == m_state->options.dataCentre ? near : far).push_back(id);
     }
-    std::vector<std::string> holders = topRanked(far, m_state->options.instance, holdersOffered);
-    for (std::string &id : topRanked(near, m_state->options.instance, holdersOffered))
+    std::vector<std::string> holders = topRanked(far, m_state->options.instance, maxCandidates);
+    for (std::string &id : topRanked(near, m_state->options.instance, maxCandidates))
         holders.push_back(std::move(id));
     return holders;
 }
@@ -325,10 +329,11 @@
     return openNowhere(m_state->routing.context(), path, std::move(handlers));
 }
 
-void node::ask(const std::string &instance, std::string_view path, const std::string &question,
-               duration timeout, std::function<void(std::optional<std::string>)> done)
+void node::sendRequest(const std::string &instance, std::string_view path,
+                       const std::string &request, duration timeout,
+                       std::function<void(std::optional<std::string>)> done)
 {
-    struct pending_question
+    struct pending_request
     {
         std::function<void(std::optional<std::string>)> done;
         timer_id timer = 0;
@@ -338,7 +343,7 @@
                 once(std::move(answer));
         }
     };
-    const auto pending = std::make_shared<pending_question>();
+    const auto pending = std::make_shared<pending_request>();
     pending->done = std::move(done);
     link_stream::events handlers;
     handlers.onMessage = [pending, this](std::string_view answer) {
@@ -350,7 +355,7 @@
         pending->finish(std::nullopt);
     };
     const auto stream = open(instance, path, std::move(handlers));
-    stream->send(question);
+    stream->send(request);
     stream->finish();
     pending->timer = m_state->runtime.after(timeout, [pending, stream] {
         stream->reset();
@@ -358,34 +363,34 @@
     });
 }
 
-void node::askBundle(const std::string &instance,
-                     std::function<void(std::optional<fetched_bundle>)> done)
-{
-    wire::bundle_request question;
-    question.set_bundle_epoch(m_state->events.digest().epoch);
-    ask(instance, bundlePath, question.SerializeAsString(), askTimeout,
-        [done = std::move(done)](const std::optional<std::string> &answer) {
-            wire::bundle_reply reply;
-            if (!answer || !reply.ParseFromString(*answer)) {
-                done(std::nullopt);
-                return;
-            }
-            const auto accepted = decodeAcceptance(reply.acceptance());
-            if (accepted)
-                done(fetched_bundle{*accepted, reply.text()});
-            else
-                done(std::nullopt);
-        });
+void node::requestBundle(const std::string &instance,
+                         std::function<void(std::optional<fetched_bundle>)> done)
+{
+    wire::bundle_request request;
+    request.set_bundle_epoch(m_state->events.digest().epoch);
+    sendRequest(instance, bundlePath, request.SerializeAsString(), requestTimeout,
+                [done = std::move(done)](const std::optional<std::string> &answer) {
+                    wire::bundle_reply reply;
+                    if (!answer || !reply.ParseFromString(*answer)) {
+                        done(std::nullopt);
+                        return;
+                    }
+                    const auto accepted = decodeAcceptance(reply.acceptance());
+                    if (accepted)
+                        done(fetched_bundle{*accepted, reply.text()});
+                    else
+                        done(std::nullopt);
+                });
 }
 
 void node::copyBills(const std::string &holder, const wire::bill_copy &copy,
                      std::function<void(bool)> done)
 {
-    ask(holder, billsPath, copy.SerializeAsString(), billCopyTimeout,
-        [done = std::move(done)](const std::optional<std::string> &answer) {
-            wire::bill_copied reply;
-            done(answer && reply.ParseFromString(*answer) && reply.held() == 1);
-        });
+    sendRequest(holder, billsPath, copy.SerializeAsString(), billCopyTimeout,
+                [done = std::move(done)](const std::optional<std::string> &answer) {
+                    wire::bill_copied reply;
+                    done(answer && reply.ParseFromString(*answer) && reply.held() == 1);
+                });
 }
 
 void node::readCurrentRow(std::function<void(std::optional<acceptance>)> done)
@@ -412,14 +417,14 @@
                          });
 }
 
-void node::announce()
+void node::gossipDigest()
 {
-    m_state->fleet->setDigest(m_state->events.digest(), true);
+    m_state->membershipThread->setDigest(m_state->events.digest(), true);
 }
 
-void node::spreadHealth(const wire::version_health &health)
+void node::gossipVersionHealth(const wire::version_health &health)
 {
-    m_state->fleet->spreadHealth(health);
+    m_state->membershipThread->gossipVersionHealth(health);
 }
 
 std::string laurelcroft::bundleObjectKey(std::string_view hash)
@@ -427,16 +432,17 @@
     return "bundles/" + std::string(hash);
 }
 
-void laurelcroft::answerOnce(const std::shared_ptr<link_stream> &stream,
-                             std::function<std::optional<std::string>(std::string_view)> reply)
+void laurelcroft::answerSingleRequest(
+        const std::shared_ptr<link_stream> &stream,
+        std::function<std::optional<std::string>(std::string_view)> reply)
 {
     link_stream::events handlers;
     handlers.onMessage = [weak = std::weak_ptr<link_stream>(stream),
-                          reply = std::move(reply)](std::string_view question) {
+                          reply = std::move(reply)](std::string_view request) {
         const auto open = weak.lock();
         if (!open)
             return;
-        const auto answer = reply(question);
+        const auto answer = reply(request);
         if (!answer) {
             open->reset();
             return;
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -210,8 +210,8 @@
         for (auto &[agentId, agent] : m_agents) {
             if (!agent->runtime.isRunning() || isCut(entryId, agentId))
                 continue;
-            wire::from_agent message = agent->core->header();
-            *message.mutable_load() = agent->core->fullLoad();
+            wire::from_agent message = agent->core->makeMessage();
+            *message.mutable_load() = agent->core->loadWithVersions();
             entry->runtime.run([raw = entry.get(), id = agentId, message, now = clock.now()] {
                 raw->core->directory().onReport(id, message, now);
                 raw->core->hearEpoch(id, message.bundle_epoch());
