--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -66,7 +66,7 @@
     using runner_type = attempt_runner<Runtime, Env>;
 
     entry_core(Runtime &runtime, Table &table, Env &env, random_source &random, signoff_rule rule,
-               session_mint mint, entry_options options)
+               session_token_codec mint, entry_options options)
         : m_runtime(runtime)
         , m_env(env)
         , m_random(random)
--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -56,7 +56,7 @@
 {
 public:
     /// \param life of a token from its last use, in milliseconds.
-    session_pinner(Table &table, random_source &random, session_mint mint, std::int64_t life)
+    session_pinner(Table &table, random_source &random, session_token_codec mint, std::int64_t life)
         : m_table(table)
         , m_random(random)
         , m_mint(std::move(mint))
@@ -267,7 +267,7 @@
 
     Table &m_table;
     random_source &m_random;
-    session_mint m_mint;
+    session_token_codec m_mint;
     std::int64_t m_lifeMs;
     std::unordered_map<std::string, std::string> m_known;
 };
--- a/include/laurelcroft/Entry/SessionToken.h
+++ b/include/laurelcroft/Entry/SessionToken.h
@@ -46,11 +46,11 @@
 inline constexpr std::size_t largestSessionText = 4096;
 
 /// Mints and reads tokens.
-class session_mint
+class session_token_codec
 {
 public:
     /// \param keys the first one signs; all of them are accepted, so that keys rotate.
-    explicit session_mint(std::vector<session_key> keys);
+    explicit session_token_codec(std::vector<session_key> keys);
 
     std::string seal(const session &item) const;
     outcome<session, session_error> open(std::string_view token, std::int64_t nowWallMs) const;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -81,7 +81,7 @@
 {
 public:
     entry_process(duty_thread &routing, node_options nodeOptions, entry_options options,
-                  const caller_server_options &callerOptions, session_mint mint)
+                  const caller_server_options &callerOptions, session_token_codec mint)
         : m_random(std::random_device{}())
         , m_io(routing, std::move(nodeOptions), m_metrics)
         , m_node(m_io.ownNode())
@@ -437,7 +437,7 @@
     startLog(given.text("log-level"), given.flag("log-json"));
     duty_thread routing("routing");
     entry_process process(routing, std::move(nodeOptions), std::move(options), callers,
-                          session_mint(keys));
+                          session_token_codec(keys));
     error = process.start();
     if (!error.empty()) {
         std::cerr << "laurelcroft-entry: error: " << error << "\n";
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -31,13 +31,13 @@
     return "unknown";
 }
 
-session_mint::session_mint(std::vector<session_key> keys)
+session_token_codec::session_token_codec(std::vector<session_key> keys)
     : m_keys(std::move(keys))
 {
     assert(!m_keys.empty() && "a mint needs a key");
 }
 
-std::string session_mint::seal(const session &item) const
+std::string session_token_codec::seal(const session &item) const
 {
     const json payload
             = {{"i", item.id}, {"c", item.customer}, {"p", item.pins}, {"x", item.expiresWallMs}};
@@ -65,8 +65,8 @@
     }
 }
 
-outcome<session, session_error> session_mint::open(std::string_view token,
-                                                   std::int64_t nowWallMs) const
+outcome<session, session_error> session_token_codec::open(std::string_view token,
+                                                          std::int64_t nowWallMs) const
 {
     const std::vector<std::string> parts = splitList(token, '.');
     if (token.size() > largestSessionText || parts.size() != 4)
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -86,7 +86,7 @@
     options.defaultTimeout = seconds(60);
     item->core = std::make_unique<bench_entry_core>(item->runtime, item->table, *item, random,
                                                     signoff_rule{{m_key.publicHex}, 1},
-                                                    session_mint({tokenKey}), options);
+                                                    session_token_codec({tokenKey}), options);
     fake_entry *const raw = item.get();
     m_entries[id] = std::move(item);
     for (fake_instance *other : instances()) {
--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -24,21 +24,21 @@
 
 TEST_CASE("session tokens: sealed, opened, rotated, expired")
 {
-    const session_mint mint({oldKey});
+    const session_token_codec mint({oldKey});
     const std::string token = mint.seal(exampleSession());
     CHECK(mint.open(token, 999).value() == exampleSession());
     CHECK(mint.open(token, 1000).error() == session_error::expired);
-    const session_mint rotated({newKey, oldKey});
+    const session_token_codec rotated({newKey, oldKey});
     CHECK(rotated.open(token, 0));
-    const session_mint later({newKey});
+    const session_token_codec later({newKey});
     CHECK(later.open(token, 0).error() == session_error::unknownKey);
 }
 
 TEST_CASE("session tokens: forged or damaged ones are refused")
 {
-    const session_mint mint({oldKey});
+    const session_token_codec mint({oldKey});
     const std::string token = mint.seal(exampleSession());
-    const session_mint stranger({session_key{"k1", "another secret of the tests"}});
+    const session_token_codec stranger({session_key{"k1", "another secret of the tests"}});
     CHECK(stranger.open(token, 0).error() == session_error::forged);
     random_source random(2);
     for (int i = 0; i < 500; ++i) {
