--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -218,7 +218,7 @@
     void finish(const pin_request &request, pinned_session &result, const pin_callback &done)
     {
         result.item.expiresWallMs = request.nowWallMs + m_lifeMs;
-        result.token = m_mint.seal(result.item);
+        result.token = m_mint.encode(result.item);
         done(result);
     }
 
--- a/include/laurelcroft/Entry/SessionToken.h
+++ b/include/laurelcroft/Entry/SessionToken.h
@@ -52,7 +52,7 @@
     /// \param keys the first one signs; all of them are accepted, so that keys rotate.
     explicit session_token_codec(std::vector<session_key> keys);
 
-    std::string seal(const session &item) const;
+    std::string encode(const session &item) const;
     outcome<session, session_error> open(std::string_view token, std::int64_t nowWallMs) const;
 
 private:
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -37,7 +37,7 @@
     assert(!m_keys.empty() && "a mint needs a key");
 }
 
-std::string session_token_codec::seal(const session &item) const
+std::string session_token_codec::encode(const session &item) const
 {
     const json payload
             = {{"i", item.id}, {"c", item.customer}, {"p", item.pins}, {"x", item.expiresWallMs}};
--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -25,7 +25,7 @@
 TEST_CASE("session tokens: sealed, opened, rotated, expired")
 {
     const session_token_codec mint({oldKey});
-    const std::string token = mint.seal(exampleSession());
+    const std::string token = mint.encode(exampleSession());
     CHECK(mint.open(token, 999).value() == exampleSession());
     CHECK(mint.open(token, 1000).error() == session_error::expired);
     const session_token_codec rotated({newKey, oldKey});
@@ -37,7 +37,7 @@
 TEST_CASE("session tokens: forged or damaged ones are refused")
 {
     const session_token_codec mint({oldKey});
-    const std::string token = mint.seal(exampleSession());
+    const std::string token = mint.encode(exampleSession());
     const session_token_codec stranger({session_key{"k1", "another secret of the tests"}});
     CHECK(stranger.open(token, 0).error() == session_error::forged);
     random_source random(2);
