--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -84,7 +84,7 @@
             result.item.id = toHexId();
             result.item.customer = request.customer;
         } else {
-            auto opened = m_mint.open(request.sessionText, request.nowWallMs);
+            auto opened = m_mint.decode(request.sessionText, request.nowWallMs);
             if (!opened) {
                 done(failure(tokenError(opened.error())));
                 return;
--- a/include/laurelcroft/Entry/SessionToken.h
+++ b/include/laurelcroft/Entry/SessionToken.h
@@ -53,7 +53,7 @@
     explicit session_token_codec(std::vector<session_key> keys);
 
     std::string encode(const session &item) const;
-    outcome<session, session_error> open(std::string_view token, std::int64_t nowWallMs) const;
+    outcome<session, session_error> decode(std::string_view token, std::int64_t nowWallMs) const;
 
 private:
     std::vector<session_key> m_keys;
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -65,8 +65,8 @@
     }
 }
 
-outcome<session, session_error> session_token_codec::open(std::string_view token,
-                                                          std::int64_t nowWallMs) const
+outcome<session, session_error> session_token_codec::decode(std::string_view token,
+                                                            std::int64_t nowWallMs) const
 {
     const std::vector<std::string> parts = splitList(token, '.');
     if (token.size() > largestSessionText || parts.size() != 4)
--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -26,12 +26,12 @@
 {
     const session_token_codec mint({oldKey});
     const std::string token = mint.encode(exampleSession());
-    CHECK(mint.open(token, 999).value() == exampleSession());
-    CHECK(mint.open(token, 1000).error() == session_error::expired);
+    CHECK(mint.decode(token, 999).value() == exampleSession());
+    CHECK(mint.decode(token, 1000).error() == session_error::expired);
     const session_token_codec rotated({newKey, oldKey});
-    CHECK(rotated.open(token, 0));
+    CHECK(rotated.decode(token, 0));
     const session_token_codec later({newKey});
-    CHECK(later.open(token, 0).error() == session_error::unknownKey);
+    CHECK(later.decode(token, 0).error() == session_error::unknownKey);
 }
 
 TEST_CASE("session tokens: forged or damaged ones are refused")
@@ -39,15 +39,15 @@
     const session_token_codec mint({oldKey});
     const std::string token = mint.encode(exampleSession());
     const session_token_codec stranger({session_key{"k1", "another secret of the tests"}});
-    CHECK(stranger.open(token, 0).error() == session_error::forged);
+    CHECK(stranger.decode(token, 0).error() == session_error::forged);
     random_source random(2);
     for (int i = 0; i < 500; ++i) {
         std::string damaged = token;
         const std::size_t at = random.index(damaged.size());
         damaged[at] = damaged[at] == 'A' ? 'B' : 'A';
-        CHECK_FALSE(mint.open(damaged, 0));
+        CHECK_FALSE(mint.decode(damaged, 0));
     }
-    CHECK(mint.open("lcs1..", 0).error() == session_error::malformed);
+    CHECK(mint.decode("lcs1..", 0).error() == session_error::malformed);
     CHECK(parseSessionKeys("k1:short").empty());
     CHECK(parseSessionKeys("k1:0123456789abcdef,k2:0123456789abcdef").size() == 2);
 }
