--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -59,7 +59,7 @@
     session_pinner(Table &table, random_source &random, session_token_codec mint, std::int64_t life)
         : m_table(table)
         , m_random(random)
-        , m_mint(std::move(mint))
+        , m_tokenCodec(std::move(mint))
         , m_lifeMs(life)
     {
     }
@@ -84,7 +84,7 @@
             result.item.id = toHexId();
             result.item.customer = request.customer;
         } else {
-            auto opened = m_mint.decode(request.sessionText, request.nowWallMs);
+            auto opened = m_tokenCodec.decode(request.sessionText, request.nowWallMs);
             if (!opened) {
                 done(failure(tokenError(opened.error())));
                 return;
@@ -218,7 +218,7 @@
     void finish(const pin_request &request, pinned_session &result, const pin_callback &done)
     {
         result.item.expiresWallMs = request.nowWallMs + m_lifeMs;
-        result.token = m_mint.encode(result.item);
+        result.token = m_tokenCodec.encode(result.item);
         done(result);
     }
 
@@ -267,7 +267,7 @@
 
     Table &m_table;
     random_source &m_random;
-    session_token_codec m_mint;
+    session_token_codec m_tokenCodec;
     std::int64_t m_lifeMs;
     std::unordered_map<std::string, std::string> m_known;
 };
