--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -266,7 +266,7 @@
     {
         const bool isNewer = result.refusal == wire::refusal_withdrawn
                 || result.refusal == wire::refusal_not_allowed;
-        return isNewer && flow.session.minted && flow.steps.empty() && !flow.callerLeft
+        return isNewer && flow.session.isNew && flow.steps.empty() && !flow.callerLeft
                 && flow.redecisions < m_options.mostRedecisions;
     }
 
--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -41,7 +41,7 @@
     session item;
     std::string token;
     std::string reason;
-    bool minted = false; ///< begun by this request
+    bool isNew = false; ///< begun by this request
 };
 
 using pin_callback = std::function<void(outcome<pinned_session, caller_error>)>;
@@ -79,8 +79,8 @@
     void pinByToken(const pin_request &request, const pin_callback &done)
     {
         pinned_session result;
-        result.minted = request.sessionText.empty();
-        if (result.minted) {
+        result.isNew = request.sessionText.empty();
+        if (result.isNew) {
             result.item.id = toHexId();
             result.item.customer = request.customer;
         } else {
