--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -174,7 +174,7 @@
     }
 
     /// Hears the bundle epoch that another process put on a message.
-    void hearEpoch(const std::string &peer, bundle_epoch epoch)
+    void onPeerEpoch(const std::string &peer, bundle_epoch epoch)
     {
         if (epoch > m_keeper.epoch())
             m_keeper.observePeerEpoch(peer, epoch, false, duration(0));
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -331,7 +331,7 @@
         if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
             return;
         m_core.directory().onReport(agent, message, m_node.runtime().now());
-        m_core.hearEpoch(agent, message.bundle_epoch());
+        m_core.onPeerEpoch(agent, message.bundle_epoch());
     };
     handlers.onClosed = [this, agent](bool) {
         m_loadStreams.erase(agent);
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -214,7 +214,7 @@
             *message.mutable_load() = agent->core->fullLoad();
             entry->runtime.run([raw = entry.get(), id = agentId, message, now = clock.now()] {
                 raw->core->directory().onReport(id, message, now);
-                raw->core->hearEpoch(id, message.bundle_epoch());
+                raw->core->onPeerEpoch(id, message.bundle_epoch());
             });
         }
     }
