--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -181,7 +181,7 @@
     }
 
     /// Another process stopped a version under roll-out.
-    void hearStop(const std::string &model, const std::string &version)
+    void onRolloutStopped(const std::string &model, const std::string &version)
     {
         if (m_guards.stop(model, version))
             logWarning(log_part::routing, "roll-out stopped by another entry's guard",
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -226,7 +226,7 @@
     answerFromCore(events, m_core);
     events.onHealth = [this](const wire::version_health &health) {
         if (health.stopped())
-            m_core.hearStop(health.model(), health.version());
+            m_core.onRolloutStopped(health.model(), health.version());
     };
     events.onStream = [this](const auto &stream) { onStream(stream); };
     return events;
