--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -35,7 +35,7 @@
 {
     env.answer(caller, std::move(event));
     env.rate(sample, onRating);
-    env.spreadStop(name, name);
+    env.broadcastRolloutStop(name, name);
     {
         env.tableReachable()
         } -> std::convertible_to<bool>;
@@ -296,7 +296,7 @@
             return;
         logWarning(log_part::routing, "roll-out stopped by its guard",
                    {{"model", model}, {"version", version}});
-        m_env.spreadStop(model, version);
+        m_env.broadcastRolloutStop(model, version);
     }
 
     void sampleRating(const request_flow &flow, const tier_result &result, bool released);
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -64,7 +64,7 @@
                 std::function<void(std::optional<wire::revoked>)> done);
     void note(const decision &made);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
-    void spreadStop(const std::string &model, const std::string &version);
+    void broadcastRolloutStop(const std::string &model, const std::string &version);
     bool tableReachable() { return !ownNode().table().isShut(); }
 
 private:
@@ -210,7 +210,7 @@
         ownNode().ratings().rate(sample, std::move(done));
 }
 
-void entry_io::spreadStop(const std::string &model, const std::string &version)
+void entry_io::broadcastRolloutStop(const std::string &model, const std::string &version)
 {
     wire::version_health health;
     health.set_model(model);
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -213,7 +213,7 @@
     void note(const decision &made);
     void answer(caller_id caller, answer_event event);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
-    void spreadStop(const std::string &, const std::string &) { }
+    void broadcastRolloutStop(const std::string &, const std::string &) { }
     bool tableReachable() const;
 
     bool holdBills(const wire::bill_copy &copy) override;
