--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -299,11 +299,11 @@
     void finish(run &item, tier_outcome outcome, const std::string &reason, bool timedOut = false,
                 milliseconds retryAfter = milliseconds(1000));
 
-    void note(const run &item, decision_kind kind, const std::string &chosen,
-              std::size_t considered, std::string reason)
+    void recordDecision(const run &item, decision_kind kind, const std::string &chosen,
+                        std::size_t considered, std::string reason)
     {
-        m_env.note({item.work.offer.request_id(), item.epoch, kind, chosen, considered,
-                    std::move(reason)});
+        m_env.recordDecision({item.work.offer.request_id(), item.epoch, kind, chosen, considered,
+                              std::move(reason)});
     }
 
     Runtime &m_runtime;
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -44,8 +44,8 @@
         return;
     }
     const endpoint &chosen = *endpoints[choice->index];
-    note(item, decision_kind::endpoint, chosen.id, choice->considered,
-         std::string(textOf(choice->reason)));
+    recordDecision(item, decision_kind::endpoint, chosen.id, choice->considered,
+                   std::string(textOf(choice->reason)));
     offer(item, chosen);
 }
 
@@ -99,7 +99,7 @@
         return;
     }
     item.lastRefusal = refusal;
-    note(item, decision_kind::attempt, item.endpointId, 1, std::string(textOf(refusal)));
+    recordDecision(item, decision_kind::attempt, item.endpointId, 1, std::string(textOf(refusal)));
     leaveEndpoint(item);
     // A refused offer never ran; another endpoint may be asked, unless the refusal
     // says that no endpoint may serve it.
@@ -138,7 +138,8 @@
 void attempt_runner<Runtime, Env>::onRevoked(run &item, const std::optional<wire::revoked> &answer)
 {
     if (answer && answer->state() == wire::attempt_never_started) {
-        note(item, decision_kind::attempt, item.endpointId, 1, "revoked before it started");
+        recordDecision(item, decision_kind::attempt, item.endpointId, 1,
+                       "revoked before it started");
         dispatch(item);
         return;
     }
@@ -154,7 +155,7 @@
 template <runtime_like Runtime, attempt_port Env>
 void attempt_runner<Runtime, Env>::retryElsewhere(run &item, const std::string &reason)
 {
-    note(item, decision_kind::attempt, item.endpointId, 1, reason);
+    recordDecision(item, decision_kind::attempt, item.endpointId, 1, reason);
     if (item.released > 0) {
         finish(item, tier_outcome::failed, reason);
         return;
@@ -194,7 +195,7 @@
         message.mutable_resume()->set_offset(found->answer.size());
         found->handle = m_env.openAttempt(found->endpointId, message);
         m_handles[found->handle] = id;
-        note(*found, decision_kind::attempt, found->endpointId, 1, "resumed after a cut");
+        recordDecision(*found, decision_kind::attempt, found->endpointId, 1, "resumed after a cut");
     });
 }
 
--- a/include/laurelcroft/Entry/AttemptTypes.h
+++ b/include/laurelcroft/Entry/AttemptTypes.h
@@ -73,7 +73,7 @@
     env.closeAttempt(handle);
     env.consumeAttempt(handle, bytes);
     env.revoke(instance, revoke, onRevoked);
-    env.note(note);
+    env.recordDecision(note);
 };
 
 /// Bounds of attempts.
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -135,7 +135,7 @@
             return;
         const tier_result partial = m_runner.cancel(flow->run);
         flow->run = 0;
-        note(*flow, decision_kind::answer, "cancelled", 1, "the caller left");
+        recordDecision(*flow, decision_kind::answer, "cancelled", 1, "the caller left");
         if (partial.outcome != tier_outcome::notRun)
             addStep(*flow, partial);
         bill(*flow, "partial");
@@ -195,11 +195,11 @@
         return it == m_flows.end() ? nullptr : it->second.get();
     }
 
-    void note(const request_flow &flow, decision_kind kind, std::string chosen,
-              std::size_t considered, std::string reason)
+    void recordDecision(const request_flow &flow, decision_kind kind, std::string chosen,
+                        std::size_t considered, std::string reason)
     {
-        m_env.note({flow.requestId, flow.rules ? flow.epoch() : 0, kind, std::move(chosen),
-                    considered, std::move(reason)});
+        m_env.recordDecision({flow.requestId, flow.rules ? flow.epoch() : 0, kind,
+                              std::move(chosen), considered, std::move(reason)});
     }
 
     /// Checks a new request and fills its flow. \returns the error that refuses it.
@@ -214,7 +214,7 @@
 
     void refuseAtOnce(const request_flow &flow, const caller_error &error)
     {
-        note(flow, decision_kind::answer, error.code, 0, error.message);
+        recordDecision(flow, decision_kind::answer, error.code, 0, error.message);
         m_env.answer(flow.request.id,
                      errorAnswer(error, {{"X-Laurelcroft-Request-Id", flow.requestId}}));
     }
@@ -322,7 +322,8 @@
     {
         request_flow &flow = *find(id);
         const wire::bill item = makeBill(flow, "complete");
-        note(flow, decision_kind::bill, shortNumber(item.cost()), flow.steps.size(), "complete");
+        recordDecision(flow, decision_kind::bill, shortNumber(item.cost()), flow.steps.size(),
+                       "complete");
         m_outbox.add(item, [this, id, result] { release(id, result); });
     }
 
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -64,7 +64,7 @@
 void entry_core<Runtime, Table, Env>::fail(caller_id id, const caller_error &error)
 {
     request_flow *const flow = find(id);
-    note(*flow, decision_kind::answer, error.code, 0, error.message);
+    recordDecision(*flow, decision_kind::answer, error.code, 0, error.message);
     if (flow->begun)
         m_env.answer(id, answer_end{false, ""});
     else
@@ -101,8 +101,8 @@
             return;
         }
         found->session = result.value();
-        note(*found, decision_kind::session, describePins(found->session.item),
-             found->session.item.pins.size(), found->session.reason);
+        recordDecision(*found, decision_kind::session, describePins(found->session.item),
+                       found->session.item.pins.size(), found->session.reason);
         claimIfNeeded(id);
     });
 }
@@ -133,7 +133,7 @@
             m_claims.release(result.found.requestId, result.found.operationId);
         return;
     }
-    note(*flow, decision_kind::claim, std::string(textOf(result.verdict)), 1, "");
+    recordDecision(*flow, decision_kind::claim, std::string(textOf(result.verdict)), 1, "");
     switch (result.verdict) {
     case claim_verdict::granted:
         flow->claimOperation = result.found.operationId;
@@ -177,8 +177,8 @@
                                         std::min<double>(left.count(), item.latencyMs),
                                         m_tierMs[item.tiers.front()], m_random);
         flow.tier = start.tier;
-        note(flow, decision_kind::start, item.tiers[start.tier], item.tiers.size(),
-             std::string(textOf(start.reason)));
+        recordDecision(flow, decision_kind::start, item.tiers[start.tier], item.tiers.size(),
+                       std::string(textOf(start.reason)));
     }
     startTier(id);
 }
@@ -339,7 +339,8 @@
     const bool enough = judged.suffices && !isError;
     std::string reason = "score " + shortNumber(result.finish.score()) + " against "
             + shortNumber(judged.threshold) + (judged.learned ? " learned" : " given");
-    note(flow, decision_kind::judge, enough ? "suffices" : "escalates", 1, std::move(reason));
+    recordDecision(flow, decision_kind::judge, enough ? "suffices" : "escalates", 1,
+                   std::move(reason));
     return enough;
 }
 
@@ -378,7 +379,8 @@
     keepAnswer(*flow, result);
     if (!flow->callerLeft)
         sendLast(*flow, result);
-    note(*flow, decision_kind::answer, flow->tierTarget(), flow->steps.size(), "complete");
+    recordDecision(*flow, decision_kind::answer, flow->tierTarget(), flow->steps.size(),
+                   "complete");
     end(id);
 }
 
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -62,7 +62,7 @@
     void consumeAttempt(attempt_handle handle, std::size_t bytes);
     void revoke(const std::string &instance, const wire::revoke &message,
                 std::function<void(std::optional<wire::revoked>)> done);
-    void note(const decision &made);
+    void recordDecision(const decision &made);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
     void broadcastRolloutStop(const std::string &model, const std::string &version);
     bool tableReachable() { return !ownNode().table().isShut(); }
@@ -193,7 +193,7 @@
                   });
 }
 
-void entry_io::note(const decision &made)
+void entry_io::recordDecision(const decision &made)
 {
     m_metrics.add("decisions_total{kind=\"" + std::string(textOf(made.kind)) + "\"}");
     logInfo(log_part::routing, textOf(made.kind),
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -199,7 +199,7 @@
     });
 }
 
-void fake_entry::note(const decision &made)
+void fake_entry::recordDecision(const decision &made)
 {
     all.decisions.push_back(made);
 }
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -210,7 +210,7 @@
     void consumeAttempt(attempt_handle, std::size_t) { }
     void revoke(const std::string &instance, const wire::revoke &message,
                 std::function<void(std::optional<wire::revoked>)> done);
-    void note(const decision &made);
+    void recordDecision(const decision &made);
     void answer(caller_id caller, answer_event event);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
     void broadcastRolloutStop(const std::string &, const std::string &) { }
