--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -134,7 +134,7 @@
         if (item->admitted)
             resume(item->id);
         else
-            doubt(*item);
+            revokeOffer(*item);
     }
 
 private:
@@ -236,7 +236,7 @@
     }
 
     /// An offer without an answer: it is revoked, and the agent's word decides.
-    void doubt(run &item);
+    void revokeOffer(run &item);
     void onRevoked(run &item, const std::optional<wire::revoked> &answer);
     void retryElsewhere(run &item, const std::string &reason);
     /// Asks the same agent for the rest of a cut answer.
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -77,7 +77,7 @@
                   if (late == nullptr || late->admitted || late->number != number)
                       return;
                   m_ejection.failed(late->endpointId, m_runtime.now());
-                  doubt(*late);
+                  revokeOffer(*late);
               });
 }
 
@@ -112,7 +112,7 @@
 }
 
 template <runtime_like Runtime, attempt_port Env>
-void attempt_runner<Runtime, Env>::doubt(run &item)
+void attempt_runner<Runtime, Env>::revokeOffer(run &item)
 {
     const std::string endpointId = item.endpointId;
     leaveEndpoint(item);
