--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -121,7 +121,7 @@
     }
 
     /// An attempt's stream was cut.
-    void onCut(attempt_handle handle)
+    void onStreamClosed(attempt_handle handle)
     {
         run *const item = findByHandle(handle);
         if (item == nullptr)
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -33,7 +33,7 @@
 struct agent_words
 {
     std::function<void(attempt_handle, const wire::from_agent &, std::size_t)> onMessage;
-    std::function<void(attempt_handle)> onCut;
+    std::function<void(attempt_handle)> onStreamClosed;
 };
 
 /// The environment of the core.
@@ -97,7 +97,8 @@
         words.onMessage
                 = [this](attempt_handle handle, const wire::from_agent &message,
                          std::size_t bytes) { m_core.runner().onMessage(handle, message, bytes); };
-        words.onCut = [this](attempt_handle handle) { m_core.runner().onCut(handle); };
+        words.onStreamClosed
+                = [this](attempt_handle handle) { m_core.runner().onStreamClosed(handle); };
         m_io.connect(m_callers, std::move(words));
     }
 
@@ -146,7 +147,7 @@
     };
     handlers.onClosed = [this, handle](bool) {
         m_streams.erase(handle);
-        m_words.onCut(handle);
+        m_words.onStreamClosed(handle);
     };
     const auto stream = ownNode().open(instance, "/attempt", std::move(handlers));
     stream->useManualFlow();
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -373,7 +373,8 @@
         all.deliver(stream, false, [this, stream, entryId] {
             all.streams.erase(stream);
             if (fake_entry *const entry = all.findEntry(entryId))
-                entry->runtime.run([entry, stream] { entry->core->runner().onCut(stream); });
+                entry->runtime.run(
+                        [entry, stream] { entry->core->runner().onStreamClosed(stream); });
         });
     });
 }
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -242,7 +242,7 @@
     const fake_stream &stream = node.mapped();
     clock.after(latency, [this, id, entryId = stream.entry, agentId = stream.agent] {
         if (fake_entry *const entry = findEntry(entryId))
-            entry->runtime.run([entry, id] { entry->core->runner().onCut(id); });
+            entry->runtime.run([entry, id] { entry->core->runner().onStreamClosed(id); });
         if (fake_agent *const agent = findAgent(agentId))
             agent->runtime.run([agent, id] { agent->core->onStreamClosed(id); });
     });
