--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -155,7 +155,7 @@
         bool ran = false; ///< an attempt was admitted
         bool ranBefore = false; ///< the same of earlier attempts
         bool resuming = false;
-        time_point cutAt{};
+        time_point disconnectedAt{};
         std::set<std::string> tried;
         std::string answer;
         std::size_t released = 0; ///< bytes passed on
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -176,9 +176,9 @@
         return;
     if (!item->resuming) {
         item->resuming = true;
-        item->cutAt = m_runtime.now();
+        item->disconnectedAt = m_runtime.now();
     }
-    const bool late = m_runtime.now() - item->cutAt > m_options.resumeWindow;
+    const bool late = m_runtime.now() - item->disconnectedAt > m_options.resumeWindow;
     const bool gone = m_directory.find(item->endpointId) == nullptr;
     if (late || gone) {
         failAfterCut(*item, "the endpoint was lost");
