--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -241,7 +241,7 @@
     void retryElsewhere(run &item, const std::string &reason);
     /// Asks the same agent for the rest of a cut answer.
     void resume(run_id id);
-    void failAfterCut(run &item, const std::string &reason);
+    void failAfterDisconnect(run &item, const std::string &reason);
     void onPiece(run &item, const wire::piece &piece, std::size_t linkBytes);
     /// The endpoint is done with a run; it stays until it is settled, so that the agent
     /// keeps what it knows.
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -95,7 +95,7 @@
     if (item.resuming) {
         // The agent no longer knows the attempt: it cannot be had again.
         leaveEndpoint(item);
-        failAfterCut(item, "the endpoint lost the attempt");
+        failAfterDisconnect(item, "the endpoint lost the attempt");
         return;
     }
     item.lastRefusal = refusal;
@@ -181,7 +181,7 @@
     const bool late = m_runtime.now() - item->disconnectedAt > m_options.resumeWindow;
     const bool gone = m_directory.find(item->endpointId) == nullptr;
     if (late || gone) {
-        failAfterCut(*item, "the endpoint was lost");
+        failAfterDisconnect(*item, "the endpoint was lost");
         return;
     }
     m_runtime.after(m_options.resumeWait, [this, id, number = item->number] {
@@ -200,7 +200,7 @@
 }
 
 template <runtime_like Runtime, attempt_port Env>
-void attempt_runner<Runtime, Env>::failAfterCut(run &item, const std::string &reason)
+void attempt_runner<Runtime, Env>::failAfterDisconnect(run &item, const std::string &reason)
 {
     m_ejection.failed(item.endpointId, m_runtime.now());
     item.mayHaveRun = true;
@@ -238,7 +238,7 @@
 {
     const bool whole = done.length() == item.answer.size() && done.digest() == sha256(item.answer);
     if (!whole) {
-        failAfterCut(item, "the answer is not whole");
+        failAfterDisconnect(item, "the answer is not whole");
         return;
     }
     m_ejection.succeeded(item.endpointId);
