--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -178,14 +178,14 @@
 
     void erase(run &item)
     {
-        leaveEndpoint(item);
+        detachFromEndpoint(item);
         m_runtime.cancel(item.offerTimer);
         m_runtime.cancel(item.deadlineTimer);
         m_runs.erase(run_id(item.id));
     }
 
     /// Ends the stream to the endpoint and takes the run out of its count.
-    void leaveEndpoint(run &item)
+    void detachFromEndpoint(run &item)
     {
         if (item.handle != 0) {
             m_handles.erase(item.handle);
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -94,13 +94,13 @@
     }
     if (item.resuming) {
         // The agent no longer knows the attempt: it cannot be had again.
-        leaveEndpoint(item);
+        detachFromEndpoint(item);
         failAfterDisconnect(item, "the endpoint lost the attempt");
         return;
     }
     item.lastRefusal = refusal;
     recordDecision(item, decision_kind::attempt, item.endpointId, 1, std::string(textOf(refusal)));
-    leaveEndpoint(item);
+    detachFromEndpoint(item);
     // A refused offer never ran; another endpoint may be asked, unless the refusal
     // says that no endpoint may serve it.
     const bool final = refusal == wire::refusal_withdrawn || refusal == wire::refusal_not_allowed
@@ -115,7 +115,7 @@
 void attempt_runner<Runtime, Env>::revokeOffer(run &item)
 {
     const std::string endpointId = item.endpointId;
-    leaveEndpoint(item);
+    detachFromEndpoint(item);
     wire::revoke message;
     message.set_request_id(item.work.offer.request_id());
     message.set_attempt(item.number);
@@ -205,7 +205,7 @@
     m_ejection.failed(item.endpointId, m_runtime.now());
     item.mayHaveRun = true;
     item.resuming = false;
-    leaveEndpoint(item);
+    detachFromEndpoint(item);
     if (item.work.offer.repeatable())
         retryElsewhere(item, reason);
     else
@@ -264,7 +264,7 @@
         wire::from_entry message;
         message.mutable_settled();
         m_env.sendAttempt(item.handle, message);
-        leaveEndpoint(item);
+        detachFromEndpoint(item);
         retryElsewhere(item, fault.message());
         return;
     }
