--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -192,7 +192,7 @@
             m_env.closeAttempt(item.handle);
             item.handle = 0;
         }
-        uncount(item);
+        decrementRunning(item);
     }
 
     void sendCancel(run &item)
@@ -249,10 +249,10 @@
     {
         item.finished = true;
         m_runtime.cancel(item.deadlineTimer);
-        uncount(item);
+        decrementRunning(item);
     }
 
-    void uncount(run &item)
+    void decrementRunning(run &item)
     {
         if (item.counted)
             m_directory.onEnded(item.endpointId);
