--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -221,7 +221,7 @@
     }
 
     /// Leaves out what was tried and what is ejected, up to the ejection's ceiling.
-    std::vector<const endpoint *> usable(const run &item) const;
+    std::vector<const endpoint *> usableEndpoints(const run &item) const;
     void dispatch(run &item);
     void offer(run &item, const endpoint &chosen);
     void onAdmission(run &item, wire::refusal refusal);
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -9,7 +9,8 @@
 namespace laurelcroft {
 
 template <runtime_like Runtime, attempt_port Env>
-auto attempt_runner<Runtime, Env>::usable(const run &item) const -> std::vector<const endpoint *>
+auto attempt_runner<Runtime, Env>::usableEndpoints(const run &item) const
+        -> std::vector<const endpoint *>
 {
     const auto all = m_directory.candidates(item.work.pool, item.work.offer.target(),
                                             item.work.offer.version());
@@ -31,7 +32,7 @@
 template <runtime_like Runtime, attempt_port Env>
 void attempt_runner<Runtime, Env>::dispatch(run &item)
 {
-    const auto endpoints = usable(item);
+    const auto endpoints = usableEndpoints(item);
     const auto known = m_affinity.find(item.work.affinity);
     std::vector<endpoint_view> views;
     for (const endpoint *candidate : endpoints) {
