--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -146,7 +146,7 @@
         bundle_epoch epoch = 0;
         attempt_handle handle = 0;
         std::string endpointId;
-        std::uint32_t number = 0; ///< of the attempt
+        std::uint32_t attemptNumber = 0; ///< of the attempt
         std::uint32_t offers = 0;
         bool counted = false; ///< in the directory as running
         bool admitted = false;
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -54,7 +54,7 @@
 void attempt_runner<Runtime, Env>::offer(run &item, const endpoint &chosen)
 {
     item.offers += 1;
-    item.number += 1;
+    item.attemptNumber += 1;
     item.ranBefore = item.ran;
     item.endpointId = chosen.id;
     item.tried.insert(chosen.id);
@@ -65,21 +65,21 @@
     message.set_bundle_epoch(item.epoch);
     wire::offer &offer = *message.mutable_offer();
     offer = item.work.offer;
-    offer.set_attempt(item.number);
+    offer.set_attempt(item.attemptNumber);
     offer.set_incarnation(chosen.incarnation);
     const auto left
             = std::chrono::duration_cast<milliseconds>(item.work.deadline - m_runtime.now());
     offer.set_deadline_ms(static_cast<std::uint32_t>(std::max<std::int64_t>(1, left.count())));
     item.handle = m_env.openAttempt(chosen.id, message);
     m_handles[item.handle] = item.id;
-    item.offerTimer
-            = m_runtime.after(m_options.offerTimeout, [this, id = item.id, number = item.number] {
-                  run *const late = find(id);
-                  if (late == nullptr || late->admitted || late->number != number)
-                      return;
-                  m_ejection.failed(late->endpointId, m_runtime.now());
-                  revokeOffer(*late);
-              });
+    item.offerTimer = m_runtime.after(
+            m_options.offerTimeout, [this, id = item.id, attemptNumber = item.attemptNumber] {
+                run *const late = find(id);
+                if (late == nullptr || late->admitted || late->attemptNumber != attemptNumber)
+                    return;
+                m_ejection.failed(late->endpointId, m_runtime.now());
+                revokeOffer(*late);
+            });
 }
 
 template <runtime_like Runtime, attempt_port Env>
@@ -119,7 +119,7 @@
     detachFromEndpoint(item);
     wire::revoke message;
     message.set_request_id(item.work.offer.request_id());
-    message.set_attempt(item.number);
+    message.set_attempt(item.attemptNumber);
     message.set_bundle_epoch(item.epoch);
     if (item.work.offer.repeatable()) {
         // Whether it ran or not, it may run again; the word is only to stop it.
@@ -185,14 +185,14 @@
         failAfterDisconnect(*item, "the endpoint was lost");
         return;
     }
-    m_runtime.after(m_options.resumeWait, [this, id, number = item->number] {
+    m_runtime.after(m_options.resumeWait, [this, id, attemptNumber = item->attemptNumber] {
         run *const found = find(id);
-        if (found == nullptr || found->handle != 0 || found->number != number)
+        if (found == nullptr || found->handle != 0 || found->attemptNumber != attemptNumber)
             return;
         wire::from_entry message;
         message.set_bundle_epoch(found->epoch);
         message.mutable_resume()->set_request_id(found->work.offer.request_id());
-        message.mutable_resume()->set_attempt(found->number);
+        message.mutable_resume()->set_attempt(found->attemptNumber);
         message.mutable_resume()->set_offset(found->answer.size());
         found->handle = m_env.openAttempt(found->endpointId, message);
         m_handles[found->handle] = id;
@@ -317,7 +317,7 @@
     result.timedOut = timedOut;
     const auto onResult = std::move(item.events.onResult);
     erase(item);
-    // Later, never from within start(): the caller first learns the run's number.
+    // Later, never from within start(): the caller first learns the run's attemptNumber.
     m_runtime.after(duration(0), [onResult, result] { onResult(result); });
 }
 
