--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -40,7 +40,7 @@
         views.push_back(viewOf(*candidate, m_directory.dataCentre(), holds));
     }
     const auto choice = chooseEndpoint(views, item.work.estimate, m_random);
-    if (!choice || item.offers >= m_options.mostOffers) {
+    if (!choice || item.offers >= m_options.maxOffers) {
         giveUp(item);
         return;
     }
