--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -283,7 +283,7 @@
     result.endpoint = item.endpointId;
     result.usage = fault.usage();
     result.answer = item.answer;
-    result.retryAfter = m_options.emptyRetry;
+    result.retryAfter = m_options.noEndpointRetryAfter;
     result.isUnsettled = true;
     const auto onResult = item.events.onResult;
     onResult(result);
