--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -293,7 +293,7 @@
                 ? "no endpoint can serve it now"
                 : std::string(textOf(item.lastRefusal));
         finish(item, outcomeSoFar(item), reason, false,
-               full ? m_options.fullRetry : m_options.noEndpointRetryAfter);
+               full ? m_options.fullRetryAfter : m_options.noEndpointRetryAfter);
     }
 
     void finish(run &item, tier_outcome outcome, const std::string &reason, bool timedOut = false,
--- a/include/laurelcroft/Entry/AttemptTypes.h
+++ b/include/laurelcroft/Entry/AttemptTypes.h
@@ -84,7 +84,7 @@
     duration resumeWait = milliseconds(200); ///< between tries
     std::uint32_t maxOffers = 4; ///< of one tier, refused ones included
     milliseconds noEndpointRetryAfter{1000}; ///< told when no endpoint can serve it
-    milliseconds fullRetry{250}; ///< told when all are full
+    milliseconds fullRetryAfter{250}; ///< told when all are full
     std::size_t rememberedSessions = 20000;
 };
 
