--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -185,7 +185,7 @@
         failAfterDisconnect(*item, "the endpoint was lost");
         return;
     }
-    m_runtime.after(m_options.resumeWait, [this, id, attemptNumber = item->attemptNumber] {
+    m_runtime.after(m_options.resumeInterval, [this, id, attemptNumber = item->attemptNumber] {
         run *const found = find(id);
         if (found == nullptr || found->handle != 0 || found->attemptNumber != attemptNumber)
             return;
--- a/include/laurelcroft/Entry/AttemptTypes.h
+++ b/include/laurelcroft/Entry/AttemptTypes.h
@@ -81,7 +81,7 @@
 {
     duration offerTimeout = milliseconds(800); ///< for the admission
     duration resumeWindow = seconds(3); ///< to find a cut attempt again
-    duration resumeWait = milliseconds(200); ///< between tries
+    duration resumeInterval = milliseconds(200); ///< between tries
     std::uint32_t maxOffers = 4; ///< of one tier, refused ones included
     milliseconds noEndpointRetryAfter{1000}; ///< told when no endpoint can serve it
     milliseconds fullRetryAfter{250}; ///< told when all are full
