--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -230,7 +230,7 @@
     {
         if (item.work.affinity.empty())
             return;
-        if (m_affinity.size() >= m_options.rememberedSessions)
+        if (m_affinity.size() >= m_options.maxAffinityEntries)
             m_affinity.erase(m_affinity.begin());
         m_affinity[item.work.affinity] = item.endpointId;
     }
--- a/include/laurelcroft/Entry/AttemptTypes.h
+++ b/include/laurelcroft/Entry/AttemptTypes.h
@@ -85,7 +85,7 @@
     std::uint32_t maxOffers = 4; ///< of one tier, refused ones included
     milliseconds noEndpointRetryAfter{1000}; ///< told when no endpoint can serve it
     milliseconds fullRetryAfter{250}; ///< told when all are full
-    std::size_t rememberedSessions = 20000;
+    std::size_t maxAffinityEntries = 20000;
 };
 
 } // namespace laurelcroft
