--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -46,7 +46,7 @@
 {
     std::string instance;
     std::string dataCentre;
-    std::size_t mostFlows = 4096; ///< requests in flight; above it: refused
+    std::size_t maxRequestsInFlight = 4096; ///< requests in flight; above it: refused
     milliseconds defaultTimeout{120000};
     std::int64_t sessionLifeMs = 7LL * 24 * 3600 * 1000;
     double ratedShare = 0.1; ///< of answers that are sent to be rated
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -45,7 +45,8 @@
         -> std::optional<caller_error>
 {
     // Important customers keep the last quarter of the room to themselves.
-    const std::size_t room = who.priority == 0 ? m_options.mostFlows : m_options.mostFlows * 3 / 4;
+    const std::size_t room = who.priority == 0 ? m_options.maxRequestsInFlight
+                                               : m_options.maxRequestsInFlight * 3 / 4;
     if (m_flows.size() >= room)
         return overloaded();
     if (!m_outbox.accepts(m_env.tableReachable()))
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -408,7 +408,7 @@
     options.dataCentre = given.text("data-centre");
     options.sessionLifeMs = given.number("session-life") * 1000;
     options.defaultTimeout = milliseconds(given.number("request-timeout"));
-    options.mostFlows = static_cast<std::size_t>(given.number("most-requests"));
+    options.maxRequestsInFlight = static_cast<std::size_t>(given.number("most-requests"));
     options.ratedShare = static_cast<double>(given.number("rated-percent")) / 100.0;
     callers.limits.largestBody = static_cast<std::size_t>(given.number("largest-body"));
     callers.callers.largestBody = 2 * callers.limits.largestBody;
