--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -51,7 +51,7 @@
     std::int64_t sessionLifeMs = 7LL * 24 * 3600 * 1000;
     double ratedShare = 0.1; ///< of answers that are sent to be rated
     duration redecideWait = milliseconds(100); ///< after an agent knew a newer bundle
-    int mostRedecisions = 3;
+    int maxBundleRetries = 3;
     attempt_options attempts;
     outbox_options outbox;
     subset_options subset;
@@ -267,7 +267,7 @@
         const bool isNewer = result.refusal == wire::refusal_withdrawn
                 || result.refusal == wire::refusal_not_allowed;
         return isNewer && flow.session.isNew && flow.steps.empty() && !flow.callerLeft
-                && flow.redecisions < m_options.mostRedecisions;
+                && flow.redecisions < m_options.maxBundleRetries;
     }
 
     void redecide(caller_id id);
