--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -50,7 +50,7 @@
     milliseconds defaultTimeout{120000};
     std::int64_t sessionLifeMs = 7LL * 24 * 3600 * 1000;
     double ratedShare = 0.1; ///< of answers that are sent to be rated
-    duration redecideWait = milliseconds(100); ///< after an agent knew a newer bundle
+    duration bundleRetryDelay = milliseconds(100); ///< after an agent knew a newer bundle
     int maxBundleRetries = 3;
     attempt_options attempts;
     outbox_options outbox;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -287,7 +287,7 @@
 template <runtime_like Runtime, table_like Table, entry_environment Env>
 void entry_core<Runtime, Table, Env>::redecide(caller_id id)
 {
-    m_runtime.after(m_options.redecideWait, [this, id] {
+    m_runtime.after(m_options.bundleRetryDelay, [this, id] {
         request_flow *const flow = find(id);
         if (flow == nullptr)
             return;
