--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -267,7 +267,7 @@
         const bool isNewer = result.refusal == wire::refusal_withdrawn
                 || result.refusal == wire::refusal_not_allowed;
         return isNewer && flow.session.isNew && flow.steps.empty() && !flow.callerLeft
-                && flow.redecisions < m_options.maxBundleRetries;
+                && flow.bundleRetries < m_options.maxBundleRetries;
     }
 
     void redecide(caller_id id);
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -291,7 +291,7 @@
         request_flow *const flow = find(id);
         if (flow == nullptr)
             return;
-        flow->redecisions += 1;
+        flow->bundleRetries += 1;
         flow->rules = m_keeper.current();
         const customer *who = flow->rules->rules.findCustomer(flow->customerName);
         flow->target = resolveTarget(flow->rules->rules, flow->request.target);
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -52,7 +52,7 @@
     std::vector<wire::bill_step> steps;
     bool begun = false; ///< the streamed answer has begun
     bool callerLeft = false;
-    int redecisions = 0;
+    int bundleRetries = 0;
 
     const customer &who() const { return *rules->rules.findCustomer(customerName); }
     bundle_epoch epoch() const { return rules->accepted.epoch; }
