--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -262,7 +262,7 @@
     void onTierResult(caller_id id, const tier_result &result);
     /// A withdrawal that the agent knew first: a session that begins here may still get
     /// another version, once this entry has caught up.
-    bool mayRedecide(const request_flow &flow, const tier_result &result) const
+    bool mayRetryWithNewBundle(const request_flow &flow, const tier_result &result) const
     {
         const bool isNewer = result.refusal == wire::refusal_withdrawn
                 || result.refusal == wire::refusal_not_allowed;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -276,7 +276,7 @@
         addStep(*flow, result);
     if (result.outcome == tier_outcome::failed)
         addEvidence(*flow, evidence_kind::errors, false);
-    if (result.outcome == tier_outcome::notRun && mayRedecide(*flow, result)) {
+    if (result.outcome == tier_outcome::notRun && mayRetryWithNewBundle(*flow, result)) {
         redecide(id);
         return;
     }
