--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -270,7 +270,7 @@
                 && flow.bundleRetries < m_options.maxBundleRetries;
     }
 
-    void redecide(caller_id id);
+    void retryWithNewBundle(caller_id id);
     void onTierFinished(caller_id id, const tier_result &result);
     bool suffices(const request_flow &flow, const tier_result &result, bool isError);
 
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -277,7 +277,7 @@
     if (result.outcome == tier_outcome::failed)
         addEvidence(*flow, evidence_kind::errors, false);
     if (result.outcome == tier_outcome::notRun && mayRetryWithNewBundle(*flow, result)) {
-        redecide(id);
+        retryWithNewBundle(id);
         return;
     }
     bill(*flow, result.outcome == tier_outcome::uncertain ? uncertainBill : "failed");
@@ -285,7 +285,7 @@
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-void entry_core<Runtime, Table, Env>::redecide(caller_id id)
+void entry_core<Runtime, Table, Env>::retryWithNewBundle(caller_id id)
 {
     m_runtime.after(m_options.bundleRetryDelay, [this, id] {
         request_flow *const flow = find(id);
