--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -48,7 +48,7 @@
     std::string dataCentre;
     std::size_t maxRequestsInFlight = 4096; ///< requests in flight; above it: refused
     milliseconds defaultTimeout{120000};
-    std::int64_t sessionLifeMs = 7LL * 24 * 3600 * 1000;
+    std::int64_t sessionLifetimeMs = 7LL * 24 * 3600 * 1000;
     double ratedShare = 0.1; ///< of answers that are sent to be rated
     duration bundleRetryDelay = milliseconds(100); ///< after an agent knew a newer bundle
     int maxBundleRetries = 3;
@@ -77,7 +77,7 @@
         , m_runner(runtime, env, m_directory, random, m_options.attempts)
         , m_outbox(runtime, table, env, m_options.instance, m_options.outbox)
         , m_claims(runtime, table, m_options.instance)
-        , m_pinner(table, random, std::move(mint), m_options.sessionLifeMs)
+        , m_pinner(table, random, std::move(mint), m_options.sessionLifetimeMs)
         , m_lookup(table, m_claims, env)
     {
     }
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -406,7 +406,7 @@
 {
     options.instance = given.text("instance");
     options.dataCentre = given.text("data-centre");
-    options.sessionLifeMs = given.number("session-life") * 1000;
+    options.sessionLifetimeMs = given.number("session-life") * 1000;
     options.defaultTimeout = milliseconds(given.number("request-timeout"));
     options.maxRequestsInFlight = static_cast<std::size_t>(given.number("most-requests"));
     options.ratedShare = static_cast<double>(given.number("rated-percent")) / 100.0;
