--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -60,7 +60,7 @@
         : m_table(table)
         , m_random(random)
         , m_tokenCodec(std::move(mint))
-        , m_lifeMs(life)
+        , m_lifetimeMs(life)
     {
     }
 
@@ -217,7 +217,7 @@
 
     void finish(const pin_request &request, pinned_session &result, const pin_callback &done)
     {
-        result.item.expiresWallMs = request.nowWallMs + m_lifeMs;
+        result.item.expiresWallMs = request.nowWallMs + m_lifetimeMs;
         result.token = m_tokenCodec.encode(result.item);
         done(result);
     }
@@ -268,7 +268,7 @@
     Table &m_table;
     random_source &m_random;
     session_token_codec m_tokenCodec;
-    std::int64_t m_lifeMs;
+    std::int64_t m_lifetimeMs;
     std::unordered_map<std::string, std::string> m_known;
 };
 
