--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -192,7 +192,7 @@
                   const std::shared_ptr<pinned_session> &result, std::size_t next,
                   const pin_callback &done)
     {
-        if (m_known.size() >= mostKnown)
+        if (m_known.size() >= maxCachedPins)
             m_known.erase(m_known.begin());
         m_known[key] = version;
         takeNamed(request, result, next, version, done);
@@ -263,7 +263,7 @@
     }
 
     static constexpr milliseconds shortestRetry{250};
-    static constexpr std::size_t mostKnown = 50000;
+    static constexpr std::size_t maxCachedPins = 50000;
 
     Table &m_table;
     random_source &m_random;
