--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -142,8 +142,8 @@
         }
         const std::string &model = request->models[next];
         const std::string key = sessionKey(request->customer, request->sessionText, model);
-        const auto known = m_known.find(key);
-        if (known != m_known.end()) {
+        const auto known = m_namedPins.find(key);
+        if (known != m_namedPins.end()) {
             takeNamed(request, result, next, known->second, done);
             return;
         }
@@ -192,9 +192,9 @@
                   const std::shared_ptr<pinned_session> &result, std::size_t next,
                   const pin_callback &done)
     {
-        if (m_known.size() >= maxCachedPins)
-            m_known.erase(m_known.begin());
-        m_known[key] = version;
+        if (m_namedPins.size() >= maxCachedPins)
+            m_namedPins.erase(m_namedPins.begin());
+        m_namedPins[key] = version;
         takeNamed(request, result, next, version, done);
     }
 
@@ -269,7 +269,7 @@
     random_source &m_random;
     session_token_codec m_tokenCodec;
     std::int64_t m_lifetimeMs;
-    std::unordered_map<std::string, std::string> m_known;
+    std::unordered_map<std::string, std::string> m_namedPins;
 };
 
 } // namespace laurelcroft
