--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -81,7 +81,7 @@
         pinned_session result;
         result.isNew = request.sessionText.empty();
         if (result.isNew) {
-            result.item.id = toHexId();
+            result.item.id = newSessionId();
             result.item.customer = request.customer;
         } else {
             auto opened = m_tokenCodec.decode(request.sessionText, request.nowWallMs);
@@ -222,7 +222,7 @@
         done(result);
     }
 
-    std::string toHexId() { return std::to_string(m_random.bits()); }
+    std::string newSessionId() { return std::to_string(m_random.bits()); }
 
     static caller_error tokenError(session_error error)
     {
