--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -172,15 +172,15 @@
                            if (!row)
                                done(failure(tableError(row.error())));
                            else
-                               takeRow(key, mine, row.value(), request, result, next, done);
+                               onRowInserted(key, mine, row.value(), request, result, next, done);
                        });
     }
 
     /// \param mine the version that was to be pinned; another call may have been faster.
-    void takeRow(const std::string &key, const std::string &mine, const write_result &row,
-                 const std::shared_ptr<pin_request> &request,
-                 const std::shared_ptr<pinned_session> &result, std::size_t next,
-                 const pin_callback &done)
+    void onRowInserted(const std::string &key, const std::string &mine, const write_result &row,
+                       const std::shared_ptr<pin_request> &request,
+                       const std::shared_ptr<pinned_session> &result, std::size_t next,
+                       const pin_callback &done)
     {
         if (!row.done)
             result->reason.clear();
