--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -144,7 +144,7 @@
         const std::string key = sessionKey(request->customer, request->sessionText, model);
         const auto known = m_namedPins.find(key);
         if (known != m_namedPins.end()) {
-            takeNamed(request, result, next, known->second, done);
+            applyNamedPin(request, result, next, known->second, done);
             return;
         }
         const customer &who = *request->rules->findCustomer(request->customer);
@@ -195,12 +195,12 @@
         if (m_namedPins.size() >= maxCachedPins)
             m_namedPins.erase(m_namedPins.begin());
         m_namedPins[key] = version;
-        takeNamed(request, result, next, version, done);
+        applyNamedPin(request, result, next, version, done);
     }
 
-    void takeNamed(const std::shared_ptr<pin_request> &request,
-                   const std::shared_ptr<pinned_session> &result, std::size_t next,
-                   const std::string &version, const pin_callback &done)
+    void applyNamedPin(const std::shared_ptr<pin_request> &request,
+                       const std::shared_ptr<pinned_session> &result, std::size_t next,
+                       const std::string &version, const pin_callback &done)
     {
         const std::string &model = request->models[next];
         result->item.pins[model] = version;
