--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -161,7 +161,8 @@
                                  done(failure(versionError(refusal, request->models[next],
                                                            request->wantedVersion)));
                              else
-                                 remember(key, row.value()->value, request, result, next, done);
+                                 cacheNamedPin(key, row.value()->value, request, result, next,
+                                               done);
                          });
             return;
         }
@@ -184,13 +185,13 @@
     {
         if (!row.done)
             result->reason.clear();
-        remember(key, row.done ? mine : row.row.value, request, result, next, done);
+        cacheNamedPin(key, row.done ? mine : row.row.value, request, result, next, done);
     }
 
-    void remember(const std::string &key, const std::string &version,
-                  const std::shared_ptr<pin_request> &request,
-                  const std::shared_ptr<pinned_session> &result, std::size_t next,
-                  const pin_callback &done)
+    void cacheNamedPin(const std::string &key, const std::string &version,
+                       const std::shared_ptr<pin_request> &request,
+                       const std::shared_ptr<pinned_session> &result, std::size_t next,
+                       const pin_callback &done)
     {
         if (m_namedPins.size() >= maxCachedPins)
             m_namedPins.erase(m_namedPins.begin());
