--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -91,7 +91,7 @@
             }
             result.item = std::move(opened).value();
             if (result.item.customer != request.customer) {
-                done(failure(notYours()));
+                done(failure(sessionOfOtherCustomer()));
                 return;
             }
         }
@@ -236,7 +236,7 @@
                 milliseconds(0)};
     }
 
-    static caller_error notYours()
+    static caller_error sessionOfOtherCustomer()
     {
         return {http_status::forbidden, "session_error",
                 "session_not_yours",    "the session belongs to another customer",
