--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -116,7 +116,7 @@
             if (!checked)
                 return versionError(checked.error(), model, held->second);
             if (!request.wantedVersion.empty() && held->second != request.wantedVersion)
-                return otherVersion(held->second);
+                return sessionVersionConflict(held->second);
             result.reason = "the session holds it";
             return std::nullopt;
         }
@@ -243,7 +243,7 @@
                 executed::no,           milliseconds(0)};
     }
 
-    static caller_error otherVersion(const std::string &held)
+    static caller_error sessionVersionConflict(const std::string &held)
     {
         return {http_status::conflict,
                 "session_error",
