--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -30,7 +30,7 @@
 constexpr duration flushPerEntry = milliseconds(3);
 
 /// What an agent says on an attempt's stream, with the bytes that it took on the link.
-struct agent_words
+struct attempt_stream_handlers
 {
     std::function<void(attempt_handle, const wire::from_agent &, std::size_t)> onMessage;
     std::function<void(attempt_handle)> onStreamClosed;
@@ -46,7 +46,7 @@
     {
     }
 
-    void connect(caller_server &callers, agent_words words)
+    void connect(caller_server &callers, attempt_stream_handlers words)
     {
         m_callers = &callers;
         m_words = std::move(words);
@@ -70,7 +70,7 @@
 private:
     metric_registry &m_metrics;
     caller_server *m_callers = nullptr;
-    agent_words m_words;
+    attempt_stream_handlers m_words;
     std::map<attempt_handle, std::shared_ptr<link_stream>> m_streams;
     attempt_handle m_lastHandle = 0;
 };
@@ -93,7 +93,7 @@
         , m_status(m_node)
         , m_sharing(m_node, m_core.limits(), [this] { return m_core.keeper().current(); })
     {
-        agent_words words;
+        attempt_stream_handlers words;
         words.onMessage
                 = [this](attempt_handle handle, const wire::from_agent &message,
                          std::size_t bytes) { m_core.runner().onMessage(handle, message, bytes); };
