--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -49,7 +49,7 @@
     void connect(caller_server &callers, attempt_stream_handlers words)
     {
         m_callers = &callers;
-        m_words = std::move(words);
+        m_streamHandlers = std::move(words);
     }
 
     void answer(caller_id caller, answer_event event)
@@ -70,7 +70,7 @@
 private:
     metric_registry &m_metrics;
     caller_server *m_callers = nullptr;
-    attempt_stream_handlers m_words;
+    attempt_stream_handlers m_streamHandlers;
     std::map<attempt_handle, std::shared_ptr<link_stream>> m_streams;
     attempt_handle m_lastHandle = 0;
 };
@@ -143,11 +143,11 @@
     handlers.onMessage = [this, handle](std::string_view bytes) {
         wire::from_agent message;
         if (message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-            m_words.onMessage(handle, message, bytes.size() + linkFrameBytes);
+            m_streamHandlers.onMessage(handle, message, bytes.size() + linkFrameBytes);
     };
     handlers.onClosed = [this, handle](bool) {
         m_streams.erase(handle);
-        m_words.onStreamClosed(handle);
+        m_streamHandlers.onStreamClosed(handle);
     };
     const auto stream = ownNode().open(instance, "/attempt", std::move(handlers));
     stream->useManualFlow();
