--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -11,9 +11,9 @@
 
 #include "laurelcroft/Entry/AttemptRunner.h"
 #include "laurelcroft/Entry/EntryErrors.h"
-#include "laurelcroft/Entry/GuardBoard.h"
 #include "laurelcroft/Entry/RequestFlow.h"
 #include "laurelcroft/Entry/RequestLookup.h"
+#include "laurelcroft/Entry/VersionGuardSet.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
 #include "laurelcroft/Ledger/ClaimBook.h"
 #include "laurelcroft/Platform/HttpClients.h"
--- a/include/laurelcroft/Entry/GuardBoard.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -1,12 +1,12 @@
-//===-- Entry/GuardBoard.h - guards of all roll-outs -------------*- C++ -*-===//
+//===-- Entry/VersionGuardSet.h - guards of all roll-outs -------------*- C++ -*-===//
 //
 // Keeps the sequential tests of every roll-out of the bundle in force: on errors of
 // all answers and on the ratings of the rated ones, over all customers and for each
 // group of them.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_ENTRY_GUARDBOARD_H
-#define LAURELCROFT_ENTRY_GUARDBOARD_H
+#ifndef LAURELCROFT_ENTRY_VERSIONGUARDSET_H
+#define LAURELCROFT_ENTRY_VERSIONGUARDSET_H
 
 #include "laurelcroft/Contract/Bundle.h"
 #include "laurelcroft/Policy/VersionGuard.h"
--- a/lib/Entry/GuardBoard.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -1,9 +1,9 @@
-//===-- GuardBoard.cpp - guards of all roll-outs ----------------------------===//
+//===-- VersionGuardSet.cpp - guards of all roll-outs ----------------------------===//
 //
 // A stopped roll-out returns only through a bundle that changes it.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Entry/GuardBoard.h"
+#include "laurelcroft/Entry/VersionGuardSet.h"
 
 using namespace laurelcroft;
 
--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -4,7 +4,7 @@
 // start, turns bad slowly, or is bad for one group of customers only.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Entry/GuardBoard.h"
+#include "laurelcroft/Entry/VersionGuardSet.h"
 #include "laurelcroft/Load/Trial.h"
 #include "laurelcroft/Support/Random.h"
 
--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -5,8 +5,8 @@
 //===----------------------------------------------------------------------===//
 #include "Entry/CallerParser.h"
 #include "laurelcroft/Entry/EntryErrors.h"
-#include "laurelcroft/Entry/GuardBoard.h"
 #include "laurelcroft/Entry/SessionToken.h"
+#include "laurelcroft/Entry/VersionGuardSet.h"
 #include "laurelcroft/Support/Crypto.h"
 #include "laurelcroft/Support/Random.h"
 
