--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -88,7 +88,7 @@
     auto &outbox() { return m_outbox; }
     auto &claims() { return m_claims; }
     customer_limits &limits() { return m_limits; }
-    guard_board &guards() { return m_guards; }
+    version_guard_set &guards() { return m_guards; }
 
     /// Refuses new requests from now on, and writes what it holds for others.
     void drain()
@@ -351,7 +351,7 @@
     request_lookup<Table, claim_book<Runtime, Table>, Env> m_lookup;
     customer_limits m_limits;
     cascade_learner m_learner;
-    guard_board m_guards;
+    version_guard_set m_guards;
     std::map<std::string, double> m_tierMs;
     std::unordered_map<caller_id, std::unique_ptr<request_flow>> m_flows;
     std::unordered_map<std::string, caller_id> m_keyed;
--- a/include/laurelcroft/Entry/VersionGuardSet.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -31,7 +31,7 @@
 };
 
 /// The guards of one process.
-class guard_board
+class version_guard_set
 {
 public:
     /// Takes the roll-outs of a bundle. A roll-out that stands unchanged keeps its
--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -22,13 +22,13 @@
     return bounds;
 }
 
-guard_board::board_entry::board_entry(const rollout &plan)
+version_guard_set::board_entry::board_entry(const rollout &plan)
     : plan(plan)
     , all(withShare(plan.guard, shareOfSums))
 {
 }
 
-void guard_board::onBundle(const bundle &rules)
+void version_guard_set::onBundle(const bundle &rules)
 {
     std::map<std::string, board_entry, std::less<>> next;
     for (const rollout &plan : rules.rollouts) {
@@ -41,7 +41,8 @@
     m_entries = std::move(next);
 }
 
-bool guard_board::feed(guard_pair &pair, const rollout &plan, const version_evidence &evidence)
+bool version_guard_set::feed(guard_pair &pair, const rollout &plan,
+                             const version_evidence &evidence)
 {
     version_guard &guard = evidence.kind == evidence_kind::errors ? pair.errors : pair.ratings;
     const std::uint64_t good = evidence.good ? 1 : 0;
@@ -52,7 +53,8 @@
     return guard.isStopped();
 }
 
-guard_board::guard_pair *guard_board::groupOf(board_entry &entry, std::string_view group)
+version_guard_set::guard_pair *version_guard_set::groupOf(board_entry &entry,
+                                                          std::string_view group)
 {
     const auto it = entry.groups.find(group);
     if (it != entry.groups.end())
@@ -63,7 +65,7 @@
     return &entry.groups.emplace(std::string(group), fresh).first->second;
 }
 
-bool guard_board::add(const version_evidence &evidence)
+bool version_guard_set::add(const version_evidence &evidence)
 {
     const auto it = m_entries.find(evidence.model);
     if (it == m_entries.end())
@@ -78,7 +80,7 @@
     return true;
 }
 
-bool guard_board::stop(std::string_view model, std::string_view version)
+bool version_guard_set::stop(std::string_view model, std::string_view version)
 {
     const auto it = m_entries.find(model);
     if (it == m_entries.end() || it->second.plan.to != version || it->second.stopped)
@@ -87,7 +89,7 @@
     return true;
 }
 
-bool guard_board::isStopped(std::string_view model) const
+bool version_guard_set::isStopped(std::string_view model) const
 {
     const auto it = m_entries.find(model);
     return it != m_entries.end() && it->second.stopped;
--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -66,7 +66,7 @@
             = {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"};
     bundle rules;
     rules.rollouts = {{"m", "1", "2", 10, {0.1, 0.001, 30}}};
-    guard_board board;
+    version_guard_set board;
     board.onBundle(rules);
     return runRollout(bad, seed, seenShare, [&](bool isRollout, std::size_t group, bool good) {
         return board.add({"m", isRollout ? "2" : "1", names[group], evidence_kind::errors, good});
--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -146,7 +146,7 @@
 
 TEST_CASE("guards see a version that is bad for one group only")
 {
-    guard_board board;
+    version_guard_set board;
     board.onBundle(rolling(10));
     int answers = 0;
     while (!board.isStopped("m") && answers < 2000) {
@@ -160,7 +160,7 @@
 
 TEST_CASE("guards stop a bad version once, and only a changed roll-out frees it")
 {
-    guard_board board;
+    version_guard_set board;
     board.onBundle(rolling(10));
     int stops = 0;
     for (int i = 0; i < 100; ++i) {
