--- a/include/laurelcroft/Entry/VersionGuardSet.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -64,9 +64,9 @@
 
     /// A version may be bad for one group only, which the sum over all would hide: each
     /// of the first few groups has tests of its own.
-    struct board_entry
+    struct rollout_state
     {
-        explicit board_entry(const rollout &plan);
+        explicit rollout_state(const rollout &plan);
         rollout plan;
         guard_pair all;
         std::map<std::string, guard_pair, std::less<>> groups;
@@ -74,9 +74,9 @@
     };
 
     static bool feed(guard_pair &pair, const rollout &plan, const version_evidence &evidence);
-    static guard_pair *groupOf(board_entry &entry, std::string_view group);
+    static guard_pair *groupOf(rollout_state &entry, std::string_view group);
 
-    std::map<std::string, board_entry, std::less<>> m_entries;
+    std::map<std::string, rollout_state, std::less<>> m_entries;
 };
 
 } // namespace laurelcroft
--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -22,7 +22,7 @@
     return bounds;
 }
 
-version_guard_set::board_entry::board_entry(const rollout &plan)
+version_guard_set::rollout_state::rollout_state(const rollout &plan)
     : plan(plan)
     , all(withShare(plan.guard, shareOfSums))
 {
@@ -30,13 +30,13 @@
 
 void version_guard_set::onBundle(const bundle &rules)
 {
-    std::map<std::string, board_entry, std::less<>> next;
+    std::map<std::string, rollout_state, std::less<>> next;
     for (const rollout &plan : rules.rollouts) {
         const auto known = m_entries.find(plan.model);
         if (known != m_entries.end() && known->second.plan == plan)
             next.emplace(plan.model, known->second);
         else
-            next.emplace(plan.model, board_entry(plan));
+            next.emplace(plan.model, rollout_state(plan));
     }
     m_entries = std::move(next);
 }
@@ -53,7 +53,7 @@
     return guard.isStopped();
 }
 
-version_guard_set::guard_pair *version_guard_set::groupOf(board_entry &entry,
+version_guard_set::guard_pair *version_guard_set::groupOf(rollout_state &entry,
                                                           std::string_view group)
 {
     const auto it = entry.groups.find(group);
@@ -70,7 +70,7 @@
     const auto it = m_entries.find(evidence.model);
     if (it == m_entries.end())
         return false;
-    board_entry &entry = it->second;
+    rollout_state &entry = it->second;
     bool stops = feed(entry.all, entry.plan, evidence);
     if (guard_pair *const group = groupOf(entry, evidence.group))
         stops = feed(*group, entry.plan, evidence) || stops;
