--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -41,8 +41,8 @@
     m_entries = std::move(next);
 }
 
-bool version_guard_set::feed(guard_pair &pair, const rollout &plan,
-                             const version_evidence &evidence)
+bool version_guard_set::addToGuards(guard_pair &pair, const rollout &plan,
+                                    const version_evidence &evidence)
 {
     version_guard &guard = evidence.kind == evidence_kind::errors ? pair.errors : pair.ratings;
     const std::uint64_t good = evidence.good ? 1 : 0;
@@ -71,9 +71,9 @@
     if (it == m_entries.end())
         return false;
     rollout_state &entry = it->second;
-    bool stops = feed(entry.all, entry.plan, evidence);
+    bool stops = addToGuards(entry.all, entry.plan, evidence);
     if (guard_pair *const group = groupOf(entry, evidence.group))
-        stops = feed(*group, entry.plan, evidence) || stops;
+        stops = addToGuards(*group, entry.plan, evidence) || stops;
     if (entry.stopped || !stops)
         return false;
     entry.stopped = true;
