--- a/include/laurelcroft/Entry/VersionGuardSet.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -75,7 +75,7 @@
 
     static bool addToGuards(guard_pair &pair, const rollout &plan,
                             const version_evidence &evidence);
-    static guard_pair *groupOf(rollout_state &entry, std::string_view group);
+    static guard_pair *findOrAddGroup(rollout_state &entry, std::string_view group);
 
     std::map<std::string, rollout_state, std::less<>> m_entries;
 };
--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -53,8 +53,8 @@
     return guard.isStopped();
 }
 
-version_guard_set::guard_pair *version_guard_set::groupOf(rollout_state &entry,
-                                                          std::string_view group)
+version_guard_set::guard_pair *version_guard_set::findOrAddGroup(rollout_state &entry,
+                                                                 std::string_view group)
 {
     const auto it = entry.groups.find(group);
     if (it != entry.groups.end())
@@ -72,7 +72,7 @@
         return false;
     rollout_state &entry = it->second;
     bool stops = addToGuards(entry.all, entry.plan, evidence);
-    if (guard_pair *const group = groupOf(entry, evidence.group))
+    if (guard_pair *const group = findOrAddGroup(entry, evidence.group))
         stops = addToGuards(*group, entry.plan, evidence) || stops;
     if (entry.stopped || !stops)
         return false;
