--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 /// Groups beyond these are judged by the sum alone.
-constexpr std::size_t mostGroups = 16;
+constexpr std::size_t maxGroups = 16;
 /// Tests that may each stop a version: errors and ratings, over all and for each group.
 /// The bound on false stops is split: half for the sums, half for the groups.
 constexpr double shareOfSums = 0.5 / 2;
-constexpr double shareOfGroup = 0.5 / (2 * mostGroups);
+constexpr double shareOfGroup = 0.5 / (2 * maxGroups);
 } // namespace
 
 static rollout_guard withShare(rollout_guard bounds, double share)
@@ -59,7 +59,7 @@
     const auto it = entry.groups.find(group);
     if (it != entry.groups.end())
         return &it->second;
-    if (entry.groups.size() >= mostGroups)
+    if (entry.groups.size() >= maxGroups)
         return nullptr;
     const guard_pair fresh(withShare(entry.plan.guard, shareOfGroup));
     return &entry.groups.emplace(std::string(group), fresh).first->second;
