--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t maxGroups = 16;
 /// Tests that may each stop a version: errors and ratings, over all and for each group.
 /// The bound on false stops is split: half for the sums, half for the groups.
-constexpr double shareOfSums = 0.5 / 2;
+constexpr double totalTestShare = 0.5 / 2;
 constexpr double shareOfGroup = 0.5 / (2 * maxGroups);
 } // namespace
 
@@ -24,7 +24,7 @@
 
 version_guard_set::rollout_state::rollout_state(const rollout &plan)
     : plan(plan)
-    , all(withShare(plan.guard, shareOfSums))
+    , all(withShare(plan.guard, totalTestShare))
 {
 }
 
