--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -13,7 +13,7 @@
 /// Tests that may each stop a version: errors and ratings, over all and for each group.
 /// The bound on false stops is split: half for the sums, half for the groups.
 constexpr double totalTestShare = 0.5 / 2;
-constexpr double shareOfGroup = 0.5 / (2 * maxGroups);
+constexpr double groupTestShare = 0.5 / (2 * maxGroups);
 } // namespace
 
 static rollout_guard withShare(rollout_guard bounds, double share)
@@ -61,7 +61,7 @@
         return &it->second;
     if (entry.groups.size() >= maxGroups)
         return nullptr;
-    const guard_pair fresh(withShare(entry.plan.guard, shareOfGroup));
+    const guard_pair fresh(withShare(entry.plan.guard, groupTestShare));
     return &entry.groups.emplace(std::string(group), fresh).first->second;
 }
 
