--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -16,7 +16,7 @@
 constexpr double groupTestShare = 0.5 / (2 * maxGroups);
 } // namespace
 
-static rollout_guard withShare(rollout_guard bounds, double share)
+static rollout_guard scaleFalseStop(rollout_guard bounds, double share)
 {
     bounds.falseStop *= share;
     return bounds;
@@ -24,7 +24,7 @@
 
 version_guard_set::rollout_state::rollout_state(const rollout &plan)
     : plan(plan)
-    , all(withShare(plan.guard, totalTestShare))
+    , all(scaleFalseStop(plan.guard, totalTestShare))
 {
 }
 
@@ -61,7 +61,7 @@
         return &it->second;
     if (entry.groups.size() >= maxGroups)
         return nullptr;
-    const guard_pair fresh(withShare(entry.plan.guard, groupTestShare));
+    const guard_pair fresh(scaleFalseStop(entry.plan.guard, groupTestShare));
     return &entry.groups.emplace(std::string(group), fresh).first->second;
 }
 
