--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -204,7 +204,7 @@
 
     /// Checks a new request and fills its flow. \returns the error that refuses it.
     std::optional<caller_error> receive(request_flow &flow);
-    std::optional<caller_error> checkRoom(request_flow &flow, const customer &who);
+    std::optional<caller_error> checkCapacity(request_flow &flow, const customer &who);
 
     std::string newRequestId()
     {
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -37,11 +37,11 @@
             && !(flow.target.tiers && !flow.target.tiers->repeatable);
     if (m_keyed.count(flow.requestId) != 0)
         return alreadyRunning(flow.requestId);
-    return checkRoom(flow, *who);
+    return checkCapacity(flow, *who);
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-auto entry_core<Runtime, Table, Env>::checkRoom(request_flow &flow, const customer &who)
+auto entry_core<Runtime, Table, Env>::checkCapacity(request_flow &flow, const customer &who)
         -> std::optional<caller_error>
 {
     // Important customers keep the last quarter of the room to themselves.
