--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -114,7 +114,7 @@
         flow->receivedAt = m_runtime.now();
         const auto refused = receive(*flow);
         if (refused) {
-            refuseAtOnce(*flow, *refused);
+            rejectRequest(*flow, *refused);
             return;
         }
         if (!flow->request.idempotencyKey.empty())
@@ -212,7 +212,7 @@
         return "r" + toHex(std::string_view(reinterpret_cast<const char *>(bits), sizeof(bits)));
     }
 
-    void refuseAtOnce(const request_flow &flow, const caller_error &error)
+    void rejectRequest(const request_flow &flow, const caller_error &error)
     {
         recordDecision(flow, decision_kind::answer, error.code, 0, error.message);
         m_env.answer(flow.request.id,
