--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -112,7 +112,7 @@
         auto flow = std::make_unique<request_flow>();
         flow->request = std::move(request);
         flow->receivedAt = m_runtime.now();
-        const auto refused = receive(*flow);
+        const auto refused = admitRequest(*flow);
         if (refused) {
             rejectRequest(*flow, *refused);
             return;
@@ -203,7 +203,7 @@
     }
 
     /// Checks a new request and fills its flow. \returns the error that refuses it.
-    std::optional<caller_error> receive(request_flow &flow);
+    std::optional<caller_error> admitRequest(request_flow &flow);
     std::optional<caller_error> checkCapacity(request_flow &flow, const customer &who);
 
     std::string newRequestId()
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -9,7 +9,8 @@
 namespace laurelcroft {
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-auto entry_core<Runtime, Table, Env>::receive(request_flow &flow) -> std::optional<caller_error>
+auto entry_core<Runtime, Table, Env>::admitRequest(request_flow &flow)
+        -> std::optional<caller_error>
 {
     flow.requestId = newRequestId();
     flow.rules = m_keeper.current();
