--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -380,7 +380,7 @@
         return;
     keepAnswer(*flow, result);
     if (!flow->callerLeft)
-        sendLast(*flow, result);
+        sendFinalPart(*flow, result);
     recordDecision(*flow, decision_kind::answer, flow->tierTarget(), flow->steps.size(),
                    "complete");
     end(id);
@@ -407,7 +407,7 @@
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-void entry_core<Runtime, Table, Env>::sendLast(request_flow &flow, const tier_result &result)
+void entry_core<Runtime, Table, Env>::sendFinalPart(request_flow &flow, const tier_result &result)
 {
     const caller_id id = flow.request.id;
     const auto status = static_cast<int>(result.finish.status());
