--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -329,7 +329,7 @@
 
     void release(caller_id id, const tier_result &result);
     /// Stores the answer of a claimed request; its agent forgets it only then.
-    void keepAnswer(const request_flow &flow, const tier_result &result);
+    void storeAnswer(const request_flow &flow, const tier_result &result);
     void sendFinalPart(request_flow &flow, const tier_result &result);
     static constexpr milliseconds longestTimeout{3600000};
     static constexpr double speedSmoothing = 0.1;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -378,7 +378,7 @@
     request_flow *const flow = find(id);
     if (flow == nullptr)
         return;
-    keepAnswer(*flow, result);
+    storeAnswer(*flow, result);
     if (!flow->callerLeft)
         sendFinalPart(*flow, result);
     recordDecision(*flow, decision_kind::answer, flow->tierTarget(), flow->steps.size(),
@@ -387,8 +387,8 @@
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-void entry_core<Runtime, Table, Env>::keepAnswer(const request_flow &flow,
-                                                 const tier_result &result)
+void entry_core<Runtime, Table, Env>::storeAnswer(const request_flow &flow,
+                                                  const tier_result &result)
 {
     if (!flow.claimOperation) {
         settle(flow.unsettled);
