--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -274,7 +274,7 @@
     void onTierFinished(caller_id id, const tier_result &result);
     bool suffices(const request_flow &flow, const tier_result &result, bool isError);
 
-    void learnSpeed(const request_flow &flow, const tier_result &result)
+    void updateTierLatency(const request_flow &flow, const tier_result &result)
     {
         const double tookMs
                 = std::chrono::duration<double, std::milli>(m_runtime.now() - flow.receivedAt)
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -318,7 +318,7 @@
     const bool isFault = result.finish.status() >= http_status::internalError;
     if (!flow.target.plain) {
         addEvidence(flow, evidence_kind::errors, !isFault);
-        learnSpeed(flow, result);
+        updateTierLatency(flow, result);
     }
     const bool escalates = flow.target.tiers != nullptr && !flow.onLastTier()
             && !suffices(flow, result, isError);
