--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -279,7 +279,7 @@
         const double tookMs
                 = std::chrono::duration<double, std::milli>(m_runtime.now() - flow.receivedAt)
                           .count();
-        double &known = m_tierMs[flow.tierTarget()];
+        double &known = m_tierLatencyMs[flow.tierTarget()];
         if (result.outcome == tier_outcome::finished)
             known += speedSmoothing * (tookMs - known);
     }
@@ -352,7 +352,7 @@
     customer_limits m_limits;
     cascade_learner m_learner;
     version_guard_set m_guards;
-    std::map<std::string, double> m_tierMs;
+    std::map<std::string, double> m_tierLatencyMs;
     std::unordered_map<caller_id, std::unique_ptr<request_flow>> m_flows;
     std::unordered_map<std::string, caller_id> m_keyed;
 };
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -177,7 +177,7 @@
         const start_decision start
                 = m_learner.chooseStart(flow.rules->rules, planned, flow.who().group,
                                         std::min<double>(left.count(), item.latencyMs),
-                                        m_tierMs[item.tiers.front()], m_random);
+                                        m_tierLatencyMs[item.tiers.front()], m_random);
         flow.tier = start.tier;
         recordDecision(flow, decision_kind::start, item.tiers[start.tier], item.tiers.size(),
                        std::string(textOf(start.reason)));
