--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -281,7 +281,7 @@
                           .count();
         double &known = m_tierLatencyMs[flow.tierTarget()];
         if (result.outcome == tier_outcome::finished)
-            known += speedSmoothing * (tookMs - known);
+            known += latencySmoothing * (tookMs - known);
     }
 
     void addEvidence(const request_flow &flow, evidence_kind kind, bool good)
@@ -332,7 +332,7 @@
     void storeAnswer(const request_flow &flow, const tier_result &result);
     void sendFinalPart(request_flow &flow, const tier_result &result);
     static constexpr milliseconds longestTimeout{3600000};
-    static constexpr double speedSmoothing = 0.1;
+    static constexpr double latencySmoothing = 0.1;
     static constexpr double goodRating = 0.5;
     static constexpr std::size_t largestRated = 8192;
     static constexpr std::string_view streamEnd = "data: [DONE]\n\n";
