--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -357,8 +357,8 @@
     sample.model = flow.tierTarget();
     sample.version = flow.tierVersion();
     sample.group = flow.who().group;
-    sample.prompt = flow.request.body.substr(0, largestRated);
-    sample.answer = result.answer.substr(0, largestRated);
+    sample.prompt = flow.request.body.substr(0, maxRatedBytes);
+    sample.answer = result.answer.substr(0, maxRatedBytes);
     m_env.rate(sample,
                [this, rules = flow.rules, target = flow.request.target, sample, released,
                 tier = flow.tier, score = result.finish.score()](std::optional<double> rating) {
