--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -118,7 +118,7 @@
             return;
         }
         if (!flow->request.idempotencyKey.empty())
-            m_keyed[flow->requestId] = id;
+            m_callersByRequestId[flow->requestId] = id;
         m_flows[id] = std::move(flow);
         pinSession(id);
     }
@@ -169,8 +169,9 @@
             m_env.answer(request.id, errorAnswer(current ? badKey() : noBundle()));
             return;
         }
-        m_lookup.find(request, who->name,
-                      [this](const std::string &id) { return m_keyed.count(id) != 0; });
+        m_lookup.find(request, who->name, [this](const std::string &id) {
+            return m_callersByRequestId.count(id) != 0;
+        });
     }
 
     /// Hears the bundle epoch that another process put on a message.
@@ -226,9 +227,9 @@
     {
         request_flow *const flow = find(id);
         m_limits.finish(flow->customerName);
-        const auto keyed = m_keyed.find(flow->requestId);
-        if (keyed != m_keyed.end() && keyed->second == id)
-            m_keyed.erase(keyed);
+        const auto keyed = m_callersByRequestId.find(flow->requestId);
+        if (keyed != m_callersByRequestId.end() && keyed->second == id)
+            m_callersByRequestId.erase(keyed);
         m_flows.erase(id);
     }
 
@@ -354,7 +355,7 @@
     version_guard_set m_guards;
     std::map<std::string, double> m_tierLatencyMs;
     std::unordered_map<caller_id, std::unique_ptr<request_flow>> m_flows;
-    std::unordered_map<std::string, caller_id> m_keyed;
+    std::unordered_map<std::string, caller_id> m_callersByRequestId;
 };
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -36,7 +36,7 @@
     flow.repeatable = flow.request.repeatable
             && !(flow.target.plain && !flow.target.plain->repeatable)
             && !(flow.target.tiers && !flow.target.tiers->repeatable);
-    if (m_keyed.count(flow.requestId) != 0)
+    if (m_callersByRequestId.count(flow.requestId) != 0)
         return alreadyRunning(flow.requestId);
     return checkCapacity(flow, *who);
 }
