--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -131,7 +131,7 @@
             return;
         flow->callerLeft = true;
         // What may not be repeated goes on: its answer is kept for the caller to ask.
-        if (flow->claimOperation || flow->run == 0)
+        if (flow->claimOperationId || flow->run == 0)
             return;
         const tier_result partial = m_runner.cancel(flow->run);
         flow->run = 0;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -71,8 +71,8 @@
         m_env.answer(id, answer_end{false, ""});
     else
         m_env.answer(id, errorAnswer(error, errorHeaders(*flow)));
-    if (flow->claimOperation && error.ran == executed::no)
-        m_claims.release(flow->requestId, *flow->claimOperation);
+    if (flow->claimOperationId && error.ran == executed::no)
+        m_claims.release(flow->requestId, *flow->claimOperationId);
     end(id);
 }
 
@@ -113,7 +113,7 @@
 void entry_core<Runtime, Table, Env>::claimIfNeeded(caller_id id)
 {
     request_flow &flow = *find(id);
-    if (flow.repeatable || flow.request.idempotencyKey.empty() || flow.claimOperation) {
+    if (flow.repeatable || flow.request.idempotencyKey.empty() || flow.claimOperationId) {
         startTiers(id);
         return;
     }
@@ -138,7 +138,7 @@
     recordDecision(*flow, decision_kind::claim, std::string(textOf(result.verdict)), 1, "");
     switch (result.verdict) {
     case claim_verdict::granted:
-        flow->claimOperation = result.found.operationId;
+        flow->claimOperationId = result.found.operationId;
         if (flow->callerLeft || m_runtime.now() >= flow->deadline)
             fail(id, timedOutBeforeStart());
         else
@@ -164,7 +164,7 @@
 void entry_core<Runtime, Table, Env>::startTiers(caller_id id)
 {
     request_flow &flow = *find(id);
-    if (flow.callerLeft && !flow.claimOperation) {
+    if (flow.callerLeft && !flow.claimOperationId) {
         end(id);
         return;
     }
@@ -197,8 +197,8 @@
     offer.set_target(flow.tierTarget());
     offer.set_version(flow.tierVersion());
     offer.set_repeatable(flow.repeatable);
-    offer.set_claimed(flow.claimOperation.has_value());
-    offer.set_operation_id(flow.claimOperation.value_or(""));
+    offer.set_claimed(flow.claimOperationId.has_value());
+    offer.set_operation_id(flow.claimOperationId.value_or(""));
     offer.set_priority(flow.who().priority);
     offer.set_stream(flow.request.stream);
     offer.set_body(flow.request.body);
@@ -390,13 +390,13 @@
 void entry_core<Runtime, Table, Env>::storeAnswer(const request_flow &flow,
                                                   const tier_result &result)
 {
-    if (!flow.claimOperation) {
+    if (!flow.claimOperationId) {
         settle(flow.unsettled);
         return;
     }
     claim answered;
     answered.requestId = flow.requestId;
-    answered.operationId = *flow.claimOperation;
+    answered.operationId = *flow.claimOperationId;
     answered.status = static_cast<int>(result.finish.status());
     answered.contentType = result.finish.content_type();
     answered.model = flow.target.plain ? "" : flow.tierTarget();
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -45,7 +45,7 @@
     time_point deadline{};
 
     pinned_session session;
-    std::optional<std::string> claimOperation;
+    std::optional<std::string> claimOperationId;
     std::size_t tier = 0;
     std::uint64_t run = 0; ///< the tier that runs now; 0: none
     std::vector<std::uint64_t> unsettled; ///< runs whose agents still keep the answer
