--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -17,7 +17,7 @@
     if (!flow.rules)
         return noBundle();
     if (m_draining)
-        return leaving();
+        return instanceLeaving();
     const bundle &rules = flow.rules->rules;
     const customer *who = authenticate(rules, flow.request.key);
     if (who == nullptr)
--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -19,7 +19,7 @@
 namespace laurelcroft {
 
 caller_error noBundle();
-caller_error leaving();
+caller_error instanceLeaving();
 caller_error badKey();
 caller_error unknownTarget(const std::string &name);
 caller_error notAllowed(const std::string &name);
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -26,7 +26,7 @@
             "this instance has no bundle yet", executed::no,  longRetry};
 }
 
-caller_error laurelcroft::leaving()
+caller_error laurelcroft::instanceLeaving()
 {
     return {http_status::unavailable,
             "unavailable",
