--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -51,7 +51,7 @@
     if (m_flows.size() >= room)
         return overloaded();
     if (!m_outbox.accepts(m_env.tableReachable()))
-        return noPlaceForBill();
+        return billNotAccepted();
     const limit_decision limit = m_limits.admit(who, flow.receivedAt);
     if (limit.verdict != limit_verdict::admitted)
         return overLimit(limit);
--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -26,7 +26,7 @@
 caller_error wrongKind(const std::string &name, bool asService);
 caller_error alreadyRunning(const std::string &requestId);
 caller_error overloaded();
-caller_error noPlaceForBill();
+caller_error billNotAccepted();
 caller_error overLimit(const limit_decision &limit);
 caller_error timedOutBeforeStart();
 caller_error keyUsedForOther();
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -92,7 +92,7 @@
             shortRetry};
 }
 
-caller_error laurelcroft::noPlaceForBill()
+caller_error laurelcroft::billNotAccepted()
 {
     return {http_status::unavailable,
             "unavailable",
