--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -152,7 +152,7 @@
         fail(id, alreadyRunning(flow->requestId));
         return;
     case claim_verdict::otherBody:
-        fail(id, keyUsedForOther());
+        fail(id, idempotencyKeyReused());
         return;
     case claim_verdict::unavailable:
         fail(id, claimUnavailable(result.retryAfter));
--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -29,7 +29,7 @@
 caller_error billNotAccepted();
 caller_error overLimit(const limit_decision &limit);
 caller_error timedOutBeforeStart();
-caller_error keyUsedForOther();
+caller_error idempotencyKeyReused();
 caller_error claimUnavailable(milliseconds retryAfter);
 caller_error tableDown(const table_error &error);
 caller_error unknownRequest();
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -124,7 +124,7 @@
             shortRetry};
 }
 
-caller_error laurelcroft::keyUsedForOther()
+caller_error laurelcroft::idempotencyKeyReused()
 {
     return {http_status::conflict,
             "conflict",
