--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -31,7 +31,7 @@
 caller_error timedOutBeforeStart();
 caller_error idempotencyKeyReused();
 caller_error claimUnavailable(milliseconds retryAfter);
-caller_error tableDown(const table_error &error);
+caller_error tableUnavailable(const table_error &error);
 caller_error unknownRequest();
 
 /// \param nothingRan no tier of the request has run.
--- a/include/laurelcroft/Entry/RequestLookup.h
+++ b/include/laurelcroft/Entry/RequestLookup.h
@@ -46,7 +46,7 @@
                       [this, caller = request.id, id,
                        customerName](outcome<std::optional<claim>, table_error> found) {
                           if (!found)
-                              m_env.answer(caller, errorAnswer(tableDown(found.error())));
+                              m_env.answer(caller, errorAnswer(tableUnavailable(found.error())));
                           else if (found.value() && found.value()->customer == customerName)
                               m_env.answer(
                                       caller,
@@ -63,7 +63,7 @@
                      [this, caller, id,
                       customerName](outcome<std::optional<table_row>, table_error> row) {
                          if (!row) {
-                             m_env.answer(caller, errorAnswer(tableDown(row.error())));
+                             m_env.answer(caller, errorAnswer(tableUnavailable(row.error())));
                              return;
                          }
                          const auto found
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -144,7 +144,7 @@
             std::max(retryAfter, shortRetry)};
 }
 
-caller_error laurelcroft::tableDown(const table_error &error)
+caller_error laurelcroft::tableUnavailable(const table_error &error)
 {
     return {http_status::unavailable,        "unavailable", "table_unavailable",
             std::string(textOf(error.kind)), executed::no,  std::max(error.retryAfter, shortRetry)};
