--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -54,7 +54,7 @@
         return billNotAccepted();
     const limit_decision limit = m_limits.admit(who, flow.receivedAt);
     if (limit.verdict != limit_verdict::admitted)
-        return overLimit(limit);
+        return limitExceeded(limit);
     const milliseconds wanted = flow.request.timeout.count() > 0
             ? std::min(flow.request.timeout, longestTimeout)
             : m_options.defaultTimeout;
--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -27,7 +27,7 @@
 caller_error alreadyRunning(const std::string &requestId);
 caller_error overloaded();
 caller_error billNotAccepted();
-caller_error overLimit(const limit_decision &limit);
+caller_error limitExceeded(const limit_decision &limit);
 caller_error timedOutBeforeStart();
 caller_error idempotencyKeyReused();
 caller_error claimUnavailable(milliseconds retryAfter);
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -102,7 +102,7 @@
             longRetry};
 }
 
-caller_error laurelcroft::overLimit(const limit_decision &limit)
+caller_error laurelcroft::limitExceeded(const limit_decision &limit)
 {
     const bool rate = limit.verdict == limit_verdict::rateExceeded;
     return {http_status::tooManyRequests,
