--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -49,7 +49,7 @@
 whole_answer replayAnswer(const claim &found, http_headers headers);
 
 std::string_view textOf(claim_verdict verdict);
-std::string_view claimWord(const claim &found);
+std::string_view claimStateText(const claim &found);
 
 /// \returns true for an id that an entry made.
 bool isRequestId(std::string_view text);
--- a/include/laurelcroft/Entry/RequestLookup.h
+++ b/include/laurelcroft/Entry/RequestLookup.h
@@ -48,9 +48,9 @@
                           if (!found)
                               m_env.answer(caller, errorAnswer(tableUnavailable(found.error())));
                           else if (found.value() && found.value()->customer == customerName)
-                              m_env.answer(
-                                      caller,
-                                      statusAnswer(id, claimWord(*found.value()), &*found.value()));
+                              m_env.answer(caller,
+                                           statusAnswer(id, claimStateText(*found.value()),
+                                                        &*found.value()));
                           else
                               findBill(caller, id, customerName);
                       });
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -278,7 +278,7 @@
     return "unknown";
 }
 
-std::string_view laurelcroft::claimWord(const claim &found)
+std::string_view laurelcroft::claimStateText(const claim &found)
 {
     switch (found.state) {
     case claim_state::claimed:
