--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -32,7 +32,7 @@
         return notAllowed(flow.request.target);
     const bool isService = flow.request.kind == wire::work_service;
     if (isService != (flow.target.plain != nullptr))
-        return wrongKind(flow.request.target, isService);
+        return wrongTargetKind(flow.request.target, isService);
     flow.repeatable = flow.request.repeatable
             && !(flow.target.plain && !flow.target.plain->repeatable)
             && !(flow.target.tiers && !flow.target.tiers->repeatable);
--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -23,7 +23,7 @@
 caller_error badKey();
 caller_error unknownTarget(const std::string &name);
 caller_error notAllowed(const std::string &name);
-caller_error wrongKind(const std::string &name, bool asService);
+caller_error wrongTargetKind(const std::string &name, bool asService);
 caller_error alreadyRunning(const std::string &requestId);
 caller_error overloaded();
 caller_error billNotAccepted();
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -63,7 +63,7 @@
             executed::no,           milliseconds(0)};
 }
 
-caller_error laurelcroft::wrongKind(const std::string &name, bool asService)
+caller_error laurelcroft::wrongTargetKind(const std::string &name, bool asService)
 {
     const std::string message = asService
             ? "'" + name + "' is a model; use POST /v1/chat/completions"
