--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -31,10 +31,10 @@
     if (!mayName(rules, *who, flow.request.target))
         return notAllowed(flow.request.target);
     const bool isService = flow.request.kind == wire::work_service;
-    if (isService != (flow.target.plain != nullptr))
+    if (isService != (flow.target.foundService != nullptr))
         return wrongTargetKind(flow.request.target, isService);
     flow.repeatable = flow.request.repeatable
-            && !(flow.target.plain && !flow.target.plain->repeatable)
+            && !(flow.target.foundService && !flow.target.foundService->repeatable)
             && !(flow.target.tiers && !flow.target.tiers->repeatable);
     if (m_callersByRequestId.count(flow.requestId) != 0)
         return alreadyRunning(flow.requestId);
@@ -80,7 +80,7 @@
 void entry_core<Runtime, Table, Env>::pinSession(caller_id id)
 {
     request_flow &flow = *find(id);
-    if (flow.target.plain != nullptr) {
+    if (flow.target.foundService != nullptr) {
         claimIfNeeded(id);
         return;
     }
@@ -203,8 +203,8 @@
     offer.set_stream(flow.request.stream);
     offer.set_body(flow.request.body);
     offer.set_entry(m_options.instance);
-    work.pool = flow.target.plain ? flow.target.plain->pool
-                                  : flow.rules->rules.findModel(flow.tierTarget())->pool;
+    work.pool = flow.target.foundService ? flow.target.foundService->pool
+                                         : flow.rules->rules.findModel(flow.tierTarget())->pool;
     work.deadline = flow.deadline;
     work.estimate = {flow.request.promptTokens, flow.request.outputTokens};
     // Each tier's endpoint has a cache of its own.
@@ -316,7 +316,7 @@
     addStep(flow, result);
     const bool isError = result.finish.status() >= http_status::badRequest;
     const bool isFault = result.finish.status() >= http_status::internalError;
-    if (!flow.target.plain) {
+    if (!flow.target.foundService) {
         addEvidence(flow, evidence_kind::errors, !isFault);
         updateTierLatency(flow, result);
     }
@@ -350,7 +350,7 @@
 void entry_core<Runtime, Table, Env>::sampleRating(const request_flow &flow,
                                                    const tier_result &result, bool released)
 {
-    if (flow.target.plain || !m_random.chance(m_options.ratedShare))
+    if (flow.target.foundService || !m_random.chance(m_options.ratedShare))
         return;
     rating_sample sample;
     sample.requestId = flow.requestId;
@@ -399,7 +399,7 @@
     answered.operationId = *flow.claimOperationId;
     answered.status = static_cast<int>(result.finish.status());
     answered.contentType = result.finish.content_type();
-    answered.model = flow.target.plain ? "" : flow.tierTarget();
+    answered.model = flow.target.foundService ? "" : flow.tierTarget();
     answered.version = flow.tierVersion();
     if (result.answer.size() <= largestKeptAnswer)
         answered.answer = result.answer;
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -22,9 +22,9 @@
 {
     const cascade *tiers = nullptr;
     const model *single = nullptr;
-    const service *plain = nullptr;
+    const service *foundService = nullptr;
 
-    bool isKnown() const { return tiers || single || plain; }
+    bool isKnown() const { return tiers || single || foundService; }
 
     /// \returns the models it may use, cheapest first.
     std::vector<std::string> models() const;
--- a/lib/Entry/RequestFlow.cpp
+++ b/lib/Entry/RequestFlow.cpp
@@ -73,7 +73,7 @@
 http_headers laurelcroft::answerHeaders(const request_flow &flow)
 {
     http_headers headers = errorHeaders(flow);
-    if (!flow.target.plain && !flow.session.item.pins.empty()) {
+    if (!flow.target.foundService && !flow.session.item.pins.empty()) {
         headers.push_back({std::string(modelHeader), flow.tierTarget()});
         headers.push_back({std::string(versionHeader), flow.tierVersion()});
     }
