--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -21,10 +21,10 @@
 struct resolved_target
 {
     const cascade *tiers = nullptr;
-    const model *single = nullptr;
+    const model *foundModel = nullptr;
     const service *foundService = nullptr;
 
-    bool isKnown() const { return tiers || single || foundService; }
+    bool isKnown() const { return tiers || foundModel || foundService; }
 
     /// \returns the models it may use, cheapest first.
     std::vector<std::string> models() const;
--- a/lib/Entry/RequestFlow.cpp
+++ b/lib/Entry/RequestFlow.cpp
@@ -17,8 +17,8 @@
 {
     if (tiers != nullptr)
         return tiers->tiers;
-    if (single != nullptr)
-        return {single->name};
+    if (foundModel != nullptr)
+        return {foundModel->name};
     return {};
 }
 
