--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -35,7 +35,7 @@
         return wrongTargetKind(flow.request.target, isService);
     flow.repeatable = flow.request.repeatable
             && !(flow.target.foundService && !flow.target.foundService->repeatable)
-            && !(flow.target.tiers && !flow.target.tiers->repeatable);
+            && !(flow.target.foundCascade && !flow.target.foundCascade->repeatable);
     if (m_callersByRequestId.count(flow.requestId) != 0)
         return alreadyRunning(flow.requestId);
     return checkCapacity(flow, *who);
@@ -168,8 +168,8 @@
         end(id);
         return;
     }
-    if (flow.target.tiers != nullptr) {
-        const cascade &item = *flow.target.tiers;
+    if (flow.target.foundCascade != nullptr) {
+        const cascade &item = *flow.target.foundCascade;
         const auto left
                 = std::chrono::duration<double, std::milli>(flow.deadline - m_runtime.now());
         cascade planned = item;
@@ -320,7 +320,7 @@
         addEvidence(flow, evidence_kind::errors, !isFault);
         updateTierLatency(flow, result);
     }
-    const bool escalates = flow.target.tiers != nullptr && !flow.onLastTier()
+    const bool escalates = flow.target.foundCascade != nullptr && !flow.onLastTier()
             && !suffices(flow, result, isError);
     if (!isError)
         sampleRating(flow, result, !escalates);
@@ -336,8 +336,9 @@
 auto entry_core<Runtime, Table, Env>::suffices(const request_flow &flow, const tier_result &result,
                                                bool isError) -> bool
 {
-    const acceptance_decision judged = m_learner.evaluate(
-            *flow.target.tiers, flow.who().group, flow.tier, isError ? 0.0 : result.finish.score());
+    const acceptance_decision judged
+            = m_learner.evaluate(*flow.target.foundCascade, flow.who().group, flow.tier,
+                                 isError ? 0.0 : result.finish.score());
     const bool enough = judged.suffices && !isError;
     std::string reason = "score " + shortNumber(result.finish.score()) + " against "
             + shortNumber(judged.threshold) + (judged.learned ? " learned" : " given");
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -20,11 +20,11 @@
 /// What a request's target turned out to be.
 struct resolved_target
 {
-    const cascade *tiers = nullptr;
+    const cascade *foundCascade = nullptr;
     const model *foundModel = nullptr;
     const service *foundService = nullptr;
 
-    bool isKnown() const { return tiers || foundModel || foundService; }
+    bool isKnown() const { return foundCascade || foundModel || foundService; }
 
     /// \returns the models it may use, cheapest first.
     std::vector<std::string> models() const;
--- a/lib/Entry/RequestFlow.cpp
+++ b/lib/Entry/RequestFlow.cpp
@@ -15,8 +15,8 @@
 
 std::vector<std::string> resolved_target::models() const
 {
-    if (tiers != nullptr)
-        return tiers->tiers;
+    if (foundCascade != nullptr)
+        return foundCascade->tiers;
     if (foundModel != nullptr)
         return {foundModel->name};
     return {};
@@ -29,8 +29,8 @@
 
 std::string request_flow::tierTarget() const
 {
-    if (target.tiers != nullptr)
-        return target.tiers->tiers[tier];
+    if (target.foundCascade != nullptr)
+        return target.foundCascade->tiers[tier];
     return request.target;
 }
 
@@ -42,7 +42,7 @@
 
 bool request_flow::onLastTier() const
 {
-    return target.tiers == nullptr || tier + 1 >= target.tiers->tiers.size();
+    return target.foundCascade == nullptr || tier + 1 >= target.foundCascade->tiers.size();
 }
 
 wire::bill laurelcroft::makeBill(const request_flow &flow, std::string_view outcome)
