--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -67,7 +67,7 @@
 {
     request_flow *const flow = find(id);
     recordDecision(*flow, decision_kind::answer, error.code, 0, error.message);
-    if (flow->begun)
+    if (flow->streamBegun)
         m_env.answer(id, answer_end{false, ""});
     else
         m_env.answer(id, errorAnswer(error, errorHeaders(*flow)));
@@ -236,9 +236,9 @@
 template <runtime_like Runtime, table_like Table, entry_environment Env>
 void entry_core<Runtime, Table, Env>::beginStream(request_flow &flow)
 {
-    if (flow.begun)
+    if (flow.streamBegun)
         return;
-    flow.begun = true;
+    flow.streamBegun = true;
     http_headers headers = answerHeaders(flow);
     headers.push_back({"Content-Type", "text/event-stream"});
     headers.push_back({"Cache-Control", "no-cache"});
@@ -412,13 +412,13 @@
 {
     const caller_id id = flow.request.id;
     const auto status = static_cast<int>(result.finish.status());
-    if (!flow.request.stream || (!flow.begun && status >= http_status::badRequest)) {
+    if (!flow.request.stream || (!flow.streamBegun && status >= http_status::badRequest)) {
         http_headers headers = answerHeaders(flow);
         headers.push_back({"Content-Type", result.finish.content_type()});
         m_env.answer(id, whole_answer{status, std::move(headers), result.answer});
         return;
     }
-    if (!flow.begun) {
+    if (!flow.streamBegun) {
         beginStream(flow);
         m_env.answer(id, answer_piece{result.answer, 0});
     }
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -50,7 +50,7 @@
     std::uint64_t run = 0; ///< the tier that runs now; 0: none
     std::vector<std::uint64_t> unsettled; ///< runs whose agents still keep the answer
     std::vector<wire::bill_step> steps;
-    bool begun = false; ///< the streamed answer has begun
+    bool streamBegun = false; ///< the streamed answer has begun
     bool callerLeft = false;
     int bundleRetries = 0;
 
