--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -58,7 +58,7 @@
     return reply;
 }
 
-void demand_sharing::take(const wire::demand_reply &reply)
+void demand_sharing::applyShares(const wire::demand_reply &reply)
 {
     const duration life = periodsOfLife * periodOf(m_node.liveEntries().size());
     const time_point until = m_node.runtime().now() + life;
@@ -82,14 +82,14 @@
     m_lastTick = now;
     for (const auto &[home, report] : byHome) {
         if (home == m_node.options().instance) {
-            take(onReport(report));
+            applyShares(onReport(report));
             continue;
         }
         m_node.ask(home, demandPath, report.SerializeAsString(), reportTimeout,
                    [this](const std::optional<std::string> &answer) {
                        wire::demand_reply reply;
                        if (answer && reply.ParseFromString(*answer))
-                           take(reply);
+                           applyShares(reply);
                    });
     }
     m_node.runtime().after(periodOf(entries.size()), [this] { tick(); });
--- a/lib/Entry/DemandSharing.h
+++ b/lib/Entry/DemandSharing.h
@@ -35,7 +35,7 @@
 
 private:
     void tick();
-    void take(const wire::demand_reply &reply);
+    void applyShares(const wire::demand_reply &reply);
 
     node &m_node;
     customer_limits &m_limits;
