--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -28,7 +28,7 @@
 void demand_sharing::start()
 {
     m_lastTick = m_node.runtime().now();
-    m_node.runtime().after(shortestPeriod, [this] { tick(); });
+    m_node.runtime().after(shortestPeriod, [this] { sendReports(); });
 }
 
 /// Time between reports in a fleet of that many entries.
@@ -66,7 +66,7 @@
         m_limits.setShare(share.customer(), share.share(), until);
 }
 
-void demand_sharing::tick()
+void demand_sharing::sendReports()
 {
     const time_point now = m_node.runtime().now();
     const std::vector<std::string> entries = m_node.liveEntries();
@@ -92,5 +92,5 @@
                            applyShares(reply);
                    });
     }
-    m_node.runtime().after(periodOf(entries.size()), [this] { tick(); });
+    m_node.runtime().after(periodOf(entries.size()), [this] { sendReports(); });
 }
--- a/lib/Entry/DemandSharing.h
+++ b/lib/Entry/DemandSharing.h
@@ -34,7 +34,7 @@
     wire::demand_reply onReport(const wire::demand_report &report);
 
 private:
-    void tick();
+    void sendReports();
     void applyShares(const wire::demand_reply &reply);
 
     node &m_node;
