--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -52,8 +52,8 @@
                                       periodsOfLife * periodOf(entries)};
         wire::demand_share &share = *reply.add_shares();
         share.set_customer(item.customer());
-        share.set_share(static_cast<float>(
-                m_ledger.report(item.customer(), report.entry(), asked, m_node.runtime().now())));
+        share.set_share(static_cast<float>(m_allocator.report(item.customer(), report.entry(),
+                                                              asked, m_node.runtime().now())));
     }
     return reply;
 }
--- a/lib/Entry/DemandSharing.h
+++ b/lib/Entry/DemandSharing.h
@@ -40,7 +40,7 @@
     node &m_node;
     customer_limits &m_limits;
     rules_source m_rules;
-    allowance_allocator m_ledger;
+    allowance_allocator m_allocator;
     time_point m_lastTick{};
 };
 
