--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -27,7 +27,7 @@
 
 void demand_sharing::start()
 {
-    m_lastTick = m_node.runtime().now();
+    m_lastReportAt = m_node.runtime().now();
     m_node.runtime().after(shortestPeriod, [this] { sendReports(); });
 }
 
@@ -71,7 +71,7 @@
     const time_point now = m_node.runtime().now();
     const std::vector<std::string> entries = m_node.liveEntries();
     std::map<std::string, wire::demand_report> byHome;
-    for (const customer_demand &demand : m_limits.takeDemand(now - m_lastTick)) {
+    for (const customer_demand &demand : m_limits.takeDemand(now - m_lastReportAt)) {
         const std::string home = topRanked(entries, "limits/" + demand.customer, 1).front();
         wire::demand_report &report = byHome[home];
         report.set_entry(m_node.options().instance);
@@ -79,7 +79,7 @@
         item.set_customer(demand.customer);
         item.set_per_second(static_cast<float>(demand.perSecond));
     }
-    m_lastTick = now;
+    m_lastReportAt = now;
     for (const auto &[home, report] : byHome) {
         if (home == m_node.options().instance) {
             applyShares(onReport(report));
--- a/lib/Entry/DemandSharing.h
+++ b/lib/Entry/DemandSharing.h
@@ -41,7 +41,7 @@
     customer_limits &m_limits;
     rules_source m_rules;
     allowance_allocator m_allocator;
-    time_point m_lastTick{};
+    time_point m_lastReportAt{};
 };
 
 } // namespace laurelcroft
