--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -32,7 +32,7 @@
 }
 
 /// Time between reports in a fleet of that many entries.
-static duration periodOf(std::size_t entries)
+static duration reportPeriod(std::size_t entries)
 {
     return std::max(shortestPeriod, static_cast<int>(entries) * periodPerEntry);
 }
@@ -49,7 +49,7 @@
         if (who == nullptr)
             continue;
         const allowance_request asked{item.per_second(), who->requestsPerSecond, entries,
-                                      periodsOfLife * periodOf(entries)};
+                                      periodsOfLife * reportPeriod(entries)};
         wire::demand_share &share = *reply.add_shares();
         share.set_customer(item.customer());
         share.set_share(static_cast<float>(m_allocator.report(item.customer(), report.entry(),
@@ -60,7 +60,7 @@
 
 void demand_sharing::applyShares(const wire::demand_reply &reply)
 {
-    const duration life = periodsOfLife * periodOf(m_node.liveEntries().size());
+    const duration life = periodsOfLife * reportPeriod(m_node.liveEntries().size());
     const time_point until = m_node.runtime().now() + life;
     for (const wire::demand_share &share : reply.shares())
         m_limits.setShare(share.customer(), share.share(), until);
@@ -92,5 +92,5 @@
                            applyShares(reply);
                    });
     }
-    m_node.runtime().after(periodOf(entries.size()), [this] { sendReports(); });
+    m_node.runtime().after(reportPeriod(entries.size()), [this] { sendReports(); });
 }
