--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -14,7 +14,7 @@
 constexpr duration shortestPeriod = seconds(1);
 /// The period grows with the entries, so that a home hears as many reports a second.
 constexpr duration periodPerEntry = milliseconds(13);
-constexpr int periodsOfLife = 3;
+constexpr int validityPeriods = 3;
 constexpr duration reportTimeout = milliseconds(500);
 } // namespace
 
@@ -49,7 +49,7 @@
         if (who == nullptr)
             continue;
         const allowance_request asked{item.per_second(), who->requestsPerSecond, entries,
-                                      periodsOfLife * reportPeriod(entries)};
+                                      validityPeriods * reportPeriod(entries)};
         wire::demand_share &share = *reply.add_shares();
         share.set_customer(item.customer());
         share.set_share(static_cast<float>(m_allocator.report(item.customer(), report.entry(),
@@ -60,7 +60,7 @@
 
 void demand_sharing::applyShares(const wire::demand_reply &reply)
 {
-    const duration life = periodsOfLife * reportPeriod(m_node.liveEntries().size());
+    const duration life = validityPeriods * reportPeriod(m_node.liveEntries().size());
     const time_point until = m_node.runtime().now() + life;
     for (const wire::demand_share &share : reply.shares())
         m_limits.setShare(share.customer(), share.share(), until);
