--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -11,7 +11,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr duration shortestPeriod = seconds(1);
+constexpr duration minReportPeriod = seconds(1);
 /// The period grows with the entries, so that a home hears as many reports a second.
 constexpr duration periodPerEntry = milliseconds(13);
 constexpr int validityPeriods = 3;
@@ -28,13 +28,13 @@
 void demand_sharing::start()
 {
     m_lastReportAt = m_node.runtime().now();
-    m_node.runtime().after(shortestPeriod, [this] { sendReports(); });
+    m_node.runtime().after(minReportPeriod, [this] { sendReports(); });
 }
 
 /// Time between reports in a fleet of that many entries.
 static duration reportPeriod(std::size_t entries)
 {
-    return std::max(shortestPeriod, static_cast<int>(entries) * periodPerEntry);
+    return std::max(minReportPeriod, static_cast<int>(entries) * periodPerEntry);
 }
 
 wire::demand_reply demand_sharing::onReport(const wire::demand_report &report)
