--- a/lib/Entry/FleetStatus.cpp
+++ b/lib/Entry/FleetStatus.cpp
@@ -32,7 +32,7 @@
     return role == wire::role_entry ? "entry" : "agent";
 }
 
-static void addLine(collection &all, const wire::member &item, const ordered_json &epoch)
+static void addInstance(collection &all, const wire::member &item, const ordered_json &epoch)
 {
     all.instances.push_back({{"instance", item.id()},
                              {"role", roleName(item.role())},
@@ -53,8 +53,8 @@
                          all->asked -= 1;
                          wire::from_agent header;
                          const bool known = answer && header.ParseFromString(*answer);
-                         addLine(*all, item,
-                                 known ? ordered_json(header.bundle_epoch()) : ordered_json());
+                         addInstance(*all, item,
+                                     known ? ordered_json(header.bundle_epoch()) : ordered_json());
                          askNext(instance, all);
                      });
     }
@@ -74,7 +74,7 @@
     self.set_id(m_node.options().instance);
     self.set_role(m_node.options().role);
     self.set_data_centre(m_node.options().dataCentre);
-    addLine(*all, self, own);
+    addInstance(*all, self, own);
     for (const auto &[id, item] : m_node.members())
         all->left.push_back(item);
     askNext(m_node, all);
