--- a/lib/Entry/FleetStatus.cpp
+++ b/lib/Entry/FleetStatus.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t askedAtOnce = 32;
+constexpr std::size_t maxConcurrentQueries = 32;
 constexpr duration answerTimeout = milliseconds(500);
 
 struct collection
@@ -44,7 +44,7 @@
 
 static void askNext(node &instance, const std::shared_ptr<collection> &all)
 {
-    while (all->asked < askedAtOnce && !all->left.empty()) {
+    while (all->asked < maxConcurrentQueries && !all->left.empty()) {
         const wire::member item = all->left.front();
         all->left.pop_front();
         all->asked += 1;
