--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -10,7 +10,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr std::size_t messageRing = 8192;
+constexpr std::size_t messageQueueCapacity = 8192;
 constexpr std::size_t answerRing = 32768;
 } // namespace
 
@@ -25,7 +25,7 @@
                 [this](const std::shared_ptr<http_exchange> &exchange) { onExchange(exchange); })
     , m_admin(m_duty, options.admin,
               [this](const std::shared_ptr<http_exchange> &exchange) { onAdmin(exchange); })
-    , m_messages(m_duty, routing, messageRing, std::move(onMessage))
+    , m_messages(m_duty, routing, messageQueueCapacity, std::move(onMessage))
     , m_answers(routing, m_duty, answerRing,
                 [this](caller_answer &&answer) { onAnswer(std::move(answer)); })
 {
