--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr std::size_t messageQueueCapacity = 8192;
-constexpr std::size_t answerRing = 32768;
+constexpr std::size_t answerQueueCapacity = 32768;
 } // namespace
 
 caller_server::caller_server(duty_thread &routing, const caller_server_options &options,
@@ -26,7 +26,7 @@
     , m_admin(m_duty, options.admin,
               [this](const std::shared_ptr<http_exchange> &exchange) { onAdmin(exchange); })
     , m_messages(m_duty, routing, messageQueueCapacity, std::move(onMessage))
-    , m_answers(routing, m_duty, answerRing,
+    , m_answers(routing, m_duty, answerQueueCapacity,
                 [this](caller_answer &&answer) { onAnswer(std::move(answer)); })
 {
 }
