--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -25,7 +25,7 @@
 constexpr duration subsetDelay = milliseconds(50);
 constexpr duration loadStreamRetry = milliseconds(500);
 constexpr duration revokeTimeout = milliseconds(500);
-constexpr duration leastDrain = milliseconds(500);
+constexpr duration minDrainTime = milliseconds(500);
 constexpr duration shortestFlush = milliseconds(100);
 constexpr duration flushPerEntry = milliseconds(3);
 
@@ -451,7 +451,7 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.least = leastDrain;
+    steps.least = minDrainTime;
     steps.longest = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
     // The routing duty goes first: what stops after it has no thread to race with.
