--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -26,7 +26,7 @@
 constexpr duration loadStreamRetry = milliseconds(500);
 constexpr duration revokeTimeout = milliseconds(500);
 constexpr duration minDrainTime = milliseconds(500);
-constexpr duration shortestFlush = milliseconds(100);
+constexpr duration minFlushPeriod = milliseconds(100);
 constexpr duration flushPerEntry = milliseconds(3);
 
 /// What an agent says on an attempt's stream, with the bytes that it took on the link.
@@ -297,7 +297,7 @@
     }
     m_core.limits().setEntries(entries);
     m_core.outbox().setFlushPeriod(
-            std::max(shortestFlush, static_cast<int>(entries) * flushPerEntry));
+            std::max(minFlushPeriod, static_cast<int>(entries) * flushPerEntry));
 }
 
 void entry_process::refreshSubsets()
