--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -27,7 +27,7 @@
 constexpr duration revokeTimeout = milliseconds(500);
 constexpr duration minDrainTime = milliseconds(500);
 constexpr duration minFlushPeriod = milliseconds(100);
-constexpr duration flushPerEntry = milliseconds(3);
+constexpr duration flushPeriodPerEntry = milliseconds(3);
 
 /// What an agent says on an attempt's stream, with the bytes that it took on the link.
 struct attempt_stream_handlers
@@ -297,7 +297,7 @@
     }
     m_core.limits().setEntries(entries);
     m_core.outbox().setFlushPeriod(
-            std::max(minFlushPeriod, static_cast<int>(entries) * flushPerEntry));
+            std::max(minFlushPeriod, static_cast<int>(entries) * flushPeriodPerEntry));
 }
 
 void entry_process::refreshSubsets()
