--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -129,7 +129,7 @@
     fleet_status m_status;
     demand_sharing m_sharing;
     std::map<std::string, std::shared_ptr<link_stream>> m_loadStreams;
-    std::set<std::string> m_wantedLoads;
+    std::set<std::string> m_loadStreamAgents;
     bool m_subsetScheduled = false;
     bundle_epoch m_announced = 0;
 };
@@ -308,9 +308,9 @@
     m_node.runtime().after(subsetDelay, [this] {
         m_subsetScheduled = false;
         const auto chosen = m_core.directory().chooseSubsets();
-        m_wantedLoads = {chosen.begin(), chosen.end()};
+        m_loadStreamAgents = {chosen.begin(), chosen.end()};
         for (auto it = m_loadStreams.begin(); it != m_loadStreams.end();) {
-            if (m_wantedLoads.count(it->first) != 0) {
+            if (m_loadStreamAgents.count(it->first) != 0) {
                 ++it;
                 continue;
             }
@@ -338,7 +338,7 @@
         m_loadStreams.erase(agent);
         m_core.directory().onUnreachable(agent);
         m_node.runtime().after(loadStreamRetry, [this, agent] {
-            if (m_wantedLoads.count(agent) != 0 && m_loadStreams.count(agent) == 0)
+            if (m_loadStreamAgents.count(agent) != 0 && m_loadStreams.count(agent) == 0)
                 openLoadStream(agent);
         });
     };
