--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -131,7 +131,7 @@
     std::map<std::string, std::shared_ptr<link_stream>> m_loadStreams;
     std::set<std::string> m_loadStreamAgents;
     bool m_subsetScheduled = false;
-    bundle_epoch m_announced = 0;
+    bundle_epoch m_announcedEpoch = 0;
 };
 
 } // namespace
@@ -372,8 +372,8 @@
 void entry_process::maintain()
 {
     m_ready = m_core.isReady();
-    if (m_core.keeper().epoch() != m_announced) {
-        m_announced = m_core.keeper().epoch();
+    if (m_core.keeper().epoch() != m_announcedEpoch) {
+        m_announcedEpoch = m_core.keeper().epoch();
         m_node.announce();
     }
     m_core.outbox().adoptOld();
