--- a/include/laurelcroft/Entry/VersionGuardSet.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -77,7 +77,7 @@
                             const version_evidence &evidence);
     static guard_pair *findOrAddGroup(rollout_state &entry, std::string_view group);
 
-    std::map<std::string, rollout_state, std::less<>> m_entries;
+    std::map<std::string, rollout_state, std::less<>> m_rollouts;
 };
 
 } // namespace laurelcroft
--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -32,13 +32,13 @@
 {
     std::map<std::string, rollout_state, std::less<>> next;
     for (const rollout &plan : rules.rollouts) {
-        const auto known = m_entries.find(plan.model);
-        if (known != m_entries.end() && known->second.plan == plan)
+        const auto known = m_rollouts.find(plan.model);
+        if (known != m_rollouts.end() && known->second.plan == plan)
             next.emplace(plan.model, known->second);
         else
             next.emplace(plan.model, rollout_state(plan));
     }
-    m_entries = std::move(next);
+    m_rollouts = std::move(next);
 }
 
 bool version_guard_set::addToGuards(guard_pair &pair, const rollout &plan,
@@ -67,8 +67,8 @@
 
 bool version_guard_set::add(const version_evidence &evidence)
 {
-    const auto it = m_entries.find(evidence.model);
-    if (it == m_entries.end())
+    const auto it = m_rollouts.find(evidence.model);
+    if (it == m_rollouts.end())
         return false;
     rollout_state &entry = it->second;
     bool stops = addToGuards(entry.all, entry.plan, evidence);
@@ -82,8 +82,8 @@
 
 bool version_guard_set::stop(std::string_view model, std::string_view version)
 {
-    const auto it = m_entries.find(model);
-    if (it == m_entries.end() || it->second.plan.to != version || it->second.stopped)
+    const auto it = m_rollouts.find(model);
+    if (it == m_rollouts.end() || it->second.plan.to != version || it->second.stopped)
         return false;
     it->second.stopped = true;
     return true;
@@ -91,6 +91,6 @@
 
 bool version_guard_set::isStopped(std::string_view model) const
 {
-    const auto it = m_entries.find(model);
-    return it != m_entries.end() && it->second.stopped;
+    const auto it = m_rollouts.find(model);
+    return it != m_rollouts.end() && it->second.stopped;
 }
