--- a/include/laurelcroft/Entry/CallerRequest.h
+++ b/include/laurelcroft/Entry/CallerRequest.h
@@ -27,7 +27,7 @@
     std::string key; ///< bearer key
     wire::work_kind kind = wire::work_chat;
     std::string target; ///< model, cascade or service
-    std::string wantedVersion; ///< of `model@version`
+    std::string requestedVersion; ///< of `model@version`
     std::string session; ///< token or name; empty: none
     std::string idempotencyKey; ///< empty: none
     bool repeatable = true; ///< false: the caller forbids a second run
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -89,7 +89,7 @@
     request.customer = flow.customerName;
     request.sessionText = flow.request.session;
     request.models = flow.target.models();
-    request.wantedVersion = flow.request.wantedVersion;
+    request.requestedVersion = flow.request.requestedVersion;
     request.nowWallMs = wallMilliseconds();
     request.knowledge = [this, rules = flow.rules](const std::string &name) {
         return knowledgeOf(rules->rules, name);
--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -29,7 +29,7 @@
     std::string customer;
     std::string sessionText; ///< token, name or empty
     std::vector<std::string> models;
-    std::string wantedVersion; ///< of the first model; empty: any
+    std::string requestedVersion; ///< of the first model; empty: any
     std::int64_t nowWallMs = 0;
     /// What is known of a model's roll-out.
     std::function<version_knowledge(const std::string &model)> knowledge;
@@ -115,15 +115,15 @@
             const auto checked = checkVersion(*request.rules, who, model, held->second);
             if (!checked)
                 return versionError(checked.error(), model, held->second);
-            if (!request.wantedVersion.empty() && held->second != request.wantedVersion)
+            if (!request.requestedVersion.empty() && held->second != request.requestedVersion)
                 return sessionVersionConflict(held->second);
             result.reason = "the session holds it";
             return std::nullopt;
         }
-        const auto choice = chooseVersion(*request.rules, who, model, request.wantedVersion,
+        const auto choice = chooseVersion(*request.rules, who, model, request.requestedVersion,
                                           request.knowledge(model), m_random);
         if (!choice)
-            return versionError(choice.error(), model, request.wantedVersion);
+            return versionError(choice.error(), model, request.requestedVersion);
         result.item.pins[model] = choice.value().version;
         result.reason = textOf(choice.value().reason);
         return std::nullopt;
@@ -148,7 +148,7 @@
             return;
         }
         const customer &who = *request->rules->findCustomer(request->customer);
-        const auto choice = chooseVersion(*request->rules, who, model, request->wantedVersion,
+        const auto choice = chooseVersion(*request->rules, who, model, request->requestedVersion,
                                           request->knowledge(model), m_random);
         // Also without a version of its own the row must be read: the session may hold one.
         if (!choice) {
@@ -159,7 +159,7 @@
                                  done(failure(tableError(row.error())));
                              else if (!row.value())
                                  done(failure(versionError(refusal, request->models[next],
-                                                           request->wantedVersion)));
+                                                           request->requestedVersion)));
                              else
                                  cacheNamedPin(key, row.value()->value, request, result, next,
                                                done);
--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -74,7 +74,7 @@
     const std::size_t at = name.find('@');
     request.target = name.substr(0, at);
     if (at != std::string::npos)
-        request.wantedVersion = name.substr(at + 1);
+        request.requestedVersion = name.substr(at + 1);
 }
 
 static std::optional<caller_error> readChat(const http_request &from, caller_request &request)
--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -79,7 +79,7 @@
     const auto &run = std::get<caller_request>(parsed.value());
     CHECK(run.key == "key-1");
     CHECK(run.target == "m");
-    CHECK(run.wantedVersion == "2");
+    CHECK(run.requestedVersion == "2");
     CHECK(run.stream);
     CHECK(run.outputTokens == 7);
     CHECK(run.idempotencyKey == "i1");
