--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -156,7 +156,7 @@
         bool ranBefore = false; ///< the same of earlier attempts
         bool resuming = false;
         time_point disconnectedAt{};
-        std::set<std::string> tried;
+        std::set<std::string> triedEndpoints;
         std::string answer;
         std::size_t released = 0; ///< bytes passed on
         wire::refusal lastRefusal = wire::refusal_none;
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -17,7 +17,7 @@
     std::vector<const endpoint *> kept;
     std::size_t ejected = 0;
     for (const endpoint *candidate : all) {
-        if (item.tried.count(candidate->id) != 0)
+        if (item.triedEndpoints.count(candidate->id) != 0)
             continue;
         const bool out = m_ejection.isEjected(candidate->id, m_runtime.now())
                 && endpoint_ejection::mayEject(ejected + 1, all.size());
@@ -57,7 +57,7 @@
     item.attemptNumber += 1;
     item.ranBefore = item.ran;
     item.endpointId = chosen.id;
-    item.tried.insert(chosen.id);
+    item.triedEndpoints.insert(chosen.id);
     item.admitted = false;
     item.counted = true;
     m_directory.onSent(chosen.id);
