--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -148,7 +148,7 @@
         std::string endpointId;
         std::uint32_t attemptNumber = 0; ///< of the attempt
         std::uint32_t offers = 0;
-        bool counted = false; ///< in the directory as running
+        bool countedAsRunning = false; ///< in the directory as running
         bool admitted = false;
         bool finished = false;
         bool mayHaveRun = false; ///< an attempt that nobody could tell of
@@ -254,9 +254,9 @@
 
     void decrementRunning(run &item)
     {
-        if (item.counted)
+        if (item.countedAsRunning)
             m_directory.onEnded(item.endpointId);
-        item.counted = false;
+        item.countedAsRunning = false;
     }
 
     void onFinish(run &item, const wire::finish &done);
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -59,7 +59,7 @@
     item.endpointId = chosen.id;
     item.triedEndpoints.insert(chosen.id);
     item.admitted = false;
-    item.counted = true;
+    item.countedAsRunning = true;
     m_directory.onSent(chosen.id);
     wire::from_entry message;
     message.set_bundle_epoch(item.epoch);
