--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -158,7 +158,7 @@
         time_point disconnectedAt{};
         std::set<std::string> triedEndpoints;
         std::string answer;
-        std::size_t released = 0; ///< bytes passed on
+        std::size_t releasedBytes = 0; ///< bytes passed on
         wire::refusal lastRefusal = wire::refusal_none;
         timer_id offerTimer = 0;
         timer_id deadlineTimer = 0;
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -157,7 +157,7 @@
 void attempt_runner<Runtime, Env>::retryElsewhere(run &item, const std::string &reason)
 {
     recordDecision(item, decision_kind::attempt, item.endpointId, 1, reason);
-    if (item.released > 0) {
+    if (item.releasedBytes > 0) {
         finish(item, tier_outcome::failed, reason);
         return;
     }
@@ -227,7 +227,7 @@
     const std::string fresh = piece.data().substr(have - piece.offset());
     item.answer += fresh;
     if (item.events.onData) {
-        item.released = item.answer.size();
+        item.releasedBytes = item.answer.size();
         item.events.onData(fresh, linkBytes);
     } else {
         m_env.consumeAttempt(item.handle, linkBytes);
