--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -334,7 +334,7 @@
     void sendFinalPart(request_flow &flow, const tier_result &result);
     static constexpr milliseconds longestTimeout{3600000};
     static constexpr double latencySmoothing = 0.1;
-    static constexpr double goodRating = 0.5;
+    static constexpr double minGoodRating = 0.5;
     static constexpr std::size_t maxRatedBytes = 8192;
     static constexpr std::string_view streamEnd = "data: [DONE]\n\n";
 
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -365,7 +365,7 @@
                 tier = flow.tier, score = result.finish.score()](std::optional<double> rating) {
                    if (!rating)
                        return;
-                   const bool good = *rating >= goodRating;
+                   const bool good = *rating >= minGoodRating;
                    addEvidence(sample.model, sample.version, sample.group, evidence_kind::ratings,
                                good);
                    if (const cascade *item = rules->rules.findCascade(target))
