--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -332,7 +332,7 @@
     /// Stores the answer of a claimed request; its agent forgets it only then.
     void storeAnswer(const request_flow &flow, const tier_result &result);
     void sendFinalPart(request_flow &flow, const tier_result &result);
-    static constexpr milliseconds longestTimeout{3600000};
+    static constexpr milliseconds maxTimeout{3600000};
     static constexpr double latencySmoothing = 0.1;
     static constexpr double minGoodRating = 0.5;
     static constexpr std::size_t maxRatedBytes = 8192;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -56,7 +56,7 @@
     if (limit.verdict != limit_verdict::admitted)
         return limitExceeded(limit);
     const milliseconds wanted = flow.request.timeout.count() > 0
-            ? std::min(flow.request.timeout, longestTimeout)
+            ? std::min(flow.request.timeout, maxTimeout)
             : m_options.defaultTimeout;
     flow.deadline = flow.receivedAt + wanted;
     return std::nullopt;
