--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -336,7 +336,7 @@
     static constexpr double latencySmoothing = 0.1;
     static constexpr double minGoodRating = 0.5;
     static constexpr std::size_t maxRatedBytes = 8192;
-    static constexpr std::string_view streamEnd = "data: [DONE]\n\n";
+    static constexpr std::string_view streamTerminator = "data: [DONE]\n\n";
 
     Runtime &m_runtime;
     Env &m_env;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -422,7 +422,7 @@
         beginStream(flow);
         m_env.answer(id, answer_piece{result.answer, 0});
     }
-    m_env.answer(id, answer_end{true, std::string(streamEnd)});
+    m_env.answer(id, answer_end{true, std::string(streamTerminator)});
 }
 
 } // namespace laurelcroft
