--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -260,10 +260,10 @@
                 "session_unavailable",
                 "the version that this named session holds cannot be read now",
                 executed::no,
-                std::max(error.retryAfter, shortestRetry)};
+                std::max(error.retryAfter, minRetryAfter)};
     }
 
-    static constexpr milliseconds shortestRetry{250};
+    static constexpr milliseconds minRetryAfter{250};
     static constexpr std::size_t maxCachedPins = 50000;
 
     Table &m_table;
