--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -70,17 +70,17 @@
 {
     const time_point now = m_node.runtime().now();
     const std::vector<std::string> entries = m_node.liveEntries();
-    std::map<std::string, wire::demand_report> byHome;
+    std::map<std::string, wire::demand_report> reportsByHome;
     for (const customer_demand &demand : m_limits.takeDemand(now - m_lastReportAt)) {
         const std::string home = topRanked(entries, "limits/" + demand.customer, 1).front();
-        wire::demand_report &report = byHome[home];
+        wire::demand_report &report = reportsByHome[home];
         report.set_entry(m_node.options().instance);
         wire::demand &item = *report.add_demands();
         item.set_customer(demand.customer);
         item.set_per_second(static_cast<float>(demand.perSecond));
     }
     m_lastReportAt = now;
-    for (const auto &[home, report] : byHome) {
+    for (const auto &[home, report] : reportsByHome) {
         if (home == m_node.options().instance) {
             applyShares(onReport(report));
             continue;
