--- a/include/laurelcroft/Entry/AttemptRunner.h
+++ b/include/laurelcroft/Entry/AttemptRunner.h
@@ -1,7 +1,7 @@
-//===-- Entry/AttemptRunner.h - runs one tier of a request -------*- C++ -*-===//
+//===-- Entry/AttemptRunner.h - runs one tier of a request ------*- C++ -*-===//
 //
-// Chooses an endpoint, offers the work, and sees it through refusals, cuts and
-// deadlines. It never offers again what may have started and may not be repeated.
+// Chooses an endpoint, offers it the work, and handles refusals, disconnects and deadlines. Work
+// that may have started and must not be repeated is never offered again.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_ATTEMPTRUNNER_H
@@ -24,7 +24,7 @@
 
 namespace laurelcroft {
 
-/// Runs tiers for one entry.
+/// Runs the tiers of requests at one entry.
 template <runtime_like Runtime, attempt_port Env>
 class attempt_runner
 {
@@ -41,7 +41,7 @@
     {
     }
 
-    /// Starts a tier. Its result comes later, never from within this call.
+    /// Starts a tier. Its result is reported asynchronously, never from within this call.
     run_id start(tier_work work, tier_events events, bundle_epoch epoch)
     {
         const run_id id = ++m_lastRun;
@@ -57,8 +57,8 @@
         return id;
     }
 
-    /// The caller left: the endpoint's work is cancelled, no result follows.
-    /// \returns what is known of the run for its bill.
+    /// Cancels the endpoint's work because the caller disconnected. No result is reported.
+    /// \returns the partial result, for billing.
     tier_result cancel(run_id id)
     {
         tier_result partial;
@@ -76,7 +76,7 @@
         return partial;
     }
 
-    /// The answer and its bill are safe: the agent may forget the attempt.
+    /// Tells the agent that the answer and its bill are stored, so that it may discard the attempt.
     void settle(run_id id)
     {
         run *const item = find(id);
@@ -94,14 +94,15 @@
         erase(*item);
     }
 
-    /// The caller took data: the agent may send as much more.
+    /// Returns flow-control credit to the agent for \p linkBytes that the caller has received.
     void consumed(run_id id, std::size_t linkBytes)
     {
         if (run *const item = find(id); item != nullptr && item->handle != 0)
             m_env.consumeAttempt(item->handle, linkBytes);
     }
 
-    /// A message of an agent on an attempt's stream of \p linkBytes bytes.
+    /// Handles an agent's message on an attempt's stream.
+    /// \param linkBytes size of the message on the link, for flow control.
     void onMessage(attempt_handle handle, const wire::from_agent &message, std::size_t linkBytes)
     {
         run *const item = findByHandle(handle);
@@ -120,7 +121,7 @@
             onFault(*item, message.fault());
     }
 
-    /// An attempt's stream was cut.
+    /// Handles the unexpected end of an attempt's stream.
     void onStreamClosed(attempt_handle handle)
     {
         run *const item = findByHandle(handle);
@@ -138,6 +139,7 @@
     }
 
 private:
+    /// State of one running tier.
     struct run
     {
         run_id id = 0;
@@ -146,19 +148,19 @@
         bundle_epoch epoch = 0;
         attempt_handle handle = 0;
         std::string endpointId;
-        std::uint32_t attemptNumber = 0; ///< of the attempt
-        std::uint32_t offers = 0;
-        bool countedAsRunning = false; ///< in the directory as running
+        std::uint32_t attemptNumber = 0; ///< of the latest attempt
+        std::uint32_t offers = 0; ///< number of offers made
+        bool countedAsRunning = false; ///< counted in the directory as running
         bool admitted = false;
         bool finished = false;
-        bool mayHaveRun = false; ///< an attempt that nobody could tell of
+        bool mayHaveRun = false; ///< for some attempt it is unknown whether it ran
         bool ran = false; ///< an attempt was admitted
-        bool ranBefore = false; ///< the same of earlier attempts
-        bool resuming = false;
+        bool ranBefore = false; ///< value of \c ran before the latest attempt
+        bool resuming = false; ///< fetching the rest of the answer after a disconnect
         time_point disconnectedAt{};
         std::set<std::string> triedEndpoints;
         std::string answer;
-        std::size_t releasedBytes = 0; ///< bytes passed on
+        std::size_t releasedBytes = 0; ///< bytes of the answer passed on to the caller
         wire::refusal lastRefusal = wire::refusal_none;
         timer_id offerTimer = 0;
         timer_id deadlineTimer = 0;
@@ -184,7 +186,7 @@
         m_runs.erase(run_id(item.id));
     }
 
-    /// Ends the stream to the endpoint and takes the run out of its count.
+    /// Closes the stream to the endpoint and stops counting the run as running there.
     void detachFromEndpoint(run &item)
     {
         if (item.handle != 0) {
@@ -220,12 +222,15 @@
         return view;
     }
 
-    /// Leaves out what was tried and what is ejected, up to the ejection's ceiling.
+    /// \returns the candidates except those already tried and those ejected. At most a fixed share
+    /// of the pool counts as ejected.
     std::vector<const endpoint *> usableEndpoints(const run &item) const;
+    /// Chooses an endpoint and offers it the work, or gives up.
     void dispatch(run &item);
     void offer(run &item, const endpoint &chosen);
     void onAdmission(run &item, wire::refusal refusal);
 
+    /// Records the endpoint that now has the session's prefix in its cache.
     void rememberAffinity(const run &item)
     {
         if (item.work.affinity.empty())
@@ -235,16 +240,20 @@
         m_affinity[item.work.affinity] = item.endpointId;
     }
 
-    /// An offer without an answer: it is revoked, and the agent's word decides.
+    /// Revokes an offer that got no answer. Unless the work is repeatable, the agent's reply to the
+    /// revocation determines how to continue.
     void revokeOffer(run &item);
     void onRevoked(run &item, const std::optional<wire::revoked> &answer);
+    /// Offers the work to another endpoint, unless part of the answer was passed on already or the
+    /// retry budget is used up.
     void retryElsewhere(run &item, const std::string &reason);
-    /// Asks the same agent for the rest of a cut answer.
+    /// Asks the same agent for the rest of an answer whose stream was closed early.
     void resume(run_id id);
+    /// Handles an attempt whose answer is lost: retries repeatable work, otherwise ends the run.
     void failAfterDisconnect(run &item, const std::string &reason);
     void onPiece(run &item, const wire::piece &piece, std::size_t linkBytes);
-    /// The endpoint is done with a run; it stays until it is settled, so that the agent
-    /// keeps what it knows.
+    /// Marks the endpoint's work as finished. The run is kept until it is settled, so that the
+    /// agent keeps the attempt.
     void markFinished(run &item)
     {
         item.finished = true;
@@ -261,12 +270,12 @@
 
     void onFinish(run &item, const wire::finish &done);
     void onFault(run &item, const wire::fault &fault);
-    /// Ends a run that failed at its endpoint. The agent goes on knowing of it until the
-    /// bill is safe: if this entry dies before, the agent bills.
+    /// Ends a run that failed at its endpoint. The agent keeps the attempt until the bill is
+    /// stored: if this entry fails before that, the agent writes the bill.
     void finishUnsettled(run &item, const wire::fault &fault);
     void onDeadline(run_id id);
-    /// An answer that ends early has no closing usage: the events that came count, one
-    /// token each, and the prompt as it was estimated.
+    /// \returns the usage of an answer that ended early and so has no final usage report: one token
+    /// for each event received, and the estimated prompt tokens.
     static wire::usage usageSoFar(const run &item)
     {
         wire::usage usage;
@@ -278,7 +287,7 @@
         return usage;
     }
 
-    /// What is known of a run that ends without an answer.
+    /// \returns the outcome of a run that ends now without a complete answer.
     static tier_outcome outcomeSoFar(const run &item)
     {
         if (item.ran)
@@ -286,6 +295,7 @@
         return item.mayHaveRun ? tier_outcome::uncertain : tier_outcome::notRun;
     }
 
+    /// Ends a run whose work is not offered to any further endpoint.
     void giveUp(run &item)
     {
         const bool full = item.lastRefusal == wire::refusal_full;
@@ -296,6 +306,7 @@
                full ? m_options.fullRetryAfter : m_options.noEndpointRetryAfter);
     }
 
+    /// Ends a run without a complete answer and reports its result asynchronously.
     void finish(run &item, tier_outcome outcome, const std::string &reason, bool timedOut = false,
                 milliseconds retryAfter = milliseconds(1000));
 
@@ -315,7 +326,7 @@
     retry_budget m_budget;
     std::unordered_map<run_id, std::unique_ptr<run>> m_runs;
     std::unordered_map<attempt_handle, run_id> m_handles;
-    std::unordered_map<std::string, std::string> m_affinity;
+    std::unordered_map<std::string, std::string> m_affinity; ///< endpoint by affinity key
     run_id m_lastRun = 0;
 };
 
--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -94,7 +94,7 @@
         return;
     }
     if (item.resuming) {
-        // The agent no longer knows the attempt: it cannot be had again.
+        // The agent no longer has the attempt, so its answer cannot be fetched.
         detachFromEndpoint(item);
         failAfterDisconnect(item, "the endpoint lost the attempt");
         return;
@@ -102,8 +102,8 @@
     item.lastRefusal = refusal;
     recordDecision(item, decision_kind::attempt, item.endpointId, 1, std::string(textOf(refusal)));
     detachFromEndpoint(item);
-    // A refused offer never ran; another endpoint may be asked, unless the refusal
-    // says that no endpoint may serve it.
+    // A refused offer never ran, so another endpoint may be tried, unless the refusal means that no
+    // endpoint may serve it.
     const bool final = refusal == wire::refusal_withdrawn || refusal == wire::refusal_not_allowed
             || refusal == wire::refusal_duplicate;
     if (final)
@@ -122,7 +122,7 @@
     message.set_attempt(item.attemptNumber);
     message.set_bundle_epoch(item.epoch);
     if (item.work.offer.repeatable()) {
-        // Whether it ran or not, it may run again; the word is only to stop it.
+        // Repeatable work may run again in any case; the revocation only saves the endpoint's work.
         m_env.revoke(endpointId, message, [](std::optional<wire::revoked>) {});
         item.mayHaveRun = true;
         retryElsewhere(item, "the endpoint did not answer the offer");
@@ -145,7 +145,7 @@
         return;
     }
     if (answer) {
-        // It has started there: fetch its answer instead of running it again.
+        // The attempt has started there: fetch its answer instead of running the work again.
         item.admitted = true;
         resume(item.id);
         return;
@@ -196,7 +196,8 @@
         message.mutable_resume()->set_offset(found->answer.size());
         found->handle = m_env.openAttempt(found->endpointId, message);
         m_handles[found->handle] = id;
-        recordDecision(*found, decision_kind::attempt, found->endpointId, 1, "resumed after a cut");
+        recordDecision(*found, decision_kind::attempt, found->endpointId, 1,
+                       "resumed after a disconnect");
     });
 }
 
@@ -217,7 +218,7 @@
 void attempt_runner<Runtime, Env>::onPiece(run &item, const wire::piece &piece,
                                            std::size_t linkBytes)
 {
-    // After a resume the first piece may overlap what is here already.
+    // After a resume, the first piece may overlap the data already received.
     const std::uint64_t have = item.answer.size();
     const std::uint64_t end = piece.offset() + piece.data().size();
     if (piece.offset() > have || end <= have) {
@@ -239,7 +240,7 @@
 {
     const bool whole = done.length() == item.answer.size() && done.digest() == sha256(item.answer);
     if (!whole) {
-        failAfterDisconnect(item, "the answer is not whole");
+        failAfterDisconnect(item, "the answer is incomplete or damaged");
         return;
     }
     m_ejection.succeeded(item.endpointId);
@@ -259,7 +260,7 @@
 {
     m_ejection.failed(item.endpointId, m_runtime.now());
     const bool ran = fault.executed() != wire::execution_no;
-    // Admitted, but the endpoint was not reached: this attempt has not run.
+    // An admitted attempt has not run if the agent could not reach its endpoint.
     item.ran = item.ranBefore || ran;
     if (!ran || item.work.offer.repeatable()) {
         wire::from_entry message;
@@ -296,7 +297,7 @@
     if (item == nullptr || item->finished)
         return;
     sendCancel(*item);
-    // An offer that is still open may be admitted after all.
+    // An offer that is still unanswered may yet be admitted.
     item->mayHaveRun = item->mayHaveRun || item->handle != 0;
     finish(*item, outcomeSoFar(*item), "the deadline passed", true);
 }
@@ -317,7 +318,7 @@
     result.timedOut = timedOut;
     const auto onResult = std::move(item.events.onResult);
     erase(item);
-    // Later, never from within start(): the caller first learns the run's attemptNumber.
+    // Reported from a timer, since start() must return the run's id before its result is reported.
     m_runtime.after(duration(0), [onResult, result] { onResult(result); });
 }
 
