--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -1,9 +1,8 @@
-//===-- Entry/EntryCore.h - the decisions of an entry ------------*- C++ -*-===//
+//===-- Entry/EntryCore.h - decision logic of an entry ----------*- C++ -*-===//
 //
-// Sees each request through its steps: who asks, within which limits, on which
-// version, claimed or not, from which tier, judged, billed, released. All I/O is
-// behind the environment, so that tests run this code over fakes under a paused
-// clock.
+// Takes each request through its steps: authentication, limits, choice of version, claim, choice of
+// the first tier, evaluation of its answer, billing and delivery. All I/O goes through the
+// environment, so that tests can run this code with fakes and a manual clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_ENTRYCORE_H
@@ -27,7 +26,7 @@
 
 namespace laurelcroft {
 
-/// What the core needs of its process.
+/// The interface to the process that the core requires.
 template <class E>
 concept entry_environment = attempt_port<E> && bill_port<E> && bundle_source<E> && requires(
         E env, caller_id caller, answer_event event, const rating_sample &sample,
@@ -41,23 +40,23 @@
         } -> std::convertible_to<bool>;
 };
 
-/// Bounds of one entry.
+/// Options of one entry.
 struct entry_options
 {
     std::string instance;
     std::string dataCentre;
-    std::size_t maxRequestsInFlight = 4096; ///< requests in flight; above it: refused
+    std::size_t maxRequestsInFlight = 4096; ///< further requests are refused
     milliseconds defaultTimeout{120000};
     std::int64_t sessionLifetimeMs = 7LL * 24 * 3600 * 1000;
-    double ratedShare = 0.1; ///< of answers that are sent to be rated
-    duration bundleRetryDelay = milliseconds(100); ///< after an agent knew a newer bundle
-    int maxBundleRetries = 3;
+    double ratedShare = 0.1; ///< share of answers that are sent to be rated
+    duration bundleRetryDelay = milliseconds(100); ///< time to fetch a newer bundle
+    int maxBundleRetries = 3; ///< of one request
     attempt_options attempts;
     outbox_options outbox;
     subset_options subset;
 };
 
-/// The decisions of one entry.
+/// Processes the requests of one entry.
 template <runtime_like Runtime, table_like Table, entry_environment Env>
 class entry_core
 {
@@ -66,7 +65,7 @@
     using runner_type = attempt_runner<Runtime, Env>;
 
     entry_core(Runtime &runtime, Table &table, Env &env, random_source &random, signoff_rule rule,
-               session_token_codec mint, entry_options options)
+               session_token_codec tokenCodec, entry_options options)
         : m_runtime(runtime)
         , m_env(env)
         , m_random(random)
@@ -77,7 +76,7 @@
         , m_runner(runtime, env, m_directory, random, m_options.attempts)
         , m_outbox(runtime, table, env, m_options.instance, m_options.outbox)
         , m_claims(runtime, table, m_options.instance)
-        , m_pinner(table, random, std::move(mint), m_options.sessionLifetimeMs)
+        , m_pinner(table, random, std::move(tokenCodec), m_options.sessionLifetimeMs)
         , m_lookup(table, m_claims, env)
     {
     }
@@ -90,7 +89,7 @@
     customer_limits &limits() { return m_limits; }
     version_guard_set &guards() { return m_guards; }
 
-    /// Refuses new requests from now on, and writes what it holds for others.
+    /// Refuses new requests from now on, and writes the bills held as copies for other processes.
     void drain()
     {
         m_draining = true;
@@ -98,14 +97,14 @@
     }
     bool isDraining() const { return m_draining; }
 
-    /// \returns true when nothing is in flight and nothing is owed to the table.
+    /// \returns true if no request is in flight and no write to the table is pending.
     bool isIdle() const { return m_flows.empty() && m_outbox.isEmpty() && m_claims.pending() == 0; }
     std::size_t inFlight() const { return m_flows.size(); }
 
-    /// \returns true when requests can be served.
+    /// \returns true if requests can be served.
     bool isReady() const { return m_keeper.current() != nullptr && !m_draining; }
 
-    /// Takes a caller's request.
+    /// Starts processing a caller's request.
     void submit(caller_request request)
     {
         const caller_id id = request.id;
@@ -123,14 +122,15 @@
         pinSession(id);
     }
 
-    /// The caller closed its connection.
+    /// Handles a caller that closed its connection.
     void callerLeft(caller_id id)
     {
         request_flow *const flow = find(id);
         if (flow == nullptr || flow->callerLeft)
             return;
         flow->callerLeft = true;
-        // What may not be repeated goes on: its answer is kept for the caller to ask.
+        // A claimed request continues, so that the caller can ask for its answer. If no tier is
+        // running, a later step ends the request.
         if (flow->claimOperationId || flow->run == 0)
             return;
         const tier_result partial = m_runner.cancel(flow->run);
@@ -142,14 +142,14 @@
         end(id);
     }
 
-    /// The caller took streamed data.
+    /// Returns flow-control credit for streamed data that the caller received.
     void callerConsumed(caller_id id, std::size_t linkBytes)
     {
         if (request_flow *const flow = find(id); flow != nullptr && flow->run != 0)
             m_runner.consumed(flow->run, linkBytes);
     }
 
-    /// Answers what models a customer may use.
+    /// Answers a query for the models that a customer may use.
     void listModels(const models_request &request)
     {
         const auto current = m_keeper.current();
@@ -160,7 +160,7 @@
             m_env.answer(request.id, modelsAnswer(current->rules, *who));
     }
 
-    /// Answers what became of a request.
+    /// Answers a query for the status of a request.
     void findRequest(const status_request &request)
     {
         const auto current = m_keeper.current();
@@ -174,14 +174,14 @@
         });
     }
 
-    /// Hears the bundle epoch that another process put on a message.
+    /// Handles the bundle epoch in a message from another process.
     void onPeerEpoch(const std::string &peer, bundle_epoch epoch)
     {
         if (epoch > m_keeper.epoch())
             m_keeper.observePeerEpoch(peer, epoch, false, duration(0));
     }
 
-    /// Another process stopped a version under roll-out.
+    /// Handles a roll-out that another process's guard stopped.
     void onRolloutStopped(const std::string &model, const std::string &version)
     {
         if (m_guards.stop(model, version))
@@ -203,8 +203,9 @@
                               std::move(chosen), considered, std::move(reason)});
     }
 
-    /// Checks a new request and fills its flow. \returns the error that refuses it.
+    /// Checks a new request and initializes its flow. \returns an error if it is refused.
     std::optional<caller_error> admitRequest(request_flow &flow);
+    /// Checks capacity and the customer's limits, and sets the deadline.
     std::optional<caller_error> checkCapacity(request_flow &flow, const customer &who);
 
     std::string newRequestId()
@@ -213,6 +214,7 @@
         return "r" + toHex(std::string_view(reinterpret_cast<const char *>(bits), sizeof(bits)));
     }
 
+    /// Refuses a request for which no flow was registered.
     void rejectRequest(const request_flow &flow, const caller_error &error)
     {
         recordDecision(flow, decision_kind::answer, error.code, 0, error.message);
@@ -220,9 +222,10 @@
                      errorAnswer(error, {{"X-Laurelcroft-Request-Id", flow.requestId}}));
     }
 
-    /// Ends a flow with an error and answers it at once.
+    /// Ends a flow with an error answer.
     void fail(caller_id id, const caller_error &error);
 
+    /// Removes a flow and frees its place in the customer's limits.
     void end(caller_id id)
     {
         request_flow *const flow = find(id);
@@ -261,8 +264,8 @@
     void beginStream(request_flow &flow);
     void addStep(request_flow &flow, const tier_result &result);
     void onTierResult(caller_id id, const tier_result &result);
-    /// A withdrawal that the agent knew first: a session that begins here may still get
-    /// another version, once this entry has caught up.
+    /// \returns true if the agent refused the version because of a newer bundle than this entry has
+    /// and the session is new: it may get another version once this entry has that bundle.
     bool mayRetryWithNewBundle(const request_flow &flow, const tier_result &result) const
     {
         const bool isNewer = result.refusal == wire::refusal_withdrawn
@@ -271,10 +274,14 @@
                 && flow.bundleRetries < m_options.maxBundleRetries;
     }
 
+    /// After a delay, resolves the target and pins the session again with the bundle then in force.
     void retryWithNewBundle(caller_id id);
     void onTierFinished(caller_id id, const tier_result &result);
+    /// Decides whether the answer of the current tier is accepted or the request escalates.
     bool suffices(const request_flow &flow, const tier_result &result, bool isError);
 
+    /// Updates the moving average of the time from receipt of a request until \p result's tier
+    /// ended.
     void updateTierLatency(const request_flow &flow, const tier_result &result)
     {
         const double tookMs
@@ -300,14 +307,15 @@
         m_env.broadcastRolloutStop(model, version);
     }
 
+    /// Sends a random sample of answers to be rated and records the ratings.
     void sampleRating(const request_flow &flow, const tier_result &result, bool released);
-    /// Bills the request; \c settle follows once the bill is safe.
+    /// Bills the request. Its runs are settled once a second process or the table holds the bill.
     void bill(request_flow &flow, std::string_view outcome)
     {
         if (flow.steps.empty())
             return;
         wire::bill item = makeBill(flow, outcome);
-        // Whoever learns more, such as the agent that was out of reach, replaces it.
+        // A process that knows more, such as the agent that could not be reached, may replace it.
         item.set_provisional(outcome == uncertainBill);
         m_outbox.add(std::move(item), [this, runs = flow.unsettled] { settle(runs); });
     }
@@ -318,7 +326,8 @@
             m_runner.settle(run);
     }
 
-    /// The answer is whole: bill first, then the last part of the answer.
+    /// Bills a complete answer. Its last part is sent once a second process or the table holds the
+    /// bill.
     void complete(caller_id id, const tier_result &result)
     {
         request_flow &flow = *find(id);
@@ -328,13 +337,16 @@
         m_outbox.add(item, [this, id, result] { release(id, result); });
     }
 
+    /// Stores and sends a billed answer and ends the flow.
     void release(caller_id id, const tier_result &result);
-    /// Stores the answer of a claimed request; its agent forgets it only then.
+    /// Settles the runs of a request. The answer of a claimed request is stored first, so that its
+    /// agent keeps it until then.
     void storeAnswer(const request_flow &flow, const tier_result &result);
+    /// Sends the complete answer, or the end of a streamed one.
     void sendFinalPart(request_flow &flow, const tier_result &result);
     static constexpr milliseconds maxTimeout{3600000};
-    static constexpr double latencySmoothing = 0.1;
-    static constexpr double minGoodRating = 0.5;
+    static constexpr double latencySmoothing = 0.1; ///< weight of a new value
+    static constexpr double minGoodRating = 0.5; ///< ratings below it count as bad
     static constexpr std::size_t maxRatedBytes = 8192;
     static constexpr std::string_view streamTerminator = "data: [DONE]\n\n";
 
@@ -353,9 +365,9 @@
     customer_limits m_limits;
     cascade_learner m_learner;
     version_guard_set m_guards;
-    std::map<std::string, double> m_tierLatencyMs;
+    std::map<std::string, double> m_tierLatencyMs; ///< moving average by model
     std::unordered_map<caller_id, std::unique_ptr<request_flow>> m_flows;
-    std::unordered_map<std::string, caller_id> m_callersByRequestId;
+    std::unordered_map<std::string, caller_id> m_callersByRequestId; ///< with idempotency key
 };
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -45,10 +45,10 @@
 auto entry_core<Runtime, Table, Env>::checkCapacity(request_flow &flow, const customer &who)
         -> std::optional<caller_error>
 {
-    // Important customers keep the last quarter of the room to themselves.
-    const std::size_t room = who.priority == 0 ? m_options.maxRequestsInFlight
-                                               : m_options.maxRequestsInFlight * 3 / 4;
-    if (m_flows.size() >= room)
+    // The last quarter of the capacity is reserved for customers of the highest priority, 0.
+    const std::size_t capacity = who.priority == 0 ? m_options.maxRequestsInFlight
+                                                   : m_options.maxRequestsInFlight * 3 / 4;
+    if (m_flows.size() >= capacity)
         return overloaded();
     if (!m_outbox.accepts(m_env.tableReachable()))
         return billNotAccepted();
@@ -130,7 +130,7 @@
 {
     request_flow *const flow = find(id);
     if (flow == nullptr) {
-        // The caller was answered meanwhile: what was granted is given back.
+        // The request ended in the meantime, so a granted claim is released.
         if (result.verdict == claim_verdict::granted)
             m_claims.release(result.found.requestId, result.found.operationId);
         return;
@@ -207,11 +207,12 @@
                                          : flow.rules->rules.findModel(flow.tierTarget())->pool;
     work.deadline = flow.deadline;
     work.estimate = {flow.request.promptTokens, flow.request.outputTokens};
-    // Each tier's endpoint has a cache of its own.
+    // Each tier's endpoint has a prefix cache of its own.
     if (!flow.session.item.id.empty())
         work.affinity = flow.session.item.id + "/" + flow.tierTarget();
     tier_events events;
-    // A tier that is still to be judged is held back; every other one flows through.
+    // Only the last tier is streamed as it arrives. The answer of an earlier tier is held back
+    // until it is evaluated.
     if (flow.request.stream && flow.onLastTier())
         events.onData = [this, id](std::string_view data, std::size_t linkBytes) {
             onTierData(id, data, linkBytes);
@@ -253,7 +254,7 @@
     step.set_version(flow.tierVersion());
     step.set_endpoint(result.endpoint);
     *step.mutable_usage() = result.usage;
-    // What may never have run is noted, not charged.
+    // A tier that may not have run is listed in the bill but not charged.
     if (result.outcome != tier_outcome::uncertain)
         step.set_cost(costOf(flow.rules->rules, step));
     flow.steps.push_back(std::move(step));
