--- a/include/laurelcroft/Entry/Decision.h
+++ b/include/laurelcroft/Entry/Decision.h
@@ -1,7 +1,6 @@
-//===-- Entry/Decision.h - what was decided and why --------------*- C++ -*-===//
+//===-- Entry/Decision.h - record of a routing decision ---------*- C++ -*-===//
 //
-// Every routing decision is noted: as a log line in production, as a golden line
-// in tests.
+// Every routing decision is recorded: in the log in production, and in the golden files by tests.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_DECISION_H
@@ -18,14 +17,14 @@
 
 std::string_view textOf(decision_kind kind);
 
-/// One decision about one request.
+/// One decision about a request.
 struct decision
 {
     std::string requestId;
     bundle_epoch epoch = 0;
     decision_kind kind = decision_kind::answer;
     std::string chosen;
-    std::size_t considered = 0; ///< from how many
+    std::size_t considered = 0; ///< number of alternatives
     std::string reason;
 };
 
--- a/include/laurelcroft/Entry/RequestFlow.h
+++ b/include/laurelcroft/Entry/RequestFlow.h
@@ -1,6 +1,6 @@
-//===-- Entry/RequestFlow.h - one request on its way -------------*- C++ -*-===//
+//===-- Entry/RequestFlow.h - state of one request --------------*- C++ -*-===//
 //
-// The typed state of a request from its receipt to the release of its last part.
+// The state of a request from its receipt until its last part is sent to the caller.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_REQUESTFLOW_H
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// What a request's target turned out to be.
+/// The cascade, model or service that a request's target names, or null.
 struct resolved_target
 {
     const cascade *foundCascade = nullptr;
@@ -26,13 +26,13 @@
 
     bool isKnown() const { return foundCascade || foundModel || foundService; }
 
-    /// \returns the models it may use, cheapest first.
+    /// \returns the models that it may use, cheapest first; none for a service.
     std::vector<std::string> models() const;
 };
 
 resolved_target resolveTarget(const bundle &rules, std::string_view name);
 
-/// One request.
+/// One request in progress.
 struct request_flow
 {
     caller_request request;
@@ -45,14 +45,14 @@
     time_point deadline{};
 
     pinned_session session;
-    std::optional<std::string> claimOperationId;
-    std::size_t tier = 0;
-    std::uint64_t run = 0; ///< the tier that runs now; 0: none
-    std::vector<std::uint64_t> unsettled; ///< runs whose agents still keep the answer
-    std::vector<wire::bill_step> steps;
-    bool streamBegun = false; ///< the streamed answer has begun
-    bool callerLeft = false;
-    int bundleRetries = 0;
+    std::optional<std::string> claimOperationId; ///< set once the request is claimed
+    std::size_t tier = 0; ///< index of the current tier of a cascade
+    std::uint64_t run = 0; ///< run id of the current tier; 0 if none is running
+    std::vector<std::uint64_t> unsettled; ///< finished runs that agents still keep
+    std::vector<wire::bill_step> steps; ///< tiers to be billed
+    bool streamBegun = false; ///< the headers of a streamed answer were sent
+    bool callerLeft = false; ///< the caller disconnected
+    int bundleRetries = 0; ///< number of retries to use a newer bundle
 
     const customer &who() const { return *rules->rules.findCustomer(customerName); }
     bundle_epoch epoch() const { return rules->accepted.epoch; }
@@ -60,23 +60,23 @@
     /// \returns the model or service of the current tier.
     std::string tierTarget() const;
 
-    /// \returns the version that the session holds for the current tier; empty for a service.
+    /// \returns the version that the session uses for the current tier; empty for a service.
     std::string tierVersion() const;
 
-    /// \returns true when no further tier stands behind the current one.
+    /// \returns true if the current tier is the last one.
     bool onLastTier() const;
 };
 
-/// \returns the request's bill as it stands.
+/// \returns the bill for the steps that the request has taken so far.
 wire::bill makeBill(const request_flow &flow, std::string_view outcome);
 
-/// \returns the headers of an error: no model or version, for none has answered.
+/// \returns the headers of an error answer. They name no model or version, since none answered.
 http_headers errorHeaders(const request_flow &flow);
 
-/// \returns the headers that every answer of \p flow carries.
+/// \returns the headers common to all answers of \p flow.
 http_headers answerHeaders(const request_flow &flow);
 
-/// \returns the id of a request with the caller's own key; the same at every entry.
+/// \returns the id of a request with an idempotency key. It is the same at every entry.
 std::string keyedRequestId(std::string_view customer, std::string_view idempotencyKey);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Entry/RequestLookup.h
+++ b/include/laurelcroft/Entry/RequestLookup.h
@@ -1,7 +1,7 @@
-//===-- Entry/RequestLookup.h - what became of a request ---------*- C++ -*-===//
+//===-- Entry/RequestLookup.h - status of a request -------------*- C++ -*-===//
 //
-// Answers a caller's question from the claim, or from the bill of a request that
-// left no claim.
+// Answers a caller's query for the status of a request. The status comes from the request's claim,
+// or from its bill if it has no claim.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_REQUESTLOOKUP_H
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// Looks requests up for one entry.
+/// Answers status queries at one entry.
 template <table_like Table, class Claims, class Env>
 class request_lookup
 {
@@ -29,11 +29,12 @@
     {
     }
 
-    /// \param isRunning tells whether a request runs at this entry.
+    /// Finds the request that \p request names and sends its status.
+    /// \param isRunning returns true if the request with the given id is running at this entry.
     void find(const status_request &request, const std::string &customerName,
               const std::function<bool(const std::string &)> &isRunning)
     {
-        // The caller may ask by its own key or by the id that it was told.
+        // The caller may use its idempotency key or the request id that an entry returned.
         const std::string derived = keyedRequestId(customerName, request.requestId);
         const std::string id = isRunning(derived) || !isRequestId(request.requestId)
                 ? derived
--- a/lib/Entry/Decision.cpp
+++ b/lib/Entry/Decision.cpp
@@ -1,6 +1,6 @@
-//===-- Decision.cpp - what was decided and why -----------------------------===//
+//===-- Decision.cpp - record of a routing decision -----------------------===//
 //
-// Names of the kinds.
+// Names of the kinds of decisions.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/Decision.h"
--- a/lib/Entry/RequestFlow.cpp
+++ b/lib/Entry/RequestFlow.cpp
@@ -1,6 +1,6 @@
-//===-- RequestFlow.cpp - one request on its way ----------------------------===//
+//===-- RequestFlow.cpp - state of one request ----------------------------===//
 //
-// Derived values of a flow.
+// Values derived from the state of a request.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/RequestFlow.h"
