--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -1,7 +1,7 @@
-//===-- Entry/SessionPinner.h - a session keeps its version ------*- C++ -*-===//
+//===-- Entry/SessionPinner.h - pins sessions to versions -------*- C++ -*-===//
 //
-// Finds or makes the versions that a session holds: from its token, from the row
-// of a session that the caller named, or by a new decision.
+// Determines the model versions that a session uses: from its token, from the stored pins of a
+// session that the caller named, or by choosing a version for a new session.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_SESSIONPINNER_H
@@ -22,49 +22,51 @@
 
 namespace laurelcroft {
 
-/// What a request asks of its session.
+/// Input of a pinning operation.
 struct pin_request
 {
     std::shared_ptr<const bundle> rules;
     std::string customer;
-    std::string sessionText; ///< token, name or empty
+    std::string sessionText; ///< session token or caller-chosen name; empty for a new session
     std::vector<std::string> models;
-    std::string requestedVersion; ///< of the first model; empty: any
+    std::string requestedVersion; ///< empty if any allowed version will do
     std::int64_t nowWallMs = 0;
-    /// What is known of a model's roll-out.
+    /// Returns the state of a model's roll-out that is not part of the bundle.
     std::function<version_knowledge(const std::string &model)> knowledge;
 };
 
-/// The versions in use, with the reason of each decision that was made now.
+/// A session with its pinned versions.
 struct pinned_session
 {
     session item;
-    std::string token;
-    std::string reason;
-    bool isNew = false; ///< begun by this request
+    std::string token; ///< empty if the caller named the session
+    std::string reason; ///< why the model pinned last has its version
+    bool isNew = false; ///< created by this request
 };
 
 using pin_callback = std::function<void(outcome<pinned_session, caller_error>)>;
 
-/// \returns the error of a version that may not be used, true to "not run".
+/// \returns the error for a version that may not be used; it states that the request did not run.
 caller_error versionError(version_refusal refusal, const std::string &model,
                           const std::string &version);
 
-/// Pins sessions of one entry.
+/// Pins the sessions of one entry to versions.
 template <table_like Table>
 class session_pinner
 {
 public:
-    /// \param life of a token from its last use, in milliseconds.
-    session_pinner(Table &table, random_source &random, session_token_codec mint, std::int64_t life)
+    /// \param lifetimeMs lifetime of a token since its last use, in milliseconds.
+    session_pinner(Table &table, random_source &random, session_token_codec tokenCodec,
+                   std::int64_t lifetimeMs)
         : m_table(table)
         , m_random(random)
-        , m_tokenCodec(std::move(mint))
-        , m_lifetimeMs(life)
+        , m_tokenCodec(std::move(tokenCodec))
+        , m_lifetimeMs(lifetimeMs)
     {
     }
 
-    /// Calls \p done with the session or the error, now or later.
+    /// Pins the models of \p request. Calls \p done with the session or the error, possibly before
+    /// returning.
     void pin(const pin_request &request, const pin_callback &done)
     {
         const bool isToken = request.sessionText.rfind(sessionTokenPrefix, 0) == 0;
@@ -84,12 +86,12 @@
             result.item.id = newSessionId();
             result.item.customer = request.customer;
         } else {
-            auto opened = m_tokenCodec.decode(request.sessionText, request.nowWallMs);
-            if (!opened) {
-                done(failure(tokenError(opened.error())));
+            auto decoded = m_tokenCodec.decode(request.sessionText, request.nowWallMs);
+            if (!decoded) {
+                done(failure(tokenError(decoded.error())));
                 return;
             }
-            result.item = std::move(opened).value();
+            result.item = std::move(decoded).value();
             if (result.item.customer != request.customer) {
                 done(failure(sessionOfOtherCustomer()));
                 return;
@@ -105,7 +107,7 @@
         finish(request, result, done);
     }
 
-    /// Pins \p model in \p result, keeping a version that it holds.
+    /// Pins \p model in \p result. An existing pin is checked and kept.
     std::optional<caller_error> pinModel(const pin_request &request, const std::string &model,
                                          pinned_session &result)
     {
@@ -129,7 +131,8 @@
         return std::nullopt;
     }
 
-    /// Pins model after model of a session that the caller named.
+    /// Pins the models of a session that the caller named, starting at index \p next. Reads or
+    /// inserts one table row per model unless its pin is cached.
     void pinNamed(const std::shared_ptr<pin_request> &request,
                   const std::shared_ptr<pinned_session> &result, std::size_t next,
                   const pin_callback &done)
@@ -150,7 +153,7 @@
         const customer &who = *request->rules->findCustomer(request->customer);
         const auto choice = chooseVersion(*request->rules, who, model, request->requestedVersion,
                                           request->knowledge(model), m_random);
-        // Also without a version of its own the row must be read: the session may hold one.
+        // Even if no version can be chosen now, the session may have one in its row.
         if (!choice) {
             m_table.read(key,
                          [this, request, result, next, key, done, refusal = choice.error()](
@@ -177,7 +180,8 @@
                        });
     }
 
-    /// \param mine the version that was to be pinned; another call may have been faster.
+    /// Handles the result of inserting a pin.
+    /// \param mine the version to be pinned; if the row exists, its version is used instead.
     void onRowInserted(const std::string &key, const std::string &mine, const write_result &row,
                        const std::shared_ptr<pin_request> &request,
                        const std::shared_ptr<pinned_session> &result, std::size_t next,
@@ -188,6 +192,7 @@
         cacheNamedPin(key, row.done ? mine : row.row.value, request, result, next, done);
     }
 
+    /// Caches a pin read from the table. Pins never change once inserted.
     void cacheNamedPin(const std::string &key, const std::string &version,
                        const std::shared_ptr<pin_request> &request,
                        const std::shared_ptr<pinned_session> &result, std::size_t next,
@@ -199,6 +204,7 @@
         applyNamedPin(request, result, next, version, done);
     }
 
+    /// Applies a stored pin to the session and continues with the next model.
     void applyNamedPin(const std::shared_ptr<pin_request> &request,
                        const std::shared_ptr<pinned_session> &result, std::size_t next,
                        const std::string &version, const pin_callback &done)
@@ -207,7 +213,7 @@
         result->item.pins[model] = version;
         const std::string decided = result->reason;
         const auto error = pinModel(*request, model, *result);
-        // Where the version was chosen just now, that reason says more.
+        // If this call chose the version, its reason replaces the one for an existing pin.
         if (!decided.empty())
             result->reason = decided;
         if (error)
@@ -216,6 +222,7 @@
             pinNamed(request, result, next + 1, done);
     }
 
+    /// Renews the token and returns the session.
     void finish(const pin_request &request, pinned_session &result, const pin_callback &done)
     {
         result.item.expiresWallMs = request.nowWallMs + m_lifetimeMs;
@@ -231,7 +238,7 @@
         return {expired ? http_status::gone : http_status::badRequest,
                 "session_error",
                 expired ? "session_expired" : "session_invalid",
-                std::string(textOf(error)) + "; begin a new session without the header",
+                std::string(textOf(error)) + "; start a new session without the header",
                 executed::no,
                 milliseconds(0)};
     }
@@ -248,7 +255,8 @@
         return {http_status::conflict,
                 "session_error",
                 "session_holds_other_version",
-                "the session holds version " + held + "; begin a new session for another one",
+                "the session is pinned to version " + held
+                        + "; start a new session to use another one",
                 executed::no,
                 milliseconds(0)};
     }
@@ -258,7 +266,7 @@
         return {http_status::unavailable,
                 "unavailable",
                 "session_unavailable",
-                "the version that this named session holds cannot be read now",
+                "the version of this named session cannot be read at the moment",
                 executed::no,
                 std::max(error.retryAfter, minRetryAfter)};
     }
@@ -270,7 +278,7 @@
     random_source &m_random;
     session_token_codec m_tokenCodec;
     std::int64_t m_lifetimeMs;
-    std::unordered_map<std::string, std::string> m_namedPins;
+    std::unordered_map<std::string, std::string> m_namedPins; ///< version by row key
 };
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Entry/SessionToken.h
+++ b/include/laurelcroft/Entry/SessionToken.h
@@ -1,7 +1,8 @@
-//===-- Entry/SessionToken.h - sessions without a store ----------*- C++ -*-===//
+//===-- Entry/SessionToken.h - stateless session tokens ---------*- C++ -*-===//
 //
-// A session is a token that the caller carries: customer, pinned versions and
-// expiry, authenticated with a key that all entries share.
+// A session is stored in a token that the caller sends with each request. The token contains
+// customer, pinned versions and expiry time, and is authenticated with a key that all entries
+// share.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_SESSIONTOKEN_H
@@ -17,7 +18,7 @@
 
 namespace laurelcroft {
 
-/// The versions that one session holds.
+/// A session and the model versions it is pinned to.
 struct session
 {
     std::string id;
@@ -28,7 +29,7 @@
     bool operator==(const session &) const = default;
 };
 
-/// A key for tokens, and its name inside them.
+/// A key that authenticates tokens, and the id by which a token refers to it.
 struct session_key
 {
     std::string id;
@@ -39,27 +40,30 @@
 
 std::string_view textOf(session_error error);
 
-/// Tokens begin with this; any other text is a name that the caller chose.
+/// Prefix of every token. Any other text is a session name that the caller chose.
 inline constexpr std::string_view sessionTokenPrefix = "lcs1.";
 
-/// Largest token or name that is read, in bytes.
+/// Maximum size of a token or name, in bytes.
 inline constexpr std::size_t largestSessionText = 4096;
 
-/// Mints and reads tokens.
+/// Encodes sessions as tokens and decodes them.
 class session_token_codec
 {
 public:
-    /// \param keys the first one signs; all of them are accepted, so that keys rotate.
+    /// \param keys new tokens use the first key; tokens with any of the keys are accepted, so that
+    /// keys can be rotated.
     explicit session_token_codec(std::vector<session_key> keys);
 
     std::string encode(const session &item) const;
+
+    /// \returns the session, or an error if the token is invalid or expired at \p nowWallMs.
     outcome<session, session_error> decode(std::string_view token, std::int64_t nowWallMs) const;
 
 private:
     std::vector<session_key> m_keys;
 };
 
-/// Reads "id:secret,id:secret". \returns no keys when the text is malformed.
+/// Parses "id:secret,id:secret". \returns no keys if the text is malformed.
 std::vector<session_key> parseSessionKeys(std::string_view text);
 
 } // namespace laurelcroft
--- a/lib/Entry/SessionPinner.cpp
+++ b/lib/Entry/SessionPinner.cpp
@@ -1,6 +1,6 @@
-//===-- SessionPinner.cpp - a session keeps its version ---------------------===//
+//===-- SessionPinner.cpp - pins sessions to versions ---------------------===//
 //
-// Texts of refusals.
+// The errors for versions that may not be used.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/SessionPinner.h"
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -1,6 +1,7 @@
-//===-- SessionToken.cpp - sessions without a store -------------------------===//
+//===-- SessionToken.cpp - stateless session tokens -----------------------===//
 //
-// prefix, key id, payload and MAC, separated by dots; the MAC covers the rest.
+// A token consists of prefix, key id, payload and MAC, separated by dots. The MAC covers everything
+// before it.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/SessionToken.h"
@@ -24,7 +25,7 @@
     case session_error::unknownKey:
         return "the session token's key is no longer in use";
     case session_error::forged:
-        return "the session token is not genuine";
+        return "the session token failed authentication";
     case session_error::expired:
         return "the session has expired";
     }
@@ -34,7 +35,7 @@
 session_token_codec::session_token_codec(std::vector<session_key> keys)
     : m_keys(std::move(keys))
 {
-    assert(!m_keys.empty() && "a mint needs a key");
+    assert(!m_keys.empty() && "the codec needs at least one key");
 }
 
 std::string session_token_codec::encode(const session &item) const
