--- a/lib/Entry/CallerParser.h
+++ b/lib/Entry/CallerParser.h
@@ -1,6 +1,6 @@
-//===-- CallerParser.h - reads callers' HTTP requests ------------*- C++ -*-===//
+//===-- CallerParser.h - parses callers' HTTP requests ----------*- C++ -*-===//
 //
-// Private to Entry: turns HTTP into typed requests, or into the error that helps.
+// Private to Entry: converts HTTP requests to typed messages, or to the error to return.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_ENTRY_CALLERPARSER_H
@@ -13,15 +13,15 @@
 
 namespace laurelcroft {
 
-/// Limits of one request, in bytes.
+/// Limits on the size of one request.
 struct caller_limits
 {
-    std::size_t largestBody = 1U << 20;
+    std::size_t largestBody = 1U << 20; ///< in bytes
 };
 
 using parsed_request = std::variant<caller_request, status_request, models_request>;
 
-/// \returns the typed request without its id, or the error to answer at once.
+/// \returns the typed request, with its id not set yet, or the error to return to the caller.
 outcome<parsed_request, caller_error> parseCaller(const http_request &request,
                                                   const caller_limits &limits);
 
--- a/lib/Entry/CallerRequest.cpp
+++ b/lib/Entry/CallerRequest.cpp
@@ -1,6 +1,6 @@
-//===-- CallerRequest.cpp - errors towards callers --------------------------===//
+//===-- CallerRequest.cpp - error answers ---------------------------------===//
 //
-// One JSON shape for every error.
+// Formats errors as JSON.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/CallerRequest.h"
--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -1,6 +1,6 @@
-//===-- CallerServer.cpp - the duty that speaks with callers ----------------===//
+//===-- CallerServer.cpp - HTTP server for callers ------------------------===//
 //
-// A request that finds the ring full is refused at once: nothing of it has run.
+// A request is refused at once if the channel to the routing duty is full; nothing of it has run.
 //
 //===----------------------------------------------------------------------===//
 #include "CallerServer.h"
@@ -131,7 +131,7 @@
 {
     const auto it = m_open.find(answer.id);
     if (it == m_open.end()) {
-        // Its caller has left.
+        // The caller has disconnected.
         m_unsent -= 1;
         return;
     }
--- a/lib/Entry/CallerServer.h
+++ b/lib/Entry/CallerServer.h
@@ -1,6 +1,7 @@
-//===-- CallerServer.h - the duty that speaks with callers -------*- C++ -*-===//
+//===-- CallerServer.h - HTTP server for callers ----------------*- C++ -*-===//
 //
-// Private to Entry: HTTP on one thread, joined to the routing duty by two rings.
+// Private to Entry: serves HTTP on a thread of its own, which is connected to the routing duty by a
+// bounded channel in each direction.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_ENTRY_CALLERSERVER_H
@@ -23,14 +24,14 @@
     caller_id id = 0;
 };
 
-/// The caller took data that came over a link.
+/// The caller received data that came over a link.
 struct caller_consumed
 {
     caller_id id = 0;
-    std::size_t linkBytes = 0;
+    std::size_t linkBytes = 0; ///< flow-control credit to return
 };
 
-/// Somebody asks for the state of the fleet.
+/// A query for the state of the fleet.
 struct fleet_request
 {
     caller_id id = 0;
@@ -39,14 +40,14 @@
 using caller_message = std::variant<std::monostate, caller_request, status_request, models_request,
                                     caller_left, caller_consumed, fleet_request>;
 
-/// An answer on its way back.
+/// A part of an answer, for the caller with this id.
 struct caller_answer
 {
     caller_id id = 0;
     answer_event event;
 };
 
-/// Addresses of the caller side.
+/// Options of the caller server.
 struct caller_server_options
 {
     http_server_options callers;
@@ -54,27 +55,29 @@
     caller_limits limits;
 };
 
+/// Accepts requests of callers and operators, and sends them the answers.
 class caller_server
 {
 public:
-    /// \param onMessage runs on \p routing. \param isReady is asked from any thread.
+    /// \param isReady may be called on any thread.
+    /// \param onMessage is called on \p routing.
     caller_server(duty_thread &routing, const caller_server_options &options,
                   metric_registry &metrics, std::function<bool()> isReady,
                   std::function<void(caller_message &&)> onMessage);
 
-    /// Opens both ports. \returns an empty string or what failed.
+    /// Opens both ports. \returns an error message, or an empty string on success.
     std::string open();
     std::uint16_t port() const { return m_callers.port(); }
     std::uint16_t adminPort() const { return m_admin.port(); }
 
-    /// Sends an answer; on the routing duty.
+    /// Sends a part of an answer. Called on the routing duty.
     void answer(caller_id id, answer_event event)
     {
         m_unsent += 1;
         m_answers.push({id, std::move(event)});
     }
 
-    /// \returns true when every answer has left the process; from any thread.
+    /// \returns true if every answer was written to its socket. May be called on any thread.
     bool isIdle() const { return m_unsent == 0; }
 
     void stop() { m_duty.stop(); }
@@ -88,6 +91,7 @@
 
     void onExchange(const std::shared_ptr<http_exchange> &exchange);
     void onAdmin(const std::shared_ptr<http_exchange> &exchange);
+    /// Answers the health, readiness and metrics paths. \returns false for any other path.
     bool answerProbe(const std::shared_ptr<http_exchange> &exchange);
     void submit(const std::shared_ptr<http_exchange> &exchange, caller_message &&message,
                 caller_id id);
@@ -105,7 +109,7 @@
     channel<caller_answer> m_answers;
     std::unordered_map<caller_id, open_exchange> m_open;
     caller_id m_lastId = 0;
-    std::atomic<std::int64_t> m_unsent{0}; ///< parts of answers, from answer() to the socket
+    std::atomic<std::int64_t> m_unsent{0}; ///< parts of answers not yet written to a socket
 };
 
 } // namespace laurelcroft
