--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -1,6 +1,6 @@
-//===-- EntryErrors.cpp - every answer that is no result --------------------===//
+//===-- EntryErrors.cpp - error answers to callers ------------------------===//
 //
-// One function for each error, so that the sentences stand in one place.
+// Each error has a function of its own, so that all error messages are in this file.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/EntryErrors.h"
@@ -31,7 +31,7 @@
     return {http_status::unavailable,
             "unavailable",
             "leaving",
-            "this instance is leaving; another one will take the request",
+            "this instance is shutting down; another one will accept the request",
             executed::no,
             shortRetry};
 }
@@ -41,7 +41,7 @@
     return {http_status::unauthorized,
             "authentication_error",
             "bad_key",
-            "send 'Authorization: Bearer KEY' with a key of the bundle in force",
+            "send 'Authorization: Bearer KEY' with a valid key",
             executed::no,
             milliseconds(0)};
 }
@@ -87,7 +87,7 @@
     return {http_status::unavailable,
             "overloaded",
             "entry_full",
-            "this instance has as many requests in flight as it may",
+            "this instance has reached its limit of requests in flight",
             executed::no,
             shortRetry};
 }
@@ -97,7 +97,7 @@
     return {http_status::unavailable,
             "unavailable",
             "no_place_for_bill",
-            "neither the table nor a second instance can take the bill of this request",
+            "neither the table nor a second instance can store the bill of this request",
             executed::no,
             longRetry};
 }
@@ -108,7 +108,7 @@
     return {http_status::tooManyRequests,
             "rate_limit",
             rate ? "rate_exceeded" : "too_many_in_flight",
-            rate ? "the customer's rate is used up"
+            rate ? "the customer has exceeded its request rate"
                  : "the customer has too many requests in flight",
             executed::no,
             limit.retryAfter};
@@ -189,7 +189,7 @@
 {
     const std::string digest = sha256Hex(key);
     const customer *found = nullptr;
-    // All customers are compared, so that the time is the same for each.
+    // Compare with all customers, so that the time taken does not depend on which one matches.
     for (const customer &who : rules.customers) {
         if (constantTimeEqual(who.keySha256, digest))
             found = &who;
@@ -246,7 +246,7 @@
 {
     whole_answer answer;
     answer.status = found.status;
-    // What the session of this call would use says nothing of the first run.
+    // The model and version of this call's session need not be those that produced the answer.
     std::erase_if(headers, [](const http_header &header) {
         return header.name == modelHeader || header.name == versionHeader;
     });
