--- a/include/laurelcroft/Entry/VersionGuardSet.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -1,8 +1,8 @@
-//===-- Entry/VersionGuardSet.h - guards of all roll-outs -------------*- C++ -*-===//
+//===-- Entry/VersionGuardSet.h - guards of all roll-outs -------*- C++ -*-===//
 //
-// Keeps the sequential tests of every roll-out of the bundle in force: on errors of
-// all answers and on the ratings of the rated ones, over all customers and for each
-// group of them.
+// Holds the sequential tests of every roll-out in the bundle in force. One kind of test uses the
+// errors of all answers, the other the ratings of rated answers. Each runs over all customers
+// together and separately for each customer group, up to a maximum number of groups.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_VERSIONGUARDSET_H
@@ -17,10 +17,10 @@
 
 namespace laurelcroft {
 
-/// What an answer is evidence of.
+/// The kind of test that a piece of evidence belongs to.
 enum class evidence_kind { errors, ratings };
 
-/// One answer as evidence on a version.
+/// One answer, as evidence for or against a version.
 struct version_evidence
 {
     std::string_view model;
@@ -30,27 +30,27 @@
     bool good = true;
 };
 
-/// The guards of one process.
+/// The roll-out guards of one process.
 class version_guard_set
 {
 public:
-    /// Takes the roll-outs of a bundle. A roll-out that stands unchanged keeps its
-    /// guard, stopped or not; a changed one is a new decision of the operators.
+    /// Replaces the roll-outs by those of a new bundle. An unchanged roll-out keeps its guards and
+    /// stays stopped if it was. A changed one starts over, since the operators decided it anew.
     void onBundle(const bundle &rules);
 
-    /// Adds one answer's evidence.
-    /// \returns true when this answer made the guard stop the version under roll-out.
+    /// Adds the evidence of one answer.
+    /// \returns true if this answer caused the version under roll-out to be stopped.
     bool add(const version_evidence &evidence);
 
-    /// Takes another process's word that the roll-out of \p model to \p version stopped.
-    /// \returns true when it is news.
+    /// Stops the roll-out of \p model to \p version because another process's guard stopped it.
+    /// \returns true if it was running here until now.
     bool stop(std::string_view model, std::string_view version);
 
-    /// \returns true when the version under roll-out of \p model was stopped.
+    /// \returns true if the roll-out of \p model was stopped.
     bool isStopped(std::string_view model) const;
 
 private:
-    /// The two tests over one part of the customers.
+    /// Both tests for one set of customers.
     struct guard_pair
     {
         explicit guard_pair(const rollout_guard &bounds)
@@ -62,8 +62,8 @@
         version_guard ratings;
     };
 
-    /// A version may be bad for one group only, which the sum over all would hide: each
-    /// of the first few groups has tests of its own.
+    /// A roll-out and its tests. A version may be bad for a single group only, which the test over
+    /// all customers could miss, so a limited number of groups have tests of their own.
     struct rollout_state
     {
         explicit rollout_state(const rollout &plan);
@@ -73,9 +73,12 @@
         bool stopped = false;
     };
 
+    /// Adds evidence to the test that it belongs to.
+    /// \returns true if that test has stopped the version.
     static bool addToGuards(guard_pair &pair, const rollout &plan,
                             const version_evidence &evidence);
-    static guard_pair *findOrAddGroup(rollout_state &entry, std::string_view group);
+    /// \returns the tests of \p group, or null if there are too many groups.
+    static guard_pair *findOrAddGroup(rollout_state &state, std::string_view group);
 
     std::map<std::string, rollout_state, std::less<>> m_rollouts;
 };
--- a/lib/Entry/VersionGuardSet.cpp
+++ b/lib/Entry/VersionGuardSet.cpp
@@ -1,6 +1,6 @@
-//===-- VersionGuardSet.cpp - guards of all roll-outs ----------------------------===//
+//===-- VersionGuardSet.cpp - guards of all roll-outs ---------------------===//
 //
-// A stopped roll-out returns only through a bundle that changes it.
+// A stopped roll-out resumes only if a new bundle changes it.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/VersionGuardSet.h"
@@ -8,14 +8,15 @@
 using namespace laurelcroft;
 
 namespace {
-/// Groups beyond these are judged by the sum alone.
+/// Further groups have no tests of their own; only the tests over all customers cover them.
 constexpr std::size_t maxGroups = 16;
-/// Tests that may each stop a version: errors and ratings, over all and for each group.
-/// The bound on false stops is split: half for the sums, half for the groups.
+/// Each test may stop a version by itself, so the bound on the probability of a false stop is split
+/// between them: half for the two tests over all customers, half for the two tests of each group.
 constexpr double totalTestShare = 0.5 / 2;
 constexpr double groupTestShare = 0.5 / (2 * maxGroups);
 } // namespace
 
+/// \returns \p bounds with the bound on false stops multiplied by \p share.
 static rollout_guard scaleFalseStop(rollout_guard bounds, double share)
 {
     bounds.falseStop *= share;
@@ -53,16 +54,16 @@
     return guard.isStopped();
 }
 
-version_guard_set::guard_pair *version_guard_set::findOrAddGroup(rollout_state &entry,
+version_guard_set::guard_pair *version_guard_set::findOrAddGroup(rollout_state &state,
                                                                  std::string_view group)
 {
-    const auto it = entry.groups.find(group);
-    if (it != entry.groups.end())
+    const auto it = state.groups.find(group);
+    if (it != state.groups.end())
         return &it->second;
-    if (entry.groups.size() >= maxGroups)
+    if (state.groups.size() >= maxGroups)
         return nullptr;
-    const guard_pair fresh(scaleFalseStop(entry.plan.guard, groupTestShare));
-    return &entry.groups.emplace(std::string(group), fresh).first->second;
+    const guard_pair fresh(scaleFalseStop(state.plan.guard, groupTestShare));
+    return &state.groups.emplace(std::string(group), fresh).first->second;
 }
 
 bool version_guard_set::add(const version_evidence &evidence)
@@ -70,13 +71,13 @@
     const auto it = m_rollouts.find(evidence.model);
     if (it == m_rollouts.end())
         return false;
-    rollout_state &entry = it->second;
-    bool stops = addToGuards(entry.all, entry.plan, evidence);
-    if (guard_pair *const group = findOrAddGroup(entry, evidence.group))
-        stops = addToGuards(*group, entry.plan, evidence) || stops;
-    if (entry.stopped || !stops)
+    rollout_state &state = it->second;
+    bool stops = addToGuards(state.all, state.plan, evidence);
+    if (guard_pair *const group = findOrAddGroup(state, evidence.group))
+        stops = addToGuards(*group, state.plan, evidence) || stops;
+    if (state.stopped || !stops)
         return false;
-    entry.stopped = true;
+    state.stopped = true;
     return true;
 }
 
