--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -1,7 +1,7 @@
-//===-- DemandSharing.cpp - entries share a customer's allowance ------------===//
+//===-- DemandSharing.cpp - shares customers' allowances ------------------===//
 //
-// One message a period to each home that an entry has customers at; docs/CAPACITY.md
-// gives the bytes.
+// An entry sends one message per period to each home entry that its customers have.
+// docs/CAPACITY.md gives the resulting traffic.
 //
 //===----------------------------------------------------------------------===//
 #include "DemandSharing.h"
@@ -12,9 +12,10 @@
 
 namespace {
 constexpr duration minReportPeriod = seconds(1);
-/// The period grows with the entries, so that a home hears as many reports a second.
+/// The period grows with the number of entries, so that the rate of reports that a home entry
+/// receives stays constant.
 constexpr duration periodPerEntry = milliseconds(13);
-constexpr int validityPeriods = 3;
+constexpr int validityPeriods = 3; ///< a demand or share is valid for this many periods
 constexpr duration reportTimeout = milliseconds(500);
 } // namespace
 
@@ -31,7 +32,7 @@
     m_node.runtime().after(minReportPeriod, [this] { sendReports(); });
 }
 
-/// Time between reports in a fleet of that many entries.
+/// \returns the time between reports in a fleet of \p entries entries.
 static duration reportPeriod(std::size_t entries)
 {
     return std::max(minReportPeriod, static_cast<int>(entries) * periodPerEntry);
@@ -60,8 +61,8 @@
 
 void demand_sharing::applyShares(const wire::demand_reply &reply)
 {
-    const duration life = validityPeriods * reportPeriod(m_node.liveEntries().size());
-    const time_point until = m_node.runtime().now() + life;
+    const duration validFor = validityPeriods * reportPeriod(m_node.liveEntries().size());
+    const time_point until = m_node.runtime().now() + validFor;
     for (const wire::demand_share &share : reply.shares())
         m_limits.setShare(share.customer(), share.share(), until);
 }
--- a/lib/Entry/DemandSharing.h
+++ b/lib/Entry/DemandSharing.h
@@ -1,8 +1,9 @@
-//===-- DemandSharing.h - entries share a customer's allowance ---*- C++ -*-===//
+//===-- DemandSharing.h - shares customers' allowances ----------*- C++ -*-===//
 //
-// Private to Entry: every entry tells each customer's home, which is ranked by
-// rendezvous among the live entries, of its demand, and gets its share back. A home
-// that dies is replaced by the next rank and needs only one round to know all again.
+// Private to Entry: splits each customer's allowance between the entries. Rendezvous hashing over
+// the live entries gives each customer a home entry. Every entry reports its demand for the
+// customer to the home entry, which replies with that entry's share. If a home entry fails, the
+// next in rank takes its place and has the complete demand after one round of reports.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_ENTRY_DEMANDSHARING_H
@@ -17,9 +18,10 @@
 
 namespace laurelcroft {
 
-/// Path of the streams that carry demand reports.
+/// Path of the streams for demand reports.
 inline constexpr std::string_view demandPath = "/demand";
 
+/// Reports the demand at one entry, and allocates shares for the customers that have it as home.
 class demand_sharing
 {
 public:
@@ -27,14 +29,15 @@
 
     demand_sharing(node &instance, customer_limits &limits, rules_source rules);
 
-    /// Begins to report once a period.
+    /// Starts the periodic reports.
     void start();
 
-    /// Answers another entry's report, as the home of its customers.
+    /// Replies to an entry's report as the home entry of the reported customers.
     wire::demand_reply onReport(const wire::demand_report &report);
 
 private:
     void sendReports();
+    /// Sets the shares that a home entry allocated to this entry.
     void applyShares(const wire::demand_reply &reply);
 
     node &m_node;
--- a/lib/Entry/FleetStatus.cpp
+++ b/lib/Entry/FleetStatus.cpp
@@ -1,6 +1,6 @@
-//===-- FleetStatus.cpp - which epoch stands where --------------------------===//
+//===-- FleetStatus.cpp - bundle epochs of all members --------------------===//
 //
-// Only operators' commands ask for it, so that a question to each member is fair.
+// Only operators' commands use it, so the cost of querying every member is acceptable.
 //
 //===----------------------------------------------------------------------===//
 #include "FleetStatus.h"
@@ -17,10 +17,11 @@
 constexpr std::size_t maxConcurrentQueries = 32;
 constexpr duration answerTimeout = milliseconds(500);
 
+/// State of one collection.
 struct collection
 {
-    std::deque<wire::member> left;
-    std::size_t asked = 0;
+    std::deque<wire::member> left; ///< members not queried yet
+    std::size_t asked = 0; ///< queries in progress
     ordered_json instances = ordered_json::array();
     std::function<void(const std::string &)> done;
 };
--- a/lib/Entry/FleetStatus.h
+++ b/lib/Entry/FleetStatus.h
@@ -1,6 +1,6 @@
-//===-- FleetStatus.h - which epoch stands where -----------------*- C++ -*-===//
+//===-- FleetStatus.h - bundle epochs of all members ------------*- C++ -*-===//
 //
-// Private to Entry: asks every member for its epoch, a bounded number at a time.
+// Private to Entry: queries the bundle epoch of every member, a bounded number at a time.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_ENTRY_FLEETSTATUS_H
@@ -13,6 +13,7 @@
 
 namespace laurelcroft {
 
+/// Collects the status of the fleet for operators.
 class fleet_status
 {
 public:
@@ -21,7 +22,10 @@
     {
     }
 
-    /// Collects the epochs. \param done gets JSON: instance, role, data centre, epoch.
+    /// Queries all members.
+    /// \param own epoch of this entry.
+    /// \param done receives a JSON list with instance, role, data centre, pool, leaving state and
+    /// epoch of each member; the epoch is null if a member did not answer.
     void collect(bundle_epoch own, std::function<void(const std::string &)> done);
 
 private:
