--- a/include/laurelcroft/Entry/EntryProcess.h
+++ b/include/laurelcroft/Entry/EntryProcess.h
@@ -1,6 +1,6 @@
-//===-- Entry/EntryProcess.h - the thin entry process ------------*- C++ -*-===//
+//===-- Entry/EntryProcess.h - the entry process ----------------*- C++ -*-===//
 //
-// Joins the entry's decisions with callers, links and platform.
+// Connects the entry's core with its callers, the links to agents and the platform's services.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_ENTRYPROCESS_H
@@ -10,11 +10,11 @@
 
 namespace laurelcroft {
 
-/// Declares the entry's settings.
+/// Adds the entry's settings to \p declared.
 void addEntrySettings(settings &declared);
 
-/// Runs an entry until SIGTERM or SIGINT and a drain.
-/// \returns the exit code: 0 after a drain, 1 when it could not start.
+/// Runs an entry until SIGTERM or SIGINT, then drains it.
+/// \returns the exit code: 0 after the drain, 1 if the entry could not start.
 int runEntry(const settings &given);
 
 } // namespace laurelcroft
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -1,6 +1,6 @@
-//===-- EntryProcess.cpp - the thin entry process ---------------------------===//
+//===-- EntryProcess.cpp - the entry process ------------------------------===//
 //
-// Callers on one side, agents on the other, the core between.
+// Connects the core with callers on one side and agents on the other.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/EntryProcess.h"
@@ -27,16 +27,17 @@
 constexpr duration revokeTimeout = milliseconds(500);
 constexpr duration minDrainTime = milliseconds(500);
 constexpr duration minFlushPeriod = milliseconds(100);
+/// The period of writing bills to the table grows with the number of entries.
 constexpr duration flushPeriodPerEntry = milliseconds(3);
 
-/// What an agent says on an attempt's stream, with the bytes that it took on the link.
+/// Handlers for the streams of attempts. \c onMessage also gets the message's size on the link.
 struct attempt_stream_handlers
 {
     std::function<void(attempt_handle, const wire::from_agent &, std::size_t)> onMessage;
     std::function<void(attempt_handle)> onStreamClosed;
 };
 
-/// The environment of the core.
+/// Implements the environment of the core.
 class entry_io : public node_environment
 {
 public:
@@ -46,10 +47,10 @@
     {
     }
 
-    void connect(caller_server &callers, attempt_stream_handlers words)
+    void connect(caller_server &callers, attempt_stream_handlers handlers)
     {
         m_callers = &callers;
-        m_streamHandlers = std::move(words);
+        m_streamHandlers = std::move(handlers);
     }
 
     void answer(caller_id caller, answer_event event)
@@ -77,29 +78,30 @@
 
 using core_type = entry_core<asio_runtime, http_table, entry_io>;
 
+/// Owns the parts of an entry and connects them.
 class entry_process
 {
 public:
     entry_process(duty_thread &routing, node_options nodeOptions, entry_options options,
-                  const caller_server_options &callerOptions, session_token_codec mint)
+                  const caller_server_options &callerOptions, session_token_codec tokenCodec)
         : m_random(std::random_device{}())
         , m_io(routing, std::move(nodeOptions), m_metrics)
         , m_node(m_io.ownNode())
         , m_core(m_node.runtime(), m_node.table(), m_io, m_random, m_node.options().signoff,
-                 std::move(mint), std::move(options))
+                 std::move(tokenCodec), std::move(options))
         , m_callers(
                   routing, callerOptions, m_metrics, [this] { return m_ready.load(); },
                   [this](caller_message &&message) { onCaller(std::move(message)); })
         , m_status(m_node)
         , m_sharing(m_node, m_core.limits(), [this] { return m_core.keeper().current(); })
     {
-        attempt_stream_handlers words;
-        words.onMessage
+        attempt_stream_handlers handlers;
+        handlers.onMessage
                 = [this](attempt_handle handle, const wire::from_agent &message,
                          std::size_t bytes) { m_core.runner().onMessage(handle, message, bytes); };
-        words.onStreamClosed
+        handlers.onStreamClosed
                 = [this](attempt_handle handle) { m_core.runner().onStreamClosed(handle); };
-        m_io.connect(m_callers, std::move(words));
+        m_io.connect(m_callers, std::move(handlers));
     }
 
     std::string start();
@@ -114,8 +116,11 @@
     void onCaller(caller_message &&message);
     void onMember(const wire::member &item);
     void onStream(const std::shared_ptr<link_stream> &stream);
+    /// Schedules a new choice of subsets, and opens and closes load streams accordingly.
     void refreshSubsets();
+    /// Opens the stream on which an agent sends load reports; reopens it after a failure.
     void openLoadStream(const std::string &agent);
+    /// Does the periodic work: readiness, announcements, bills held for long, and metrics.
     void maintain();
     void answerFleet(caller_id id);
 
@@ -168,7 +173,7 @@
     auto node = m_streams.extract(handle);
     if (node.empty())
         return;
-    // Nothing more is wanted: what still comes is taken without a reader.
+    // Discard further input, so that the agent can end its side of the stream.
     node.mapped()->setEvents({});
     node.mapped()->dropInput();
     node.mapped()->finish();
@@ -390,17 +395,20 @@
     addNodeSettings(declared);
     declared.addText("listen", "127.0.0.1:0", "host:port for callers");
     declared.addText("admin-listen", "127.0.0.1:0", "host:port for probes, metrics and status");
-    declared.addRequired("session-keys", "id:secret,id:secret; the first one signs");
-    declared.addNumber("session-life", 604800, 60, 31536000, "s", "life of a session's token");
+    declared.addRequired("session-keys", "id:secret,id:secret; the first one signs new tokens");
+    declared.addNumber("session-life", 604800, 60, 31536000, "s",
+                       "lifetime of a session token since its last use");
     declared.addNumber("request-timeout", 120000, 100, 3600000, "ms",
-                       "deadline of a request that names none");
-    declared.addNumber("largest-body", 1048576, 1024, 8388608, "bytes", "largest request body");
-    declared.addNumber("most-requests", 4096, 1, 100000, "requests", "in flight at once");
+                       "timeout of a request that sets none");
+    declared.addNumber("largest-body", 1048576, 1024, 8388608, "bytes",
+                       "maximum size of a request body");
+    declared.addNumber("most-requests", 4096, 1, 100000, "requests",
+                       "maximum number of requests in flight");
     declared.addNumber("rated-percent", 10, 0, 100, "%", "share of answers sent to be rated");
-    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "longest planned stop");
+    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "maximum duration of a drain");
 }
 
-/// Reads what only an entry has. \returns an empty string or what is wrong.
+/// Reads the settings that only an entry has. \returns an error message, or an empty string.
 static std::string readEntryOptions(const settings &given, entry_options &options,
                                     caller_server_options &callers)
 {
@@ -454,7 +462,7 @@
     steps.least = minDrainTime;
     steps.longest = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
-    // The routing duty goes first: what stops after it has no thread to race with.
+    // Stop the routing duty first, so that it cannot race with stopping the rest.
     routing.stop();
     process.stop();
     stopLog();
