--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -1,6 +1,6 @@
-//===-- EntryTests.cpp - tokens, parsing, errors, guards --------------------===//
+//===-- EntryTests.cpp - session tokens, parsing, errors, guards ----------===//
 //
-// The parts of an entry that need no site around them.
+// Tests the parts of an entry that need no other process.
 //
 //===----------------------------------------------------------------------===//
 #include "Entry/CallerParser.h"
@@ -22,32 +22,32 @@
     return {"s1", "school", {{"m", "1"}}, 1000};
 }
 
-TEST_CASE("session tokens: sealed, opened, rotated, expired")
+TEST_CASE("session tokens: encode, decode, rotate keys, expire")
 {
-    const session_token_codec mint({oldKey});
-    const std::string token = mint.encode(exampleSession());
-    CHECK(mint.decode(token, 999).value() == exampleSession());
-    CHECK(mint.decode(token, 1000).error() == session_error::expired);
+    const session_token_codec codec({oldKey});
+    const std::string token = codec.encode(exampleSession());
+    CHECK(codec.decode(token, 999).value() == exampleSession());
+    CHECK(codec.decode(token, 1000).error() == session_error::expired);
     const session_token_codec rotated({newKey, oldKey});
     CHECK(rotated.decode(token, 0));
-    const session_token_codec later({newKey});
-    CHECK(later.decode(token, 0).error() == session_error::unknownKey);
+    const session_token_codec withoutOldKey({newKey});
+    CHECK(withoutOldKey.decode(token, 0).error() == session_error::unknownKey);
 }
 
-TEST_CASE("session tokens: forged or damaged ones are refused")
+TEST_CASE("session tokens: forged or damaged tokens are refused")
 {
-    const session_token_codec mint({oldKey});
-    const std::string token = mint.encode(exampleSession());
-    const session_token_codec stranger({session_key{"k1", "another secret of the tests"}});
-    CHECK(stranger.decode(token, 0).error() == session_error::forged);
+    const session_token_codec codec({oldKey});
+    const std::string token = codec.encode(exampleSession());
+    const session_token_codec otherCodec({session_key{"k1", "another secret of the tests"}});
+    CHECK(otherCodec.decode(token, 0).error() == session_error::forged);
     random_source random(2);
     for (int i = 0; i < 500; ++i) {
         std::string damaged = token;
         const std::size_t at = random.index(damaged.size());
         damaged[at] = damaged[at] == 'A' ? 'B' : 'A';
-        CHECK_FALSE(mint.decode(damaged, 0));
+        CHECK_FALSE(codec.decode(damaged, 0));
     }
-    CHECK(mint.decode("lcs1..", 0).error() == session_error::malformed);
+    CHECK(codec.decode("lcs1..", 0).error() == session_error::malformed);
     CHECK(parseSessionKeys("k1:short").empty());
     CHECK(parseSessionKeys("k1:0123456789abcdef,k2:0123456789abcdef").size() == 2);
 }
@@ -68,7 +68,7 @@
     return parsed ? "fine" : parsed.error().code;
 }
 
-TEST_CASE("callers' requests are read into types")
+TEST_CASE("callers' requests are parsed into typed messages")
 {
     http_request request = chat(R"({"model":"m@2","stream":true,"max_tokens":7,"messages":[{}]})");
     request.headers.push_back({"Idempotency-Key", "i1"});
@@ -87,7 +87,7 @@
     CHECK_FALSE(run.repeatable);
 }
 
-TEST_CASE("each wrong request gets its own code, and nothing of it ran")
+TEST_CASE("each kind of invalid request has its own error code and is reported as not run")
 {
     CHECK(codeOf(chat("not json")) == "bad_json");
     CHECK(codeOf(chat("[]")) == "bad_json");
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("errors have one shape and say when to come back")
+TEST_CASE("errors have a common format and state when to retry")
 {
     const whole_answer answer = errorAnswer(overloaded());
     CHECK(answer.status == 503);
@@ -125,7 +125,7 @@
     CHECK(errorAnswer(badKey()).body.find("retry_after_ms") == std::string::npos);
 }
 
-TEST_CASE("customers are found by key, and another's request id differs")
+TEST_CASE("customers are found by API key, and request ids are recognized by format")
 {
     bundle rules;
     rules.customers = {{"a", sha256Hex("key-a"), "g", {}, 1, 1, 1, 0},
@@ -144,36 +144,36 @@
     return rules;
 }
 
-TEST_CASE("guards see a version that is bad for one group only")
+TEST_CASE("guards detect a version that is bad for one group only")
 {
-    version_guard_set board;
-    board.onBundle(rolling(10));
+    version_guard_set guards;
+    guards.onBundle(rolling(10));
     int answers = 0;
-    while (!board.isStopped("m") && answers < 2000) {
+    while (!guards.isStopped("m") && answers < 2000) {
         const std::string group = answers % 10 == 0 ? "small" : "large";
-        board.add({"m", "1", group, evidence_kind::errors, true});
-        board.add({"m", "2", group, evidence_kind::errors, group == "large"});
+        guards.add({"m", "1", group, evidence_kind::errors, true});
+        guards.add({"m", "2", group, evidence_kind::errors, group == "large"});
         answers += 1;
     }
     CHECK(answers < 200);
 }
 
-TEST_CASE("guards stop a bad version once, and only a changed roll-out frees it")
+TEST_CASE("guards stop a bad version once, and only a changed roll-out resumes it")
 {
-    version_guard_set board;
-    board.onBundle(rolling(10));
+    version_guard_set guards;
+    guards.onBundle(rolling(10));
     int stops = 0;
     for (int i = 0; i < 100; ++i) {
-        board.add({"m", "1", "g", evidence_kind::errors, true});
-        stops += board.add({"m", "2", "g", evidence_kind::errors, i % 2 == 0}) ? 1 : 0;
+        guards.add({"m", "1", "g", evidence_kind::errors, true});
+        stops += guards.add({"m", "2", "g", evidence_kind::errors, i % 2 == 0}) ? 1 : 0;
     }
     CHECK(stops == 1);
-    CHECK(board.isStopped("m"));
-    board.onBundle(rolling(10));
-    CHECK(board.isStopped("m"));
-    board.onBundle(rolling(20));
-    CHECK_FALSE(board.isStopped("m"));
-    CHECK(board.stop("m", "2"));
-    CHECK_FALSE(board.stop("m", "2"));
-    CHECK_FALSE(board.stop("m", "1"));
+    CHECK(guards.isStopped("m"));
+    guards.onBundle(rolling(10));
+    CHECK(guards.isStopped("m"));
+    guards.onBundle(rolling(20));
+    CHECK_FALSE(guards.isStopped("m"));
+    CHECK(guards.stop("m", "2"));
+    CHECK_FALSE(guards.stop("m", "2"));
+    CHECK_FALSE(guards.stop("m", "1"));
 }
