--- a/unittests/Entry/EntryTests.cpp
+++ b/unittests/Entry/EntryTests.cpp
@@ -137,7 +137,7 @@
     CHECK_FALSE(isRequestId("my-request"));
 }
 
-static bundle rolling(std::uint32_t share)
+static bundle bundleWithRollout(std::uint32_t share)
 {
     bundle rules;
     rules.rollouts = {{"m", "1", "2", share, {0.1, 0.001, 30}}};
@@ -147,7 +147,7 @@
 TEST_CASE("guards detect a version that is bad for one group only")
 {
     version_guard_set guards;
-    guards.onBundle(rolling(10));
+    guards.onBundle(bundleWithRollout(10));
     int answers = 0;
     while (!guards.isStopped("m") && answers < 2000) {
         const std::string group = answers % 10 == 0 ? "small" : "large";
@@ -161,7 +161,7 @@
 TEST_CASE("guards stop a bad version once, and only a changed roll-out resumes it")
 {
     version_guard_set guards;
-    guards.onBundle(rolling(10));
+    guards.onBundle(bundleWithRollout(10));
     int stops = 0;
     for (int i = 0; i < 100; ++i) {
         guards.add({"m", "1", "g", evidence_kind::errors, true});
@@ -169,9 +169,9 @@
     }
     CHECK(stops == 1);
     CHECK(guards.isStopped("m"));
-    guards.onBundle(rolling(10));
+    guards.onBundle(bundleWithRollout(10));
     CHECK(guards.isStopped("m"));
-    guards.onBundle(rolling(20));
+    guards.onBundle(bundleWithRollout(20));
     CHECK_FALSE(guards.isStopped("m"));
     CHECK(guards.stop("m", "2"));
     CHECK_FALSE(guards.stop("m", "2"));
