--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -112,13 +112,13 @@
                                          pinned_session &result)
     {
         const customer &who = *request.rules->findCustomer(request.customer);
-        const auto held = result.item.pins.find(model);
-        if (held != result.item.pins.end()) {
-            const auto checked = checkVersion(*request.rules, who, model, held->second);
+        const auto pinned = result.item.pins.find(model);
+        if (pinned != result.item.pins.end()) {
+            const auto checked = checkVersion(*request.rules, who, model, pinned->second);
             if (!checked)
-                return versionError(checked.error(), model, held->second);
-            if (!request.requestedVersion.empty() && held->second != request.requestedVersion)
-                return sessionVersionConflict(held->second);
+                return versionError(checked.error(), model, pinned->second);
+            if (!request.requestedVersion.empty() && pinned->second != request.requestedVersion)
+                return sessionVersionConflict(pinned->second);
             result.reason = "the session holds it";
             return std::nullopt;
         }
@@ -170,26 +170,28 @@
             return;
         }
         result->reason = textOf(choice.value().reason);
-        insertResolved(m_table, key, choice.value().version,
-                       [this, request, result, next, key, done,
-                        mine = choice.value().version](outcome<write_result, table_error> row) {
-                           if (!row)
-                               done(failure(tableError(row.error())));
-                           else
-                               onRowInserted(key, mine, row.value(), request, result, next, done);
-                       });
+        insertResolved(
+                m_table, key, choice.value().version,
+                [this, request, result, next, key, done,
+                 chosenVersion = choice.value().version](outcome<write_result, table_error> row) {
+                    if (!row)
+                        done(failure(tableError(row.error())));
+                    else
+                        onRowInserted(key, chosenVersion, row.value(), request, result, next, done);
+                });
     }
 
     /// Handles the result of inserting a pin.
-    /// \param mine the version to be pinned; if the row exists, its version is used instead.
-    void onRowInserted(const std::string &key, const std::string &mine, const write_result &row,
-                       const std::shared_ptr<pin_request> &request,
+    /// \param chosenVersion the version to be pinned; if the row exists, its version is used
+    /// instead.
+    void onRowInserted(const std::string &key, const std::string &chosenVersion,
+                       const write_result &row, const std::shared_ptr<pin_request> &request,
                        const std::shared_ptr<pinned_session> &result, std::size_t next,
                        const pin_callback &done)
     {
         if (!row.done)
             result->reason.clear();
-        cacheNamedPin(key, row.done ? mine : row.row.value, request, result, next, done);
+        cacheNamedPin(key, row.done ? chosenVersion : row.row.value, request, result, next, done);
     }
 
     /// Caches a pin read from the table. Pins never change once inserted.
@@ -250,12 +252,12 @@
                 executed::no,           milliseconds(0)};
     }
 
-    static caller_error sessionVersionConflict(const std::string &held)
+    static caller_error sessionVersionConflict(const std::string &pinned)
     {
         return {http_status::conflict,
                 "session_error",
                 "session_holds_other_version",
-                "the session is pinned to version " + held
+                "the session is pinned to version " + pinned
                         + "; start a new session to use another one",
                 executed::no,
                 milliseconds(0)};
