--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -117,12 +117,12 @@
         startTiers(id);
         return;
     }
-    claim mine;
-    mine.requestId = flow.requestId;
-    mine.customer = flow.customerName;
-    mine.operationId = newRequestId();
-    mine.bodySha256 = sha256Hex(flow.request.target + "\n" + flow.request.body);
-    m_claims.take(mine, [this, id](const claim_result &result) { onClaim(id, result); });
+    claim newClaim;
+    newClaim.requestId = flow.requestId;
+    newClaim.customer = flow.customerName;
+    newClaim.operationId = newRequestId();
+    newClaim.bodySha256 = sha256Hex(flow.request.target + "\n" + flow.request.body);
+    m_claims.take(newClaim, [this, id](const claim_result &result) { onClaim(id, result); });
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
@@ -337,12 +337,12 @@
 auto entry_core<Runtime, Table, Env>::suffices(const request_flow &flow, const tier_result &result,
                                                bool isError) -> bool
 {
-    const acceptance_decision judged
+    const acceptance_decision evaluation
             = m_learner.evaluate(*flow.target.foundCascade, flow.who().group, flow.tier,
                                  isError ? 0.0 : result.finish.score());
-    const bool enough = judged.suffices && !isError;
+    const bool enough = evaluation.suffices && !isError;
     std::string reason = "score " + shortNumber(result.finish.score()) + " against "
-            + shortNumber(judged.threshold) + (judged.learned ? " learned" : " given");
+            + shortNumber(evaluation.threshold) + (evaluation.learned ? " learned" : " given");
     recordDecision(flow, decision_kind::judge, enough ? "suffices" : "escalates", 1,
                    std::move(reason));
     return enough;
