--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -1,6 +1,6 @@
 //===-- CallerServer.cpp - HTTP server for callers ------------------------===//
 //
-// A request is refused at once if the channel to the routing duty is full; nothing of it has run.
+// A request is refused at once if the channel to the routing thread is full; nothing of it has run.
 //
 //===----------------------------------------------------------------------===//
 #include "CallerServer.h"
--- a/lib/Entry/CallerServer.h
+++ b/lib/Entry/CallerServer.h
@@ -1,7 +1,7 @@
 //===-- CallerServer.h - HTTP server for callers ----------------*- C++ -*-===//
 //
-// Private to Entry: serves HTTP on a thread of its own, which is connected to the routing duty by a
-// bounded channel in each direction.
+// Private to Entry: serves HTTP on a thread of its own, which is connected to the routing thread by
+// a bounded channel in each direction.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_ENTRY_CALLERSERVER_H
@@ -70,7 +70,7 @@
     std::uint16_t port() const { return m_callers.port(); }
     std::uint16_t adminPort() const { return m_admin.port(); }
 
-    /// Sends a part of an answer. Called on the routing duty.
+    /// Sends a part of an answer. Called on the routing thread.
     void answer(caller_id id, answer_event event)
     {
         m_unsent += 1;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -462,7 +462,7 @@
     steps.least = minDrainTime;
     steps.longest = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
-    // Stop the routing duty first, so that it cannot race with stopping the rest.
+    // Stop the routing thread first, so that it cannot race with stopping the rest.
     routing.stop();
     process.stop();
     stopLog();
