--- a/include/laurelcroft/Entry/AttemptTypes.h
+++ b/include/laurelcroft/Entry/AttemptTypes.h
@@ -86,8 +86,8 @@
     duration resumeWindow = seconds(3); ///< for resuming after a disconnect
     duration resumeInterval = milliseconds(200); ///< between attempts to resume
     std::uint32_t maxOffers = 4; ///< per tier, including refused offers
-    milliseconds noEndpointRetryAfter{1000}; ///< retry hint in all other cases
-    milliseconds fullRetryAfter{250}; ///< retry hint if the last endpoint asked was full
+    milliseconds noEndpointRetryAfter{1000}; ///< retry hint, except for full endpoints
+    milliseconds fullRetryAfter{250}; ///< retry hint if the last refusal was "full"
     std::size_t maxAffinityEntries = 20000; ///< sessions whose last endpoint is recorded
 };
 
--- a/include/laurelcroft/Entry/VersionGuardSet.h
+++ b/include/laurelcroft/Entry/VersionGuardSet.h
@@ -25,7 +25,7 @@
 {
     std::string_view model;
     std::string_view version;
-    std::string_view group; ///< customer class
+    std::string_view group; ///< the customer's group
     evidence_kind kind = evidence_kind::errors;
     bool good = true;
 };
