--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -1,9 +1,8 @@
-//===-- Entry/EntryCore.h - the decisions of an entry ------------*- C++ -*-===//
+//===-- Entry/EntryCore.h - decision logic of an entry ----------*- C++ -*-===//
 //
-// Sees each request through its steps: who asks, within which limits, on which
-// version, claimed or not, from which tier, judged, billed, released. All I/O is
-// behind the environment, so that tests run this code over fakes under a paused
-// clock.
+// Takes each request through its steps: authentication, limits, choice of version, claim, choice of
+// the first tier, evaluation of its answer, billing and delivery. All I/O goes through the
+// environment, so that tests can run this code with fakes and a manual clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_ENTRY_ENTRYCORE_H
@@ -11,9 +10,9 @@
 
 #include "laurelcroft/Entry/AttemptRunner.h"
 #include "laurelcroft/Entry/EntryErrors.h"
-#include "laurelcroft/Entry/GuardBoard.h"
 #include "laurelcroft/Entry/RequestFlow.h"
 #include "laurelcroft/Entry/RequestLookup.h"
+#include "laurelcroft/Entry/VersionGuardSet.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
 #include "laurelcroft/Ledger/ClaimBook.h"
 #include "laurelcroft/Platform/HttpClients.h"
@@ -27,7 +26,7 @@
 
 namespace laurelcroft {
 
-/// What the core needs of its process.
+/// The interface to the process that the core requires.
 template <class E>
 concept entry_environment = attempt_port<E> && bill_port<E> && bundle_source<E> && requires(
         E env, caller_id caller, answer_event event, const rating_sample &sample,
@@ -35,29 +34,29 @@
 {
     env.answer(caller, std::move(event));
     env.rate(sample, onRating);
-    env.spreadStop(name, name);
+    env.broadcastRolloutStop(name, name);
     {
         env.tableReachable()
         } -> std::convertible_to<bool>;
 };
 
-/// Bounds of one entry.
+/// Options of one entry.
 struct entry_options
 {
     std::string instance;
     std::string dataCentre;
-    std::size_t mostFlows = 4096; ///< requests in flight; above it: refused
+    std::size_t maxRequestsInFlight = 4096; ///< further requests are refused
     milliseconds defaultTimeout{120000};
-    std::int64_t sessionLifeMs = 7LL * 24 * 3600 * 1000;
-    double ratedShare = 0.1; ///< of answers that are sent to be rated
-    duration redecideWait = milliseconds(100); ///< after an agent knew a newer bundle
-    int mostRedecisions = 3;
+    std::int64_t sessionLifetimeMs = 7LL * 24 * 3600 * 1000;
+    double ratedShare = 0.1; ///< share of answers that are sent to be rated
+    duration bundleRetryDelay = milliseconds(100); ///< time to fetch a newer bundle
+    int maxBundleRetries = 3; ///< of one request
     attempt_options attempts;
     outbox_options outbox;
     subset_options subset;
 };
 
-/// The decisions of one entry.
+/// Processes the requests of one entry.
 template <runtime_like Runtime, table_like Table, entry_environment Env>
 class entry_core
 {
@@ -66,7 +65,7 @@
     using runner_type = attempt_runner<Runtime, Env>;
 
     entry_core(Runtime &runtime, Table &table, Env &env, random_source &random, signoff_rule rule,
-               session_mint mint, entry_options options)
+               session_token_codec tokenCodec, entry_options options)
         : m_runtime(runtime)
         , m_env(env)
         , m_random(random)
@@ -77,7 +76,7 @@
         , m_runner(runtime, env, m_directory, random, m_options.attempts)
         , m_outbox(runtime, table, env, m_options.instance, m_options.outbox)
         , m_claims(runtime, table, m_options.instance)
-        , m_pinner(table, random, std::move(mint), m_options.sessionLifeMs)
+        , m_pinner(table, random, std::move(tokenCodec), m_options.sessionLifetimeMs)
         , m_lookup(table, m_claims, env)
     {
     }
@@ -88,9 +87,9 @@
     auto &outbox() { return m_outbox; }
     auto &claims() { return m_claims; }
     customer_limits &limits() { return m_limits; }
-    guard_board &guards() { return m_guards; }
+    version_guard_set &guards() { return m_guards; }
 
-    /// Refuses new requests from now on, and writes what it holds for others.
+    /// Refuses new requests from now on, and writes the bills held as copies for other processes.
     void drain()
     {
         m_draining = true;
@@ -98,58 +97,59 @@
     }
     bool isDraining() const { return m_draining; }
 
-    /// \returns true when nothing is in flight and nothing is owed to the table.
+    /// \returns true if no request is in flight and no write to the table is pending.
     bool isIdle() const { return m_flows.empty() && m_outbox.isEmpty() && m_claims.pending() == 0; }
     std::size_t inFlight() const { return m_flows.size(); }
 
-    /// \returns true when requests can be served.
+    /// \returns true if requests can be served.
     bool isReady() const { return m_keeper.current() != nullptr && !m_draining; }
 
-    /// Takes a caller's request.
+    /// Starts processing a caller's request.
     void submit(caller_request request)
     {
         const caller_id id = request.id;
         auto flow = std::make_unique<request_flow>();
         flow->request = std::move(request);
         flow->receivedAt = m_runtime.now();
-        const auto refused = receive(*flow);
+        const auto refused = admitRequest(*flow);
         if (refused) {
-            refuseAtOnce(*flow, *refused);
+            rejectRequest(*flow, *refused);
             return;
         }
         if (!flow->request.idempotencyKey.empty())
-            m_keyed[flow->requestId] = id;
+            m_callersByRequestId[flow->requestId] = id;
         m_flows[id] = std::move(flow);
         pinSession(id);
     }
 
-    /// The caller closed its connection.
+    /// Handles a caller that closed its connection.
     void callerLeft(caller_id id)
     {
         request_flow *const flow = find(id);
         if (flow == nullptr || flow->callerLeft)
             return;
         flow->callerLeft = true;
-        // What may not be repeated goes on: its answer is kept for the caller to ask.
-        if (flow->claimOperation || flow->run == 0)
+        // A claimed request continues, so that the caller can ask for its answer. If no tier is
+        // running, a later step ends the request.
+        if (flow->claimOperationId || flow->run == 0)
             return;
         const tier_result partial = m_runner.cancel(flow->run);
         flow->run = 0;
-        note(*flow, decision_kind::answer, "cancelled", 1, "the caller left");
+        recordDecision(*flow, decision_kind::answer, "cancelled", 1, "the caller left");
         if (partial.outcome != tier_outcome::notRun)
             addStep(*flow, partial);
         bill(*flow, "partial");
         end(id);
     }
 
-    /// The caller took streamed data.
+    /// Returns flow-control credit for streamed data that the caller received.
     void callerConsumed(caller_id id, std::size_t linkBytes)
     {
         if (request_flow *const flow = find(id); flow != nullptr && flow->run != 0)
             m_runner.consumed(flow->run, linkBytes);
     }
 
-    /// Answers what models a customer may use.
+    /// Answers a query for the models that a customer may use.
     void listModels(const models_request &request)
     {
         const auto current = m_keeper.current();
@@ -160,7 +160,7 @@
             m_env.answer(request.id, modelsAnswer(current->rules, *who));
     }
 
-    /// Answers what became of a request.
+    /// Answers a query for the status of a request.
     void findRequest(const status_request &request)
     {
         const auto current = m_keeper.current();
@@ -169,19 +169,20 @@
             m_env.answer(request.id, errorAnswer(current ? badKey() : noBundle()));
             return;
         }
-        m_lookup.find(request, who->name,
-                      [this](const std::string &id) { return m_keyed.count(id) != 0; });
+        m_lookup.find(request, who->name, [this](const std::string &id) {
+            return m_callersByRequestId.count(id) != 0;
+        });
     }
 
-    /// Hears the bundle epoch that another process put on a message.
-    void hearEpoch(const std::string &peer, bundle_epoch epoch)
+    /// Handles the bundle epoch in a message from another process.
+    void onPeerEpoch(const std::string &peer, bundle_epoch epoch)
     {
         if (epoch > m_keeper.epoch())
             m_keeper.observePeerEpoch(peer, epoch, false, duration(0));
     }
 
-    /// Another process stopped a version under roll-out.
-    void hearStop(const std::string &model, const std::string &version)
+    /// Handles a roll-out that another process's guard stopped.
+    void onRolloutStopped(const std::string &model, const std::string &version)
     {
         if (m_guards.stop(model, version))
             logWarning(log_part::routing, "roll-out stopped by another entry's guard",
@@ -195,16 +196,17 @@
         return it == m_flows.end() ? nullptr : it->second.get();
     }
 
-    void note(const request_flow &flow, decision_kind kind, std::string chosen,
-              std::size_t considered, std::string reason)
+    void recordDecision(const request_flow &flow, decision_kind kind, std::string chosen,
+                        std::size_t considered, std::string reason)
     {
-        m_env.note({flow.requestId, flow.rules ? flow.epoch() : 0, kind, std::move(chosen),
-                    considered, std::move(reason)});
+        m_env.recordDecision({flow.requestId, flow.rules ? flow.epoch() : 0, kind,
+                              std::move(chosen), considered, std::move(reason)});
     }
 
-    /// Checks a new request and fills its flow. \returns the error that refuses it.
-    std::optional<caller_error> receive(request_flow &flow);
-    std::optional<caller_error> checkRoom(request_flow &flow, const customer &who);
+    /// Checks a new request and initializes its flow. \returns an error if it is refused.
+    std::optional<caller_error> admitRequest(request_flow &flow);
+    /// Checks capacity and the customer's limits, and sets the deadline.
+    std::optional<caller_error> checkCapacity(request_flow &flow, const customer &who);
 
     std::string newRequestId()
     {
@@ -212,23 +214,25 @@
         return "r" + toHex(std::string_view(reinterpret_cast<const char *>(bits), sizeof(bits)));
     }
 
-    void refuseAtOnce(const request_flow &flow, const caller_error &error)
+    /// Refuses a request for which no flow was registered.
+    void rejectRequest(const request_flow &flow, const caller_error &error)
     {
-        note(flow, decision_kind::answer, error.code, 0, error.message);
+        recordDecision(flow, decision_kind::answer, error.code, 0, error.message);
         m_env.answer(flow.request.id,
                      errorAnswer(error, {{"X-Laurelcroft-Request-Id", flow.requestId}}));
     }
 
-    /// Ends a flow with an error and answers it at once.
+    /// Ends a flow with an error answer.
     void fail(caller_id id, const caller_error &error);
 
+    /// Removes a flow and frees its place in the customer's limits.
     void end(caller_id id)
     {
         request_flow *const flow = find(id);
         m_limits.finish(flow->customerName);
-        const auto keyed = m_keyed.find(flow->requestId);
-        if (keyed != m_keyed.end() && keyed->second == id)
-            m_keyed.erase(keyed);
+        const auto keyed = m_callersByRequestId.find(flow->requestId);
+        if (keyed != m_callersByRequestId.end() && keyed->second == id)
+            m_callersByRequestId.erase(keyed);
         m_flows.erase(id);
     }
 
@@ -260,28 +264,32 @@
     void beginStream(request_flow &flow);
     void addStep(request_flow &flow, const tier_result &result);
     void onTierResult(caller_id id, const tier_result &result);
-    /// A withdrawal that the agent knew first: a session that begins here may still get
-    /// another version, once this entry has caught up.
-    bool mayRedecide(const request_flow &flow, const tier_result &result) const
+    /// \returns true if the agent refused the version because of a newer bundle than this entry has
+    /// and the session is new: it may get another version once this entry has that bundle.
+    bool mayRetryWithNewBundle(const request_flow &flow, const tier_result &result) const
     {
         const bool isNewer = result.refusal == wire::refusal_withdrawn
                 || result.refusal == wire::refusal_not_allowed;
-        return isNewer && flow.session.minted && flow.steps.empty() && !flow.callerLeft
-                && flow.redecisions < m_options.mostRedecisions;
+        return isNewer && flow.session.isNew && flow.steps.empty() && !flow.callerLeft
+                && flow.bundleRetries < m_options.maxBundleRetries;
     }
 
-    void redecide(caller_id id);
+    /// After a delay, resolves the target and pins the session again with the bundle then in force.
+    void retryWithNewBundle(caller_id id);
     void onTierFinished(caller_id id, const tier_result &result);
+    /// Decides whether the answer of the current tier is accepted or the request escalates.
     bool suffices(const request_flow &flow, const tier_result &result, bool isError);
 
-    void learnSpeed(const request_flow &flow, const tier_result &result)
+    /// Updates the moving average of the time from receipt of a request until \p result's tier
+    /// ended.
+    void updateTierLatency(const request_flow &flow, const tier_result &result)
     {
         const double tookMs
                 = std::chrono::duration<double, std::milli>(m_runtime.now() - flow.receivedAt)
                           .count();
-        double &known = m_tierMs[flow.tierTarget()];
+        double &known = m_tierLatencyMs[flow.tierTarget()];
         if (result.outcome == tier_outcome::finished)
-            known += speedSmoothing * (tookMs - known);
+            known += latencySmoothing * (tookMs - known);
     }
 
     void addEvidence(const request_flow &flow, evidence_kind kind, bool good)
@@ -296,17 +304,18 @@
             return;
         logWarning(log_part::routing, "roll-out stopped by its guard",
                    {{"model", model}, {"version", version}});
-        m_env.spreadStop(model, version);
+        m_env.broadcastRolloutStop(model, version);
     }
 
+    /// Sends a random sample of answers to be rated and records the ratings.
     void sampleRating(const request_flow &flow, const tier_result &result, bool released);
-    /// Bills the request; \c settle follows once the bill is safe.
+    /// Bills the request. Its runs are settled once a second process or the table holds the bill.
     void bill(request_flow &flow, std::string_view outcome)
     {
         if (flow.steps.empty())
             return;
         wire::bill item = makeBill(flow, outcome);
-        // Whoever learns more, such as the agent that was out of reach, replaces it.
+        // A process that knows more, such as the agent that could not be reached, may replace it.
         item.set_provisional(outcome == uncertainBill);
         m_outbox.add(std::move(item), [this, runs = flow.unsettled] { settle(runs); });
     }
@@ -317,24 +326,29 @@
             m_runner.settle(run);
     }
 
-    /// The answer is whole: bill first, then the last part of the answer.
+    /// Bills a complete answer. Its last part is sent once a second process or the table holds the
+    /// bill.
     void complete(caller_id id, const tier_result &result)
     {
         request_flow &flow = *find(id);
         const wire::bill item = makeBill(flow, "complete");
-        note(flow, decision_kind::bill, shortNumber(item.cost()), flow.steps.size(), "complete");
+        recordDecision(flow, decision_kind::bill, shortNumber(item.cost()), flow.steps.size(),
+                       "complete");
         m_outbox.add(item, [this, id, result] { release(id, result); });
     }
 
+    /// Stores and sends a billed answer and ends the flow.
     void release(caller_id id, const tier_result &result);
-    /// Stores the answer of a claimed request; its agent forgets it only then.
-    void keepAnswer(const request_flow &flow, const tier_result &result);
-    void sendLast(request_flow &flow, const tier_result &result);
-    static constexpr milliseconds longestTimeout{3600000};
-    static constexpr double speedSmoothing = 0.1;
-    static constexpr double goodRating = 0.5;
-    static constexpr std::size_t largestRated = 8192;
-    static constexpr std::string_view streamEnd = "data: [DONE]\n\n";
+    /// Settles the runs of a request. The answer of a claimed request is stored first, so that its
+    /// agent keeps it until then.
+    void storeAnswer(const request_flow &flow, const tier_result &result);
+    /// Sends the complete answer, or the end of a streamed one.
+    void sendFinalPart(request_flow &flow, const tier_result &result);
+    static constexpr milliseconds maxTimeout{3600000};
+    static constexpr double latencySmoothing = 0.1; ///< weight of a new value
+    static constexpr double minGoodRating = 0.5; ///< ratings below it count as bad
+    static constexpr std::size_t maxRatedBytes = 8192;
+    static constexpr std::string_view streamTerminator = "data: [DONE]\n\n";
 
     Runtime &m_runtime;
     Env &m_env;
@@ -350,10 +364,10 @@
     request_lookup<Table, claim_book<Runtime, Table>, Env> m_lookup;
     customer_limits m_limits;
     cascade_learner m_learner;
-    guard_board m_guards;
-    std::map<std::string, double> m_tierMs;
+    version_guard_set m_guards;
+    std::map<std::string, double> m_tierLatencyMs; ///< moving average by model
     std::unordered_map<caller_id, std::unique_ptr<request_flow>> m_flows;
-    std::unordered_map<std::string, caller_id> m_keyed;
+    std::unordered_map<std::string, caller_id> m_callersByRequestId; ///< with idempotency key
 };
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -9,14 +9,15 @@
 namespace laurelcroft {
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-auto entry_core<Runtime, Table, Env>::receive(request_flow &flow) -> std::optional<caller_error>
+auto entry_core<Runtime, Table, Env>::admitRequest(request_flow &flow)
+        -> std::optional<caller_error>
 {
     flow.requestId = newRequestId();
     flow.rules = m_keeper.current();
     if (!flow.rules)
         return noBundle();
     if (m_draining)
-        return leaving();
+        return instanceLeaving();
     const bundle &rules = flow.rules->rules;
     const customer *who = authenticate(rules, flow.request.key);
     if (who == nullptr)
@@ -30,31 +31,32 @@
     if (!mayName(rules, *who, flow.request.target))
         return notAllowed(flow.request.target);
     const bool isService = flow.request.kind == wire::work_service;
-    if (isService != (flow.target.plain != nullptr))
-        return wrongKind(flow.request.target, isService);
+    if (isService != (flow.target.foundService != nullptr))
+        return wrongTargetKind(flow.request.target, isService);
     flow.repeatable = flow.request.repeatable
-            && !(flow.target.plain && !flow.target.plain->repeatable)
-            && !(flow.target.tiers && !flow.target.tiers->repeatable);
-    if (m_keyed.count(flow.requestId) != 0)
+            && !(flow.target.foundService && !flow.target.foundService->repeatable)
+            && !(flow.target.foundCascade && !flow.target.foundCascade->repeatable);
+    if (m_callersByRequestId.count(flow.requestId) != 0)
         return alreadyRunning(flow.requestId);
-    return checkRoom(flow, *who);
+    return checkCapacity(flow, *who);
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-auto entry_core<Runtime, Table, Env>::checkRoom(request_flow &flow, const customer &who)
+auto entry_core<Runtime, Table, Env>::checkCapacity(request_flow &flow, const customer &who)
         -> std::optional<caller_error>
 {
-    // Important customers keep the last quarter of the room to themselves.
-    const std::size_t room = who.priority == 0 ? m_options.mostFlows : m_options.mostFlows * 3 / 4;
-    if (m_flows.size() >= room)
+    // The last quarter of the capacity is reserved for customers of the highest priority, 0.
+    const std::size_t capacity = who.priority == 0 ? m_options.maxRequestsInFlight
+                                                   : m_options.maxRequestsInFlight * 3 / 4;
+    if (m_flows.size() >= capacity)
         return overloaded();
     if (!m_outbox.accepts(m_env.tableReachable()))
-        return noPlaceForBill();
+        return billNotAccepted();
     const limit_decision limit = m_limits.admit(who, flow.receivedAt);
     if (limit.verdict != limit_verdict::admitted)
-        return overLimit(limit);
+        return limitExceeded(limit);
     const milliseconds wanted = flow.request.timeout.count() > 0
-            ? std::min(flow.request.timeout, longestTimeout)
+            ? std::min(flow.request.timeout, maxTimeout)
             : m_options.defaultTimeout;
     flow.deadline = flow.receivedAt + wanted;
     return std::nullopt;
@@ -64,13 +66,13 @@
 void entry_core<Runtime, Table, Env>::fail(caller_id id, const caller_error &error)
 {
     request_flow *const flow = find(id);
-    note(*flow, decision_kind::answer, error.code, 0, error.message);
-    if (flow->begun)
+    recordDecision(*flow, decision_kind::answer, error.code, 0, error.message);
+    if (flow->streamBegun)
         m_env.answer(id, answer_end{false, ""});
     else
         m_env.answer(id, errorAnswer(error, errorHeaders(*flow)));
-    if (flow->claimOperation && error.ran == executed::no)
-        m_claims.release(flow->requestId, *flow->claimOperation);
+    if (flow->claimOperationId && error.ran == executed::no)
+        m_claims.release(flow->requestId, *flow->claimOperationId);
     end(id);
 }
 
@@ -78,7 +80,7 @@
 void entry_core<Runtime, Table, Env>::pinSession(caller_id id)
 {
     request_flow &flow = *find(id);
-    if (flow.target.plain != nullptr) {
+    if (flow.target.foundService != nullptr) {
         claimIfNeeded(id);
         return;
     }
@@ -87,7 +89,7 @@
     request.customer = flow.customerName;
     request.sessionText = flow.request.session;
     request.models = flow.target.models();
-    request.wantedVersion = flow.request.wantedVersion;
+    request.requestedVersion = flow.request.requestedVersion;
     request.nowWallMs = wallMilliseconds();
     request.knowledge = [this, rules = flow.rules](const std::string &name) {
         return knowledgeOf(rules->rules, name);
@@ -101,8 +103,8 @@
             return;
         }
         found->session = result.value();
-        note(*found, decision_kind::session, describePins(found->session.item),
-             found->session.item.pins.size(), found->session.reason);
+        recordDecision(*found, decision_kind::session, describePins(found->session.item),
+                       found->session.item.pins.size(), found->session.reason);
         claimIfNeeded(id);
     });
 }
@@ -111,16 +113,16 @@
 void entry_core<Runtime, Table, Env>::claimIfNeeded(caller_id id)
 {
     request_flow &flow = *find(id);
-    if (flow.repeatable || flow.request.idempotencyKey.empty() || flow.claimOperation) {
+    if (flow.repeatable || flow.request.idempotencyKey.empty() || flow.claimOperationId) {
         startTiers(id);
         return;
     }
-    claim mine;
-    mine.requestId = flow.requestId;
-    mine.customer = flow.customerName;
-    mine.operationId = newRequestId();
-    mine.bodySha256 = sha256Hex(flow.request.target + "\n" + flow.request.body);
-    m_claims.take(mine, [this, id](const claim_result &result) { onClaim(id, result); });
+    claim newClaim;
+    newClaim.requestId = flow.requestId;
+    newClaim.customer = flow.customerName;
+    newClaim.operationId = newRequestId();
+    newClaim.bodySha256 = sha256Hex(flow.request.target + "\n" + flow.request.body);
+    m_claims.take(newClaim, [this, id](const claim_result &result) { onClaim(id, result); });
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
@@ -128,15 +130,15 @@
 {
     request_flow *const flow = find(id);
     if (flow == nullptr) {
-        // The caller was answered meanwhile: what was granted is given back.
+        // The request ended in the meantime, so a granted claim is released.
         if (result.verdict == claim_verdict::granted)
             m_claims.release(result.found.requestId, result.found.operationId);
         return;
     }
-    note(*flow, decision_kind::claim, std::string(textOf(result.verdict)), 1, "");
+    recordDecision(*flow, decision_kind::claim, std::string(textOf(result.verdict)), 1, "");
     switch (result.verdict) {
     case claim_verdict::granted:
-        flow->claimOperation = result.found.operationId;
+        flow->claimOperationId = result.found.operationId;
         if (flow->callerLeft || m_runtime.now() >= flow->deadline)
             fail(id, timedOutBeforeStart());
         else
@@ -150,7 +152,7 @@
         fail(id, alreadyRunning(flow->requestId));
         return;
     case claim_verdict::otherBody:
-        fail(id, keyUsedForOther());
+        fail(id, idempotencyKeyReused());
         return;
     case claim_verdict::unavailable:
         fail(id, claimUnavailable(result.retryAfter));
@@ -162,12 +164,12 @@
 void entry_core<Runtime, Table, Env>::startTiers(caller_id id)
 {
     request_flow &flow = *find(id);
-    if (flow.callerLeft && !flow.claimOperation) {
+    if (flow.callerLeft && !flow.claimOperationId) {
         end(id);
         return;
     }
-    if (flow.target.tiers != nullptr) {
-        const cascade &item = *flow.target.tiers;
+    if (flow.target.foundCascade != nullptr) {
+        const cascade &item = *flow.target.foundCascade;
         const auto left
                 = std::chrono::duration<double, std::milli>(flow.deadline - m_runtime.now());
         cascade planned = item;
@@ -175,10 +177,10 @@
         const start_decision start
                 = m_learner.chooseStart(flow.rules->rules, planned, flow.who().group,
                                         std::min<double>(left.count(), item.latencyMs),
-                                        m_tierMs[item.tiers.front()], m_random);
+                                        m_tierLatencyMs[item.tiers.front()], m_random);
         flow.tier = start.tier;
-        note(flow, decision_kind::start, item.tiers[start.tier], item.tiers.size(),
-             std::string(textOf(start.reason)));
+        recordDecision(flow, decision_kind::start, item.tiers[start.tier], item.tiers.size(),
+                       std::string(textOf(start.reason)));
     }
     startTier(id);
 }
@@ -195,21 +197,22 @@
     offer.set_target(flow.tierTarget());
     offer.set_version(flow.tierVersion());
     offer.set_repeatable(flow.repeatable);
-    offer.set_claimed(flow.claimOperation.has_value());
-    offer.set_operation_id(flow.claimOperation.value_or(""));
+    offer.set_claimed(flow.claimOperationId.has_value());
+    offer.set_operation_id(flow.claimOperationId.value_or(""));
     offer.set_priority(flow.who().priority);
     offer.set_stream(flow.request.stream);
     offer.set_body(flow.request.body);
     offer.set_entry(m_options.instance);
-    work.pool = flow.target.plain ? flow.target.plain->pool
-                                  : flow.rules->rules.findModel(flow.tierTarget())->pool;
+    work.pool = flow.target.foundService ? flow.target.foundService->pool
+                                         : flow.rules->rules.findModel(flow.tierTarget())->pool;
     work.deadline = flow.deadline;
     work.estimate = {flow.request.promptTokens, flow.request.outputTokens};
-    // Each tier's endpoint has a cache of its own.
+    // Each tier's endpoint has a prefix cache of its own.
     if (!flow.session.item.id.empty())
         work.affinity = flow.session.item.id + "/" + flow.tierTarget();
     tier_events events;
-    // A tier that is still to be judged is held back; every other one flows through.
+    // Only the last tier is streamed as it arrives. The answer of an earlier tier is held back
+    // until it is evaluated.
     if (flow.request.stream && flow.onLastTier())
         events.onData = [this, id](std::string_view data, std::size_t linkBytes) {
             onTierData(id, data, linkBytes);
@@ -234,9 +237,9 @@
 template <runtime_like Runtime, table_like Table, entry_environment Env>
 void entry_core<Runtime, Table, Env>::beginStream(request_flow &flow)
 {
-    if (flow.begun)
+    if (flow.streamBegun)
         return;
-    flow.begun = true;
+    flow.streamBegun = true;
     http_headers headers = answerHeaders(flow);
     headers.push_back({"Content-Type", "text/event-stream"});
     headers.push_back({"Cache-Control", "no-cache"});
@@ -251,7 +254,7 @@
     step.set_version(flow.tierVersion());
     step.set_endpoint(result.endpoint);
     *step.mutable_usage() = result.usage;
-    // What may never have run is noted, not charged.
+    // A tier that may not have run is listed in the bill but not charged.
     if (result.outcome != tier_outcome::uncertain)
         step.set_cost(costOf(flow.rules->rules, step));
     flow.steps.push_back(std::move(step));
@@ -275,8 +278,8 @@
         addStep(*flow, result);
     if (result.outcome == tier_outcome::failed)
         addEvidence(*flow, evidence_kind::errors, false);
-    if (result.outcome == tier_outcome::notRun && mayRedecide(*flow, result)) {
-        redecide(id);
+    if (result.outcome == tier_outcome::notRun && mayRetryWithNewBundle(*flow, result)) {
+        retryWithNewBundle(id);
         return;
     }
     bill(*flow, result.outcome == tier_outcome::uncertain ? uncertainBill : "failed");
@@ -284,13 +287,13 @@
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-void entry_core<Runtime, Table, Env>::redecide(caller_id id)
+void entry_core<Runtime, Table, Env>::retryWithNewBundle(caller_id id)
 {
-    m_runtime.after(m_options.redecideWait, [this, id] {
+    m_runtime.after(m_options.bundleRetryDelay, [this, id] {
         request_flow *const flow = find(id);
         if (flow == nullptr)
             return;
-        flow->redecisions += 1;
+        flow->bundleRetries += 1;
         flow->rules = m_keeper.current();
         const customer *who = flow->rules->rules.findCustomer(flow->customerName);
         flow->target = resolveTarget(flow->rules->rules, flow->request.target);
@@ -314,11 +317,11 @@
     addStep(flow, result);
     const bool isError = result.finish.status() >= http_status::badRequest;
     const bool isFault = result.finish.status() >= http_status::internalError;
-    if (!flow.target.plain) {
+    if (!flow.target.foundService) {
         addEvidence(flow, evidence_kind::errors, !isFault);
-        learnSpeed(flow, result);
+        updateTierLatency(flow, result);
     }
-    const bool escalates = flow.target.tiers != nullptr && !flow.onLastTier()
+    const bool escalates = flow.target.foundCascade != nullptr && !flow.onLastTier()
             && !suffices(flow, result, isError);
     if (!isError)
         sampleRating(flow, result, !escalates);
@@ -334,12 +337,14 @@
 auto entry_core<Runtime, Table, Env>::suffices(const request_flow &flow, const tier_result &result,
                                                bool isError) -> bool
 {
-    const acceptance_decision judged = m_learner.evaluate(
-            *flow.target.tiers, flow.who().group, flow.tier, isError ? 0.0 : result.finish.score());
-    const bool enough = judged.suffices && !isError;
+    const acceptance_decision evaluation
+            = m_learner.evaluate(*flow.target.foundCascade, flow.who().group, flow.tier,
+                                 isError ? 0.0 : result.finish.score());
+    const bool enough = evaluation.suffices && !isError;
     std::string reason = "score " + shortNumber(result.finish.score()) + " against "
-            + shortNumber(judged.threshold) + (judged.learned ? " learned" : " given");
-    note(flow, decision_kind::judge, enough ? "suffices" : "escalates", 1, std::move(reason));
+            + shortNumber(evaluation.threshold) + (evaluation.learned ? " learned" : " given");
+    recordDecision(flow, decision_kind::judge, enough ? "suffices" : "escalates", 1,
+                   std::move(reason));
     return enough;
 }
 
@@ -347,21 +352,21 @@
 void entry_core<Runtime, Table, Env>::sampleRating(const request_flow &flow,
                                                    const tier_result &result, bool released)
 {
-    if (flow.target.plain || !m_random.chance(m_options.ratedShare))
+    if (flow.target.foundService || !m_random.chance(m_options.ratedShare))
         return;
     rating_sample sample;
     sample.requestId = flow.requestId;
     sample.model = flow.tierTarget();
     sample.version = flow.tierVersion();
     sample.group = flow.who().group;
-    sample.prompt = flow.request.body.substr(0, largestRated);
-    sample.answer = result.answer.substr(0, largestRated);
+    sample.prompt = flow.request.body.substr(0, maxRatedBytes);
+    sample.answer = result.answer.substr(0, maxRatedBytes);
     m_env.rate(sample,
                [this, rules = flow.rules, target = flow.request.target, sample, released,
                 tier = flow.tier, score = result.finish.score()](std::optional<double> rating) {
                    if (!rating)
                        return;
-                   const bool good = *rating >= goodRating;
+                   const bool good = *rating >= minGoodRating;
                    addEvidence(sample.model, sample.version, sample.group, evidence_kind::ratings,
                                good);
                    if (const cascade *item = rules->rules.findCascade(target))
@@ -375,27 +380,28 @@
     request_flow *const flow = find(id);
     if (flow == nullptr)
         return;
-    keepAnswer(*flow, result);
+    storeAnswer(*flow, result);
     if (!flow->callerLeft)
-        sendLast(*flow, result);
-    note(*flow, decision_kind::answer, flow->tierTarget(), flow->steps.size(), "complete");
+        sendFinalPart(*flow, result);
+    recordDecision(*flow, decision_kind::answer, flow->tierTarget(), flow->steps.size(),
+                   "complete");
     end(id);
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-void entry_core<Runtime, Table, Env>::keepAnswer(const request_flow &flow,
-                                                 const tier_result &result)
+void entry_core<Runtime, Table, Env>::storeAnswer(const request_flow &flow,
+                                                  const tier_result &result)
 {
-    if (!flow.claimOperation) {
+    if (!flow.claimOperationId) {
         settle(flow.unsettled);
         return;
     }
     claim answered;
     answered.requestId = flow.requestId;
-    answered.operationId = *flow.claimOperation;
+    answered.operationId = *flow.claimOperationId;
     answered.status = static_cast<int>(result.finish.status());
     answered.contentType = result.finish.content_type();
-    answered.model = flow.target.plain ? "" : flow.tierTarget();
+    answered.model = flow.target.foundService ? "" : flow.tierTarget();
     answered.version = flow.tierVersion();
     if (result.answer.size() <= largestKeptAnswer)
         answered.answer = result.answer;
@@ -403,21 +409,21 @@
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
-void entry_core<Runtime, Table, Env>::sendLast(request_flow &flow, const tier_result &result)
+void entry_core<Runtime, Table, Env>::sendFinalPart(request_flow &flow, const tier_result &result)
 {
     const caller_id id = flow.request.id;
     const auto status = static_cast<int>(result.finish.status());
-    if (!flow.request.stream || (!flow.begun && status >= http_status::badRequest)) {
+    if (!flow.request.stream || (!flow.streamBegun && status >= http_status::badRequest)) {
         http_headers headers = answerHeaders(flow);
         headers.push_back({"Content-Type", result.finish.content_type()});
         m_env.answer(id, whole_answer{status, std::move(headers), result.answer});
         return;
     }
-    if (!flow.begun) {
+    if (!flow.streamBegun) {
         beginStream(flow);
         m_env.answer(id, answer_piece{result.answer, 0});
     }
-    m_env.answer(id, answer_end{true, std::string(streamEnd)});
+    m_env.answer(id, answer_end{true, std::string(streamTerminator)});
 }
 
 } // namespace laurelcroft
--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -1,6 +1,6 @@
-//===-- CallerServer.cpp - the duty that speaks with callers ----------------===//
+//===-- CallerServer.cpp - HTTP server for callers ------------------------===//
 //
-// A request that finds the ring full is refused at once: nothing of it has run.
+// A request is refused at once if the channel to the routing thread is full; nothing of it has run.
 //
 //===----------------------------------------------------------------------===//
 #include "CallerServer.h"
@@ -10,8 +10,8 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr std::size_t messageRing = 8192;
-constexpr std::size_t answerRing = 32768;
+constexpr std::size_t messageQueueCapacity = 8192;
+constexpr std::size_t answerQueueCapacity = 32768;
 } // namespace
 
 caller_server::caller_server(duty_thread &routing, const caller_server_options &options,
@@ -25,8 +25,8 @@
                 [this](const std::shared_ptr<http_exchange> &exchange) { onExchange(exchange); })
     , m_admin(m_duty, options.admin,
               [this](const std::shared_ptr<http_exchange> &exchange) { onAdmin(exchange); })
-    , m_messages(m_duty, routing, messageRing, std::move(onMessage))
-    , m_answers(routing, m_duty, answerRing,
+    , m_messages(m_duty, routing, messageQueueCapacity, std::move(onMessage))
+    , m_answers(routing, m_duty, answerQueueCapacity,
                 [this](caller_answer &&answer) { onAnswer(std::move(answer)); })
 {
 }
@@ -131,7 +131,7 @@
 {
     const auto it = m_open.find(answer.id);
     if (it == m_open.end()) {
-        // Its caller has left.
+        // The caller has disconnected.
         m_unsent -= 1;
         return;
     }
--- a/lib/Entry/DemandSharing.cpp
+++ b/lib/Entry/DemandSharing.cpp
@@ -1,7 +1,7 @@
-//===-- DemandSharing.cpp - entries share a customer's allowance ------------===//
+//===-- DemandSharing.cpp - shares customers' allowances ------------------===//
 //
-// One message a period to each home that an entry has customers at; docs/CAPACITY.md
-// gives the bytes.
+// An entry sends one message per period to each home entry that its customers have.
+// docs/CAPACITY.md gives the resulting traffic.
 //
 //===----------------------------------------------------------------------===//
 #include "DemandSharing.h"
@@ -11,10 +11,11 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr duration shortestPeriod = seconds(1);
-/// The period grows with the entries, so that a home hears as many reports a second.
+constexpr duration minReportPeriod = seconds(1);
+/// The period grows with the number of entries, so that the rate of reports that a home entry
+/// receives stays constant.
 constexpr duration periodPerEntry = milliseconds(13);
-constexpr int periodsOfLife = 3;
+constexpr int validityPeriods = 3; ///< a demand or share is valid for this many periods
 constexpr duration reportTimeout = milliseconds(500);
 } // namespace
 
@@ -27,14 +28,14 @@
 
 void demand_sharing::start()
 {
-    m_lastTick = m_node.runtime().now();
-    m_node.runtime().after(shortestPeriod, [this] { tick(); });
+    m_lastReportAt = m_node.runtime().now();
+    m_node.runtime().after(minReportPeriod, [this] { sendReports(); });
 }
 
-/// Time between reports in a fleet of that many entries.
-static duration periodOf(std::size_t entries)
+/// \returns the time between reports in a fleet of \p entries entries.
+static duration reportPeriod(std::size_t entries)
 {
-    return std::max(shortestPeriod, static_cast<int>(entries) * periodPerEntry);
+    return std::max(minReportPeriod, static_cast<int>(entries) * periodPerEntry);
 }
 
 wire::demand_reply demand_sharing::onReport(const wire::demand_report &report)
@@ -49,48 +50,48 @@
         if (who == nullptr)
             continue;
         const allowance_request asked{item.per_second(), who->requestsPerSecond, entries,
-                                      periodsOfLife * periodOf(entries)};
+                                      validityPeriods * reportPeriod(entries)};
         wire::demand_share &share = *reply.add_shares();
         share.set_customer(item.customer());
-        share.set_share(static_cast<float>(
-                m_ledger.report(item.customer(), report.entry(), asked, m_node.runtime().now())));
+        share.set_share(static_cast<float>(m_allocator.report(item.customer(), report.entry(),
+                                                              asked, m_node.runtime().now())));
     }
     return reply;
 }
 
-void demand_sharing::take(const wire::demand_reply &reply)
+void demand_sharing::applyShares(const wire::demand_reply &reply)
 {
-    const duration life = periodsOfLife * periodOf(m_node.liveEntries().size());
-    const time_point until = m_node.runtime().now() + life;
+    const duration validFor = validityPeriods * reportPeriod(m_node.liveEntries().size());
+    const time_point until = m_node.runtime().now() + validFor;
     for (const wire::demand_share &share : reply.shares())
         m_limits.setShare(share.customer(), share.share(), until);
 }
 
-void demand_sharing::tick()
+void demand_sharing::sendReports()
 {
     const time_point now = m_node.runtime().now();
     const std::vector<std::string> entries = m_node.liveEntries();
-    std::map<std::string, wire::demand_report> byHome;
-    for (const customer_demand &demand : m_limits.takeDemand(now - m_lastTick)) {
+    std::map<std::string, wire::demand_report> reportsByHome;
+    for (const customer_demand &demand : m_limits.takeDemand(now - m_lastReportAt)) {
         const std::string home = topRanked(entries, "limits/" + demand.customer, 1).front();
-        wire::demand_report &report = byHome[home];
+        wire::demand_report &report = reportsByHome[home];
         report.set_entry(m_node.options().instance);
         wire::demand &item = *report.add_demands();
         item.set_customer(demand.customer);
         item.set_per_second(static_cast<float>(demand.perSecond));
     }
-    m_lastTick = now;
-    for (const auto &[home, report] : byHome) {
+    m_lastReportAt = now;
+    for (const auto &[home, report] : reportsByHome) {
         if (home == m_node.options().instance) {
-            take(onReport(report));
+            applyShares(onReport(report));
             continue;
         }
         m_node.sendRequest(home, demandPath, report.SerializeAsString(), reportTimeout,
                            [this](const std::optional<std::string> &answer) {
                                wire::demand_reply reply;
                                if (answer && reply.ParseFromString(*answer))
-                                   take(reply);
+                                   applyShares(reply);
                            });
     }
-    m_node.runtime().after(periodOf(entries.size()), [this] { tick(); });
+    m_node.runtime().after(reportPeriod(entries.size()), [this] { sendReports(); });
 }
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -1,6 +1,6 @@
-//===-- EntryProcess.cpp - the thin entry process ---------------------------===//
+//===-- EntryProcess.cpp - the entry process ------------------------------===//
 //
-// Callers on one side, agents on the other, the core between.
+// Connects the core with callers on one side and agents on the other.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/EntryProcess.h"
@@ -25,18 +25,19 @@
 constexpr duration subsetDelay = milliseconds(50);
 constexpr duration loadStreamRetry = milliseconds(500);
 constexpr duration revokeTimeout = milliseconds(500);
-constexpr duration leastDrain = milliseconds(500);
-constexpr duration shortestFlush = milliseconds(100);
-constexpr duration flushPerEntry = milliseconds(3);
+constexpr duration minDrainTime = milliseconds(500);
+constexpr duration minFlushPeriod = milliseconds(100);
+/// The period of writing bills to the table grows with the number of entries.
+constexpr duration flushPeriodPerEntry = milliseconds(3);
 
-/// What an agent says on an attempt's stream, with the bytes that it took on the link.
-struct agent_words
+/// Handlers for the streams of attempts. \c onMessage also gets the message's size on the link.
+struct attempt_stream_handlers
 {
     std::function<void(attempt_handle, const wire::from_agent &, std::size_t)> onMessage;
-    std::function<void(attempt_handle)> onCut;
+    std::function<void(attempt_handle)> onStreamClosed;
 };
 
-/// The environment of the core.
+/// Implements the environment of the core.
 class entry_io : public node_environment
 {
 public:
@@ -46,10 +47,10 @@
     {
     }
 
-    void connect(caller_server &callers, agent_words words)
+    void connect(caller_server &callers, attempt_stream_handlers handlers)
     {
         m_callers = &callers;
-        m_words = std::move(words);
+        m_streamHandlers = std::move(handlers);
     }
 
     void answer(caller_id caller, answer_event event)
@@ -62,43 +63,45 @@
     void consumeAttempt(attempt_handle handle, std::size_t bytes);
     void revoke(const std::string &instance, const wire::revoke &message,
                 std::function<void(std::optional<wire::revoked>)> done);
-    void note(const decision &made);
+    void recordDecision(const decision &made);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
-    void spreadStop(const std::string &model, const std::string &version);
+    void broadcastRolloutStop(const std::string &model, const std::string &version);
     bool tableReachable() { return !ownNode().table().isShut(); }
 
 private:
     metric_registry &m_metrics;
     caller_server *m_callers = nullptr;
-    agent_words m_words;
+    attempt_stream_handlers m_streamHandlers;
     std::map<attempt_handle, std::shared_ptr<link_stream>> m_streams;
     attempt_handle m_lastHandle = 0;
 };
 
 using core_type = entry_core<asio_runtime, http_table, entry_io>;
 
+/// Owns the parts of an entry and connects them.
 class entry_process
 {
 public:
     entry_process(duty_thread &routing, node_options nodeOptions, entry_options options,
-                  const caller_server_options &callerOptions, session_mint mint)
+                  const caller_server_options &callerOptions, session_token_codec tokenCodec)
         : m_random(std::random_device{}())
         , m_io(routing, std::move(nodeOptions), m_metrics)
         , m_node(m_io.ownNode())
         , m_core(m_node.runtime(), m_node.table(), m_io, m_random, m_node.options().signoff,
-                 std::move(mint), std::move(options))
+                 std::move(tokenCodec), std::move(options))
         , m_callers(
                   routing, callerOptions, m_metrics, [this] { return m_ready.load(); },
                   [this](caller_message &&message) { onCaller(std::move(message)); })
         , m_status(m_node)
         , m_sharing(m_node, m_core.limits(), [this] { return m_core.keeper().current(); })
     {
-        agent_words words;
-        words.onMessage
+        attempt_stream_handlers handlers;
+        handlers.onMessage
                 = [this](attempt_handle handle, const wire::from_agent &message,
                          std::size_t bytes) { m_core.runner().onMessage(handle, message, bytes); };
-        words.onCut = [this](attempt_handle handle) { m_core.runner().onCut(handle); };
-        m_io.connect(m_callers, std::move(words));
+        handlers.onStreamClosed
+                = [this](attempt_handle handle) { m_core.runner().onStreamClosed(handle); };
+        m_io.connect(m_callers, std::move(handlers));
     }
 
     std::string start();
@@ -113,8 +116,11 @@
     void onCaller(caller_message &&message);
     void onMember(const wire::member &item);
     void onStream(const std::shared_ptr<link_stream> &stream);
+    /// Schedules a new choice of subsets, and opens and closes load streams accordingly.
     void refreshSubsets();
+    /// Opens the stream on which an agent sends load reports; reopens it after a failure.
     void openLoadStream(const std::string &agent);
+    /// Does the periodic work: readiness, announcements, bills held for long, and metrics.
     void maintain();
     void answerFleet(caller_id id);
 
@@ -128,9 +134,9 @@
     fleet_status m_status;
     demand_sharing m_sharing;
     std::map<std::string, std::shared_ptr<link_stream>> m_loadStreams;
-    std::set<std::string> m_wantedLoads;
+    std::set<std::string> m_loadStreamAgents;
     bool m_subsetScheduled = false;
-    bundle_epoch m_announced = 0;
+    bundle_epoch m_announcedEpoch = 0;
 };
 
 } // namespace
@@ -142,11 +148,11 @@
     handlers.onMessage = [this, handle](std::string_view bytes) {
         wire::from_agent message;
         if (message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-            m_words.onMessage(handle, message, bytes.size() + linkFrameBytes);
+            m_streamHandlers.onMessage(handle, message, bytes.size() + linkFrameBytes);
     };
     handlers.onClosed = [this, handle](bool) {
         m_streams.erase(handle);
-        m_words.onCut(handle);
+        m_streamHandlers.onStreamClosed(handle);
     };
     const auto stream = ownNode().open(instance, "/attempt", std::move(handlers));
     stream->useManualFlow();
@@ -167,7 +173,7 @@
     auto node = m_streams.extract(handle);
     if (node.empty())
         return;
-    // Nothing more is wanted: what still comes is taken without a reader.
+    // Discard further input, so that the agent can end its side of the stream.
     node.mapped()->setEvents({});
     node.mapped()->dropInput();
     node.mapped()->finish();
@@ -193,7 +199,7 @@
                           });
 }
 
-void entry_io::note(const decision &made)
+void entry_io::recordDecision(const decision &made)
 {
     m_metrics.add("decisions_total{kind=\"" + std::string(textOf(made.kind)) + "\"}");
     logInfo(log_part::routing, textOf(made.kind),
@@ -210,7 +216,7 @@
         ownNode().ratings().rate(sample, std::move(done));
 }
 
-void entry_io::spreadStop(const std::string &model, const std::string &version)
+void entry_io::broadcastRolloutStop(const std::string &model, const std::string &version)
 {
     wire::version_health health;
     health.set_model(model);
@@ -226,7 +232,7 @@
     bindCoreEvents(events, m_core);
     events.onHealth = [this](const wire::version_health &health) {
         if (health.stopped())
-            m_core.hearStop(health.model(), health.version());
+            m_core.onRolloutStopped(health.model(), health.version());
     };
     events.onStream = [this](const auto &stream) { onStream(stream); };
     return events;
@@ -296,7 +302,7 @@
     }
     m_core.limits().setEntries(entries);
     m_core.outbox().setFlushPeriod(
-            std::max(shortestFlush, static_cast<int>(entries) * flushPerEntry));
+            std::max(minFlushPeriod, static_cast<int>(entries) * flushPeriodPerEntry));
 }
 
 void entry_process::refreshSubsets()
@@ -307,9 +313,9 @@
     m_node.runtime().after(subsetDelay, [this] {
         m_subsetScheduled = false;
         const auto chosen = m_core.directory().chooseSubsets();
-        m_wantedLoads = {chosen.begin(), chosen.end()};
+        m_loadStreamAgents = {chosen.begin(), chosen.end()};
         for (auto it = m_loadStreams.begin(); it != m_loadStreams.end();) {
-            if (m_wantedLoads.count(it->first) != 0) {
+            if (m_loadStreamAgents.count(it->first) != 0) {
                 ++it;
                 continue;
             }
@@ -331,13 +337,13 @@
         if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
             return;
         m_core.directory().onReport(agent, message, m_node.runtime().now());
-        m_core.hearEpoch(agent, message.bundle_epoch());
+        m_core.onPeerEpoch(agent, message.bundle_epoch());
     };
     handlers.onClosed = [this, agent](bool) {
         m_loadStreams.erase(agent);
         m_core.directory().onUnreachable(agent);
         m_node.runtime().after(loadStreamRetry, [this, agent] {
-            if (m_wantedLoads.count(agent) != 0 && m_loadStreams.count(agent) == 0)
+            if (m_loadStreamAgents.count(agent) != 0 && m_loadStreams.count(agent) == 0)
                 openLoadStream(agent);
         });
     };
@@ -372,8 +378,8 @@
 void entry_process::maintain()
 {
     m_ready = m_core.isReady();
-    if (m_core.keeper().epoch() != m_announced) {
-        m_announced = m_core.keeper().epoch();
+    if (m_core.keeper().epoch() != m_announcedEpoch) {
+        m_announcedEpoch = m_core.keeper().epoch();
         m_node.gossipDigest();
     }
     m_core.outbox().adoptOld();
@@ -390,25 +396,28 @@
     addNodeSettings(declared);
     declared.addText("listen", "127.0.0.1:0", "host:port for callers");
     declared.addText("admin-listen", "127.0.0.1:0", "host:port for probes, metrics and status");
-    declared.addRequired("session-keys", "id:secret,id:secret; the first one signs");
-    declared.addNumber("session-life", 604800, 60, 31536000, "s", "life of a session's token");
+    declared.addRequired("session-keys", "id:secret,id:secret; the first one signs new tokens");
+    declared.addNumber("session-life", 604800, 60, 31536000, "s",
+                       "lifetime of a session token since its last use");
     declared.addNumber("request-timeout", 120000, 100, 3600000, "ms",
-                       "deadline of a request that names none");
-    declared.addNumber("largest-body", 1048576, 1024, 8388608, "bytes", "largest request body");
-    declared.addNumber("most-requests", 4096, 1, 100000, "requests", "in flight at once");
+                       "timeout of a request that sets none");
+    declared.addNumber("largest-body", 1048576, 1024, 8388608, "bytes",
+                       "maximum size of a request body");
+    declared.addNumber("most-requests", 4096, 1, 100000, "requests",
+                       "maximum number of requests in flight");
     declared.addNumber("rated-percent", 10, 0, 100, "%", "share of answers sent to be rated");
-    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "longest planned stop");
+    declared.addNumber("drain-timeout", 120, 1, 7200, "s", "maximum duration of a drain");
 }
 
-/// Reads what only an entry has. \returns an empty string or what is wrong.
+/// Reads the settings that only an entry has. \returns an error message, or an empty string.
 static std::string readEntryOptions(const settings &given, entry_options &options,
                                     caller_server_options &callers)
 {
     options.instance = given.text("instance");
     options.dataCentre = given.text("data-centre");
-    options.sessionLifeMs = given.number("session-life") * 1000;
+    options.sessionLifetimeMs = given.number("session-life") * 1000;
     options.defaultTimeout = milliseconds(given.number("request-timeout"));
-    options.mostFlows = static_cast<std::size_t>(given.number("most-requests"));
+    options.maxRequestsInFlight = static_cast<std::size_t>(given.number("most-requests"));
     options.ratedShare = static_cast<double>(given.number("rated-percent")) / 100.0;
     callers.limits.largestBody = static_cast<std::size_t>(given.number("largest-body"));
     callers.callers.largestBody = 2 * callers.limits.largestBody;
@@ -438,7 +447,7 @@
     startLog(given.text("log-level"), given.flag("log-json"));
     duty_thread routing("routing");
     entry_process process(routing, std::move(nodeOptions), std::move(options), callers,
-                          session_mint(keys));
+                          session_token_codec(keys));
     error = process.start();
     if (!error.empty()) {
         std::cerr << "laurelcroft-entry: error: " << error << "\n";
@@ -451,10 +460,10 @@
     drain_steps steps;
     steps.begin = [&] { process.beginDrain(); };
     steps.isIdle = [&] { return process.isIdle(); };
-    steps.minDuration = leastDrain;
+    steps.minDuration = minDrainTime;
     steps.maxDuration = seconds(given.number("drain-timeout"));
     waitAndDrain(routing, steps);
-    // The routing duty goes first: what stops after it has no thread to race with.
+    // Stop the routing thread first, so that it cannot race with stopping the rest.
     routing.stop();
     process.stop();
     stopLog();
--- a/lib/Entry/FleetStatus.cpp
+++ b/lib/Entry/FleetStatus.cpp
@@ -1,6 +1,6 @@
-//===-- FleetStatus.cpp - which epoch stands where --------------------------===//
+//===-- FleetStatus.cpp - bundle epochs of all members --------------------===//
 //
-// Only operators' commands ask for it, so that a question to each member is fair.
+// Only operators' commands use it, so the cost of querying every member is acceptable.
 //
 //===----------------------------------------------------------------------===//
 #include "FleetStatus.h"
@@ -14,13 +14,14 @@
 
 namespace {
 
-constexpr std::size_t askedAtOnce = 32;
+constexpr std::size_t maxConcurrentQueries = 32;
 constexpr duration answerTimeout = milliseconds(500);
 
+/// State of one collection.
 struct collection
 {
-    std::deque<wire::member> left;
-    std::size_t asked = 0;
+    std::deque<wire::member> left; ///< members not queried yet
+    std::size_t asked = 0; ///< queries in progress
     ordered_json instances = ordered_json::array();
     std::function<void(const std::string &)> done;
 };
@@ -32,7 +33,7 @@
     return role == wire::role_entry ? "entry" : "agent";
 }
 
-static void addLine(collection &all, const wire::member &item, const ordered_json &epoch)
+static void addInstance(collection &all, const wire::member &item, const ordered_json &epoch)
 {
     all.instances.push_back({{"instance", item.id()},
                              {"role", roleName(item.role())},
@@ -44,7 +45,7 @@
 
 static void askNext(node &instance, const std::shared_ptr<collection> &all)
 {
-    while (all->asked < askedAtOnce && !all->left.empty()) {
+    while (all->asked < maxConcurrentQueries && !all->left.empty()) {
         const wire::member item = all->left.front();
         all->left.pop_front();
         all->asked += 1;
@@ -53,9 +54,9 @@
                                  all->asked -= 1;
                                  wire::from_agent header;
                                  const bool known = answer && header.ParseFromString(*answer);
-                                 addLine(*all, item,
-                                         known ? ordered_json(header.bundle_epoch())
-                                               : ordered_json());
+                                 addInstance(*all, item,
+                                             known ? ordered_json(header.bundle_epoch())
+                                                   : ordered_json());
                                  askNext(instance, all);
                              });
     }
@@ -75,7 +76,7 @@
     self.set_id(m_node.options().instance);
     self.set_role(m_node.options().role);
     self.set_data_centre(m_node.options().dataCentre);
-    addLine(*all, self, own);
+    addInstance(*all, self, own);
     for (const auto &[id, item] : m_node.members())
         all->left.push_back(item);
     askNext(m_node, all);
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -1,6 +1,7 @@
-//===-- SessionToken.cpp - sessions without a store -------------------------===//
+//===-- SessionToken.cpp - stateless session tokens -----------------------===//
 //
-// prefix, key id, payload and MAC, separated by dots; the MAC covers the rest.
+// A token consists of prefix, key id, payload and MAC, separated by dots. The MAC covers everything
+// before it.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/SessionToken.h"
@@ -24,20 +25,20 @@
     case session_error::unknownKey:
         return "the session token's key is no longer in use";
     case session_error::forged:
-        return "the session token is not genuine";
+        return "the session token failed authentication";
     case session_error::expired:
         return "the session has expired";
     }
     return "unknown";
 }
 
-session_mint::session_mint(std::vector<session_key> keys)
+session_token_codec::session_token_codec(std::vector<session_key> keys)
     : m_keys(std::move(keys))
 {
-    assert(!m_keys.empty() && "a mint needs a key");
+    assert(!m_keys.empty() && "the codec needs at least one key");
 }
 
-std::string session_mint::seal(const session &item) const
+std::string session_token_codec::encode(const session &item) const
 {
     const json payload
             = {{"i", item.id}, {"c", item.customer}, {"p", item.pins}, {"x", item.expiresWallMs}};
@@ -65,8 +66,8 @@
     }
 }
 
-outcome<session, session_error> session_mint::open(std::string_view token,
-                                                   std::int64_t nowWallMs) const
+outcome<session, session_error> session_token_codec::decode(std::string_view token,
+                                                            std::int64_t nowWallMs) const
 {
     const std::vector<std::string> parts = splitList(token, '.');
     if (token.size() > largestSessionText || parts.size() != 4)
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -86,7 +86,7 @@
     options.defaultTimeout = seconds(60);
     item->core = std::make_unique<bench_entry_core>(item->runtime, item->table, *item, random,
                                                     signoff_rule{{m_key.publicHex}, 1},
-                                                    session_mint({tokenKey}), options);
+                                                    session_token_codec({tokenKey}), options);
     fake_entry *const raw = item.get();
     m_entries[id] = std::move(item);
     for (fake_instance *other : instances()) {
@@ -214,7 +214,7 @@
             *message.mutable_load() = agent->core->loadWithVersions();
             entry->runtime.run([raw = entry.get(), id = agentId, message, now = clock.now()] {
                 raw->core->directory().onReport(id, message, now);
-                raw->core->hearEpoch(id, message.bundle_epoch());
+                raw->core->onPeerEpoch(id, message.bundle_epoch());
             });
         }
     }
@@ -242,7 +242,7 @@
     const fake_stream &stream = node.mapped();
     clock.after(latency, [this, id, entryId = stream.entry, agentId = stream.agent] {
         if (fake_entry *const entry = findEntry(entryId))
-            entry->runtime.run([entry, id] { entry->core->runner().onCut(id); });
+            entry->runtime.run([entry, id] { entry->core->runner().onStreamClosed(id); });
         if (fake_agent *const agent = findAgent(agentId))
             agent->runtime.run([agent, id] { agent->core->onStreamClosed(id); });
     });
