--- a/include/laurelcroft/Entry/AttemptRunnerImpl.h
+++ b/include/laurelcroft/Entry/AttemptRunnerImpl.h
@@ -240,7 +240,7 @@
 {
     const bool whole = done.length() == item.answer.size() && done.digest() == sha256(item.answer);
     if (!whole) {
-        failAfterDisconnect(item, "the answer is incomplete or damaged");
+        failAfterDisconnect(item, "the answer is not whole");
         return;
     }
     m_ejection.succeeded(item.endpointId);
--- a/include/laurelcroft/Entry/SessionPinner.h
+++ b/include/laurelcroft/Entry/SessionPinner.h
@@ -240,7 +240,7 @@
         return {expired ? http_status::gone : http_status::badRequest,
                 "session_error",
                 expired ? "session_expired" : "session_invalid",
-                std::string(textOf(error)) + "; start a new session without the header",
+                std::string(textOf(error)) + "; begin a new session without the header",
                 executed::no,
                 milliseconds(0)};
     }
@@ -257,8 +257,7 @@
         return {http_status::conflict,
                 "session_error",
                 "session_holds_other_version",
-                "the session is pinned to version " + pinned
-                        + "; start a new session to use another one",
+                "the session holds version " + pinned + "; begin a new session for another one",
                 executed::no,
                 milliseconds(0)};
     }
@@ -268,7 +267,7 @@
         return {http_status::unavailable,
                 "unavailable",
                 "session_unavailable",
-                "the version of this named session cannot be read at the moment",
+                "the version that this named session holds cannot be read now",
                 executed::no,
                 std::max(error.retryAfter, minRetryAfter)};
     }
--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -64,7 +64,7 @@
     std::int64_t ms = 0;
     const auto [end, error] = std::from_chars(timeout.data(), timeout.data() + timeout.size(), ms);
     if (error != std::errc() || end != timeout.data() + timeout.size() || ms <= 0)
-        return badRequest("bad_header", "X-Laurelcroft-Timeout-Ms must be a positive integer");
+        return badRequest("bad_header", "X-Laurelcroft-Timeout-Ms must be a positive number");
     request.timeout = milliseconds(ms);
     return std::nullopt;
 }
@@ -88,14 +88,13 @@
         return badRequest("bad_model", "the field 'model' must name a model or cascade");
     const auto messages = body.find("messages");
     if (messages == body.end() || !messages->is_array() || messages->empty())
-        return badRequest("bad_messages", "the field 'messages' must be a non-empty array");
+        return badRequest("bad_messages", "the field 'messages' must be a list of messages");
     const auto stream = body.find("stream");
     if (stream != body.end() && !stream->is_boolean())
         return badRequest("bad_stream", "the field 'stream' must be true or false");
     const auto maxTokens = body.find("max_tokens");
     if (maxTokens != body.end() && !maxTokens->is_number_unsigned())
-        return badRequest("bad_max_tokens",
-                          "the field 'max_tokens' must be a non-negative integer");
+        return badRequest("bad_max_tokens", "the field 'max_tokens' must be a whole number");
     splitTarget(name->get<std::string>(), request);
     request.stream = stream != body.end() && stream->get<bool>();
     if (maxTokens != body.end())
@@ -109,8 +108,7 @@
                                                       const caller_limits &limits)
 {
     if (from.method != "POST")
-        return failure(
-                badRequest("bad_method", "this path requires POST", http_status::methodNotAllowed));
+        return failure(badRequest("bad_method", "use POST here", http_status::methodNotAllowed));
     if (from.body.size() > limits.largestBody)
         return failure(badRequest("body_too_large",
                                   "the body is larger than " + std::to_string(limits.largestBody)
@@ -142,8 +140,7 @@
         return failure(badRequest("unknown_path", "no such path; docs/API.md lists them",
                                   http_status::notFound));
     if (request.method != "GET")
-        return failure(
-                badRequest("bad_method", "this path requires GET", http_status::methodNotAllowed));
+        return failure(badRequest("bad_method", "use GET here", http_status::methodNotAllowed));
     if (request.path == modelsPath)
         return parsed_request(models_request{0, keyOf(request)});
     return parsed_request(
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -31,7 +31,7 @@
     return {http_status::unavailable,
             "unavailable",
             "leaving",
-            "this instance is shutting down; another one will accept the request",
+            "this instance is leaving; another one will take the request",
             executed::no,
             shortRetry};
 }
@@ -41,7 +41,7 @@
     return {http_status::unauthorized,
             "authentication_error",
             "bad_key",
-            "send 'Authorization: Bearer KEY' with a valid key",
+            "send 'Authorization: Bearer KEY' with a key of the bundle in force",
             executed::no,
             milliseconds(0)};
 }
@@ -87,7 +87,7 @@
     return {http_status::unavailable,
             "overloaded",
             "entry_full",
-            "this instance has reached its limit of requests in flight",
+            "this instance has as many requests in flight as it may",
             executed::no,
             shortRetry};
 }
@@ -97,7 +97,7 @@
     return {http_status::unavailable,
             "unavailable",
             "no_place_for_bill",
-            "neither the table nor a second instance can store the bill of this request",
+            "neither the table nor a second instance can take the bill of this request",
             executed::no,
             longRetry};
 }
@@ -108,7 +108,7 @@
     return {http_status::tooManyRequests,
             "rate_limit",
             rate ? "rate_exceeded" : "too_many_in_flight",
-            rate ? "the customer has exceeded its request rate"
+            rate ? "the customer's rate is used up"
                  : "the customer has too many requests in flight",
             executed::no,
             limit.retryAfter};
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -25,7 +25,7 @@
     case session_error::unknownKey:
         return "the session token's key is no longer in use";
     case session_error::forged:
-        return "the session token failed authentication";
+        return "the session token is not genuine";
     case session_error::expired:
         return "the session has expired";
     }
