--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -32,7 +32,7 @@
 /// Periods and bounds of an outbox.
 struct outbox_options
 {
-    duration gather = milliseconds(1); ///< bills that are copied together
+    duration copyDelay = milliseconds(1); ///< bills that are copied together
     duration flushPeriod = milliseconds(100); ///< between batches to the table
     std::size_t batch = 100; ///< rows in a batch
     std::size_t most = 100000; ///< bills held, own and copies
@@ -181,7 +181,7 @@
         if (m_copyScheduled)
             return;
         m_copyScheduled = true;
-        m_runtime.after(m_options.gather, [this] {
+        m_runtime.after(m_options.copyDelay, [this] {
             m_copyScheduled = false;
             copyGathered();
         });
