--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -34,7 +34,7 @@
 {
     duration copyDelay = milliseconds(1); ///< bills that are copied together
     duration flushPeriod = milliseconds(100); ///< between batches to the table
-    std::size_t batch = 100; ///< rows in a batch
+    std::size_t maxBatchRows = 100; ///< rows in a batch
     std::size_t most = 100000; ///< bills held, own and copies
     duration copyLife = seconds(60); ///< a copy is written by its holder after this
 };
@@ -260,7 +260,7 @@
         std::vector<std::string> ids;
         std::vector<new_row> rows;
         for (const auto &[id, mine] : m_own) {
-            if (rows.size() >= m_options.batch)
+            if (rows.size() >= m_options.maxBatchRows)
                 break;
             ids.push_back(id);
             rows.push_back({billKey(id), encodeBill(mine.bill)});
