--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -35,7 +35,7 @@
     duration copyDelay = milliseconds(1); ///< bills that are copied together
     duration flushPeriod = milliseconds(100); ///< between batches to the table
     std::size_t maxBatchRows = 100; ///< rows in a batch
-    std::size_t most = 100000; ///< bills held, own and copies
+    std::size_t maxBills = 100000; ///< bills held, own and copies
     duration copyLife = seconds(60); ///< a copy is written by its holder after this
 };
 
@@ -76,7 +76,7 @@
         for (const std::string &id : copy.stored())
             m_copies.erase(id);
         if (m_own.size() + m_copies.size() + static_cast<std::size_t>(copy.bills_size())
-            > m_options.most)
+            > m_options.maxBills)
             return false;
         for (const wire::bill &item : copy.bills())
             m_copies[item.request_id()] = {item, copy.owner(), m_runtime.now()};
@@ -138,7 +138,7 @@
     /// the table can be reached.
     bool accepts(bool tableReachable)
     {
-        if (m_own.size() + m_copies.size() >= m_options.most)
+        if (m_own.size() + m_copies.size() >= m_options.maxBills)
             return false;
         return tableReachable || !m_port.billHolders().empty();
     }
