--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -36,7 +36,7 @@
     duration flushPeriod = milliseconds(100); ///< between batches to the table
     std::size_t maxBatchRows = 100; ///< rows in a batch
     std::size_t maxBills = 100000; ///< bills held, own and copies
-    duration copyLife = seconds(60); ///< a copy is written by its holder after this
+    duration maxCopyAge = seconds(60); ///< a copy is written by its holder after this
 };
 
 /// The bills of one process, its own and the copies it holds for others.
@@ -127,7 +127,7 @@
     {
         std::set<std::string> owners;
         for (const auto &[id, held] : m_copies) {
-            if (m_runtime.now() - held.since > m_options.copyLife)
+            if (m_runtime.now() - held.since > m_options.maxCopyAge)
                 owners.insert(held.owner);
         }
         for (const std::string &owner : owners)
