--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -123,7 +123,7 @@
     }
 
     /// Writes copies whose owner kept them for long; call it every few seconds.
-    void adoptOld()
+    void adoptExpired()
     {
         std::set<std::string> owners;
         for (const auto &[id, held] : m_copies) {
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -256,7 +256,7 @@
 {
     reportLoad(false);
     announceNewEpoch();
-    m_core.outbox().adoptOld();
+    m_core.outbox().adoptExpired();
     m_node.runtime().after(loadTick, [this] { tick(); });
 }
 
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -375,7 +375,7 @@
         m_announced = m_core.keeper().epoch();
         m_node.announce();
     }
-    m_core.outbox().adoptOld();
+    m_core.outbox().adoptExpired();
     m_metrics.set("in_flight", static_cast<double>(m_core.inFlight()));
     m_metrics.set("bundle_epoch", static_cast<double>(m_core.keeper().epoch()));
     m_metrics.set("bills_pending", static_cast<double>(m_core.outbox().pending()));
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -114,7 +114,7 @@
 
 void fake_entry::adoptOld()
 {
-    core->outbox().adoptOld();
+    core->outbox().adoptExpired();
 }
 
 bool fake_entry::isIdle() const
@@ -325,7 +325,7 @@
 
 void fake_agent::adoptOld()
 {
-    core->outbox().adoptOld();
+    core->outbox().adoptExpired();
 }
 
 bool fake_agent::isIdle() const
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -188,7 +188,7 @@
     CHECK(bench.outbox.copies() == 0);
     bench.outbox.hold(copy);
     bench.runtime.advance(seconds(61));
-    bench.outbox.adoptOld();
+    bench.outbox.adoptExpired();
     bench.runtime.advance(seconds(1));
     CHECK(bench.table.rows.count("bill/r1") == 1);
 }
