--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -207,7 +207,7 @@
         const std::vector<std::string> holders = m_port.billHolders();
         if (copy.bills_size() == 0)
             return;
-        if (rank >= std::min(holders.size(), mostHolders)) {
+        if (rank >= std::min(holders.size(), maxHolders)) {
             m_toCopy.insert(m_toCopy.end(), ids.begin(), ids.end());
             retryCopies();
             return;
@@ -339,7 +339,7 @@
         }
     }
 
-    static constexpr std::size_t mostHolders = 3;
+    static constexpr std::size_t maxHolders = 3;
     static constexpr duration copyRetry = milliseconds(200);
     static constexpr duration longestFlushWait = seconds(2);
 
