--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -240,7 +240,7 @@
         if (m_copyScheduled)
             return;
         m_copyScheduled = true;
-        m_runtime.after(copyRetry, [this] {
+        m_runtime.after(copyRetryDelay, [this] {
             m_copyScheduled = false;
             copyGathered();
         });
@@ -340,7 +340,7 @@
     }
 
     static constexpr std::size_t maxHolders = 3;
-    static constexpr duration copyRetry = milliseconds(200);
+    static constexpr duration copyRetryDelay = milliseconds(200);
     static constexpr duration longestFlushWait = seconds(2);
 
     Runtime &m_runtime;
