--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -276,7 +276,7 @@
             else
                 m_flushWait = std::max<duration>(
                         m_options.flushPeriod * 5,
-                        std::min<duration>(done.error().retryAfter, longestFlushWait));
+                        std::min<duration>(done.error().retryAfter, maxFlushDelay));
             scheduleFlush();
         });
     }
@@ -341,7 +341,7 @@
 
     static constexpr std::size_t maxHolders = 3;
     static constexpr duration copyRetryDelay = milliseconds(200);
-    static constexpr duration longestFlushWait = seconds(2);
+    static constexpr duration maxFlushDelay = seconds(2);
 
     Runtime &m_runtime;
     Table &m_table;
