--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -251,8 +251,8 @@
         if (m_flushScheduled || m_own.empty())
             return;
         m_flushScheduled = true;
-        m_runtime.after(m_flushWait, [this] { flush(); });
-        m_flushWait = m_options.flushPeriod;
+        m_runtime.after(m_flushDelay, [this] { flush(); });
+        m_flushDelay = m_options.flushPeriod;
     }
 
     void flush()
@@ -274,7 +274,7 @@
             if (done)
                 takeWritten(ids, done.value());
             else
-                m_flushWait = std::max<duration>(
+                m_flushDelay = std::max<duration>(
                         m_options.flushPeriod * 5,
                         std::min<duration>(done.error().retryAfter, maxFlushDelay));
             scheduleFlush();
@@ -355,7 +355,7 @@
     bool m_closing = false;
     bool m_copyScheduled = false;
     bool m_flushScheduled = false;
-    duration m_flushWait = milliseconds(50);
+    duration m_flushDelay = milliseconds(50);
 };
 
 } // namespace laurelcroft
