--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -272,7 +272,7 @@
         m_table.insertAll(rows, [this, ids](outcome<std::vector<write_result>, table_error> done) {
             m_flushScheduled = false;
             if (done)
-                takeWritten(ids, done.value());
+                onBatchWritten(ids, done.value());
             else
                 m_flushDelay = std::max<duration>(
                         m_options.flushPeriod * 5,
@@ -281,7 +281,8 @@
         });
     }
 
-    void takeWritten(const std::vector<std::string> &ids, const std::vector<write_result> &results)
+    void onBatchWritten(const std::vector<std::string> &ids,
+                        const std::vector<write_result> &results)
     {
         for (std::size_t i = 0; i < ids.size(); ++i) {
             const auto it = m_own.find(ids[i]);
