--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -293,7 +293,7 @@
             else
                 replaceProvisional(ids[i], results[i].row.version);
         }
-        tellStored();
+        notifyHolders();
     }
 
     /// A row that knows less of the request gives way: an agent that lost its entry
@@ -326,7 +326,7 @@
         release(mine);
     }
 
-    void tellStored()
+    void notifyHolders()
     {
         auto stored = std::move(m_stored);
         m_stored.clear();
