--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -288,7 +288,7 @@
             const auto it = m_own.find(ids[i]);
             if (it == m_own.end())
                 continue;
-            if (results[i].done || !replaces(it->second.bill, results[i].row))
+            if (results[i].done || !supersedes(it->second.bill, results[i].row))
                 markStored(ids[i]);
             else
                 replaceProvisional(ids[i], results[i].row.version);
@@ -299,7 +299,7 @@
     /// A row that knows less of the request gives way: an agent that lost its entry
     /// writes what it knows, and the entry's own bill, with the sum over all steps,
     /// takes its place.
-    static bool replaces(const wire::bill &mine, const table_row &row)
+    static bool supersedes(const wire::bill &mine, const table_row &row)
     {
         const auto found = decodeBill(row.value);
         return found && billRank(mine) > billRank(*found);
