--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -209,7 +209,7 @@
             return;
         if (rank >= std::min(holders.size(), maxHolders)) {
             m_toCopy.insert(m_toCopy.end(), ids.begin(), ids.end());
-            retryCopies();
+            scheduleCopyRetry();
             return;
         }
         const std::string &holder = holders[rank];
@@ -235,7 +235,7 @@
         release(it->second);
     }
 
-    void retryCopies()
+    void scheduleCopyRetry()
     {
         if (m_copyScheduled)
             return;
