--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -183,11 +183,11 @@
         m_copyScheduled = true;
         m_runtime.after(m_options.copyDelay, [this] {
             m_copyScheduled = false;
-            copyGathered();
+            copyPending();
         });
     }
 
-    void copyGathered()
+    void copyPending()
     {
         std::vector<std::string> ids = std::move(m_toCopy);
         m_toCopy.clear();
@@ -242,7 +242,7 @@
         m_copyScheduled = true;
         m_runtime.after(copyRetryDelay, [this] {
             m_copyScheduled = false;
-            copyGathered();
+            copyPending();
         });
     }
 
