--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -61,7 +61,7 @@
         own_bill &mine = m_own[id];
         mine.bill = std::move(item);
         if (done)
-            mine.waiting.push_back(std::move(done));
+            mine.callbacks.push_back(std::move(done));
         m_toCopy.push_back(id);
         scheduleCopy();
         scheduleFlush();
@@ -159,7 +159,7 @@
     {
         wire::bill bill;
         std::string holder; ///< empty until a copy was acknowledged
-        std::vector<std::function<void()>> waiting;
+        std::vector<std::function<void()>> callbacks;
     };
     struct held_copy
     {
@@ -170,9 +170,9 @@
 
     static void release(own_bill &mine)
     {
-        const auto waiting = std::move(mine.waiting);
-        mine.waiting.clear();
-        for (const auto &done : waiting)
+        const auto callbacks = std::move(mine.callbacks);
+        mine.callbacks.clear();
+        for (const auto &done : callbacks)
             done();
     }
 
