--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -168,7 +168,7 @@
         time_point since{};
     };
 
-    static void release(own_bill &mine)
+    static void runCallbacks(own_bill &mine)
     {
         const auto callbacks = std::move(mine.callbacks);
         mine.callbacks.clear();
@@ -232,7 +232,7 @@
             return;
         }
         it->second.holder = holder;
-        release(it->second);
+        runCallbacks(it->second);
     }
 
     void scheduleCopyRetry()
@@ -323,7 +323,7 @@
         own_bill &mine = node.mapped();
         if (!mine.holder.empty())
             m_stored[mine.holder].push_back(id);
-        release(mine);
+        runCallbacks(mine);
     }
 
     void notifyHolders()
