--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -127,7 +127,7 @@
     {
         std::set<std::string> owners;
         for (const auto &[id, held] : m_copies) {
-            if (m_runtime.now() - held.since > m_options.maxCopyAge)
+            if (m_runtime.now() - held.receivedAt > m_options.maxCopyAge)
                 owners.insert(held.owner);
         }
         for (const std::string &owner : owners)
@@ -165,7 +165,7 @@
     {
         wire::bill bill;
         std::string owner;
-        time_point since{};
+        time_point receivedAt{};
     };
 
     static void runCallbacks(own_bill &mine)
