--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -62,7 +62,7 @@
         mine.bill = std::move(item);
         if (done)
             mine.callbacks.push_back(std::move(done));
-        m_toCopy.push_back(id);
+        m_uncopiedIds.push_back(id);
         scheduleCopy();
         scheduleFlush();
     }
@@ -103,9 +103,9 @@
             if (mine.holder != peer)
                 continue;
             mine.holder.clear();
-            m_toCopy.push_back(id);
+            m_uncopiedIds.push_back(id);
         }
-        if (!m_toCopy.empty())
+        if (!m_uncopiedIds.empty())
             scheduleCopy();
     }
 
@@ -189,8 +189,8 @@
 
     void copyPending()
     {
-        std::vector<std::string> ids = std::move(m_toCopy);
-        m_toCopy.clear();
+        std::vector<std::string> ids = std::move(m_uncopiedIds);
+        m_uncopiedIds.clear();
         copyTo(ids, 0);
     }
 
@@ -208,7 +208,7 @@
         if (copy.bills_size() == 0)
             return;
         if (rank >= std::min(holders.size(), maxHolders)) {
-            m_toCopy.insert(m_toCopy.end(), ids.begin(), ids.end());
+            m_uncopiedIds.insert(m_uncopiedIds.end(), ids.begin(), ids.end());
             scheduleCopyRetry();
             return;
         }
@@ -352,7 +352,7 @@
     std::map<std::string, own_bill> m_own;
     std::map<std::string, held_copy> m_copies;
     std::map<std::string, std::vector<std::string>> m_stored;
-    std::vector<std::string> m_toCopy;
+    std::vector<std::string> m_uncopiedIds;
     bool m_closing = false;
     bool m_copyScheduled = false;
     bool m_flushScheduled = false;
