--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -58,7 +58,7 @@
     void add(wire::bill item, std::function<void()> done)
     {
         const std::string id = item.request_id();
-        own_bill &mine = m_own[id];
+        own_bill &mine = m_ownBills[id];
         mine.bill = std::move(item);
         if (done)
             mine.callbacks.push_back(std::move(done));
@@ -75,7 +75,7 @@
             return false;
         for (const std::string &id : copy.stored())
             m_copies.erase(id);
-        if (m_own.size() + m_copies.size() + static_cast<std::size_t>(copy.bills_size())
+        if (m_ownBills.size() + m_copies.size() + static_cast<std::size_t>(copy.bills_size())
             > m_options.maxBills)
             return false;
         for (const wire::bill &item : copy.bills())
@@ -99,7 +99,7 @@
     void peerGone(const std::string &peer)
     {
         adopt(peer);
-        for (auto &[id, mine] : m_own) {
+        for (auto &[id, mine] : m_ownBills) {
             if (mine.holder != peer)
                 continue;
             mine.holder.clear();
@@ -138,7 +138,7 @@
     /// the table can be reached.
     bool accepts(bool tableReachable)
     {
-        if (m_own.size() + m_copies.size() >= m_options.maxBills)
+        if (m_ownBills.size() + m_copies.size() >= m_options.maxBills)
             return false;
         return tableReachable || !m_port.billHolders().empty();
     }
@@ -148,11 +148,11 @@
     void setFlushPeriod(duration period) { m_options.flushPeriod = period; }
 
     /// \returns own bills that the table does not have yet.
-    std::size_t pending() const { return m_own.size(); }
+    std::size_t pending() const { return m_ownBills.size(); }
     std::size_t copies() const { return m_copies.size(); }
 
     /// \returns true when nothing, own or another's, waits for the table.
-    bool isEmpty() const { return m_own.empty() && m_copies.empty(); }
+    bool isEmpty() const { return m_ownBills.empty() && m_copies.empty(); }
 
 private:
     struct own_bill
@@ -200,8 +200,8 @@
         wire::bill_copy copy;
         copy.set_owner(m_instance);
         for (const std::string &id : ids) {
-            const auto it = m_own.find(id);
-            if (it != m_own.end() && it->second.holder.empty())
+            const auto it = m_ownBills.find(id);
+            if (it != m_ownBills.end() && it->second.holder.empty())
                 *copy.add_bills() = it->second.bill;
         }
         const std::vector<std::string> holders = m_port.billHolders();
@@ -225,8 +225,8 @@
 
     void markCopied(const std::string &id, const std::string &holder)
     {
-        const auto it = m_own.find(id);
-        if (it == m_own.end()) {
+        const auto it = m_ownBills.find(id);
+        if (it == m_ownBills.end()) {
             // The table was faster: the holder may forget its copy at once.
             m_stored[holder].push_back(id);
             return;
@@ -248,7 +248,7 @@
 
     void scheduleFlush()
     {
-        if (m_flushScheduled || m_own.empty())
+        if (m_flushScheduled || m_ownBills.empty())
             return;
         m_flushScheduled = true;
         m_runtime.after(m_flushDelay, [this] { flush(); });
@@ -259,7 +259,7 @@
     {
         std::vector<std::string> ids;
         std::vector<new_row> rows;
-        for (const auto &[id, mine] : m_own) {
+        for (const auto &[id, mine] : m_ownBills) {
             if (rows.size() >= m_options.maxBatchRows)
                 break;
             ids.push_back(id);
@@ -285,8 +285,8 @@
                         const std::vector<write_result> &results)
     {
         for (std::size_t i = 0; i < ids.size(); ++i) {
-            const auto it = m_own.find(ids[i]);
-            if (it == m_own.end())
+            const auto it = m_ownBills.find(ids[i]);
+            if (it == m_ownBills.end())
                 continue;
             if (results[i].done || !supersedes(it->second.bill, results[i].row))
                 markStored(ids[i]);
@@ -307,7 +307,7 @@
 
     void replaceProvisional(const std::string &id, std::uint64_t version)
     {
-        const auto it = m_own.find(id);
+        const auto it = m_ownBills.find(id);
         m_table.compareAndSet(billKey(id), version, encodeBill(it->second.bill),
                               [this, id](outcome<write_result, table_error> result) {
                                   if (result && result.value().done)
@@ -317,7 +317,7 @@
 
     void markStored(const std::string &id)
     {
-        auto node = m_own.extract(id);
+        auto node = m_ownBills.extract(id);
         if (node.empty())
             return;
         own_bill &mine = node.mapped();
@@ -349,7 +349,7 @@
     Port &m_port;
     std::string m_instance;
     outbox_options m_options;
-    std::map<std::string, own_bill> m_own;
+    std::map<std::string, own_bill> m_ownBills;
     std::map<std::string, held_copy> m_copies;
     std::map<std::string, std::vector<std::string>> m_stored;
     std::vector<std::string> m_uncopiedIds;
