--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -74,12 +74,12 @@
         if (m_closing && copy.bills_size() > 0)
             return false;
         for (const std::string &id : copy.stored())
-            m_copies.erase(id);
-        if (m_ownBills.size() + m_copies.size() + static_cast<std::size_t>(copy.bills_size())
+            m_heldCopies.erase(id);
+        if (m_ownBills.size() + m_heldCopies.size() + static_cast<std::size_t>(copy.bills_size())
             > m_options.maxBills)
             return false;
         for (const wire::bill &item : copy.bills())
-            m_copies[item.request_id()] = {item, copy.owner(), m_runtime.now()};
+            m_heldCopies[item.request_id()] = {item, copy.owner(), m_runtime.now()};
         return true;
     }
 
@@ -88,7 +88,7 @@
     {
         m_closing = true;
         std::set<std::string> owners;
-        for (const auto &[id, held] : m_copies)
+        for (const auto &[id, held] : m_heldCopies)
             owners.insert(held.owner);
         for (const std::string &owner : owners)
             adopt(owner);
@@ -112,13 +112,13 @@
     /// The owner of copies is gone: they are written from here.
     void adopt(const std::string &owner)
     {
-        for (auto it = m_copies.begin(); it != m_copies.end();) {
+        for (auto it = m_heldCopies.begin(); it != m_heldCopies.end();) {
             if (it->second.owner != owner) {
                 ++it;
                 continue;
             }
             add(it->second.bill, {});
-            it = m_copies.erase(it);
+            it = m_heldCopies.erase(it);
         }
     }
 
@@ -126,7 +126,7 @@
     void adoptExpired()
     {
         std::set<std::string> owners;
-        for (const auto &[id, held] : m_copies) {
+        for (const auto &[id, held] : m_heldCopies) {
             if (m_runtime.now() - held.receivedAt > m_options.maxCopyAge)
                 owners.insert(held.owner);
         }
@@ -138,7 +138,7 @@
     /// the table can be reached.
     bool accepts(bool tableReachable)
     {
-        if (m_ownBills.size() + m_copies.size() >= m_options.maxBills)
+        if (m_ownBills.size() + m_heldCopies.size() >= m_options.maxBills)
             return false;
         return tableReachable || !m_port.billHolders().empty();
     }
@@ -149,10 +149,10 @@
 
     /// \returns own bills that the table does not have yet.
     std::size_t pending() const { return m_ownBills.size(); }
-    std::size_t copies() const { return m_copies.size(); }
+    std::size_t copies() const { return m_heldCopies.size(); }
 
     /// \returns true when nothing, own or another's, waits for the table.
-    bool isEmpty() const { return m_ownBills.empty() && m_copies.empty(); }
+    bool isEmpty() const { return m_ownBills.empty() && m_heldCopies.empty(); }
 
 private:
     struct own_bill
@@ -350,7 +350,7 @@
     std::string m_instance;
     outbox_options m_options;
     std::map<std::string, own_bill> m_ownBills;
-    std::map<std::string, held_copy> m_copies;
+    std::map<std::string, held_copy> m_heldCopies;
     std::map<std::string, std::vector<std::string>> m_stored;
     std::vector<std::string> m_uncopiedIds;
     bool m_closing = false;
