--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -228,7 +228,7 @@
         const auto it = m_ownBills.find(id);
         if (it == m_ownBills.end()) {
             // The table was faster: the holder may forget its copy at once.
-            m_stored[holder].push_back(id);
+            m_storedByHolder[holder].push_back(id);
             return;
         }
         it->second.holder = holder;
@@ -322,14 +322,14 @@
             return;
         own_bill &mine = node.mapped();
         if (!mine.holder.empty())
-            m_stored[mine.holder].push_back(id);
+            m_storedByHolder[mine.holder].push_back(id);
         runCallbacks(mine);
     }
 
     void notifyHolders()
     {
-        auto stored = std::move(m_stored);
-        m_stored.clear();
+        auto stored = std::move(m_storedByHolder);
+        m_storedByHolder.clear();
         for (const auto &[holder, ids] : stored) {
             wire::bill_copy copy;
             copy.set_owner(m_instance);
@@ -351,7 +351,7 @@
     outbox_options m_options;
     std::map<std::string, own_bill> m_ownBills;
     std::map<std::string, held_copy> m_heldCopies;
-    std::map<std::string, std::vector<std::string>> m_stored;
+    std::map<std::string, std::vector<std::string>> m_storedByHolder;
     std::vector<std::string> m_uncopiedIds;
     bool m_closing = false;
     bool m_copyScheduled = false;
