--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -311,7 +311,7 @@
     bool m_draining = false;
     keeper_type m_keeper;
     bill_outbox<Runtime, Table, Env> m_outbox;
-    claim_book<Runtime, Table> m_claims;
+    claim_registry<Runtime, Table> m_claims;
     load_meter m_load;
     attempt_map m_attempts;
     std::unordered_map<link_stream_id, attempt_key> m_streams;
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -345,9 +345,9 @@
     endpoint_directory m_directory;
     runner_type m_runner;
     bill_outbox<Runtime, Table, Env> m_outbox;
-    claim_book<Runtime, Table> m_claims;
+    claim_registry<Runtime, Table> m_claims;
     session_pinner<Table> m_pinner;
-    request_lookup<Table, claim_book<Runtime, Table>, Env> m_lookup;
+    request_lookup<Table, claim_registry<Runtime, Table>, Env> m_lookup;
     customer_limits m_limits;
     cascade_learner m_learner;
     guard_board m_guards;
--- a/include/laurelcroft/Ledger/ClaimBook.h
+++ b/include/laurelcroft/Ledger/ClaimBook.h
@@ -36,10 +36,10 @@
 
 /// Claims of one process.
 template <runtime_like Runtime, table_like Table>
-class claim_book
+class claim_registry
 {
 public:
-    claim_book(Runtime &runtime, Table &table, std::string instance)
+    claim_registry(Runtime &runtime, Table &table, std::string instance)
         : m_runtime(runtime)
         , m_table(table)
         , m_instance(std::move(instance))
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -101,7 +101,7 @@
     memory_table table{runtime};
     copy_port port;
     bill_outbox<manual_runtime, memory_table, copy_port> outbox{runtime, table, port, "e1"};
-    claim_book<manual_runtime, memory_table> claims{runtime, table, "e1"};
+    claim_registry<manual_runtime, memory_table> claims{runtime, table, "e1"};
 
     static wire::bill bill(const std::string &id)
     {
