--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -11,7 +11,7 @@
 #include "laurelcroft/Agent/Attempt.h"
 #include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 
 #include <deque>
 #include <map>
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -15,7 +15,7 @@
 #include "laurelcroft/Entry/RequestFlow.h"
 #include "laurelcroft/Entry/RequestLookup.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 #include "laurelcroft/Platform/HttpClients.h"
 #include "laurelcroft/Policy/CustomerLimits.h"
 
--- a/include/laurelcroft/Entry/EntryErrors.h
+++ b/include/laurelcroft/Entry/EntryErrors.h
@@ -10,7 +10,7 @@
 #include "laurelcroft/Contract/Bundle.h"
 #include "laurelcroft/Entry/AttemptTypes.h"
 #include "laurelcroft/Entry/CallerRequest.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 #include "laurelcroft/Policy/CustomerLimits.h"
 
 #include <string>
--- a/include/laurelcroft/Entry/RequestLookup.h
+++ b/include/laurelcroft/Entry/RequestLookup.h
@@ -9,7 +9,7 @@
 
 #include "laurelcroft/Entry/EntryErrors.h"
 #include "laurelcroft/Entry/RequestFlow.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 
 #include <functional>
 #include <optional>
--- a/include/laurelcroft/Ledger/ClaimBook.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -1,11 +1,11 @@
-//===-- Ledger/ClaimBook.h - at most once, through the table -----*- C++ -*-===//
+//===-- Ledger/ClaimRegistry.h - at most once, through the table -*- C++ -*-===//
 //
 // A request that may not be repeated and that the caller gave a key is claimed in
 // the table before anything is sent. The same key again finds the claim.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_LEDGER_CLAIMBOOK_H
-#define LAURELCROFT_LEDGER_CLAIMBOOK_H
+#ifndef LAURELCROFT_LEDGER_CLAIMREGISTRY_H
+#define LAURELCROFT_LEDGER_CLAIMREGISTRY_H
 
 #include "laurelcroft/Ledger/Bill.h"
 #include "laurelcroft/Platform/Table.h"
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -4,7 +4,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Ledger/BillOutbox.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 
 #include <doctest/doctest.h>
 
