--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -120,7 +120,7 @@
     mine.customer = flow.customerName;
     mine.operationId = newRequestId();
     mine.bodySha256 = sha256Hex(flow.request.target + "\n" + flow.request.body);
-    m_claims.take(mine, [this, id](const claim_result &result) { onClaim(id, result); });
+    m_claims.acquire(mine, [this, id](const claim_result &result) { onClaim(id, result); });
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -48,7 +48,7 @@
 
     /// Tries to claim. \p mine names request, customer, body and an operation id that
     /// must be new for every call.
-    void take(claim mine, std::function<void(claim_result)> done)
+    void acquire(claim mine, std::function<void(claim_result)> done)
     {
         mine.state = claim_state::claimed;
         mine.entry = m_instance;
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -121,7 +121,7 @@
         mine.operationId = operation;
         mine.bodySha256 = body;
         claim_verdict verdict = claim_verdict::unavailable;
-        claims.take(mine, [&](const claim_result &result) { verdict = result.verdict; });
+        claims.acquire(mine, [&](const claim_result &result) { verdict = result.verdict; });
         runtime.advance(milliseconds(20));
         return verdict;
     }
