--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -117,13 +117,13 @@
         else if (found->state == claim_state::done)
             done({claim_verdict::done, *found, milliseconds(0)});
         else if (found->state == claim_state::released)
-            takeReleased(mine, result.value().row.version, done);
+            acquireReleased(mine, result.value().row.version, done);
         else
             done({claim_verdict::held, *found, retryWhileHeld});
     }
 
-    void takeReleased(const claim &mine, std::uint64_t version,
-                      const std::function<void(claim_result)> &done)
+    void acquireReleased(const claim &mine, std::uint64_t version,
+                         const std::function<void(claim_result)> &done)
     {
         m_table.compareAndSet(
                 claimKey(mine.requestId), version, encodeClaim(mine),
