--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -170,7 +170,7 @@
                          if (row)
                              replace(item, row.value());
                          else
-                             again();
+                             scheduleRetry();
                      });
     }
 
@@ -179,7 +179,7 @@
         const auto found = row ? decodeClaim(row->value) : std::nullopt;
         if (!row && m_runtime.now() < m_writes.front().giveUpAt) {
             // The insert that was in doubt may still be on its way.
-            again();
+            scheduleRetry();
             return;
         }
         // Only the claim's own holder changes it, and nothing changes a done one.
@@ -198,7 +198,7 @@
                                   if (result && result.value().done)
                                       finishWrite();
                                   else
-                                      again();
+                                      scheduleRetry();
                               });
     }
 
@@ -212,7 +212,7 @@
         writeNext();
     }
 
-    void again()
+    void scheduleRetry()
     {
         m_runtime.after(writeRetry, [this] {
             m_writing = false;
