--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -62,7 +62,7 @@
     /// \param done is called then.
     void finish(const claim &answered, std::function<void()> done = {})
     {
-        writeLater(answered, claim_state::done, std::move(done));
+        enqueueWrite(answered, claim_state::done, std::move(done));
     }
 
     /// Gives back a claim whose request surely did not run.
@@ -71,7 +71,7 @@
         claim mine;
         mine.requestId = requestId;
         mine.operationId = operationId;
-        writeLater(mine, claim_state::released, {});
+        enqueueWrite(mine, claim_state::released, {});
     }
 
     /// Reads the claim of a request.
@@ -149,7 +149,7 @@
         time_point giveUpAt{}; ///< when a missing row is taken for never written
     };
 
-    void writeLater(claim item, claim_state state, std::function<void()> done)
+    void enqueueWrite(claim item, claim_state state, std::function<void()> done)
     {
         item.state = state;
         // The front may be in flight: the oldest waiting one behind it is dropped.
