--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -214,14 +214,14 @@
 
     void scheduleRetry()
     {
-        m_runtime.after(writeRetry, [this] {
+        m_runtime.after(writeRetryDelay, [this] {
             m_writing = false;
             writeNext();
         });
     }
 
     static constexpr milliseconds retryWhileHeld{1000};
-    static constexpr duration writeRetry = milliseconds(500);
+    static constexpr duration writeRetryDelay = milliseconds(500);
     static constexpr duration lateInsert = seconds(30);
     static constexpr std::size_t maxPendingWrites = 10000;
 
