--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -155,7 +155,7 @@
         // The front may be in flight: the oldest waiting one behind it is dropped.
         if (m_writes.size() >= maxPendingWrites)
             m_writes.erase(m_writes.begin() + 1);
-        m_writes.push_back({std::move(item), std::move(done), m_runtime.now() + lateInsert});
+        m_writes.push_back({std::move(item), std::move(done), m_runtime.now() + maxInsertDelay});
         writeNext();
     }
 
@@ -222,7 +222,7 @@
 
     static constexpr milliseconds retryWhileHeld{1000};
     static constexpr duration writeRetryDelay = milliseconds(500);
-    static constexpr duration lateInsert = seconds(30);
+    static constexpr duration maxInsertDelay = seconds(30);
     static constexpr std::size_t maxPendingWrites = 10000;
 
     Runtime &m_runtime;
