--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -119,7 +119,7 @@
         else if (found->state == claim_state::released)
             acquireReleased(mine, result.value().row.version, done);
         else
-            done({claim_verdict::held, *found, retryWhileHeld});
+            done({claim_verdict::held, *found, heldRetryDelay});
     }
 
     void acquireReleased(const claim &mine, std::uint64_t version,
@@ -133,7 +133,7 @@
                         return;
                     }
                     if (result) {
-                        done({claim_verdict::held, mine, retryWhileHeld});
+                        done({claim_verdict::held, mine, heldRetryDelay});
                         return;
                     }
                     if (!result.error().hadNoEffect())
@@ -220,7 +220,7 @@
         });
     }
 
-    static constexpr milliseconds retryWhileHeld{1000};
+    static constexpr milliseconds heldRetryDelay{1000};
     static constexpr duration writeRetryDelay = milliseconds(500);
     static constexpr duration maxInsertDelay = seconds(30);
     static constexpr std::size_t maxPendingWrites = 10000;
