--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -149,7 +149,7 @@
     case claim_verdict::held:
         fail(id, alreadyRunning(flow->requestId));
         return;
-    case claim_verdict::otherBody:
+    case claim_verdict::bodyMismatch:
         fail(id, keyUsedForOther());
         return;
     case claim_verdict::unavailable:
--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -20,7 +20,7 @@
     granted, ///< this entry holds it now
     held, ///< it runs or ran elsewhere; the answer is not known yet
     done, ///< it ran; the answer is at hand
-    otherBody, ///< the key was used for another request
+    bodyMismatch, ///< the key was used for another request
     unavailable, ///< the table can't tell; nothing was or will be run for this call
 };
 
@@ -113,7 +113,7 @@
             return;
         }
         if (found->bodySha256 != mine.bodySha256)
-            done({claim_verdict::otherBody, *found, milliseconds(0)});
+            done({claim_verdict::bodyMismatch, *found, milliseconds(0)});
         else if (found->state == claim_state::done)
             done({claim_verdict::done, *found, milliseconds(0)});
         else if (found->state == claim_state::released)
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -270,7 +270,7 @@
         return "held";
     case claim_verdict::done:
         return "done";
-    case claim_verdict::otherBody:
+    case claim_verdict::bodyMismatch:
         return "other body";
     case claim_verdict::unavailable:
         return "unavailable";
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -218,7 +218,7 @@
     ledger_bench bench;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
     CHECK(bench.take("k1", "op2") == claim_verdict::held);
-    CHECK(bench.take("k1", "op3", "another body") == claim_verdict::otherBody);
+    CHECK(bench.take("k1", "op3", "another body") == claim_verdict::bodyMismatch);
     claim answered;
     answered.requestId = "k1";
     answered.operationId = "op1";
