--- a/include/laurelcroft/Agent/AgentCoreImpl.h
+++ b/include/laurelcroft/Agent/AgentCoreImpl.h
@@ -221,7 +221,7 @@
         answered.contentType = item.result.contentType;
         answered.model = item.offer.kind() == wire::work_chat ? item.offer.target() : "";
         answered.version = item.offer.version();
-        if (item.answer.size() <= largestKeptAnswer)
+        if (item.answer.size() <= maxStoredAnswerBytes)
             answered.answer = item.answer;
         m_claims.finish(answered);
     }
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -397,7 +397,7 @@
     answered.contentType = result.finish.content_type();
     answered.model = flow.target.plain ? "" : flow.tierTarget();
     answered.version = flow.tierVersion();
-    if (result.answer.size() <= largestKeptAnswer)
+    if (result.answer.size() <= maxStoredAnswerBytes)
         answered.answer = result.answer;
     m_claims.finish(answered, [this, runs = flow.unsettled] { settle(runs); });
 }
--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -32,7 +32,7 @@
 };
 
 /// Answers larger than this are not kept in the claim, in bytes.
-inline constexpr std::size_t largestKeptAnswer = 256U << 10;
+inline constexpr std::size_t maxStoredAnswerBytes = 256U << 10;
 
 /// Claims of one process.
 template <runtime_like Runtime, table_like Table>
