--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -307,7 +307,7 @@
             return;
         wire::bill item = makeBill(flow, outcome);
         // Whoever learns more, such as the agent that was out of reach, replaces it.
-        item.set_provisional(outcome == uncertainBill);
+        item.set_provisional(outcome == uncertainOutcome);
         m_outbox.add(std::move(item), [this, runs = flow.unsettled] { settle(runs); });
     }
 
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -279,7 +279,7 @@
         redecide(id);
         return;
     }
-    bill(*flow, result.outcome == tier_outcome::uncertain ? uncertainBill : "failed");
+    bill(*flow, result.outcome == tier_outcome::uncertain ? uncertainOutcome : "failed");
     fail(id, tierError(result, nothingRan));
 }
 
--- a/include/laurelcroft/Ledger/Bill.h
+++ b/include/laurelcroft/Ledger/Bill.h
@@ -19,7 +19,7 @@
 std::string billKey(std::string_view requestId);
 
 /// Outcome of a bill whose request may not have run: nobody could say.
-inline constexpr std::string_view uncertainBill = "uncertain";
+inline constexpr std::string_view uncertainOutcome = "uncertain";
 
 /// \returns how much is known of a bill's request: an uncertain one (0) gives way to
 /// an agent's provisional one (1), and that to the entry's own (2).
--- a/lib/Ledger/Bill.cpp
+++ b/lib/Ledger/Bill.cpp
@@ -40,7 +40,7 @@
 {
     if (!item.provisional())
         return 2;
-    return item.outcome() == uncertainBill ? 0 : 1;
+    return item.outcome() == uncertainOutcome ? 0 : 1;
 }
 
 std::string laurelcroft::encodeBill(const wire::bill &item)
--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -134,7 +134,7 @@
         if (!bill)
             continue;
         // A bill of nothing for a request that nobody could tell of is no charge.
-        const bool isRecord = bill->outcome() == uncertainBill && bill->cost() == 0;
+        const bool isRecord = bill->outcome() == uncertainOutcome && bill->cost() == 0;
         if (!isRecord || starts.count(bill->request_id()) != 0)
             bills[bill->request_id()] += 1;
     }
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -208,7 +208,7 @@
     bench.runtime.advance(seconds(1));
     CHECK(decodeBill(bench.table.rows["bill/r1"].value)->cost() == 9);
     wire::bill unsure = agents;
-    unsure.set_outcome(std::string(uncertainBill));
+    unsure.set_outcome(std::string(uncertainOutcome));
     CHECK(billRank(unsure) < billRank(agents));
     CHECK(billRank(agents) < billRank(own));
 }
