--- a/include/laurelcroft/Contract/BundleText.h
+++ b/include/laurelcroft/Contract/BundleText.h
@@ -31,7 +31,7 @@
 inline constexpr int bundleFormat = 1;
 
 /// Largest bundle text in bytes that is read at all.
-inline constexpr std::size_t largestBundle = 1U << 20;
+inline constexpr std::size_t maxBundleBytes = 1U << 20;
 
 /// Reads and validates \p text as a whole.
 outcome<bundle, bundle_errors> parseBundle(std::string_view text);
--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -299,7 +299,7 @@
 outcome<bundle, bundle_errors> laurelcroft::parseBundle(std::string_view text)
 {
     bundle_errors errors;
-    if (text.size() > largestBundle)
+    if (text.size() > maxBundleBytes)
         return failure(bundle_errors{{1, 1, "", "is larger than 1 MiB"}});
     if (nestsTooDeep(text))
         return failure(bundle_errors{{1, 1, "", "is nested too deeply"}});
--- a/unittests/Contract/ContractTests.cpp
+++ b/unittests/Contract/ContractTests.cpp
@@ -94,7 +94,7 @@
             CHECK_FALSE(parsed.error().empty());
     }
     CHECK_FALSE(parseBundle(std::string(100000, '[')));
-    CHECK_FALSE(parseBundle(std::string(largestBundle + 1, ' ')));
+    CHECK_FALSE(parseBundle(std::string(maxBundleBytes + 1, ' ')));
 }
 
 TEST_CASE("permissions: allowed names, versions, and never a withdrawn one")
