--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 /// Deeper nesting than any bundle has; guards the recursive YAML reader.
-constexpr int deepestNesting = 32;
+constexpr int maxNestingDepth = 32;
 
 /// Reads fields of one YAML mapping and notes what is wrong with them.
 class mapping_reader
@@ -273,7 +273,7 @@
             depth += 1;
         if ((c == ']' || c == '}') && depth > 0)
             depth -= 1;
-        if (depth > deepestNesting)
+        if (depth > maxNestingDepth)
             return true;
     }
     return false;
