--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -152,7 +152,7 @@
     bool m_usable = false;
 };
 
-constexpr double highestCost = 1e6;
+constexpr double maxCost = 1e6;
 constexpr double highestRate = 1e6;
 constexpr std::uint32_t highestCount = 1000000;
 constexpr std::uint32_t highestPriority = 9;
@@ -167,8 +167,8 @@
     mapping_reader reader(node, path, errors);
     reader.read("name", item.name, true);
     reader.read("pool", item.pool, true);
-    reader.readRange("input_cost", item.inputCost, 0.0, highestCost, true);
-    reader.readRange("output_cost", item.outputCost, 0.0, highestCost, true);
+    reader.readRange("input_cost", item.inputCost, 0.0, maxCost, true);
+    reader.readRange("output_cost", item.outputCost, 0.0, maxCost, true);
     reader.readItems("versions", true, [&](const YAML::Node &child, const std::string &place) {
         model_version version;
         mapping_reader inner(child, place, errors);
@@ -238,7 +238,7 @@
     reader.read("name", item.name, true);
     reader.read("pool", item.pool, true);
     reader.read("repeatable", item.repeatable, true);
-    reader.readRange("cost", item.cost, 0.0, highestCost, false);
+    reader.readRange("cost", item.cost, 0.0, maxCost, false);
     reader.finish();
     return item;
 }
