--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -154,7 +154,7 @@
 
 constexpr double maxCost = 1e6;
 constexpr double maxRate = 1e6;
-constexpr std::uint32_t highestCount = 1000000;
+constexpr std::uint32_t maxCount = 1000000;
 constexpr std::uint32_t highestPriority = 9;
 constexpr std::uint32_t longestLatencyMs = 3600000;
 constexpr std::uint32_t longestConfirmSeconds = 3600;
@@ -191,8 +191,8 @@
     reader.read("group", item.group, true);
     reader.read("allowed", item.allowed, true);
     reader.readRange("requests_per_second", item.requestsPerSecond, 0.001, maxRate, true);
-    reader.readRange<std::uint32_t>("burst", item.burst, 1, highestCount, true);
-    reader.readRange<std::uint32_t>("max_concurrent", item.maxConcurrent, 1, highestCount, true);
+    reader.readRange<std::uint32_t>("burst", item.burst, 1, maxCount, true);
+    reader.readRange<std::uint32_t>("max_concurrent", item.maxConcurrent, 1, maxCount, true);
     reader.readRange<std::uint32_t>("priority", item.priority, 0, highestPriority, false);
     reader.finish();
     return item;
