--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -155,7 +155,7 @@
 constexpr double maxCost = 1e6;
 constexpr double maxRate = 1e6;
 constexpr std::uint32_t maxCount = 1000000;
-constexpr std::uint32_t highestPriority = 9;
+constexpr std::uint32_t maxPriority = 9;
 constexpr std::uint32_t longestLatencyMs = 3600000;
 constexpr std::uint32_t longestConfirmSeconds = 3600;
 
@@ -193,7 +193,7 @@
     reader.readRange("requests_per_second", item.requestsPerSecond, 0.001, maxRate, true);
     reader.readRange<std::uint32_t>("burst", item.burst, 1, maxCount, true);
     reader.readRange<std::uint32_t>("max_concurrent", item.maxConcurrent, 1, maxCount, true);
-    reader.readRange<std::uint32_t>("priority", item.priority, 0, highestPriority, false);
+    reader.readRange<std::uint32_t>("priority", item.priority, 0, maxPriority, false);
     reader.finish();
     return item;
 }
