--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -156,7 +156,7 @@
 constexpr double maxRate = 1e6;
 constexpr std::uint32_t maxCount = 1000000;
 constexpr std::uint32_t maxPriority = 9;
-constexpr std::uint32_t longestLatencyMs = 3600000;
+constexpr std::uint32_t maxLatencyMs = 3600000;
 constexpr std::uint32_t longestConfirmSeconds = 3600;
 
 } // namespace
@@ -206,7 +206,7 @@
     reader.read("tiers", item.tiers, true);
     reader.readRange("quality_target", item.qualityTarget, 0.0, 1.0, true);
     reader.readRange("start_score", item.startScore, 0.0, 1.0, true);
-    reader.readRange<std::uint32_t>("latency_ms", item.latencyMs, 1, longestLatencyMs, true);
+    reader.readRange<std::uint32_t>("latency_ms", item.latencyMs, 1, maxLatencyMs, true);
     reader.read("repeatable", item.repeatable, false);
     reader.finish();
     return item;
