--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -157,7 +157,7 @@
 constexpr std::uint32_t maxCount = 1000000;
 constexpr std::uint32_t maxPriority = 9;
 constexpr std::uint32_t maxLatencyMs = 3600000;
-constexpr std::uint32_t longestConfirmSeconds = 3600;
+constexpr std::uint32_t maxConfirmSeconds = 3600;
 
 } // namespace
 
@@ -225,7 +225,7 @@
         guard.readRange("worse_by", item.guard.worseBy, 0.01, 0.9, false);
         guard.readRange("false_stop", item.guard.falseStop, 1e-9, 0.5, false);
         guard.readRange<std::uint32_t>("confirm_seconds", item.guard.confirmSeconds, 1,
-                                       longestConfirmSeconds, false);
+                                       maxConfirmSeconds, false);
     });
     reader.finish();
     return item;
