--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -265,7 +265,7 @@
 }
 
 /// yaml-cpp recurses once for each level: flow nesting is bounded before it is read.
-static bool nestsTooDeep(std::string_view text)
+static bool exceedsMaxNesting(std::string_view text)
 {
     int depth = 0;
     for (const char c : text) {
@@ -301,7 +301,7 @@
     bundle_errors errors;
     if (text.size() > maxBundleBytes)
         return failure(bundle_errors{{1, 1, "", "is larger than 1 MiB"}});
-    if (nestsTooDeep(text))
+    if (exceedsMaxNesting(text))
         return failure(bundle_errors{{1, 1, "", "is nested too deeply"}});
     YAML::Node root;
     bundle rules;
