--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -34,7 +34,7 @@
     {
         m_usable = node.IsMap();
         if (!m_usable)
-            note(node, m_path, "must be a mapping");
+            addError(node, m_path, "must be a mapping");
     }
 
     /// Notes fields that were not asked for; call it last.
@@ -45,7 +45,7 @@
         for (const auto &field : m_node) {
             const std::string name = field.first.as<std::string>("");
             if (m_known.count(name) == 0)
-                note(field.first, pathOf(name), "unknown field");
+                addError(field.first, pathOf(name), "unknown field");
         }
     }
 
@@ -58,7 +58,7 @@
         try {
             value = field.as<T>();
         } catch (const YAML::Exception &) {
-            note(field, pathOf(name), "has the wrong type");
+            addError(field, pathOf(name), "has the wrong type");
         }
     }
 
@@ -72,7 +72,7 @@
             return;
         std::ostringstream text;
         text << "must lie in " << least << ".." << most;
-        note(field, pathOf(name), text.str());
+        addError(field, pathOf(name), text.str());
     }
 
     /// Reads one of several words; \p words[i] stands for value i of the enumeration.
@@ -91,7 +91,7 @@
         std::string all;
         for (const std::string &word : words)
             all += (all.empty() ? "" : ", ") + word;
-        note(field, pathOf(name), "must be one of " + all);
+        addError(field, pathOf(name), "must be one of " + all);
     }
 
     /// Calls \p each for every item of the sequence \p name.
@@ -102,7 +102,7 @@
         if (!field)
             return;
         if (!field.IsSequence()) {
-            note(field, pathOf(name), "must be a list");
+            addError(field, pathOf(name), "must be a list");
             return;
         }
         for (std::size_t i = 0; i < field.size(); ++i)
@@ -130,7 +130,7 @@
         if (field.IsDefined())
             return field;
         if (required)
-            note(m_node, m_path, "lacks the field '" + name + "'");
+            addError(m_node, m_path, "lacks the field '" + name + "'");
         return YAML::Node(YAML::NodeType::Undefined);
     }
 
@@ -139,7 +139,7 @@
         return m_path.empty() ? name : m_path + "." + name;
     }
 
-    void note(const YAML::Node &node, const std::string &path, const std::string &message)
+    void addError(const YAML::Node &node, const std::string &path, const std::string &message)
     {
         const YAML::Mark mark = node.Mark();
         m_errors.push_back({mark.line + 1, mark.column + 1, path, message});
