--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -77,7 +77,7 @@
 
     /// Reads one of several words; \p words[i] stands for value i of the enumeration.
     template <class E>
-    void readWord(const std::string &name, E &value, const std::vector<std::string> &words)
+    void readEnum(const std::string &name, E &value, const std::vector<std::string> &words)
     {
         const YAML::Node field = find(name, false);
         if (!field)
@@ -173,7 +173,7 @@
         model_version version;
         mapping_reader inner(child, place, errors);
         inner.read("name", version.name, true);
-        inner.readWord("state", version.state, {"settled", "rollout", "withdrawn"});
+        inner.readEnum("state", version.state, {"settled", "rollout", "withdrawn"});
         inner.read("weights", version.weights, false);
         inner.finish();
         item.versions.push_back(version);
@@ -248,7 +248,7 @@
     pool item;
     mapping_reader reader(node, path, errors);
     reader.read("name", item.name, true);
-    reader.readWord("kind", item.kind, {"engine", "service"});
+    reader.readEnum("kind", item.kind, {"engine", "service"});
     reader.read("fenced", item.fenced, false);
     reader.finish();
     return item;
