--- a/lib/Contract/BundleCheck.cpp
+++ b/lib/Contract/BundleCheck.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t longestName = 64;
+constexpr std::size_t maxNameLength = 64;
 constexpr std::size_t hexDigestSize = 64;
 
 /// Notes errors at the place of one item of one list.
@@ -49,7 +49,7 @@
 
 static bool isName(std::string_view name)
 {
-    if (name.empty() || name.size() > longestName)
+    if (name.empty() || name.size() > maxNameLength)
         return false;
     return std::all_of(name.begin(), name.end(), [](char c) {
         return std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '.' || c == '_';
