--- a/lib/Contract/BundleCheck.cpp
+++ b/lib/Contract/BundleCheck.cpp
@@ -19,10 +19,11 @@
 constexpr std::size_t hexDigestSize = 64;
 
 /// Notes errors at the place of one item of one list.
-class place
+class item_checker
 {
 public:
-    place(const YAML::Node &root, const std::string &list, std::size_t index, bundle_errors &errors)
+    item_checker(const YAML::Node &root, const std::string &list, std::size_t index,
+                 bundle_errors &errors)
         : m_errors(errors)
         , m_path(list + "[" + std::to_string(index) + "]")
     {
@@ -62,7 +63,7 @@
 {
     std::set<std::string> seen;
     for (std::size_t i = 0; i < items.size(); ++i) {
-        place here(root, list, i, errors);
+        item_checker here(root, list, i, errors);
         if constexpr (requires { items[i].name; }) {
             here.require(isName(items[i].name), "name",
                          "must be 1 to 64 letters, digits, '-', '.' or '_'");
@@ -73,7 +74,7 @@
     }
 }
 
-static void checkModel(const bundle &rules, const model &item, place &here)
+static void checkModel(const bundle &rules, const model &item, item_checker &here)
 {
     const pool *where = rules.findPool(item.pool);
     here.require(where != nullptr, "pool", "no pool is called '" + item.pool + "'");
@@ -93,7 +94,7 @@
     }
 }
 
-static void checkRollout(const bundle &rules, const rollout &item, place &here)
+static void checkRollout(const bundle &rules, const rollout &item, item_checker &here)
 {
     const model *moved = rules.findModel(item.model);
     here.require(moved != nullptr, "model", "no model is called '" + item.model + "'");
@@ -108,7 +109,7 @@
     here.require(item.from != item.to, "to", "must differ from 'from'");
 }
 
-static void checkCascade(const bundle &rules, const cascade &item, place &here)
+static void checkCascade(const bundle &rules, const cascade &item, item_checker &here)
 {
     here.require(item.tiers.size() >= 2, "tiers", "must name at least two models");
     double lastCost = 0;
@@ -137,7 +138,7 @@
 
 /// A cascade runs on its tiers: a customer without one of them could never use it.
 static void checkCascadeTiers(const bundle &rules, const customer &item, const cascade &wanted,
-                              place &here)
+                              item_checker &here)
 {
     for (const std::string &tier : wanted.tiers) {
         const bool listed = std::any_of(item.allowed.begin(), item.allowed.end(),
@@ -149,7 +150,7 @@
     }
 }
 
-static void checkCustomer(const bundle &rules, const customer &item, place &here)
+static void checkCustomer(const bundle &rules, const customer &item, item_checker &here)
 {
     const bool isDigest = item.keySha256.size() == hexDigestSize
             && std::all_of(item.keySha256.begin(), item.keySha256.end(),
@@ -169,28 +170,31 @@
 {
     if (!root.IsMap())
         return;
-    checkList(rules.pools, "pools", root, errors, [](const pool &, place &) {});
+    checkList(rules.pools, "pools", root, errors, [](const pool &, item_checker &) {});
     checkList(rules.models, "models", root, errors,
-              [&](const model &item, place &here) { checkModel(rules, item, here); });
-    checkList(rules.services, "services", root, errors, [&](const service &item, place &here) {
-        const pool *where = rules.findPool(item.pool);
-        here.require(where != nullptr, "pool", "no pool is called '" + item.pool + "'");
-        here.require(where == nullptr || where->kind == pool_kind::service, "pool",
-                     "a service needs a pool of kind service");
-        here.require(!rules.findModel(item.name) && !rules.findCascade(item.name), "name",
-                     "'" + item.name + "' is also a model or cascade");
-    });
+              [&](const model &item, item_checker &here) { checkModel(rules, item, here); });
+    checkList(rules.services, "services", root, errors,
+              [&](const service &item, item_checker &here) {
+                  const pool *where = rules.findPool(item.pool);
+                  here.require(where != nullptr, "pool", "no pool is called '" + item.pool + "'");
+                  here.require(where == nullptr || where->kind == pool_kind::service, "pool",
+                               "a service needs a pool of kind service");
+                  here.require(!rules.findModel(item.name) && !rules.findCascade(item.name), "name",
+                               "'" + item.name + "' is also a model or cascade");
+              });
     checkList(rules.cascades, "cascades", root, errors,
-              [&](const cascade &item, place &here) { checkCascade(rules, item, here); });
+              [&](const cascade &item, item_checker &here) { checkCascade(rules, item, here); });
     std::set<std::string> moving;
-    checkList(rules.rollouts, "rollouts", root, errors, [&](const rollout &item, place &here) {
-        checkRollout(rules, item, here);
-        here.require(moving.insert(item.model).second, "model", "is in two roll-outs");
-    });
+    checkList(rules.rollouts, "rollouts", root, errors,
+              [&](const rollout &item, item_checker &here) {
+                  checkRollout(rules, item, here);
+                  here.require(moving.insert(item.model).second, "model", "is in two roll-outs");
+              });
     std::set<std::string> keys;
-    checkList(rules.customers, "customers", root, errors, [&](const customer &item, place &here) {
-        checkCustomer(rules, item, here);
-        here.require(keys.insert(item.keySha256).second, "key_sha256",
-                     "is another customer's key as well");
-    });
+    checkList(rules.customers, "customers", root, errors,
+              [&](const customer &item, item_checker &here) {
+                  checkCustomer(rules, item, here);
+                  here.require(keys.insert(item.keySha256).second, "key_sha256",
+                               "is another customer's key as well");
+              });
 }
