--- a/lib/Contract/BundleCheck.cpp
+++ b/lib/Contract/BundleCheck.cpp
@@ -125,7 +125,7 @@
                  "'" + item.name + "' is also a model");
 }
 
-static bool isAllowable(const bundle &rules, const std::string &entry)
+static bool isKnownTarget(const bundle &rules, const std::string &entry)
 {
     if (rules.findCascade(entry) || rules.findService(entry) || rules.findModel(entry))
         return true;
@@ -158,7 +158,7 @@
     here.require(isDigest, "key_sha256", "must be 64 lower-case hexadecimal digits");
     here.require(!item.group.empty(), "group", "must not be empty");
     for (const std::string &entry : item.allowed) {
-        here.require(isAllowable(rules, entry), "allowed",
+        here.require(isKnownTarget(rules, entry), "allowed",
                      "'" + entry + "' is no model, model@version, cascade or service");
         if (const cascade *wanted = rules.findCascade(entry))
             checkCascadeTiers(rules, item, *wanted, here);
