--- a/include/laurelcroft/Contract/Bundle.h
+++ b/include/laurelcroft/Contract/Bundle.h
@@ -148,7 +148,7 @@
             std::string_view version);
 
 /// \returns true when \p who may use any version of model, cascade or service \p name.
-bool mayName(const bundle &rules, const customer &who, std::string_view name);
+bool mayUseAnyVersion(const bundle &rules, const customer &who, std::string_view name);
 
 std::string_view textOf(version_state state);
 
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -27,7 +27,7 @@
     flow.target = resolveTarget(rules, flow.request.target);
     if (!flow.target.isKnown())
         return unknownTarget(flow.request.target);
-    if (!mayName(rules, *who, flow.request.target))
+    if (!mayUseAnyVersion(rules, *who, flow.request.target))
         return notAllowed(flow.request.target);
     const bool isService = flow.request.kind == wire::work_service;
     if (isService != (flow.target.plain != nullptr))
@@ -295,7 +295,7 @@
         const customer *who = flow->rules->rules.findCustomer(flow->customerName);
         flow->target = resolveTarget(flow->rules->rules, flow->request.target);
         if (who == nullptr || !flow->target.isKnown()
-            || !mayName(flow->rules->rules, *who, flow->request.target)) {
+            || !mayUseAnyVersion(flow->rules->rules, *who, flow->request.target)) {
             fail(id, notAllowed(flow->request.target));
             return;
         }
--- a/lib/Contract/Bundle.cpp
+++ b/lib/Contract/Bundle.cpp
@@ -78,7 +78,7 @@
     return lists(who, name) || lists(who, joinName(name, version));
 }
 
-bool laurelcroft::mayName(const bundle &rules, const customer &who, std::string_view name)
+bool laurelcroft::mayUseAnyVersion(const bundle &rules, const customer &who, std::string_view name)
 {
     if (rules.findCascade(name) != nullptr || rules.findService(name) != nullptr)
         return lists(who, name);
--- a/lib/Entry/EntryErrors.cpp
+++ b/lib/Entry/EntryErrors.cpp
@@ -204,11 +204,11 @@
         data.push_back({{"id", name}, {"object", "model"}, {"kind", kind}});
     };
     for (const cascade &item : rules.cascades) {
-        if (mayName(rules, who, item.name))
+        if (mayUseAnyVersion(rules, who, item.name))
             add(item.name, "cascade");
     }
     for (const model &item : rules.models) {
-        if (mayName(rules, who, item.name))
+        if (mayUseAnyVersion(rules, who, item.name))
             add(item.name, "model");
         for (const model_version &version : item.versions) {
             if (mayUse(rules, who, item.name, version.name))
--- a/lib/Operator/Views.cpp
+++ b/lib/Operator/Views.cpp
@@ -131,7 +131,7 @@
     if (who == nullptr)
         return failedReport(operator_exit::failed, "no such customer");
     const std::string &target = context.words[1];
-    if (!mayName(rules, *who, target))
+    if (!mayUseAnyVersion(rules, *who, target))
         return failedReport(operator_exit::failed,
                             "this customer may not use it, or no such "
                             "model, cascade or service exists");
--- a/lib/Policy/VersionChoice.cpp
+++ b/lib/Policy/VersionChoice.cpp
@@ -104,6 +104,6 @@
         if (it->state == version_state::settled && mayUse(rules, who, name, it->name))
             return version_choice{it->name, reason};
     }
-    const bool named = mayName(rules, who, name);
+    const bool named = mayUseAnyVersion(rules, who, name);
     return failure(named ? version_refusal::noVersion : version_refusal::notAllowed);
 }
--- a/unittests/Contract/ContractTests.cpp
+++ b/unittests/Contract/ContractTests.cpp
@@ -106,7 +106,7 @@
     CHECK_FALSE(mayUse(rules, portal, "portal-small", "9"));
     rules.models[1].versions[0].state = version_state::withdrawn;
     CHECK_FALSE(mayUse(rules, portal, "portal-small", "3.1"));
-    CHECK_FALSE(mayName(rules, portal, "portal-small"));
+    CHECK_FALSE(mayUseAnyVersion(rules, portal, "portal-small"));
 }
 
 TEST_CASE("a difference says what changes for whom")
