--- a/lib/Contract/Bundle.cpp
+++ b/lib/Contract/Bundle.cpp
@@ -54,7 +54,7 @@
     return findByName(item.versions, version);
 }
 
-static bool lists(const customer &who, std::string_view entry)
+static bool isAllowed(const customer &who, std::string_view entry)
 {
     return std::find(who.allowed.begin(), who.allowed.end(), entry) != who.allowed.end();
 }
@@ -68,20 +68,20 @@
                          std::string_view version)
 {
     if (rules.findService(name) != nullptr)
-        return lists(who, name);
+        return isAllowed(who, name);
     const model *item = rules.findModel(name);
     if (item == nullptr)
         return false;
     const model_version *found = findVersion(*item, version);
     if (found == nullptr || found->state == version_state::withdrawn)
         return false;
-    return lists(who, name) || lists(who, joinName(name, version));
+    return isAllowed(who, name) || isAllowed(who, joinName(name, version));
 }
 
 bool laurelcroft::mayUseAnyVersion(const bundle &rules, const customer &who, std::string_view name)
 {
     if (rules.findCascade(name) != nullptr || rules.findService(name) != nullptr)
-        return lists(who, name);
+        return isAllowed(who, name);
     const model *item = rules.findModel(name);
     if (item == nullptr)
         return false;
