--- a/lib/Contract/Bundle.cpp
+++ b/lib/Contract/Bundle.cpp
@@ -59,7 +59,7 @@
     return std::find(who.allowed.begin(), who.allowed.end(), entry) != who.allowed.end();
 }
 
-static std::string joinName(std::string_view name, std::string_view version)
+static std::string versionedName(std::string_view name, std::string_view version)
 {
     return std::string(name) + "@" + std::string(version);
 }
@@ -75,7 +75,7 @@
     const model_version *found = findVersion(*item, version);
     if (found == nullptr || found->state == version_state::withdrawn)
         return false;
-    return isAllowed(who, name) || isAllowed(who, joinName(name, version));
+    return isAllowed(who, name) || isAllowed(who, versionedName(name, version));
 }
 
 bool laurelcroft::mayUseAnyVersion(const bundle &rules, const customer &who, std::string_view name)
