--- a/lib/Contract/BundleCanonical.cpp
+++ b/lib/Contract/BundleCanonical.cpp
@@ -166,7 +166,7 @@
     }
 }
 
-static std::string usersOf(const bundle &rules, const std::string &name)
+static std::string customersUsing(const bundle &rules, const std::string &name)
 {
     std::string users;
     for (const customer &who : rules.customers) {
@@ -210,7 +210,7 @@
 static void diffModel(const bundle &rules, const model &before, const model &after,
                       std::vector<std::string> &lines)
 {
-    const std::string touched = " (touches " + usersOf(rules, after.name) + ")";
+    const std::string touched = " (touches " + customersUsing(rules, after.name) + ")";
     diffNamed("version", before.versions, after.versions, lines,
               [&](const model_version &old, const model_version &fresh) {
                   if (old.state != fresh.state)
@@ -236,7 +236,7 @@
         lines.push_back("roll-out of " + item.model + " from " + item.from + " to " + item.to
                         + " takes " + std::to_string(item.sharePercent) + "% of new sessions"
                         + (old ? " instead of " + std::to_string(old->sharePercent) + "%" : "")
-                        + " (touches " + usersOf(after, item.model) + ")");
+                        + " (touches " + customersUsing(after, item.model) + ")");
     }
     for (const rollout &item : before.rollouts) {
         if (after.findRollout(item.model) == nullptr)
