--- a/lib/Contract/BundleCanonical.cpp
+++ b/lib/Contract/BundleCanonical.cpp
@@ -15,7 +15,7 @@
 
 using namespace laurelcroft;
 
-static std::string numberText(double value)
+static std::string formatNumber(double value)
 {
     std::array<char, 32> buffer{};
     const auto [end, error] = std::to_chars(buffer.data(), buffer.data() + buffer.size(), value);
@@ -30,7 +30,7 @@
 
 static void emitField(YAML::Emitter &out, const char *name, double value)
 {
-    out << YAML::Key << name << YAML::Value << numberText(value);
+    out << YAML::Key << name << YAML::Value << formatNumber(value);
 }
 
 static void emitText(YAML::Emitter &out, const char *name, const std::string &value)
@@ -200,7 +200,7 @@
             || before.priority != after.priority;
     if (limitsChanged)
         lines.push_back("customer " + after.name + " gets other limits: "
-                        + numberText(after.requestsPerSecond) + " requests/s, burst "
+                        + formatNumber(after.requestsPerSecond) + " requests/s, burst "
                         + std::to_string(after.burst) + ", " + std::to_string(after.maxConcurrent)
                         + " in flight, priority " + std::to_string(after.priority));
     if (before.group != after.group)
