--- a/lib/Contract/BundleCanonical.cpp
+++ b/lib/Contract/BundleCanonical.cpp
@@ -33,7 +33,7 @@
     out << YAML::Key << name << YAML::Value << formatNumber(value);
 }
 
-static void emitText(YAML::Emitter &out, const char *name, const std::string &value)
+static void emitString(YAML::Emitter &out, const char *name, const std::string &value)
 {
     out << YAML::Key << name << YAML::Value << YAML::DoubleQuoted << value;
 }
@@ -61,22 +61,22 @@
 
 static void emitPool(YAML::Emitter &out, const pool &item)
 {
-    emitText(out, "name", item.name);
+    emitString(out, "name", item.name);
     emitField(out, "kind", item.kind == pool_kind::engine ? "engine" : "service");
     emitField(out, "fenced", item.fenced);
 }
 
 static void emitVersion(YAML::Emitter &out, const model_version &item)
 {
-    emitText(out, "name", item.name);
+    emitString(out, "name", item.name);
     emitField(out, "state", std::string(textOf(item.state)));
-    emitText(out, "weights", item.weights);
+    emitString(out, "weights", item.weights);
 }
 
 static void emitModel(YAML::Emitter &out, const model &item)
 {
-    emitText(out, "name", item.name);
-    emitText(out, "pool", item.pool);
+    emitString(out, "name", item.name);
+    emitString(out, "pool", item.pool);
     emitField(out, "input_cost", item.inputCost);
     emitField(out, "output_cost", item.outputCost);
     emitList(out, "versions", item.versions, emitVersion);
@@ -84,15 +84,15 @@
 
 static void emitService(YAML::Emitter &out, const service &item)
 {
-    emitText(out, "name", item.name);
-    emitText(out, "pool", item.pool);
+    emitString(out, "name", item.name);
+    emitString(out, "pool", item.pool);
     emitField(out, "repeatable", item.repeatable);
     emitField(out, "cost", item.cost);
 }
 
 static void emitCascade(YAML::Emitter &out, const cascade &item)
 {
-    emitText(out, "name", item.name);
+    emitString(out, "name", item.name);
     emitTexts(out, "tiers", item.tiers);
     emitField(out, "quality_target", item.qualityTarget);
     emitField(out, "start_score", item.startScore);
@@ -102,9 +102,9 @@
 
 static void emitRollout(YAML::Emitter &out, const rollout &item)
 {
-    emitText(out, "model", item.model);
-    emitText(out, "from", item.from);
-    emitText(out, "to", item.to);
+    emitString(out, "model", item.model);
+    emitString(out, "from", item.from);
+    emitString(out, "to", item.to);
     emitField(out, "share_percent", item.sharePercent);
     out << YAML::Key << "guard" << YAML::Value << YAML::BeginMap;
     emitField(out, "worse_by", item.guard.worseBy);
@@ -115,9 +115,9 @@
 
 static void emitCustomer(YAML::Emitter &out, const customer &item)
 {
-    emitText(out, "name", item.name);
-    emitText(out, "key_sha256", item.keySha256);
-    emitText(out, "group", item.group);
+    emitString(out, "name", item.name);
+    emitString(out, "key_sha256", item.keySha256);
+    emitString(out, "group", item.group);
     emitTexts(out, "allowed", item.allowed);
     emitField(out, "requests_per_second", item.requestsPerSecond);
     emitField(out, "burst", item.burst);
@@ -130,7 +130,7 @@
     YAML::Emitter out;
     out << YAML::BeginMap;
     emitField(out, "laurelcroft", bundleFormat);
-    emitText(out, "site", rules.site);
+    emitString(out, "site", rules.site);
     emitList(out, "pools", rules.pools, emitPool);
     emitList(out, "models", rules.models, emitModel);
     emitList(out, "services", rules.services, emitService);
