--- a/lib/Contract/BundleCanonical.cpp
+++ b/lib/Contract/BundleCanonical.cpp
@@ -38,7 +38,8 @@
     out << YAML::Key << name << YAML::Value << YAML::DoubleQuoted << value;
 }
 
-static void emitTexts(YAML::Emitter &out, const char *name, const std::vector<std::string> &values)
+static void emitStrings(YAML::Emitter &out, const char *name,
+                        const std::vector<std::string> &values)
 {
     out << YAML::Key << name << YAML::Value << YAML::Flow << YAML::BeginSeq;
     for (const std::string &value : values)
@@ -93,7 +94,7 @@
 static void emitCascade(YAML::Emitter &out, const cascade &item)
 {
     emitString(out, "name", item.name);
-    emitTexts(out, "tiers", item.tiers);
+    emitStrings(out, "tiers", item.tiers);
     emitField(out, "quality_target", item.qualityTarget);
     emitField(out, "start_score", item.startScore);
     emitField(out, "latency_ms", item.latencyMs);
@@ -118,7 +119,7 @@
     emitString(out, "name", item.name);
     emitString(out, "key_sha256", item.keySha256);
     emitString(out, "group", item.group);
-    emitTexts(out, "allowed", item.allowed);
+    emitStrings(out, "allowed", item.allowed);
     emitField(out, "requests_per_second", item.requestsPerSecond);
     emitField(out, "burst", item.burst);
     emitField(out, "max_concurrent", item.maxConcurrent);
