--- a/include/laurelcroft/Contract/ServiceContract.h
+++ b/include/laurelcroft/Contract/ServiceContract.h
@@ -46,7 +46,7 @@
     std::chrono::milliseconds timeout{5000}; ///< longest time a request is held
     std::chrono::milliseconds objective{1000}; ///< first event or whole answer
     std::chrono::milliseconds eventGap{1000}; ///< longest pause between events
-    unsigned mostEndpoints = 1; ///< endpoints that one request may be sent to
+    unsigned maxEndpoints = 1; ///< endpoints that one request may be sent to
     int priority = 5; ///< 0 is the most urgent
     std::vector<std::string> models; ///< smallest first; empty: the caller names the model
     std::vector<weighted_service> services;
--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -273,7 +273,7 @@
     facts.resumable = m_route->resumable && (m_record.events == 0 || m_lastEventId);
     facts.mayHaveRun = m_mayHaveRun;
     facts.endpointsLeft
-            = m_sends < m_route->mostEndpoints && m_unreached < flow_bounds::maxUnreachedEndpoints;
+            = m_sends < m_route->maxEndpoints && m_unreached < flow_bounds::maxUnreachedEndpoints;
     facts.budgetLeft = mayTakeFurtherSend(further_send::repeat);
     facts.timeLeft = timeLeft() >= flow_bounds::minAttemptTime;
     // A begun stream is always resumed if possible: the caller would lose what it has received.
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -107,7 +107,7 @@
     // stream that the caller has half received. The last attempt avoids a suspected version on
     // trial: such a version failed the last attempt of one of 106,000 streams, which then had to be
     // aborted.
-    const bool isLast = m_sends + 1 >= m_route->mostEndpoints;
+    const bool isLast = m_sends + 1 >= m_route->maxEndpoints;
     if (isLast && m_env.routing().rollouts(m_service).evaluator().isSuspected()) {
         std::optional<endpoint_pick> settled
                 = pickAmong(m_env.routing().rollouts(m_service).settled(usable));
--- a/lib/Contract/ServiceContract.cpp
+++ b/lib/Contract/ServiceContract.cpp
@@ -60,7 +60,7 @@
         faults.push_back(where + "no service is named");
     if (route.timeout.count() <= 0)
         faults.push_back(where + "timeout must be above 0 ms");
-    if (route.mostEndpoints == 0)
+    if (route.maxEndpoints == 0)
         faults.push_back(where + "at least one endpoint must be allowed");
     for (const weighted_service &service : route.services) {
         if (service.weight < 0)
--- a/unittests/Contract/ServiceContractTests.cpp
+++ b/unittests/Contract/ServiceContractTests.cpp
@@ -56,7 +56,7 @@
     service_route route = routeAt("r", "a");
     route.services.clear();
     route.timeout = std::chrono::milliseconds(0);
-    route.mostEndpoints = 0;
+    route.maxEndpoints = 0;
     contract.routes = {route, route};
     const auto faults = checkContract(contract);
     CHECK(faults.size() == 10);
--- a/unittests/Proxy/FlowFixture.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -122,7 +122,7 @@
 {
     service_route route = baseRoute();
     route.repeatable = true;
-    route.mostEndpoints = 2;
+    route.maxEndpoints = 2;
     return route;
 }
 
@@ -139,7 +139,7 @@
     route.objective = milliseconds(2000);
     route.eventGap = milliseconds(1200);
     route.timeout = milliseconds(20000);
-    route.mostEndpoints = 3;
+    route.maxEndpoints = 3;
     route.models = {"small", "middle", "large"};
     return route;
 }
--- a/unittests/Proxy/RegionTests.cpp
+++ b/unittests/Proxy/RegionTests.cpp
@@ -36,7 +36,7 @@
 {
     service_route route = lookupRoute();
     route.homeRegions = {"north"};
-    route.mostEndpoints = 4;
+    route.maxEndpoints = 4;
     two_region_fixture fixture(route);
     startFlow(fixture, requestFor(route));
     REQUIRE(fixture.calls.size() == 1);
--- a/unittests/Proxy/RetryOutlookTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -31,7 +31,7 @@
     retry_plan plan;
     plan.entries = entries;
     plan.route = lookupRoute();
-    plan.route.mostEndpoints = 3;
+    plan.route.maxEndpoints = 3;
     return plan;
 }
 
