--- a/include/laurelcroft/Contract/ServiceContract.h
+++ b/include/laurelcroft/Contract/ServiceContract.h
@@ -68,7 +68,8 @@
 {
     std::string name;
     std::size_t maxConnections = 64; ///< of all callers together, to one endpoint
-    double coldPerSecond = 0; ///< requests a second that a cold endpoint bears; 0: any number
+    double coldRequestsPerSecond
+            = 0; ///< requests a second that a cold endpoint bears; 0: any number
     bool hasModels = false;
     std::vector<model_price> models;
 
--- a/lib/Proxy/RoutingState.cpp
+++ b/lib/Proxy/RoutingState.cpp
@@ -107,12 +107,12 @@
     if (!endpoint.isCold(now) || !m_contract)
         return std::nullopt;
     const service_description *service = m_contract->findService(endpoint.record().service);
-    if (!service || service->coldPerSecond <= 0)
+    if (!service || service->coldRequestsPerSecond <= 0)
         return std::nullopt;
     const std::string &id = endpoint.record().id;
     auto share = m_coldShares.find(id);
     if (share == m_coldShares.end()) {
-        const double own = coldShareOf(id, service->coldPerSecond, m_entries, m_own);
+        const double own = coldShareOf(id, service->coldRequestsPerSecond, m_entries, m_own);
         share = m_coldShares.emplace(id, own).first;
     }
     return share->second;
--- a/unittests/Proxy/ColdEndpointTests.cpp
+++ b/unittests/Proxy/ColdEndpointTests.cpp
@@ -62,7 +62,7 @@
         contract->routes.push_back(route);
         service_description pool;
         pool.name = "pool";
-        pool.coldPerSecond = coldLimit;
+        pool.coldRequestsPerSecond = coldLimit;
         contract->services.push_back(pool);
         entry.routing.setContract(contract);
     }
--- a/unittests/Proxy/FlowFixture.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -40,7 +40,7 @@
     addEndpoint(id);
     auto contract = std::make_shared<service_contract>(*routing.contract());
     contract->version += 1;
-    contract->services.front().coldPerSecond = 1;
+    contract->services.front().coldRequestsPerSecond = 1;
     routing.setContract(contract);
     routing.setEntries({owner}, "own");
     routing.directory().all().at(id)->setColdFor(seconds(5), runtime.now());
