--- a/include/laurelcroft/Contract/ServiceContract.h
+++ b/include/laurelcroft/Contract/ServiceContract.h
@@ -101,7 +101,7 @@
     std::vector<service_route> routes;
     std::vector<service_description> services;
     std::vector<contract_customer> customers;
-    std::unordered_map<std::string, std::size_t> customerOfKey; ///< index into customers
+    std::unordered_map<std::string, std::size_t> customerIndexByKey; ///< index into customers
     bool needsKeys = false; ///< customers are listed, so routes that are not open need a key
     caller_limits limits;
 
--- a/lib/Contract/ServiceContract.cpp
+++ b/lib/Contract/ServiceContract.cpp
@@ -37,8 +37,8 @@
 
 const contract_customer *service_contract::findCustomer(const std::string &key) const
 {
-    const auto it = customerOfKey.find(key);
-    return it == customerOfKey.end() ? nullptr : &customers[it->second];
+    const auto it = customerIndexByKey.find(key);
+    return it == customerIndexByKey.end() ? nullptr : &customers[it->second];
 }
 
 const service_description *service_contract::findService(std::string_view name) const
--- a/unittests/Proxy/FlowFixture.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -65,7 +65,7 @@
     contract->services.push_back(pool);
     contract->needsKeys = true;
     contract->customers.push_back({"daan", 3});
-    contract->customerOfKey["key-daan"] = 0;
+    contract->customerIndexByKey["key-daan"] = 0;
     routing.setContract(contract);
     for (const weighted_service &service : route.services)
         earnFurtherSends(service.name);
--- a/unittests/Proxy/SuspectFlowTests.cpp
+++ b/unittests/Proxy/SuspectFlowTests.cpp
@@ -55,7 +55,7 @@
     other->host = "site.example";
     auto contract = std::make_shared<service_contract>(*world.routing.contract());
     contract->version += 1;
-    contract->customerOfKey["key-other"] = 0;
+    contract->customerIndexByKey["key-other"] = 0;
     world.routing.setContract(contract);
     startFlow(world, other);
     CHECK(world.calls.size() == 1);
