--- a/include/laurelcroft/Operator/Operator.h
+++ b/include/laurelcroft/Operator/Operator.h
@@ -16,7 +16,7 @@
     usage = 2,
     invalidBundle = 3,
     conflict = 4,
-    platformAway = 5,
+    platformUnreachable = 5,
     waitsForSignatures = 6,
 };
 
--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -33,7 +33,7 @@
 
 static report platformAway(const table_error &error)
 {
-    return failedReport(operator_exit::platformAway, std::string(textOf(error.kind)));
+    return failedReport(operator_exit::platformUnreachable, std::string(textOf(error.kind)));
 }
 
 static std::optional<std::string> readFile(const std::string &path)
@@ -138,7 +138,8 @@
     const std::string hash = bundleHash(rules);
     const auto stored = context.platform.putObject(bundleObjectKey(hash), canonicalText(rules));
     if (!stored)
-        return failedReport(operator_exit::platformAway, "the object store cannot be reached");
+        return failedReport(operator_exit::platformUnreachable,
+                            "the object store cannot be reached");
     const nlohmann::ordered_json row = {{"hash", hash},
                                         {"operator", context.given.text("operator")},
                                         {"wall_ms", wallMilliseconds()}};
@@ -206,8 +207,8 @@
     current.accepted = *accepted;
     const auto text = platform.getObject(bundleObjectKey(accepted->hash));
     if (!text)
-        return failure(
-                failedReport(operator_exit::platformAway, "the bundle in force cannot be read"));
+        return failure(failedReport(operator_exit::platformUnreachable,
+                                    "the bundle in force cannot be read"));
     auto parsed = parseBundle(text.value());
     if (!parsed)
         return failure(failedReport(operator_exit::failed, "the bundle in force is malformed"));
@@ -242,7 +243,7 @@
     if (!swapped) {
         const auto back = context.platform.read(std::string(currentRowKey));
         if (!back)
-            return failedReport(operator_exit::platformAway,
+            return failedReport(operator_exit::platformUnreachable,
                                 "no answer came: run 'status' to see whether epoch "
                                         + std::to_string(next.epoch) + " is in force");
         standing = back.value() ? back.value()->value : std::string();
@@ -301,7 +302,7 @@
         return waitingReport(next, rule, base.accepted.epoch);
     // The epoch that ends is noted first: a lost note of the last acceptance is made up.
     if (base.accepted.epoch > 0 && !noteHistory(context, base.accepted))
-        return failedReport(operator_exit::platformAway, "the history cannot be written");
+        return failedReport(operator_exit::platformUnreachable, "the history cannot be written");
     report result = swapCurrent(context, next, base.rowVersion);
     if (result.exit == operator_exit::done && !noteHistory(context, next))
         result.lines.push_back("the history will name it after the next acceptance");
--- a/lib/Operator/Views.cpp
+++ b/lib/Operator/Views.cpp
@@ -64,7 +64,7 @@
 {
     const auto rows = context.platform.scan("bundle/history/");
     if (!rows)
-        return failedReport(operator_exit::platformAway, "the table cannot be reached");
+        return failedReport(operator_exit::platformUnreachable, "the table cannot be reached");
     report result;
     result.data["epochs"] = nlohmann::ordered_json::array();
     for (const new_row &row : rows.value()) {
