--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -31,7 +31,7 @@
     return result;
 }
 
-static report platformAway(const table_error &error)
+static report tableUnreachableReport(const table_error &error)
 {
     return failedReport(operator_exit::platformUnreachable, std::string(textOf(error.kind)));
 }
@@ -145,7 +145,7 @@
                                         {"wall_ms", wallMilliseconds()}};
     const auto noted = context.platform.insert(proposalKey(hash), row.dump());
     if (!noted)
-        return platformAway(noted.error());
+        return tableUnreachableReport(noted.error());
     report result;
     result.data["hash"] = hash;
     result.lines.push_back("proposed " + hash);
@@ -172,12 +172,12 @@
         return failedReport(operator_exit::usage, "--key-file: holds no secret key");
     const auto proposal = context.platform.read(proposalKey(hash));
     if (!proposal)
-        return platformAway(proposal.error());
+        return tableUnreachableReport(proposal.error());
     if (!proposal.value())
         return failedReport(operator_exit::failed, "nothing was proposed under this hash");
     const auto noted = context.platform.insert(signaturePrefix(hash) + *publicHex, *signature);
     if (!noted)
-        return platformAway(noted.error());
+        return tableUnreachableReport(noted.error());
     report result;
     result.data["hash"] = hash;
     result.data["key"] = *publicHex;
@@ -197,7 +197,7 @@
     current_bundle current;
     const auto row = platform.read(std::string(currentRowKey));
     if (!row)
-        return failure(platformAway(row.error()));
+        return failure(tableUnreachableReport(row.error()));
     if (!row.value())
         return current;
     current.rowVersion = row.value()->version;
@@ -238,7 +238,7 @@
     const auto swapped
             = context.platform.compareAndSet(std::string(currentRowKey), rowVersion, value);
     if (!swapped && swapped.error().hadNoEffect())
-        return platformAway(swapped.error());
+        return tableUnreachableReport(swapped.error());
     std::string standing = swapped ? swapped.value().row.value : std::string();
     if (!swapped) {
         const auto back = context.platform.read(std::string(currentRowKey));
@@ -288,7 +288,7 @@
 {
     const auto signatures = context.platform.scan(signaturePrefix(hash));
     if (!signatures)
-        return platformAway(signatures.error());
+        return tableUnreachableReport(signatures.error());
     acceptance next;
     next.epoch = base.accepted.epoch + 1;
     next.hash = hash;
