--- a/include/laurelcroft/Operator/Operator.h
+++ b/include/laurelcroft/Operator/Operator.h
@@ -17,7 +17,7 @@
     invalidBundle = 3,
     conflict = 4,
     platformUnreachable = 5,
-    waitsForSignatures = 6,
+    signaturesMissing = 6,
 };
 
 /// Runs the command. \returns its exit code.
--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -271,7 +271,7 @@
 static report waitingReport(const acceptance &next, const signoff_rule &rule, bundle_epoch base)
 {
     report result;
-    result.exit = operator_exit::waitsForSignatures;
+    result.exit = operator_exit::signaturesMissing;
     std::size_t missing = rule.required;
     while (missing > 1 && isSignedOff(next, {rule.trustedKeys, rule.required - missing + 1}))
         missing -= 1;
