--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -231,8 +231,8 @@
 }
 
 /// Writes the row of the bundle in force; a lost answer is resolved by reading back.
-static report swapCurrent(command_context &context, const acceptance &next,
-                          std::uint64_t rowVersion)
+static report replaceCurrent(command_context &context, const acceptance &next,
+                             std::uint64_t rowVersion)
 {
     const std::string value = encodeAcceptance(next);
     const auto swapped
@@ -303,7 +303,7 @@
     // The epoch that ends is noted first: a lost note of the last acceptance is made up.
     if (base.accepted.epoch > 0 && !noteHistory(context, base.accepted))
         return failedReport(operator_exit::platformUnreachable, "the history cannot be written");
-    report result = swapCurrent(context, next, base.rowVersion);
+    report result = replaceCurrent(context, next, base.rowVersion);
     if (result.exit == operator_exit::done && !noteHistory(context, next))
         result.lines.push_back("the history will name it after the next acceptance");
     return result;
