--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -260,7 +260,7 @@
 }
 
 /// \returns false when the table could not take the line.
-static bool noteHistory(command_context &context, const acceptance &accepted)
+static bool writeHistory(command_context &context, const acceptance &accepted)
 {
     const auto noted
             = context.platform.insert(historyKey(accepted.epoch), encodeAcceptance(accepted));
@@ -301,10 +301,10 @@
     if (!isSignedOff(next, rule))
         return waitingReport(next, rule, base.accepted.epoch);
     // The epoch that ends is noted first: a lost note of the last acceptance is made up.
-    if (base.accepted.epoch > 0 && !noteHistory(context, base.accepted))
+    if (base.accepted.epoch > 0 && !writeHistory(context, base.accepted))
         return failedReport(operator_exit::platformUnreachable, "the history cannot be written");
     report result = replaceCurrent(context, next, base.rowVersion);
-    if (result.exit == operator_exit::done && !noteHistory(context, next))
+    if (result.exit == operator_exit::done && !writeHistory(context, next))
         result.lines.push_back("the history will name it after the next acceptance");
     return result;
 }
