--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -268,7 +268,8 @@
 }
 
 /// Says what is missing and how to go on.
-static report waitingReport(const acceptance &next, const signoff_rule &rule, bundle_epoch base)
+static report missingSignaturesReport(const acceptance &next, const signoff_rule &rule,
+                                      bundle_epoch base)
 {
     report result;
     result.exit = operator_exit::signaturesMissing;
@@ -299,7 +300,7 @@
     const signoff_rule rule{splitList(context.given.text("signoff-keys"), ','),
                             static_cast<std::size_t>(context.given.number("signoff-required"))};
     if (!isSignedOff(next, rule))
-        return waitingReport(next, rule, base.accepted.epoch);
+        return missingSignaturesReport(next, rule, base.accepted.epoch);
     // The epoch that ends is noted first: a lost note of the last acceptance is made up.
     if (base.accepted.epoch > 0 && !writeHistory(context, base.accepted))
         return failedReport(operator_exit::platformUnreachable, "the history cannot be written");
