--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -324,8 +324,8 @@
 }
 
 /// Proposes, signs and accepts an edited bundle in one go.
-static report putInForce(command_context &context, const current_bundle &base,
-                         const outcome<bundle, std::string> &edited)
+static report applyEdit(command_context &context, const current_bundle &base,
+                        const outcome<bundle, std::string> &edited)
 {
     if (!edited)
         return failedReport(operator_exit::failed, edited.error());
@@ -357,7 +357,7 @@
     const unsigned long share = std::strtoul(context.words[1].c_str(), &end, 10);
     if (*end != '\0' || context.words[1].empty() || share > 100)
         return failedReport(operator_exit::usage, "the share must be a number in 0..100");
-    return putInForce(
+    return applyEdit(
             context, base.value(),
             rollForward(base.value().rules, context.words[0], static_cast<std::uint32_t>(share)));
 }
@@ -370,7 +370,7 @@
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
-    return putInForce(context, base.value(),
-                      withdrawVersion(base.value().rules, context.words[0].substr(0, at),
-                                      context.words[0].substr(at + 1)));
+    return applyEdit(context, base.value(),
+                     withdrawVersion(base.value().rules, context.words[0].substr(0, at),
+                                     context.words[0].substr(at + 1)));
 }
