--- a/lib/Operator/Edit.cpp
+++ b/lib/Operator/Edit.cpp
@@ -9,7 +9,7 @@
 
 using namespace laurelcroft;
 
-static model *editModel(bundle &rules, std::string_view name)
+static model *findMutableModel(bundle &rules, std::string_view name)
 {
     const auto it = std::find_if(rules.models.begin(), rules.models.end(),
                                  [name](const model &item) { return item.name == name; });
@@ -36,7 +36,7 @@
         moving->sharePercent = sharePercent;
         return rules;
     }
-    model *const item = editModel(rules, name);
+    model *const item = findMutableModel(rules, name);
     editVersion(*item, moving->to)->state = version_state::settled;
     rules.rollouts.erase(moving);
     return rules;
@@ -45,7 +45,7 @@
 outcome<bundle, std::string> laurelcroft::withdrawVersion(bundle rules, std::string_view name,
                                                           std::string_view version)
 {
-    model *const item = editModel(rules, name);
+    model *const item = findMutableModel(rules, name);
     model_version *const found = item == nullptr ? nullptr : editVersion(*item, version);
     if (found == nullptr)
         return failure("no version is called '" + std::string(name) + "@" + std::string(version)
