--- a/lib/Operator/Edit.cpp
+++ b/lib/Operator/Edit.cpp
@@ -16,7 +16,7 @@
     return it == rules.models.end() ? nullptr : &*it;
 }
 
-static model_version *editVersion(model &item, std::string_view name)
+static model_version *findMutableVersion(model &item, std::string_view name)
 {
     const auto it = std::find_if(item.versions.begin(), item.versions.end(),
                                  [name](const model_version &v) { return v.name == name; });
@@ -37,7 +37,7 @@
         return rules;
     }
     model *const item = findMutableModel(rules, name);
-    editVersion(*item, moving->to)->state = version_state::settled;
+    findMutableVersion(*item, moving->to)->state = version_state::settled;
     rules.rollouts.erase(moving);
     return rules;
 }
@@ -46,7 +46,7 @@
                                                           std::string_view version)
 {
     model *const item = findMutableModel(rules, name);
-    model_version *const found = item == nullptr ? nullptr : editVersion(*item, version);
+    model_version *const found = item == nullptr ? nullptr : findMutableVersion(*item, version);
     if (found == nullptr)
         return failure("no version is called '" + std::string(name) + "@" + std::string(version)
                        + "'");
