--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -141,7 +141,7 @@
         return failedReport(operator_exit::platformUnreachable,
                             "the object store cannot be reached");
     const nlohmann::ordered_json row = {{"hash", hash},
-                                        {"operator", context.given.text("operator")},
+                                        {"operator", context.options.text("operator")},
                                         {"wall_ms", wallMilliseconds()}};
     const auto noted = context.platform.insert(proposalKey(hash), row.dump());
     if (!noted)
@@ -162,7 +162,7 @@
 
 static report sign(command_context &context, const std::string &hash)
 {
-    const auto secret = readFile(context.given.text("key-file"));
+    const auto secret = readFile(context.options.text("key-file"));
     if (!secret)
         return failedReport(operator_exit::usage, "--key-file: cannot read the secret key");
     const std::string secretHex = secret->substr(0, secret->find('\n'));
@@ -294,11 +294,11 @@
     next.epoch = base.accepted.epoch + 1;
     next.hash = hash;
     next.operationId = randomHex(operationIdBytes);
-    next.operatorName = context.given.text("operator");
+    next.operatorName = context.options.text("operator");
     for (const new_row &row : signatures.value())
         next.signatures.push_back({row.key.substr(signaturePrefix(hash).size()), row.value});
-    const signoff_rule rule{splitList(context.given.text("signoff-keys"), ','),
-                            static_cast<std::size_t>(context.given.number("signoff-required"))};
+    const signoff_rule rule{splitList(context.options.text("signoff-keys"), ','),
+                            static_cast<std::size_t>(context.options.number("signoff-required"))};
     if (!isSignedOff(next, rule))
         return missingSignaturesReport(next, rule, base.accepted.epoch);
     // The epoch that ends is noted first: a lost note of the last acceptance is made up.
@@ -317,7 +317,7 @@
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
-    const std::string &wanted = context.given.text("base-epoch");
+    const std::string &wanted = context.options.text("base-epoch");
     if (!wanted.empty() && wanted != std::to_string(base.value().accepted.epoch))
         return conflictReport(encodeAcceptance(base.value().accepted));
     return accept(context, context.words[0], base.value());
--- a/lib/Operator/Commands.h
+++ b/lib/Operator/Commands.h
@@ -30,7 +30,7 @@
 /// One command's surroundings.
 struct command_context
 {
-    const settings &given;
+    const settings &options;
     std::vector<std::string> words; ///< after the command's name
     operator_platform &platform;
 };
--- a/lib/Operator/Views.cpp
+++ b/lib/Operator/Views.cpp
@@ -15,7 +15,7 @@
 /// Asks an entry's admin port for the epochs of all instances.
 static std::optional<json> readFleet(command_context &context)
 {
-    const std::string &url = context.given.text("admin-url");
+    const std::string &url = context.options.text("admin-url");
     if (url.empty())
         return std::nullopt;
     const auto reply = context.platform.get(url + "/fleetz");
