--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -68,9 +68,9 @@
 
 report laurelcroft::validateCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "validate takes one file");
-    const auto rules = loadBundle(context.words[0]);
+    const auto rules = loadBundle(context.arguments[0]);
     if (!rules)
         return rules.error();
     report result;
@@ -81,12 +81,12 @@
 
 report laurelcroft::diffCommand(command_context &context)
 {
-    if (context.words.size() != 2)
+    if (context.arguments.size() != 2)
         return failedReport(operator_exit::usage, "diff takes two files");
-    const auto before = loadBundle(context.words[0]);
+    const auto before = loadBundle(context.arguments[0]);
     if (!before)
         return before.error();
-    const auto after = loadBundle(context.words[1]);
+    const auto after = loadBundle(context.arguments[1]);
     if (!after)
         return after.error();
     report result;
@@ -99,15 +99,15 @@
 
 report laurelcroft::keygenCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "keygen takes the file for the secret key");
-    if (readFile(context.words[0]))
-        return failedReport(operator_exit::failed, "'" + context.words[0] + "' exists already");
+    if (readFile(context.arguments[0]))
+        return failedReport(operator_exit::failed, "'" + context.arguments[0] + "' exists already");
     const signing_key key = makeSigningKey();
-    std::ofstream out(context.words[0]);
+    std::ofstream out(context.arguments[0]);
     out << key.secretHex << "\n";
     if (!out)
-        return failedReport(operator_exit::failed, "cannot write '" + context.words[0] + "'");
+        return failedReport(operator_exit::failed, "cannot write '" + context.arguments[0] + "'");
     report result;
     result.data["public_key"] = key.publicHex;
     result.lines.push_back("public key " + key.publicHex);
@@ -154,9 +154,9 @@
 
 report laurelcroft::proposeCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "propose takes one file");
-    const auto rules = loadBundle(context.words[0]);
+    const auto rules = loadBundle(context.arguments[0]);
     return rules ? propose(context, rules.value()) : rules.error();
 }
 
@@ -187,9 +187,9 @@
 
 report laurelcroft::signCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "sign takes a hash");
-    return sign(context, context.words[0]);
+    return sign(context, context.arguments[0]);
 }
 
 outcome<current_bundle, report> laurelcroft::readCurrent(operator_platform &platform)
@@ -312,7 +312,7 @@
 
 report laurelcroft::acceptCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "accept takes a hash");
     const auto base = readCurrent(context.platform);
     if (!base)
@@ -320,7 +320,7 @@
     const std::string &wanted = context.options.text("base-epoch");
     if (!wanted.empty() && wanted != std::to_string(base.value().accepted.epoch))
         return conflictReport(encodeAcceptance(base.value().accepted));
-    return accept(context, context.words[0], base.value());
+    return accept(context, context.arguments[0], base.value());
 }
 
 /// Proposes, signs and accepts an edited bundle in one go.
@@ -348,29 +348,30 @@
 
 report laurelcroft::rollForwardCommand(command_context &context)
 {
-    if (context.words.size() != 2)
+    if (context.arguments.size() != 2)
         return failedReport(operator_exit::usage, "roll-forward takes a model and a share in %");
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
     char *end = nullptr;
-    const unsigned long share = std::strtoul(context.words[1].c_str(), &end, 10);
-    if (*end != '\0' || context.words[1].empty() || share > 100)
+    const unsigned long share = std::strtoul(context.arguments[1].c_str(), &end, 10);
+    if (*end != '\0' || context.arguments[1].empty() || share > 100)
         return failedReport(operator_exit::usage, "the share must be a number in 0..100");
-    return applyEdit(
-            context, base.value(),
-            rollForward(base.value().rules, context.words[0], static_cast<std::uint32_t>(share)));
+    return applyEdit(context, base.value(),
+                     rollForward(base.value().rules, context.arguments[0],
+                                 static_cast<std::uint32_t>(share)));
 }
 
 report laurelcroft::withdrawCommand(command_context &context)
 {
-    const std::size_t at = context.words.empty() ? std::string::npos : context.words[0].find('@');
-    if (context.words.size() != 1 || at == std::string::npos)
+    const std::size_t at
+            = context.arguments.empty() ? std::string::npos : context.arguments[0].find('@');
+    if (context.arguments.size() != 1 || at == std::string::npos)
         return failedReport(operator_exit::usage, "withdraw takes model@version");
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
     return applyEdit(context, base.value(),
-                     withdrawVersion(base.value().rules, context.words[0].substr(0, at),
-                                     context.words[0].substr(at + 1)));
+                     withdrawVersion(base.value().rules, context.arguments[0].substr(0, at),
+                                     context.arguments[0].substr(at + 1)));
 }
--- a/lib/Operator/Commands.h
+++ b/lib/Operator/Commands.h
@@ -31,7 +31,7 @@
 struct command_context
 {
     const settings &options;
-    std::vector<std::string> words; ///< after the command's name
+    std::vector<std::string> arguments; ///< after the command's name
     operator_platform &platform;
 };
 
--- a/lib/Operator/Views.cpp
+++ b/lib/Operator/Views.cpp
@@ -121,16 +121,16 @@
 
 report laurelcroft::explainCommand(command_context &context)
 {
-    if (context.words.size() != 2)
+    if (context.arguments.size() != 2)
         return failedReport(operator_exit::usage, "explain takes a customer and a target");
     const auto current = readCurrent(context.platform);
     if (!current)
         return current.error();
     const bundle &rules = current.value().rules;
-    const customer *who = rules.findCustomer(context.words[0]);
+    const customer *who = rules.findCustomer(context.arguments[0]);
     if (who == nullptr)
         return failedReport(operator_exit::failed, "no such customer");
-    const std::string &target = context.words[1];
+    const std::string &target = context.arguments[1];
     if (!mayUseAnyVersion(rules, *who, target))
         return failedReport(operator_exit::failed,
                             "this customer may not use it, or no such "
