--- a/include/laurelcroft/Ledger/Bill.h
+++ b/include/laurelcroft/Ledger/Bill.h
@@ -1,6 +1,7 @@
 //===-- Ledger/Bill.h - rows of bills and claims -----------------*- C++ -*-===//
 //
-// The JSON forms that stand in the platform's table, and their keys.
+// Keys of the table rows of bills, claims and sessions, and the JSON encoding of
+// bills and claims.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LEDGER_BILL_H
@@ -15,49 +16,51 @@
 
 namespace laurelcroft {
 
-/// Key of a request's bill.
+/// \returns the table key of a request's bill.
 std::string billKey(std::string_view requestId);
 
-/// Outcome of a bill whose request may not have run: nobody could say.
+/// Outcome of a bill if it is unknown whether the request ran.
 inline constexpr std::string_view uncertainOutcome = "uncertain";
 
-/// \returns how much is known of a bill's request: an uncertain one (0) gives way to
-/// an agent's provisional one (1), and that to the entry's own (2).
+/// \returns the rank of a bill; a bill replaces a stored one of lower rank. The rank is 0
+/// for a provisional bill of uncertain outcome, 1 for any other provisional bill (written by
+/// an agent) and 2 for the entry's final bill.
 int billRank(const wire::bill &item);
 
 std::string encodeBill(const wire::bill &item);
 std::optional<wire::bill> decodeBill(std::string_view text);
 
-/// Key of the claim of a request that may not be repeated.
+/// \returns the table key of the claim of a non-repeatable request.
 std::string claimKey(std::string_view requestId);
 
-/// Life of a claim.
+/// State of a claim.
 enum class claim_state {
-    claimed, ///< an entry holds it; the request may run
-    released, ///< surely not run: it may be claimed again
-    done, ///< ran; the answer is kept here
+    claimed, ///< held by an entry; the request may run
+    released, ///< the request certainly did not run and may be claimed again
+    done, ///< the request ran; the claim holds its answer unless that is too large
 };
 
-/// The claim of one request that may not be repeated.
+/// Claim of a non-repeatable request. A request runs only while its claim is held, so it runs
+/// at most once.
 struct claim
 {
     claim_state state = claim_state::claimed;
     std::string requestId;
     std::string customer;
-    std::string entry; ///< instance that holds it
-    std::string operationId; ///< differs for every attempt to claim
-    std::string bodySha256; ///< of the request; another body under the same key is refused
+    std::string entry; ///< instance that holds the claim
+    std::string operationId; ///< unique to each attempt to claim
+    std::string bodySha256; ///< digest of the request; other requests under its key are refused
     int status = 0; ///< HTTP status of the answer
     std::string contentType;
     std::string answer;
-    std::string model; ///< that answered; empty for a service
+    std::string model; ///< model that answered; empty for a service
     std::string version;
 };
 
 std::string encodeClaim(const claim &item);
 std::optional<claim> decodeClaim(std::string_view text);
 
-/// Key of a session that the caller named itself.
+/// \returns the table key of a session whose name the caller chose.
 std::string sessionKey(std::string_view customer, std::string_view session, std::string_view model);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -1,8 +1,8 @@
-//===-- Ledger/BillOutbox.h - bills until the table has them -----*- C++ -*-===//
+//===-- Ledger/BillOutbox.h - replicated queue of unwritten bills -*- C++ -*-===//
 //
-// A bill stands in two processes, in different data centres where there are two,
-// until the table holds it. The table's row is inserted if absent, so that both
-// may write it and it still stands there once.
+// Queues the bills of a process until the table has stored them. Until then, a second
+// process holds a copy of each bill, in another data centre if there is one. A row is
+// inserted only if absent, so both processes may write it without duplicating the bill.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LEDGER_BILLOUTBOX_H
@@ -18,7 +18,7 @@
 
 namespace laurelcroft {
 
-/// What the outbox needs of the other processes.
+/// Access to the other processes that an outbox needs.
 template <class P>
 concept bill_port = requires(P port, const std::string &holder, const wire::bill_copy &copy,
                              std::function<void(bool)> done)
@@ -29,17 +29,17 @@
     port.copyBills(holder, copy, done);
 };
 
-/// Periods and bounds of an outbox.
+/// Delays and limits of an outbox.
 struct outbox_options
 {
-    duration copyDelay = milliseconds(1); ///< bills that are copied together
-    duration flushPeriod = milliseconds(100); ///< between batches to the table
-    std::size_t maxBatchRows = 100; ///< rows in a batch
-    std::size_t maxBills = 100000; ///< bills held, own and copies
-    duration maxCopyAge = seconds(60); ///< a copy is written by its holder after this
+    duration copyDelay = milliseconds(1); ///< bills added within this delay are copied together
+    duration flushPeriod = milliseconds(100); ///< pause between batches to the table
+    std::size_t maxBatchRows = 100; ///< rows inserted into the table by one call
+    std::size_t maxBills = 100000; ///< own bills and copies together
+    duration maxCopyAge = seconds(60); ///< the holder writes an older copy itself
 };
 
-/// The bills of one process, its own and the copies it holds for others.
+/// The bills of one process: its own, and the copies that it holds for others.
 template <runtime_like Runtime, table_like Table, bill_port Port>
 class bill_outbox
 {
@@ -54,21 +54,21 @@
     {
     }
 
-    /// Takes a bill. \param done is called once a second process or the table holds it.
+    /// Queues a bill. \param done is called once a second process or the table has stored it.
     void add(wire::bill item, std::function<void()> done)
     {
         const std::string id = item.request_id();
-        own_bill &mine = m_ownBills[id];
-        mine.bill = std::move(item);
+        own_bill &own = m_ownBills[id];
+        own.bill = std::move(item);
         if (done)
-            mine.callbacks.push_back(std::move(done));
+            own.callbacks.push_back(std::move(done));
         m_uncopiedIds.push_back(id);
         scheduleCopy();
         scheduleFlush();
     }
 
-    /// Holds copies for another process, and forgets those that the table has.
-    /// \returns false when there is no room.
+    /// Stores copies for another process, and deletes those that the table has stored.
+    /// \returns false if the copies were refused: the outbox is full, or this process stops.
     bool hold(const wire::bill_copy &copy)
     {
         if (m_closing && copy.bills_size() > 0)
@@ -83,7 +83,7 @@
         return true;
     }
 
-    /// This process stops as planned: it takes no more copies and writes those it holds.
+    /// Refuses further copies and takes over those held, because this process stops as planned.
     void adoptAll()
     {
         m_closing = true;
@@ -94,22 +94,22 @@
             adopt(owner);
     }
 
-    /// Another process is gone: copies that it owned are written from here, and own bills
-    /// whose copy it held get another holder.
+    /// Handles the death of another process: takes over the copies that it owned, and sends
+    /// the own bills that it held as copies to another holder.
     void peerGone(const std::string &peer)
     {
         adopt(peer);
-        for (auto &[id, mine] : m_ownBills) {
-            if (mine.holder != peer)
+        for (auto &[id, own] : m_ownBills) {
+            if (own.holder != peer)
                 continue;
-            mine.holder.clear();
+            own.holder.clear();
             m_uncopiedIds.push_back(id);
         }
         if (!m_uncopiedIds.empty())
             scheduleCopy();
     }
 
-    /// The owner of copies is gone: they are written from here.
+    /// Takes over the copies of \p owner: they become own bills, so this process writes them.
     void adopt(const std::string &owner)
     {
         for (auto it = m_heldCopies.begin(); it != m_heldCopies.end();) {
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Writes copies whose owner kept them for long; call it every few seconds.
+    /// Takes over all copies of each owner that has left one of them unwritten for longer than
+    /// \c maxCopyAge. Must be called every few seconds.
     void adoptExpired()
     {
         std::set<std::string> owners;
@@ -134,8 +135,8 @@
             adopt(owner);
     }
 
-    /// \returns true when a new bill has a place: there is room, and a second holder or
-    /// the table can be reached.
+    /// \returns true if a new bill can be stored safely: there is room, and the table or
+    /// another holder can be reached.
     bool accepts(bool tableReachable)
     {
         if (m_ownBills.size() + m_heldCopies.size() >= m_options.maxBills)
@@ -143,22 +144,22 @@
         return tableReachable || !m_port.billHolders().empty();
     }
 
-    /// Sets the time between batches. Many processes flush more rarely, so that batches
-    /// stay full and the table's rate is kept.
+    /// Sets the time between batches. Where many processes write, a longer period keeps their
+    /// batches full and the total call rate within the table's limit.
     void setFlushPeriod(duration period) { m_options.flushPeriod = period; }
 
-    /// \returns own bills that the table does not have yet.
+    /// \returns the number of own bills that the table has not stored yet.
     std::size_t pending() const { return m_ownBills.size(); }
     std::size_t copies() const { return m_heldCopies.size(); }
 
-    /// \returns true when nothing, own or another's, waits for the table.
+    /// \returns true if neither own bills nor copies remain to be written.
     bool isEmpty() const { return m_ownBills.empty() && m_heldCopies.empty(); }
 
 private:
     struct own_bill
     {
         wire::bill bill;
-        std::string holder; ///< empty until a copy was acknowledged
+        std::string holder; ///< instance that acknowledged the copy; empty until then
         std::vector<std::function<void()>> callbacks;
     };
     struct held_copy
@@ -168,10 +169,10 @@
         time_point receivedAt{};
     };
 
-    static void runCallbacks(own_bill &mine)
+    static void runCallbacks(own_bill &own)
     {
-        const auto callbacks = std::move(mine.callbacks);
-        mine.callbacks.clear();
+        const auto callbacks = std::move(own.callbacks);
+        own.callbacks.clear();
         for (const auto &done : callbacks)
             done();
     }
@@ -194,7 +195,7 @@
         copyTo(ids, 0);
     }
 
-    /// Sends copies to the holder at \p rank, and to the next one when it does not answer.
+    /// Sends copies to the holder at \p rank, and to the next one unless they are acknowledged.
     void copyTo(const std::vector<std::string> &ids, std::size_t rank)
     {
         wire::bill_copy copy;
@@ -227,7 +228,7 @@
     {
         const auto it = m_ownBills.find(id);
         if (it == m_ownBills.end()) {
-            // The table was faster: the holder may forget its copy at once.
+            // The table stored the bill first, so the holder may delete its copy.
             m_storedByHolder[holder].push_back(id);
             return;
         }
@@ -259,11 +260,11 @@
     {
         std::vector<std::string> ids;
         std::vector<new_row> rows;
-        for (const auto &[id, mine] : m_ownBills) {
+        for (const auto &[id, own] : m_ownBills) {
             if (rows.size() >= m_options.maxBatchRows)
                 break;
             ids.push_back(id);
-            rows.push_back({billKey(id), encodeBill(mine.bill)});
+            rows.push_back({billKey(id), encodeBill(own.bill)});
         }
         if (rows.empty()) {
             m_flushScheduled = false;
@@ -296,13 +297,13 @@
         notifyHolders();
     }
 
-    /// A row that knows less of the request gives way: an agent that lost its entry
-    /// writes what it knows, and the entry's own bill, with the sum over all steps,
-    /// takes its place.
-    static bool supersedes(const wire::bill &mine, const table_row &row)
+    /// \returns true if \p own has a higher rank than the stored bill and must replace it.
+    /// An agent that lost its entry writes a provisional bill of the step that it knows; the
+    /// entry's final bill, with the sum over all steps, replaces it.
+    static bool supersedes(const wire::bill &own, const table_row &row)
     {
         const auto found = decodeBill(row.value);
-        return found && billRank(mine) > billRank(*found);
+        return found && billRank(own) > billRank(*found);
     }
 
     void replaceProvisional(const std::string &id, std::uint64_t version)
@@ -320,10 +321,10 @@
         auto node = m_ownBills.extract(id);
         if (node.empty())
             return;
-        own_bill &mine = node.mapped();
-        if (!mine.holder.empty())
-            m_storedByHolder[mine.holder].push_back(id);
-        runCallbacks(mine);
+        own_bill &own = node.mapped();
+        if (!own.holder.empty())
+            m_storedByHolder[own.holder].push_back(id);
+        runCallbacks(own);
     }
 
     void notifyHolders()
@@ -335,7 +336,7 @@
             copy.set_owner(m_instance);
             for (const std::string &id : ids)
                 copy.add_stored(id);
-            // A lost word costs nothing but a second insert by the holder.
+            // If this message is lost, the holder only inserts the row a second time.
             m_port.copyBills(holder, copy, [](bool) {});
         }
     }
--- a/include/laurelcroft/Ledger/ClaimRegistry.h
+++ b/include/laurelcroft/Ledger/ClaimRegistry.h
@@ -1,7 +1,7 @@
-//===-- Ledger/ClaimRegistry.h - at most once, through the table -*- C++ -*-===//
+//===-- Ledger/ClaimRegistry.h - at-most-once execution ----------*- C++ -*-===//
 //
-// A request that may not be repeated and that the caller gave a key is claimed in
-// the table before anything is sent. The same key again finds the claim.
+// A non-repeatable request with a key chosen by its caller is claimed in the table
+// before anything is sent. A later request with the same key finds that claim.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LEDGER_CLAIMREGISTRY_H
@@ -16,12 +16,13 @@
 
 namespace laurelcroft {
 
+/// Result of an attempt to claim a request.
 enum class claim_verdict {
-    granted, ///< this entry holds it now
-    held, ///< it runs or ran elsewhere; the answer is not known yet
-    done, ///< it ran; the answer is at hand
-    bodyMismatch, ///< the key was used for another request
-    unavailable, ///< the table can't tell; nothing was or will be run for this call
+    granted, ///< this entry now holds the claim
+    held, ///< held by another attempt, whose answer is not known yet
+    done, ///< the request ran; the claim holds its answer if it was stored
+    bodyMismatch, ///< the key was used for a different request
+    unavailable, ///< the table's state is unknown; this call runs nothing
 };
 
 struct claim_result
@@ -31,10 +32,10 @@
     milliseconds retryAfter{0};
 };
 
-/// Answers larger than this are not kept in the claim, in bytes.
+/// Size in bytes above which an answer is not stored in the claim.
 inline constexpr std::size_t maxStoredAnswerBytes = 256U << 10;
 
-/// Claims of one process.
+/// Acquires, completes and releases the claims of one process.
 template <runtime_like Runtime, table_like Table>
 class claim_registry
 {
@@ -46,35 +47,35 @@
     {
     }
 
-    /// Tries to claim. \p mine names request, customer, body and an operation id that
-    /// must be new for every call.
-    void acquire(claim mine, std::function<void(claim_result)> done)
+    /// Tries to claim a request. \p wanted names the request, its customer and digest, and an
+    /// operation id that must be unique to each call.
+    void acquire(claim wanted, std::function<void(claim_result)> done)
     {
-        mine.state = claim_state::claimed;
-        mine.entry = m_instance;
-        insertResolved(m_table, claimKey(mine.requestId), encodeClaim(mine),
-                       [this, mine, done](outcome<write_result, table_error> result) {
-                           onInserted(mine, result, done);
+        wanted.state = claim_state::claimed;
+        wanted.entry = m_instance;
+        insertResolved(m_table, claimKey(wanted.requestId), encodeClaim(wanted),
+                       [this, wanted, done](outcome<write_result, table_error> result) {
+                           onInserted(wanted, result, done);
                        });
     }
 
-    /// Stores the answer of a claimed request; tried again until the table has it.
-    /// \param done is called then.
+    /// Stores the answer of a claimed request, and retries until the table has it.
+    /// \param done is called when no further write is needed.
     void finish(const claim &answered, std::function<void()> done = {})
     {
         enqueueWrite(answered, claim_state::done, std::move(done));
     }
 
-    /// Gives back a claim whose request surely did not run.
+    /// Releases a claim whose request certainly did not run.
     void release(const std::string &requestId, const std::string &operationId)
     {
-        claim mine;
-        mine.requestId = requestId;
-        mine.operationId = operationId;
-        enqueueWrite(mine, claim_state::released, {});
+        claim released;
+        released.requestId = requestId;
+        released.operationId = operationId;
+        enqueueWrite(released, claim_state::released, {});
     }
 
-    /// Reads the claim of a request.
+    /// Reads the claim of a request; empty if there is none or the row is malformed.
     void find(const std::string &requestId,
               std::function<void(outcome<std::optional<claim>, table_error>)> done)
     {
@@ -89,56 +90,56 @@
                      });
     }
 
-    /// \returns the writes that the table does not have yet.
+    /// \returns the number of writes that are not completed yet.
     std::size_t pending() const { return m_writes.size(); }
 
 private:
-    void onInserted(const claim &mine, const outcome<write_result, table_error> &result,
+    void onInserted(const claim &wanted, const outcome<write_result, table_error> &result,
                     const std::function<void(claim_result)> &done)
     {
         if (!result) {
-            // The row may stand there although nothing will run: take it back later.
+            // The insert may have taken effect although nothing will run: release the claim later.
             if (!result.error().hadNoEffect())
-                release(mine.requestId, mine.operationId);
-            done({claim_verdict::unavailable, mine, result.error().retryAfter});
+                release(wanted.requestId, wanted.operationId);
+            done({claim_verdict::unavailable, wanted, result.error().retryAfter});
             return;
         }
         if (result.value().done) {
-            done({claim_verdict::granted, mine, milliseconds(0)});
+            done({claim_verdict::granted, wanted, milliseconds(0)});
             return;
         }
         const auto found = decodeClaim(result.value().row.value);
         if (!found) {
-            done({claim_verdict::unavailable, mine, milliseconds(0)});
+            done({claim_verdict::unavailable, wanted, milliseconds(0)});
             return;
         }
-        if (found->bodySha256 != mine.bodySha256)
+        if (found->bodySha256 != wanted.bodySha256)
             done({claim_verdict::bodyMismatch, *found, milliseconds(0)});
         else if (found->state == claim_state::done)
             done({claim_verdict::done, *found, milliseconds(0)});
         else if (found->state == claim_state::released)
-            acquireReleased(mine, result.value().row.version, done);
+            acquireReleased(wanted, result.value().row.version, done);
         else
             done({claim_verdict::held, *found, heldRetryDelay});
     }
 
-    void acquireReleased(const claim &mine, std::uint64_t version,
+    void acquireReleased(const claim &wanted, std::uint64_t version,
                          const std::function<void(claim_result)> &done)
     {
         m_table.compareAndSet(
-                claimKey(mine.requestId), version, encodeClaim(mine),
-                [this, mine, done](outcome<write_result, table_error> result) {
+                claimKey(wanted.requestId), version, encodeClaim(wanted),
+                [this, wanted, done](outcome<write_result, table_error> result) {
                     if (result && result.value().done) {
-                        done({claim_verdict::granted, mine, milliseconds(0)});
+                        done({claim_verdict::granted, wanted, milliseconds(0)});
                         return;
                     }
                     if (result) {
-                        done({claim_verdict::held, mine, heldRetryDelay});
+                        done({claim_verdict::held, wanted, heldRetryDelay});
                         return;
                     }
                     if (!result.error().hadNoEffect())
-                        release(mine.requestId, mine.operationId);
-                    done({claim_verdict::unavailable, mine, result.error().retryAfter});
+                        release(wanted.requestId, wanted.operationId);
+                    done({claim_verdict::unavailable, wanted, result.error().retryAfter});
                 });
     }
 
@@ -146,13 +147,13 @@
     {
         claim item;
         std::function<void()> done;
-        time_point giveUpAt{}; ///< when a missing row is taken for never written
+        time_point giveUpAt{}; ///< from then on, a missing row counts as never written
     };
 
     void enqueueWrite(claim item, claim_state state, std::function<void()> done)
     {
         item.state = state;
-        // The front may be in flight: the oldest waiting one behind it is dropped.
+        // The front may be in flight, so the oldest write behind it is dropped.
         if (m_writes.size() >= maxPendingWrites)
             m_writes.erase(m_writes.begin() + 1);
         m_writes.push_back({std::move(item), std::move(done), m_runtime.now() + maxInsertDelay});
@@ -178,11 +179,11 @@
     {
         const auto found = row ? decodeClaim(row->value) : std::nullopt;
         if (!row && m_runtime.now() < m_writes.front().giveUpAt) {
-            // The insert that was in doubt may still be on its way.
+            // The insert with an unknown result may still take effect.
             scheduleRetry();
             return;
         }
-        // Only the claim's own holder changes it, and nothing changes a done one.
+        // Only the holder may change a claim, and nobody may change a completed one.
         const bool isMine = found && found->operationId == item.operationId
                 && found->state == claim_state::claimed;
         if (!isMine) {
--- a/lib/Ledger/Bill.cpp
+++ b/lib/Ledger/Bill.cpp
@@ -1,6 +1,6 @@
 //===-- Bill.cpp - rows of bills and claims ---------------------------------===//
 //
-// JSON, so that operators can read the table without a tool of ours.
+// Rows are encoded as JSON so that operators can read the table without a special tool.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Ledger/Bill.h"
@@ -31,7 +31,7 @@
 std::string laurelcroft::sessionKey(std::string_view customer, std::string_view session,
                                     std::string_view model)
 {
-    // The caller's name may hold any character; the key holds its digest.
+    // A session name may contain any character, so the key contains its digest.
     return "session/" + std::string(customer) + "/" + sha256Hex(session).substr(0, 32) + "/"
             + std::string(model);
 }
