--- a/include/laurelcroft/Contract/Bundle.h
+++ b/include/laurelcroft/Contract/Bundle.h
@@ -1,7 +1,8 @@
-//===-- Contract/Bundle.h - what operators sign off --------------*- C++ -*-===//
+//===-- Contract/Bundle.h - typed form of a bundle ---------------*- C++ -*-===//
 //
-// The typed form of one bundle: models and versions, pools, services, customers,
-// cascades and roll-outs. docs/BUNDLE.md explains each field to operators.
+// A bundle is the configuration that operators sign off: models and versions, pools,
+// services, customers, cascades and roll-outs. docs/BUNDLE.md explains each field to
+// operators.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_CONTRACT_BUNDLE_H
@@ -14,13 +15,13 @@
 
 namespace laurelcroft {
 
-/// Number of an accepted bundle; each acceptance takes the next one, never a lower.
+/// Number of an accepted bundle; it rises by one with each acceptance.
 using bundle_epoch = std::uint64_t;
 
-/// Life of one version of a model.
+/// State of one version of a model.
 enum class version_state {
     settled, ///< serves sessions without restriction
-    rollout, ///< serves a share of new sessions, under a guard
+    rollout, ///< serves a share of new sessions while its quality is monitored
     withdrawn, ///< receives no new work
 };
 
@@ -39,71 +40,72 @@
 {
     std::string name;
     std::string pool;
-    double inputCost = 0; ///< cost units for 1000 prompt tokens
-    double outputCost = 0; ///< cost units for 1000 generated tokens
+    double inputCost = 0; ///< cost units per 1000 prompt tokens
+    double outputCost = 0; ///< cost units per 1000 generated tokens
     std::vector<model_version> versions;
 
     bool operator==(const model &) const = default;
 };
 
-/// What a pool's endpoints are.
+/// Kind of a pool's endpoints.
 enum class pool_kind { engine, service };
 
-/// A named set of like endpoints. Which instances stand in it comes from their settings.
+/// A named set of equivalent endpoints. An instance names its pool in its settings.
 struct pool
 {
     std::string name;
     pool_kind kind = pool_kind::engine;
-    bool fenced = true; ///< its endpoints check the fence of an order themselves
+    bool fenced = true; ///< its endpoints refuse orders with an outdated fencing token
 
     bool operator==(const pool &) const = default;
 };
 
-/// A plain service beside the models.
+/// A service that is not a model.
 struct service
 {
     std::string name;
     std::string pool;
     bool repeatable = true; ///< false: a call runs at most once
-    double cost = 0; ///< cost units a call
+    double cost = 0; ///< cost units per call
 
     bool operator==(const service &) const = default;
 };
 
-/// A customer and what it may use.
+/// A customer with its permissions and limits.
 struct customer
 {
     std::string name;
     std::string keySha256; ///< hexadecimal digest of its key
-    std::string group; ///< customer class that quality is learned for
+    std::string group; ///< customer group for which quality is estimated
     std::vector<std::string> allowed; ///< `model`, `model@version`, cascade or service names
     double requestsPerSecond = 0;
     std::uint32_t burst = 0; ///< requests
-    std::uint32_t maxConcurrent = 0; ///< requests in flight over all entries
+    std::uint32_t maxConcurrent = 0; ///< requests in flight at all entries together
     std::uint32_t priority = 0; ///< 0 is served first
 
     bool operator==(const customer &) const = default;
 };
 
-/// Tiers of models from cheap to costly behind one name.
+/// A name for several models, called tiers, that are tried from the cheapest to the costliest.
 struct cascade
 {
     std::string name;
     std::vector<std::string> tiers; ///< model names, cheapest first
     double qualityTarget = 0; ///< share of answers that must be good, in [0, 1]
-    double startScore = 0; ///< score that suffices while nothing is learned yet
-    std::uint32_t latencyMs = 0; ///< latency wanted for the whole cascade
+    double startScore = 0; ///< score threshold until one has been learned from ratings
+    std::uint32_t latencyMs = 0; ///< target latency of the whole cascade
     bool repeatable = true; ///< false: runs at most once, on the last tier only
 
     bool operator==(const cascade &) const = default;
 };
 
-/// Bounds within which a version under roll-out may be used.
+/// Conditions under which a roll-out is stopped or paused.
 struct rollout_guard
 {
-    double worseBy = 0; ///< drop of the good share that counts as bad, in (0, 1)
-    double falseStop = 0; ///< probability of stopping a good version, in (0, 1)
-    std::uint32_t confirmSeconds = 0; ///< without a confirmed epoch for longer, the roll-out pauses
+    double worseBy = 0; ///< drop in the share of good answers that is too large, in (0, 1)
+    double falseStop = 0; ///< accepted probability of stopping a good version, in (0, 1)
+    std::uint32_t confirmSeconds
+            = 0; ///< the roll-out pauses without a confirmed epoch for this long
 
     bool operator==(const rollout_guard &) const = default;
 };
@@ -120,7 +122,7 @@
     bool operator==(const rollout &) const = default;
 };
 
-/// Everything that operators decide.
+/// The whole configuration of a site, as signed off by its operators.
 struct bundle
 {
     std::string site;
@@ -143,11 +145,11 @@
 
 const model_version *findVersion(const model &item, std::string_view version);
 
-/// \returns true when \p who may use \p version of \p name; a withdrawn version never.
+/// \returns true if \p who may use \p version of \p name. Withdrawn versions may not be used.
 bool mayUse(const bundle &rules, const customer &who, std::string_view name,
             std::string_view version);
 
-/// \returns true when \p who may use any version of model, cascade or service \p name.
+/// \returns true if \p who may use any version of model, cascade or service \p name.
 bool mayUseAnyVersion(const bundle &rules, const customer &who, std::string_view name);
 
 std::string_view textOf(version_state state);
--- a/include/laurelcroft/Contract/BundleText.h
+++ b/include/laurelcroft/Contract/BundleText.h
@@ -1,6 +1,6 @@
 //===-- Contract/BundleText.h - YAML form of a bundle ------------*- C++ -*-===//
 //
-// Reads, validates, prints and compares bundles. Reading reports every error at
+// Parses, validates, prints and compares bundles. The parser reports all errors at
 // once, with line and column.
 //
 //===----------------------------------------------------------------------===//
@@ -16,36 +16,38 @@
 
 namespace laurelcroft {
 
-/// One thing wrong with a bundle's text. Line and column count from 1.
+/// An error in a bundle's text. Line and column are counted from 1.
 struct bundle_error
 {
     int line = 0;
     int column = 0;
-    std::string path; ///< where, as `models[0].versions[1].state`
+    std::string path; ///< field, such as `models[0].versions[1].state`
     std::string message;
 };
 
 using bundle_errors = std::vector<bundle_error>;
 
-/// Format number that this release reads and writes.
+/// Version of the text format that this release reads and writes.
 inline constexpr int bundleFormat = 1;
 
-/// Largest bundle text in bytes that is read at all.
+/// Size in bytes above which a bundle text is refused without being parsed.
 inline constexpr std::size_t maxBundleBytes = 1U << 20;
 
-/// Reads and validates \p text as a whole.
+/// Parses and validates \p text.
 outcome<bundle, bundle_errors> parseBundle(std::string_view text);
 
-/// \returns the canonical text: the same bundle always gives the same bytes.
+/// \returns the canonical text; equal bundles give equal bytes.
 std::string canonicalText(const bundle &rules);
 
-/// \returns the hash that sign-off and storage use: SHA-256 of the canonical text.
+/// \returns the SHA-256 of the canonical text, which identifies the bundle when it is signed
+/// and stored.
 std::string bundleHash(const bundle &rules);
 
-/// \returns "line:column: path: message" for each error.
+/// \returns one line for each error: "line:column: path: message".
 std::string describe(const bundle_errors &errors);
 
-/// \returns one sentence for each change and whom it touches.
+/// \returns one sentence for each change. Changes of models, versions and roll-outs name the
+/// customers that they affect.
 std::vector<std::string> diffBundles(const bundle &before, const bundle &after);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Contract/ServiceContract.h
+++ b/include/laurelcroft/Contract/ServiceContract.h
@@ -1,8 +1,8 @@
 //===-- Contract/ServiceContract.h - routes, services, customers -*- C++ -*-===//
 //
-// The contract for requests that are passed on as they came: which route a request
-// belongs to, which services may run it, and what its customer and its bounds are.
-// It is immutable once it is in force; a request keeps the one it began with.
+// The contract for requests that are forwarded unchanged. It defines the routes, the
+// services that each route sends to, the customers, and the limits on callers. A contract
+// in force is immutable; a request keeps the contract with which it began.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_CONTRACT_SERVICECONTRACT_H
@@ -20,13 +20,13 @@
 
 namespace laurelcroft {
 
-/// What an answer looks like on the wire.
+/// Form of an answer on the wire.
 enum class answer_form {
-    whole, ///< one body
-    events ///< a stream of events with rising ids
+    whole, ///< a single body
+    events ///< a stream of events with ascending ids
 };
 
-/// A service that a route sends to, and its part of the requests.
+/// A service of a route, and its share of the route's requests.
 struct weighted_service
 {
     std::string name;
@@ -41,18 +41,18 @@
     std::string pathPrefix;
     answer_form form = answer_form::whole;
     bool repeatable = false; ///< may run more than once
-    bool resumable = false; ///< a stream may go on at another endpoint after an event id
-    bool open = false; ///< needs no key
-    std::chrono::milliseconds timeout{5000}; ///< longest time a request is held
-    std::chrono::milliseconds objective{1000}; ///< first event or whole answer
-    std::chrono::milliseconds eventGap{1000}; ///< longest pause between events
-    unsigned maxEndpoints = 1; ///< endpoints that one request may be sent to
+    bool resumable = false; ///< another endpoint can continue a stream after an event id
+    bool open = false; ///< callers need no key
+    std::chrono::milliseconds timeout{5000}; ///< time limit of a request
+    std::chrono::milliseconds objective{1000}; ///< target time to first event or whole answer
+    std::chrono::milliseconds eventGap{1000}; ///< longest acceptable pause between events
+    unsigned maxEndpoints = 1; ///< number of endpoints that one request may be sent to
     int priority = 5; ///< 0 is the most urgent
     std::vector<std::string> models; ///< smallest first; empty: the caller names the model
     std::vector<weighted_service> services;
-    std::vector<std::string> homeRegions; ///< only endpoints there may serve it; empty: any
+    std::vector<std::string> homeRegions; ///< regions whose endpoints may serve it; empty: any
 
-    /// \returns true when a request may be sent again after it may have run.
+    /// \returns true if a request may be sent again although it may already have run.
     bool mayRepeat() const { return repeatable || (form == answer_form::events && resumable); }
 };
 
@@ -63,21 +63,20 @@
     double costPerThousandTokens = 0;
 };
 
-/// What all endpoints of one service have in common.
+/// Properties shared by all endpoints of a service.
 struct service_description
 {
     std::string name;
-    std::size_t maxConnections = 64; ///< of all callers together, to one endpoint
-    double coldRequestsPerSecond
-            = 0; ///< requests a second that a cold endpoint bears; 0: any number
+    std::size_t maxConnections = 64; ///< to one endpoint, from all entries together
+    double coldRequestsPerSecond = 0; ///< limit for an endpoint that is cold; 0: unlimited
     bool hasModels = false;
     std::vector<model_price> models;
 
-    /// \returns the price of \p model over that of \p other; 1 when either has none.
+    /// \returns the price of \p model divided by that of \p other; 1 if either has no price.
     double priceRatio(std::string_view model, std::string_view other) const;
 };
 
-/// Bounds on what callers may send.
+/// Limits on the connections and requests of callers.
 struct caller_limits
 {
     std::size_t maxHeaderBytes = 16384;
@@ -90,11 +89,11 @@
 struct contract_customer
 {
     std::string name;
-    std::optional<int> priority; ///< goes before the route's
-    std::vector<std::string> homeRegions; ///< only endpoints there may serve it; empty: any
+    std::optional<int> priority; ///< overrides the priority of the route
+    std::vector<std::string> homeRegions; ///< regions whose endpoints may serve it; empty: any
 };
 
-/// A whole contract.
+/// The routes, services, customers and limits of one contract version.
 struct service_contract
 {
     std::uint64_t version = 0;
@@ -105,10 +104,10 @@
     bool needsKeys = false; ///< customers are listed, so routes that are not open need a key
     caller_limits limits;
 
-    /// \returns the route of \p host with the longest prefix of \p path; null if there is none.
+    /// \returns the route of \p host with the longest prefix of \p path; null if none matches.
     const service_route *findRoute(std::string_view host, std::string_view path) const;
 
-    /// \returns the customer that holds \p key; null if the key is not known.
+    /// \returns the customer to which \p key belongs; null if the key is unknown.
     const contract_customer *findCustomer(const std::string &key) const;
 
     /// \returns the service called \p name; null if it is not listed.
@@ -117,8 +116,8 @@
 
 using contract_ptr = std::shared_ptr<const service_contract>;
 
-/// Checks a contract as a whole.
-/// \returns one message for each fault, naming the field; empty when it may be put in force.
+/// Validates a contract.
+/// \returns one message for each error, naming the field; empty if the contract is valid.
 std::vector<std::string> checkContract(const service_contract &contract);
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Contract/SignOff.h
+++ b/include/laurelcroft/Contract/SignOff.h
@@ -1,7 +1,7 @@
 //===-- Contract/SignOff.h - signed acceptance of a bundle -------*- C++ -*-===//
 //
-// The one table row that puts a bundle in force, and the signatures it carries.
-// Every process checks the signatures itself against keys from its settings.
+// The table row that puts a bundle in force, with the signatures of operators. Every
+// process verifies the signatures itself, against the public keys in its settings.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_CONTRACT_SIGNOFF_H
@@ -25,32 +25,33 @@
     bool operator==(const bundle_signature &) const = default;
 };
 
-/// The row `bundle/current`: what is in force.
+/// The row `bundle/current`, which names the bundle in force.
 struct acceptance
 {
     bundle_epoch epoch = 0;
     std::string hash;
-    std::string operationId; ///< made by the command that accepted; resolves a lost answer
+    std::string operationId; ///< identifies the write of a command whose answer was lost
     std::string operatorName;
     std::vector<bundle_signature> signatures;
 
     bool operator==(const acceptance &) const = default;
 };
 
-/// Who may sign off and how many must.
+/// Which keys may sign a bundle off, and how many must.
 struct signoff_rule
 {
     std::vector<std::string> trustedKeys; ///< hexadecimal public keys
-    std::size_t required = 1; ///< distinct keys
+    std::size_t required = 1; ///< number of distinct keys
 };
 
-/// What is signed: the hash under a fixed prefix, so that no other text's signature fits.
+/// \returns the text to sign: the hash after a fixed prefix, so that a signature made for
+/// another purpose is not valid for a bundle.
 std::string signedText(std::string_view hash);
 
-/// \returns true when enough distinct trusted keys signed \p accepted.hash.
+/// \returns true if enough distinct trusted keys signed the hash of \p accepted.
 bool isSignedOff(const acceptance &accepted, const signoff_rule &rule);
 
-/// JSON form of the row.
+/// \returns the JSON encoding of the row.
 std::string encodeAcceptance(const acceptance &accepted);
 std::optional<acceptance> decodeAcceptance(std::string_view text);
 
--- a/lib/Contract/Bundle.cpp
+++ b/lib/Contract/Bundle.cpp
@@ -1,6 +1,6 @@
 //===-- Bundle.cpp - lookups and permissions --------------------------------===//
 //
-// Bundles hold tens of items, so that plain scans are enough.
+// Bundles contain tens of items, so linear searches are fast enough.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/Bundle.h"
--- a/lib/Contract/BundleCanonical.cpp
+++ b/lib/Contract/BundleCanonical.cpp
@@ -1,7 +1,7 @@
 //===-- BundleCanonical.cpp - canonical text and differences ----------------===//
 //
-// The canonical text is what is hashed, signed and stored. Numbers are printed by
-// std::to_chars, shortest form, so that no locale or precision changes a hash.
+// The canonical text is hashed, signed and stored. std::to_chars prints numbers in
+// their shortest form, so that neither locale nor precision can change a hash.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/BundleText.h"
@@ -142,7 +142,8 @@
     return std::string(out.c_str()) + "\n";
 }
 
-/// Notes what was added, removed or changed between two lists of named items.
+/// Appends a line for each item that was added or removed between two lists of named items, and
+/// calls \p explain for each changed one.
 template <class T, class F>
 static void diffNamed(const char *kind, const std::vector<T> &before, const std::vector<T> &after,
                       std::vector<std::string> &lines, F explain)
@@ -211,21 +212,21 @@
 static void diffModel(const bundle &rules, const model &before, const model &after,
                       std::vector<std::string> &lines)
 {
-    const std::string touched = " (touches " + customersUsing(rules, after.name) + ")";
+    const std::string affected = " (affects " + customersUsing(rules, after.name) + ")";
     diffNamed("version", before.versions, after.versions, lines,
               [&](const model_version &old, const model_version &fresh) {
                   if (old.state != fresh.state)
                       lines.push_back("version " + after.name + "@" + fresh.name + " goes from "
                                       + std::string(textOf(old.state)) + " to "
-                                      + std::string(textOf(fresh.state)) + touched);
+                                      + std::string(textOf(fresh.state)) + affected);
                   if (old.weights != fresh.weights)
                       lines.push_back("version " + after.name + "@" + fresh.name
-                                      + " gets other weights" + touched);
+                                      + " gets other weights" + affected);
               });
     if (before.inputCost != after.inputCost || before.outputCost != after.outputCost)
-        lines.push_back("model " + after.name + " gets another cost" + touched);
+        lines.push_back("model " + after.name + " gets another cost" + affected);
     if (before.pool != after.pool)
-        lines.push_back("model " + after.name + " moves to pool " + after.pool + touched);
+        lines.push_back("model " + after.name + " moves to pool " + after.pool + affected);
 }
 
 static void diffRollouts(const bundle &before, const bundle &after, std::vector<std::string> &lines)
@@ -237,7 +238,7 @@
         lines.push_back("roll-out of " + item.model + " from " + item.from + " to " + item.to
                         + " takes " + std::to_string(item.sharePercent) + "% of new sessions"
                         + (old ? " instead of " + std::to_string(old->sharePercent) + "%" : "")
-                        + " (touches " + customersUsing(after, item.model) + ")");
+                        + " (affects " + customersUsing(after, item.model) + ")");
     }
     for (const rollout &item : before.rollouts) {
         if (after.findRollout(item.model) == nullptr)
--- a/lib/Contract/BundleCheck.h
+++ b/lib/Contract/BundleCheck.h
@@ -1,6 +1,6 @@
-//===-- BundleCheck.h - rules between the parts of a bundle ------*- C++ -*-===//
+//===-- BundleCheck.h - consistency checks of a bundle -----------*- C++ -*-===//
 //
-// Private to Contract: what a field alone cannot tell.
+// Private to Contract: rules that involve more than one field of a bundle.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_CONTRACT_BUNDLECHECK_H
@@ -14,7 +14,8 @@
 
 namespace laurelcroft {
 
-/// Appends an error for each broken reference or rule; \p root gives the places.
+/// Appends an error for each unresolved reference or violated rule. \p root provides the line
+/// and column of each item.
 void checkReferences(const bundle &rules, const YAML::Node &root, bundle_errors &errors);
 
 } // namespace laurelcroft
--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -1,7 +1,7 @@
 //===-- BundleText.cpp - reads a bundle from YAML ---------------------------===//
 //
-// The reader walks the tree once, collects every error with its place and never
-// stops at the first. Cross references are checked in BundleCheck.cpp.
+// The parser walks the YAML tree once and collects all errors with line and column.
+// References between items are checked in BundleCheck.cpp.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/BundleText.h"
@@ -20,10 +20,10 @@
 
 namespace {
 
-/// Deeper nesting than any bundle has; guards the recursive YAML reader.
+/// Nesting limit that protects the recursive YAML parser. No valid bundle is this deep.
 constexpr int maxNestingDepth = 32;
 
-/// Reads fields of one YAML mapping and notes what is wrong with them.
+/// Reads the fields of one YAML mapping and collects errors.
 class mapping_reader
 {
 public:
@@ -37,7 +37,7 @@
             addError(node, m_path, "must be a mapping");
     }
 
-    /// Notes fields that were not asked for; call it last.
+    /// Reports fields that were not read. Must be called last.
     void finish()
     {
         if (!m_usable)
@@ -75,7 +75,7 @@
         addError(field, pathOf(name), text.str());
     }
 
-    /// Reads one of several words; \p words[i] stands for value i of the enumeration.
+    /// Reads a value of an enumeration; \p words[i] is the name of value i.
     template <class E>
     void readEnum(const std::string &name, E &value, const std::vector<std::string> &words)
     {
@@ -109,7 +109,7 @@
             each(field[i], pathOf(name) + "[" + std::to_string(i) + "]");
     }
 
-    /// Reads the nested mapping \p name with \p inner; absent is allowed.
+    /// Reads the optional nested mapping \p name with \p inner.
     void readNested(const std::string &name, const std::function<void(mapping_reader &)> &inner)
     {
         const YAML::Node field = find(name, false);
@@ -130,7 +130,7 @@
         if (field.IsDefined())
             return field;
         if (required)
-            addError(m_node, m_path, "lacks the field '" + name + "'");
+            addError(m_node, m_path, "field '" + name + "' is missing");
         return YAML::Node(YAML::NodeType::Undefined);
     }
 
@@ -264,7 +264,8 @@
     });
 }
 
-/// yaml-cpp recurses once for each level: flow nesting is bounded before it is read.
+/// \returns true if flow collections are nested too deeply. This is checked before the text is
+/// parsed because yaml-cpp recurses once for each level.
 static bool exceedsMaxNesting(std::string_view text)
 {
     int depth = 0;
--- a/lib/Contract/ServiceContract.cpp
+++ b/lib/Contract/ServiceContract.cpp
@@ -1,6 +1,6 @@
 //===-- ServiceContract.cpp - routes, services, customers -------------------===//
 //
-// Lookups and the check of a whole contract.
+// Lookups in a contract, and its validation.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/ServiceContract.h"
@@ -73,10 +73,10 @@
     std::vector<std::string> faults;
     if (contract.version == 0)
         faults.emplace_back("version is missing");
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> hostPrefixes;
     for (const service_route &route : contract.routes) {
         checkRoute(route, faults);
-        if (!places.emplace(route.host, route.pathPrefix).second)
+        if (!hostPrefixes.emplace(route.host, route.pathPrefix).second)
             faults.push_back("route " + route.name + ": host and path prefix are given twice");
     }
     if (contract.limits.maxHeaderBytes == 0 || contract.limits.maxBodyBytes == 0)
--- a/lib/Contract/SignOff.cpp
+++ b/lib/Contract/SignOff.cpp
@@ -1,7 +1,7 @@
 //===-- SignOff.cpp - signed acceptance of a bundle -------------------------===//
 //
-// Signatures cover the hash only: the epoch is given by the table's
-// compare-and-set, which the signers do not know beforehand.
+// Signatures cover the hash only. The epoch is assigned when the table row is written
+// by compare-and-set, so signers cannot know it beforehand.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/SignOff.h"
