--- a/include/laurelcroft/Operator/Edit.h
+++ b/include/laurelcroft/Operator/Edit.h
@@ -1,6 +1,6 @@
-//===-- Operator/Edit.h - edits that make the next bundle --------*- C++ -*-===//
+//===-- Operator/Edit.h - edits of a bundle ----------------------*- C++ -*-===//
 //
-// Roll-forward and withdrawal as pure functions on a bundle.
+// Implements roll-forward and withdrawal as pure functions on a bundle.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_OPERATOR_EDIT_H
@@ -15,12 +15,14 @@
 
 namespace laurelcroft {
 
-/// Moves the roll-out of \p model to \p sharePercent; 100 settles its version.
-/// \returns the next bundle or why it can't be made.
+/// Sets the share of the roll-out of \p model; 100 settles the new version and ends the
+/// roll-out.
+/// \returns the edited bundle or an error message.
 outcome<bundle, std::string> rollForward(bundle rules, std::string_view model,
                                          std::uint32_t sharePercent);
 
-/// Withdraws \p version of \p model and ends a roll-out to it.
+/// Withdraws \p version of \p model and ends any roll-out to it.
+/// \returns the edited bundle or an error message.
 outcome<bundle, std::string> withdrawVersion(bundle rules, std::string_view model,
                                              std::string_view version);
 
--- a/include/laurelcroft/Operator/Operator.h
+++ b/include/laurelcroft/Operator/Operator.h
@@ -1,7 +1,7 @@
 //===-- Operator/Operator.h - the operators' command -------------*- C++ -*-===//
 //
-// Everything operators may do: make, compare, propose, sign, accept, roll forward
-// and withdraw bundles, and look at what is in force.
+// Operators use the command to validate, compare, propose, sign, accept, roll forward
+// and withdraw bundles, and to inspect the bundle in force.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_OPERATOR_OPERATOR_H
@@ -9,7 +9,7 @@
 
 namespace laurelcroft {
 
-/// Exit codes of the command; the help lists them.
+/// Exit codes of the command. Its help text lists them.
 enum class operator_exit {
     done = 0,
     failed = 1,
--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -1,7 +1,7 @@
 //===-- Commands.cpp - propose, sign, accept, roll forward, withdraw --------===//
 //
-// Nothing here touches a live site: every change is a bundle that was signed off,
-// put in force by one compare-and-set of the table's row.
+// No subcommand changes a running site directly: every change is a signed-off bundle that
+// one compare-and-set of the table row puts in force.
 //
 //===----------------------------------------------------------------------===//
 #include "Commands.h"
@@ -132,7 +132,7 @@
     return std::string("bundle/history/") + digits.data();
 }
 
-/// Stores the text of a bundle and notes the proposal.
+/// Stores the text of a bundle and records the proposal in the table.
 static report propose(command_context &context, const bundle &rules)
 {
     const std::string hash = bundleHash(rules);
@@ -169,12 +169,12 @@
     const auto publicHex = publicKeyOf(secretHex);
     const auto signature = signEd25519(secretHex, signedText(hash));
     if (!publicHex || !signature)
-        return failedReport(operator_exit::usage, "--key-file: holds no secret key");
+        return failedReport(operator_exit::usage, "--key-file: not a valid secret key");
     const auto proposal = context.platform.read(proposalKey(hash));
     if (!proposal)
         return tableUnreachableReport(proposal.error());
     if (!proposal.value())
-        return failedReport(operator_exit::failed, "nothing was proposed under this hash");
+        return failedReport(operator_exit::failed, "no proposal has this hash");
     const auto noted = context.platform.insert(signaturePrefix(hash) + *publicHex, *signature);
     if (!noted)
         return tableUnreachableReport(noted.error());
@@ -216,21 +216,22 @@
     return current;
 }
 
-static report conflictReport(const std::string &standing)
+static report conflictReport(const std::string &storedRow)
 {
-    const auto winner = decodeAcceptance(standing);
+    const auto winner = decodeAcceptance(storedRow);
     if (!winner)
-        return failedReport(operator_exit::conflict, "another operator was faster");
-    report result
-            = failedReport(operator_exit::conflict,
-                           "another operator was faster: epoch " + std::to_string(winner->epoch)
-                                   + " by " + winner->operatorName + " with hash " + winner->hash);
+        return failedReport(operator_exit::conflict, "another operator changed the bundle first");
+    report result = failedReport(operator_exit::conflict,
+                                 "another operator changed the bundle first: epoch "
+                                         + std::to_string(winner->epoch) + " by "
+                                         + winner->operatorName + " with hash " + winner->hash);
     result.data["winner"] = {
             {"epoch", winner->epoch}, {"operator", winner->operatorName}, {"hash", winner->hash}};
     return result;
 }
 
-/// Writes the row of the bundle in force; a lost answer is resolved by reading back.
+/// Writes the row of the bundle in force. If the answer is lost, the row is read again to find
+/// out whether the write took effect.
 static report replaceCurrent(command_context &context, const acceptance &next,
                              std::uint64_t rowVersion)
 {
@@ -239,18 +240,18 @@
             = context.platform.compareAndSet(std::string(currentRowKey), rowVersion, value);
     if (!swapped && swapped.error().hadNoEffect())
         return tableUnreachableReport(swapped.error());
-    std::string standing = swapped ? swapped.value().row.value : std::string();
+    std::string storedRow = swapped ? swapped.value().row.value : std::string();
     if (!swapped) {
         const auto back = context.platform.read(std::string(currentRowKey));
         if (!back)
             return failedReport(operator_exit::platformUnreachable,
-                                "no answer came: run 'status' to see whether epoch "
+                                "the table did not answer: run 'status' to see whether epoch "
                                         + std::to_string(next.epoch) + " is in force");
-        standing = back.value() ? back.value()->value : std::string();
+        storedRow = back.value() ? back.value()->value : std::string();
     }
-    const auto winner = decodeAcceptance(standing);
+    const auto winner = decodeAcceptance(storedRow);
     if (!winner || winner->operationId != next.operationId)
-        return conflictReport(standing);
+        return conflictReport(storedRow);
     report result;
     result.data["epoch"] = next.epoch;
     result.data["hash"] = next.hash;
@@ -259,7 +260,7 @@
     return result;
 }
 
-/// \returns false when the table could not take the line.
+/// Adds an epoch to the history. \returns false if the table did not store the row.
 static bool writeHistory(command_context &context, const acceptance &accepted)
 {
     const auto noted
@@ -267,7 +268,7 @@
     return noted.has_value();
 }
 
-/// Says what is missing and how to go on.
+/// \returns a report of how many signatures are missing and how to continue.
 static report missingSignaturesReport(const acceptance &next, const signoff_rule &rule,
                                       bundle_epoch base)
 {
@@ -301,12 +302,14 @@
                             static_cast<std::size_t>(context.options.number("signoff-required"))};
     if (!isSignedOff(next, rule))
         return missingSignaturesReport(next, rule, base.accepted.epoch);
-    // The epoch that ends is noted first: a lost note of the last acceptance is made up.
+    // Write the history row of the current epoch first, in case it was lost when that epoch was
+    // accepted.
     if (base.accepted.epoch > 0 && !writeHistory(context, base.accepted))
         return failedReport(operator_exit::platformUnreachable, "the history cannot be written");
     report result = replaceCurrent(context, next, base.rowVersion);
     if (result.exit == operator_exit::done && !writeHistory(context, next))
-        result.lines.push_back("the history will name it after the next acceptance");
+        result.lines.push_back(
+                "the history could not be written; the next acceptance adds this epoch");
     return result;
 }
 
@@ -323,7 +326,7 @@
     return accept(context, context.arguments[0], base.value());
 }
 
-/// Proposes, signs and accepts an edited bundle in one go.
+/// Proposes, signs and accepts an edited bundle.
 static report applyEdit(command_context &context, const current_bundle &base,
                         const outcome<bundle, std::string> &edited)
 {
--- a/lib/Operator/Commands.h
+++ b/lib/Operator/Commands.h
@@ -1,6 +1,6 @@
-//===-- Commands.h - the commands of operators -------------------*- C++ -*-===//
+//===-- Commands.h - subcommands of the operators' command -------*- C++ -*-===//
 //
-// Private to Operator: one function a command, and the report that it fills.
+// Private to Operator: one function per subcommand, and the report that it returns.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_OPERATOR_COMMANDS_H
@@ -19,7 +19,7 @@
 
 namespace laurelcroft {
 
-/// What a command ends with, for people and for programs.
+/// Result of a subcommand: text lines for people, JSON for programs.
 struct report
 {
     operator_exit exit = operator_exit::done;
@@ -27,11 +27,11 @@
     nlohmann::ordered_json data = nlohmann::ordered_json::object();
 };
 
-/// One command's surroundings.
+/// Settings, arguments and platform access of a subcommand.
 struct command_context
 {
     const settings &options;
-    std::vector<std::string> arguments; ///< after the command's name
+    std::vector<std::string> arguments; ///< those after the subcommand's name
     operator_platform &platform;
 };
 
@@ -47,10 +47,10 @@
 report historyCommand(command_context &context);
 report explainCommand(command_context &context);
 
-/// A failed report of one line.
+/// \returns a report of one error line.
 report failedReport(operator_exit exit, std::string line);
 
-/// The bundle in force with its row.
+/// The bundle in force and its table row.
 struct current_bundle
 {
     acceptance accepted;
@@ -58,7 +58,7 @@
     bundle rules; ///< empty before the first acceptance
 };
 
-/// Reads the bundle in force.
+/// Reads the bundle in force from the table and the object store.
 outcome<current_bundle, report> readCurrent(operator_platform &platform);
 
 } // namespace laurelcroft
--- a/lib/Operator/Edit.cpp
+++ b/lib/Operator/Edit.cpp
@@ -1,6 +1,6 @@
-//===-- Edit.cpp - edits that make the next bundle --------------------------===//
+//===-- Edit.cpp - edits of a bundle ----------------------------------------===//
 //
-// The results are validated as any bundle before they are proposed.
+// Edited bundles are validated like any other before they are proposed.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Operator/Edit.h"
@@ -26,19 +26,19 @@
 outcome<bundle, std::string> laurelcroft::rollForward(bundle rules, std::string_view name,
                                                       std::uint32_t sharePercent)
 {
-    const auto moving = std::find_if(rules.rollouts.begin(), rules.rollouts.end(),
+    const auto active = std::find_if(rules.rollouts.begin(), rules.rollouts.end(),
                                      [name](const rollout &item) { return item.model == name; });
-    if (moving == rules.rollouts.end())
+    if (active == rules.rollouts.end())
         return failure("no roll-out of '" + std::string(name) + "' is under way");
     if (sharePercent > 100)
         return failure(std::string("the share must lie in 0..100 %"));
     if (sharePercent < 100) {
-        moving->sharePercent = sharePercent;
+        active->sharePercent = sharePercent;
         return rules;
     }
     model *const item = findMutableModel(rules, name);
-    findMutableVersion(*item, moving->to)->state = version_state::settled;
-    rules.rollouts.erase(moving);
+    findMutableVersion(*item, active->to)->state = version_state::settled;
+    rules.rollouts.erase(active);
     return rules;
 }
 
--- a/lib/Operator/Operator.cpp
+++ b/lib/Operator/Operator.cpp
@@ -1,6 +1,6 @@
 //===-- Operator.cpp - the operators' command -------------------------------===//
 //
-// Reads settings, finds the command, prints its report.
+// Parses the settings, runs the named subcommand and prints its report.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Operator/Operator.h"
@@ -23,12 +23,13 @@
 
 constexpr std::array<command, 11> commands = {{
         {"validate", "FILE             report every error of a bundle", &validateCommand},
-        {"diff", "FILE FILE            say what changes for whom", &diffCommand},
+        {"diff", "FILE FILE            list changes and the customers affected", &diffCommand},
         {"keygen", "FILE               make a key for signing off", &keygenCommand},
         {"propose", "FILE              store a bundle for signing off", &proposeCommand},
         {"sign", "HASH                 sign a proposal off (--key-file)", &signCommand},
         {"accept", "HASH               put a signed proposal in force", &acceptCommand},
-        {"roll-forward", "MODEL SHARE  move a roll-out; 100 settles it", &rollForwardCommand},
+        {"roll-forward", "MODEL SHARE  set a roll-out's share; 100 settles it",
+         &rollForwardCommand},
         {"withdraw", "MODEL@VERSION    withdraw a version at once", &withdrawCommand},
         {"status", "                   epoch in force, and at how many instances", &statusCommand},
         {"history", "                  every epoch that was accepted", &historyCommand},
@@ -44,7 +45,7 @@
     for (const command &item : commands)
         summary += "  " + std::string(item.name) + " " + std::string(item.help) + "\n";
     summary += "\nExit codes: 0 done, 1 failed, 2 wrong usage, 3 invalid bundle, 4 another "
-               "operator was faster,\n5 the platform cannot be reached, 6 more operators must sign";
+               "operator was first,\n5 the platform cannot be reached, 6 more operators must sign";
     settings declared("laurelcroft", summary);
     declared.allowWords();
     declared.addText("table-url", "", "table service");
@@ -92,7 +93,7 @@
         return static_cast<int>(result.exit);
     }
     std::cerr << "laurelcroft: error: "
-              << (name.empty() ? "name a command" : "no command is called '" + name + "'")
+              << (name.empty() ? "no command given" : "unknown command '" + name + "'")
               << "; --help lists them\n";
     return static_cast<int>(operator_exit::usage);
 }
--- a/lib/Operator/Platform.cpp
+++ b/lib/Operator/Platform.cpp
@@ -1,6 +1,6 @@
 //===-- Platform.cpp - blocking calls of the operators' command -------------===//
 //
-// Each call starts its asynchronous kin and runs the context until it ends.
+// Each call starts the asynchronous operation and runs the I/O context until it completes.
 //
 //===----------------------------------------------------------------------===//
 #include "Platform.h"
--- a/lib/Operator/Platform.h
+++ b/lib/Operator/Platform.h
@@ -1,6 +1,6 @@
 //===-- Platform.h - blocking calls of the operators' command ----*- C++ -*-===//
 //
-// Private to Operator: a command does one thing after the other.
+// Private to Operator: a subcommand makes one call after another and waits for each.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_OPERATOR_PLATFORM_H
@@ -16,6 +16,7 @@
 
 namespace laurelcroft {
 
+/// Blocking access to the table, the object store and the admin ports of instances.
 class operator_platform
 {
 public:
@@ -31,7 +32,7 @@
     outcome<http_reply, http_error> get(const std::string &url);
 
 private:
-    /// Runs the context until \p result has been given.
+    /// Runs the I/O context until \p result is set.
     template <class T>
     T wait(std::optional<T> &result)
     {
--- a/lib/Operator/Views.cpp
+++ b/lib/Operator/Views.cpp
@@ -1,6 +1,6 @@
 //===-- Views.cpp - status, history, explain --------------------------------===//
 //
-// Commands that only look.
+// Read-only subcommands.
 //
 //===----------------------------------------------------------------------===//
 #include "Commands.h"
@@ -12,7 +12,7 @@
 using namespace laurelcroft;
 using nlohmann::json;
 
-/// Asks an entry's admin port for the epochs of all instances.
+/// Reads the state of all instances, with their epochs, from an entry's admin port.
 static std::optional<json> readFleet(command_context &context)
 {
     const std::string &url = context.options.text("admin-url");
@@ -41,7 +41,8 @@
                            + accepted.operatorName + ", hash " + accepted.hash);
     const auto fleet = readFleet(context);
     if (!fleet) {
-        result.lines.push_back("instances not asked: give --admin-url of an entry");
+        result.lines.push_back(
+                "instances not queried: set --admin-url to the admin address of an entry");
         return result;
     }
     std::size_t inForce = 0;
@@ -80,7 +81,7 @@
     return result;
 }
 
-/// Draws many new sessions and counts the versions, with their reasons.
+/// Simulates the version choice of new sessions and counts the chosen versions with the reasons.
 static std::map<std::string, int> drawVersions(const bundle &rules, const customer &who,
                                                const std::string &name, int draws)
 {
@@ -133,7 +134,7 @@
     const std::string &target = context.arguments[1];
     if (!mayUseAnyVersion(rules, *who, target))
         return failedReport(operator_exit::failed,
-                            "this customer may not use it, or no such "
+                            "this customer may not use the target, or no such "
                             "model, cascade or service exists");
     report result;
     result.data["customer"] = who->name;
@@ -141,8 +142,8 @@
                            + std::to_string(current.value().accepted.epoch) + ":");
     if (const cascade *tiers = rules.findCascade(target)) {
         const std::string start = tiers->repeatable
-                ? "  a cascade: the cheap tier first, while it suffices often enough"
-                : "  a cascade that may not be repeated: the last tier only";
+                ? "  a cascade: starts at the cheapest tier if its answers suffice often enough"
+                : "  a non-repeatable cascade: runs on the last tier only";
         result.lines.push_back(start);
         for (const std::string &tier : tiers->tiers)
             explainModel(context, rules, *who, tier, result);
