--- a/unittests/Contract/ContractTests.cpp
+++ b/unittests/Contract/ContractTests.cpp
@@ -1,6 +1,6 @@
-//===-- ContractTests.cpp - bundles: read, validate, compare, sign ----------===//
+//===-- ContractTests.cpp - bundles: parse, validate, compare, sign ---------===//
 //
-// The example bundles of both users are read here as well.
+// Includes the example bundles of both users.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/BundleText.h"
@@ -80,7 +80,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("damaged text is refused without a crash")
+TEST_CASE("corrupted text never crashes the parser")
 {
     const std::string good = readExample("bureau.yaml");
     std::mt19937 random(7);
@@ -109,7 +109,7 @@
     CHECK_FALSE(mayUseAnyVersion(rules, portal, "portal-small"));
 }
 
-TEST_CASE("a difference says what changes for whom")
+TEST_CASE("a diff lists each change and the customers affected")
 {
     const bundle before = bureau();
     bundle after = before;
--- a/unittests/Contract/ServiceContractTests.cpp
+++ b/unittests/Contract/ServiceContractTests.cpp
@@ -1,6 +1,6 @@
 //===-- ServiceContractTests.cpp - routes, services, customers --------------===//
 //
-// Lookups and the check of a whole contract.
+// Tests the lookups in a contract and its validation.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/ServiceContract.h"
@@ -19,7 +19,7 @@
     return route;
 }
 
-TEST_CASE("the longest prefix of the host wins")
+TEST_CASE("the route with the longest path prefix of the host is chosen")
 {
     service_contract contract;
     contract.version = 1;
@@ -32,7 +32,7 @@
     CHECK(checkContract(contract).empty());
 }
 
-TEST_CASE("a stream may be repeated only where it may be resumed")
+TEST_CASE("a stream may be repeated only if it is resumable")
 {
     service_route route = routeAt("r", "/a/");
     route.form = answer_form::events;
@@ -41,7 +41,7 @@
     CHECK(route.mayRepeat());
 }
 
-TEST_CASE("prices compare models, and say nothing of one without a price")
+TEST_CASE("the price ratio of two models is 1 if either has no price")
 {
     service_description service;
     service.models = {{"small", 0.01}, {"large", 0.2}, {"free", 0}};
@@ -50,7 +50,7 @@
     CHECK(service.priceRatio("unknown", "small") == 1);
 }
 
-TEST_CASE("every fault of a contract is named")
+TEST_CASE("validation reports every error of a contract")
 {
     service_contract contract;
     service_route route = routeAt("r", "a");
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -1,6 +1,6 @@
 //===-- LedgerTests.cpp - bills, copies and claims --------------------------===//
 //
-// Over a table in memory that can be away, and a port that loses copies.
+// Uses an in-memory table that can be unavailable, and a port that can refuse copies.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Ledger/BillOutbox.h"
@@ -129,7 +129,7 @@
 
 } // namespace
 
-TEST_CASE("a bill waits for its copy, then stands in the table once")
+TEST_CASE("a bill is acknowledged once it is copied, and is written to the table once")
 {
     ledger_bench bench;
     bench.port.holders = {"e2"};
@@ -146,7 +146,7 @@
     CHECK(placed == 1);
 }
 
-TEST_CASE("without a second process the bill waits for the table")
+TEST_CASE("without a second process a bill is acknowledged when the table has stored it")
 {
     ledger_bench bench;
     bench.table.away = true;
@@ -160,7 +160,7 @@
     CHECK(placed == 1);
 }
 
-TEST_CASE("a holder writes the copies of an owner that is gone, and each stands once")
+TEST_CASE("a holder writes the copies of a dead owner, each of them once")
 {
     ledger_bench bench;
     wire::bill_copy copy;
@@ -175,7 +175,7 @@
     CHECK(bench.outbox.copies() == 0);
 }
 
-TEST_CASE("a copy is forgotten once the table has it, and written when its owner is silent")
+TEST_CASE("a copy is deleted once the table has it, and is written if its owner is silent")
 {
     ledger_bench bench;
     wire::bill_copy copy;
@@ -193,7 +193,7 @@
     CHECK(bench.table.rows.count("bill/r1") == 1);
 }
 
-TEST_CASE("who knows more of a request replaces its bill; who knows less does not")
+TEST_CASE("a bill replaces a stored bill of lower rank, but not one of higher rank")
 {
     ledger_bench bench;
     wire::bill agents = ledger_bench::bill("r1");
@@ -213,7 +213,7 @@
     CHECK(billRank(agents) < billRank(own));
 }
 
-TEST_CASE("claims: granted once; the same key again is held, done or refused")
+TEST_CASE("claims: a key is granted once; reuse of it is held, done or refused")
 {
     ledger_bench bench;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
@@ -229,14 +229,14 @@
     CHECK(decodeClaim(bench.table.rows["claim/k1"].value)->answer == "the answer");
 }
 
-TEST_CASE("claims: a lost answer is resolved by reading back")
+TEST_CASE("claims: if the answer of an insert is lost, the row is read to find the result")
 {
     ledger_bench bench;
     bench.table.loseAnswer = true;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
 }
 
-TEST_CASE("claims: a released one can be taken again, a foreign one is left alone")
+TEST_CASE("claims: a released claim can be acquired again, and only its holder releases it")
 {
     ledger_bench bench;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
@@ -248,7 +248,7 @@
     CHECK(bench.take("k1", "op3") == claim_verdict::granted);
 }
 
-TEST_CASE("claims: while the table is away nothing is granted; the release comes later")
+TEST_CASE("claims: nothing is granted while the table is unavailable")
 {
     ledger_bench bench;
     bench.table.away = true;
@@ -257,7 +257,7 @@
     CHECK(bench.take("k1", "op2") == claim_verdict::granted);
 }
 
-TEST_CASE("rows go there and back, and damaged ones are refused")
+TEST_CASE("rows survive encoding and decoding, and malformed rows are refused")
 {
     wire::bill item = ledger_bench::bill("r1");
     wire::bill_step &step = *item.add_steps();
