--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -96,7 +96,7 @@
 
     /// Handles the death of another process: takes over the copies that it owned, and sends
     /// the own bills that it held as copies to another holder.
-    void peerGone(const std::string &peer)
+    void onPeerDead(const std::string &peer)
     {
         adopt(peer);
         for (auto &[id, own] : m_ownBills) {
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -134,7 +134,7 @@
     node_events events;
     events.onMember = [this](const wire::member &item) {
         if (item.state() == wire::member_dead)
-            m_core.outbox().peerGone(item.id());
+            m_core.outbox().onPeerDead(item.id());
     };
     answerFromCore(events, m_core);
     events.onHealth = [](const wire::version_health &) {};
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -286,7 +286,7 @@
 void entry_process::onMember(const wire::member &item)
 {
     if (item.state() == wire::member_dead)
-        m_core.outbox().peerGone(item.id());
+        m_core.outbox().onPeerDead(item.id());
     if (m_core.directory().onMember(item) || item.state() == wire::member_dead)
         refreshSubsets();
     std::size_t entries = 1;
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -312,7 +312,7 @@
 
 void fake_entry::peerDied(const std::string &peer)
 {
-    core->outbox().peerGone(peer);
+    core->outbox().onPeerDead(peer);
 }
 
 fake_agent::fake_agent(world &all, std::string id, std::string dataCentre, std::string pool)
@@ -466,5 +466,5 @@
 
 void fake_agent::peerDied(const std::string &peer)
 {
-    core->outbox().peerGone(peer);
+    core->outbox().onPeerDead(peer);
 }
