--- a/include/laurelcroft/Contract/Bundle.h
+++ b/include/laurelcroft/Contract/Bundle.h
@@ -104,8 +104,7 @@
 {
     double worseBy = 0; ///< drop in the share of good answers that is too large, in (0, 1)
     double falseStop = 0; ///< accepted probability of stopping a good version, in (0, 1)
-    std::uint32_t confirmSeconds
-            = 0; ///< the roll-out pauses without a confirmed epoch for this long
+    std::uint32_t confirmSeconds = 0; ///< pauses if the epoch is not confirmed for longer
 
     bool operator==(const rollout_guard &) const = default;
 };
