--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -1,4 +1,4 @@
-//===-- Ledger/BillOutbox.h - replicated queue of bills -------*- C++ -*-===//
+//===-- Ledger/BillOutbox.h - replicated queue of bills ----------*- C++ -*-===//
 //
 // Queues the bills of a process until the table has stored them. Until then, a second
 // process holds a copy of each bill, in another data centre if there is one. A row is
