--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -12,7 +12,7 @@
 #include "laurelcroft/Agent/Attempt.h"
 #include "laurelcroft/Fleet/BundleTracker.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 
 #include <deque>
 #include <map>
@@ -325,7 +325,7 @@
     bool m_draining = false;
     tracker_type m_bundleTracker;
     bill_outbox<Runtime, Table, Env> m_outbox;
-    claim_book<Runtime, Table> m_claims;
+    claim_registry<Runtime, Table> m_claims;
     token_rate_meter m_tokenRate;
     attempt_map m_attempts;
     std::unordered_map<link_stream_id, attempt_key> m_keyByStream;
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -14,7 +14,7 @@
 #include "laurelcroft/Entry/RequestLookup.h"
 #include "laurelcroft/Entry/VersionGuardSet.h"
 #include "laurelcroft/Ledger/BillOutbox.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 #include "laurelcroft/Platform/HttpClients.h"
 #include "laurelcroft/Policy/CustomerLimits.h"
 
@@ -316,7 +316,7 @@
             return;
         wire::bill item = makeBill(flow, outcome);
         // A process that knows more, such as the agent that could not be reached, may replace it.
-        item.set_provisional(outcome == uncertainBill);
+        item.set_provisional(outcome == uncertainOutcome);
         m_outbox.add(std::move(item), [this, runs = flow.unsettled] { settle(runs); });
     }
 
@@ -359,9 +359,9 @@
     endpoint_directory m_directory;
     runner_type m_runner;
     bill_outbox<Runtime, Table, Env> m_outbox;
-    claim_book<Runtime, Table> m_claims;
+    claim_registry<Runtime, Table> m_claims;
     session_pinner<Table> m_pinner;
-    request_lookup<Table, claim_book<Runtime, Table>, Env> m_lookup;
+    request_lookup<Table, claim_registry<Runtime, Table>, Env> m_lookup;
     customer_limits m_limits;
     cascade_learner m_learner;
     version_guard_set m_guards;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -28,7 +28,7 @@
     flow.target = resolveTarget(rules, flow.request.target);
     if (!flow.target.isKnown())
         return unknownTarget(flow.request.target);
-    if (!mayName(rules, *who, flow.request.target))
+    if (!mayUseAnyVersion(rules, *who, flow.request.target))
         return notAllowed(flow.request.target);
     const bool isService = flow.request.kind == wire::work_service;
     if (isService != (flow.target.foundService != nullptr))
@@ -122,7 +122,7 @@
     newClaim.customer = flow.customerName;
     newClaim.operationId = newRequestId();
     newClaim.bodySha256 = sha256Hex(flow.request.target + "\n" + flow.request.body);
-    m_claims.take(newClaim, [this, id](const claim_result &result) { onClaim(id, result); });
+    m_claims.acquire(newClaim, [this, id](const claim_result &result) { onClaim(id, result); });
 }
 
 template <runtime_like Runtime, table_like Table, entry_environment Env>
@@ -151,7 +151,7 @@
     case claim_verdict::held:
         fail(id, alreadyRunning(flow->requestId));
         return;
-    case claim_verdict::otherBody:
+    case claim_verdict::bodyMismatch:
         fail(id, idempotencyKeyReused());
         return;
     case claim_verdict::unavailable:
@@ -282,7 +282,7 @@
         retryWithNewBundle(id);
         return;
     }
-    bill(*flow, result.outcome == tier_outcome::uncertain ? uncertainBill : "failed");
+    bill(*flow, result.outcome == tier_outcome::uncertain ? uncertainOutcome : "failed");
     fail(id, tierError(result, nothingRan));
 }
 
@@ -298,7 +298,7 @@
         const customer *who = flow->rules->rules.findCustomer(flow->customerName);
         flow->target = resolveTarget(flow->rules->rules, flow->request.target);
         if (who == nullptr || !flow->target.isKnown()
-            || !mayName(flow->rules->rules, *who, flow->request.target)) {
+            || !mayUseAnyVersion(flow->rules->rules, *who, flow->request.target)) {
             fail(id, notAllowed(flow->request.target));
             return;
         }
@@ -403,7 +403,7 @@
     answered.contentType = result.finish.content_type();
     answered.model = flow.target.foundService ? "" : flow.tierTarget();
     answered.version = flow.tierVersion();
-    if (result.answer.size() <= largestKeptAnswer)
+    if (result.answer.size() <= maxStoredAnswerBytes)
         answered.answer = result.answer;
     m_claims.finish(answered, [this, runs = flow.unsettled] { settle(runs); });
 }
--- a/include/laurelcroft/Ledger/BillOutbox.h
+++ b/include/laurelcroft/Ledger/BillOutbox.h
@@ -1,8 +1,8 @@
-//===-- Ledger/BillOutbox.h - bills until the table has them -----*- C++ -*-===//
+//===-- Ledger/BillOutbox.h - replicated queue of bills ----------*- C++ -*-===//
 //
-// A bill stands in two processes, in different data centres where there are two,
-// until the table holds it. The table's row is inserted if absent, so that both
-// may write it and it still stands there once.
+// Queues the bills of a process until the table has stored them. Until then, a second
+// process holds a copy of each bill, in another data centre if there is one. A row is
+// inserted only if absent, so both processes may write it without duplicating the bill.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LEDGER_BILLOUTBOX_H
@@ -18,7 +18,7 @@
 
 namespace laurelcroft {
 
-/// What the outbox needs of the other processes.
+/// Access to the other processes that an outbox needs.
 template <class P>
 concept bill_port = requires(P port, const std::string &holder, const wire::bill_copy &copy,
                              std::function<void(bool)> done)
@@ -29,17 +29,17 @@
     port.copyBills(holder, copy, done);
 };
 
-/// Periods and bounds of an outbox.
+/// Delays and limits of an outbox.
 struct outbox_options
 {
-    duration gather = milliseconds(1); ///< bills that are copied together
-    duration flushPeriod = milliseconds(100); ///< between batches to the table
-    std::size_t batch = 100; ///< rows in a batch
-    std::size_t most = 100000; ///< bills held, own and copies
-    duration copyLife = seconds(60); ///< a copy is written by its holder after this
+    duration copyDelay = milliseconds(1); ///< bills added within this delay are copied together
+    duration flushPeriod = milliseconds(100); ///< pause between batches to the table
+    std::size_t maxBatchRows = 100; ///< rows inserted into the table by one call
+    std::size_t maxBills = 100000; ///< own bills and copies together
+    duration maxCopyAge = seconds(60); ///< the holder writes an older copy itself
 };
 
-/// The bills of one process, its own and the copies it holds for others.
+/// The bills of one process: its own, and the copies that it holds for others.
 template <runtime_like Runtime, table_like Table, bill_port Port>
 class bill_outbox
 {
@@ -54,125 +54,126 @@
     {
     }
 
-    /// Takes a bill. \param done is called once a second process or the table holds it.
+    /// Queues a bill. \param done is called once a second process or the table has stored it.
     void add(wire::bill item, std::function<void()> done)
     {
         const std::string id = item.request_id();
-        own_bill &mine = m_own[id];
-        mine.bill = std::move(item);
+        own_bill &own = m_ownBills[id];
+        own.bill = std::move(item);
         if (done)
-            mine.waiting.push_back(std::move(done));
-        m_toCopy.push_back(id);
+            own.callbacks.push_back(std::move(done));
+        m_uncopiedIds.push_back(id);
         scheduleCopy();
         scheduleFlush();
     }
 
-    /// Holds copies for another process, and forgets those that the table has.
-    /// \returns false when there is no room.
+    /// Stores copies for another process, and deletes those that the table has stored.
+    /// \returns false if the copies were refused: the outbox is full, or this process stops.
     bool hold(const wire::bill_copy &copy)
     {
         if (m_closing && copy.bills_size() > 0)
             return false;
         for (const std::string &id : copy.stored())
-            m_copies.erase(id);
-        if (m_own.size() + m_copies.size() + static_cast<std::size_t>(copy.bills_size())
-            > m_options.most)
+            m_heldCopies.erase(id);
+        if (m_ownBills.size() + m_heldCopies.size() + static_cast<std::size_t>(copy.bills_size())
+            > m_options.maxBills)
             return false;
         for (const wire::bill &item : copy.bills())
-            m_copies[item.request_id()] = {item, copy.owner(), m_runtime.now()};
+            m_heldCopies[item.request_id()] = {item, copy.owner(), m_runtime.now()};
         return true;
     }
 
-    /// This process stops as planned: it takes no more copies and writes those it holds.
+    /// Refuses further copies and takes over those held, because this process stops as planned.
     void adoptAll()
     {
         m_closing = true;
         std::set<std::string> owners;
-        for (const auto &[id, held] : m_copies)
+        for (const auto &[id, held] : m_heldCopies)
             owners.insert(held.owner);
         for (const std::string &owner : owners)
             adopt(owner);
     }
 
-    /// Another process is gone: copies that it owned are written from here, and own bills
-    /// whose copy it held get another holder.
-    void peerGone(const std::string &peer)
+    /// Handles the death of another process: takes over the copies that it owned, and sends
+    /// the own bills that it held as copies to another holder.
+    void onPeerDead(const std::string &peer)
     {
         adopt(peer);
-        for (auto &[id, mine] : m_own) {
-            if (mine.holder != peer)
+        for (auto &[id, own] : m_ownBills) {
+            if (own.holder != peer)
                 continue;
-            mine.holder.clear();
-            m_toCopy.push_back(id);
+            own.holder.clear();
+            m_uncopiedIds.push_back(id);
         }
-        if (!m_toCopy.empty())
+        if (!m_uncopiedIds.empty())
             scheduleCopy();
     }
 
-    /// The owner of copies is gone: they are written from here.
+    /// Takes over the copies of \p owner: they become own bills, so this process writes them.
     void adopt(const std::string &owner)
     {
-        for (auto it = m_copies.begin(); it != m_copies.end();) {
+        for (auto it = m_heldCopies.begin(); it != m_heldCopies.end();) {
             if (it->second.owner != owner) {
                 ++it;
                 continue;
             }
             add(it->second.bill, {});
-            it = m_copies.erase(it);
+            it = m_heldCopies.erase(it);
         }
     }
 
-    /// Writes copies whose owner kept them for long; call it every few seconds.
-    void adoptOld()
+    /// Takes over all copies of each owner that has left one of them unwritten for longer than
+    /// \c maxCopyAge. Must be called every few seconds.
+    void adoptExpired()
     {
         std::set<std::string> owners;
-        for (const auto &[id, held] : m_copies) {
-            if (m_runtime.now() - held.since > m_options.copyLife)
+        for (const auto &[id, held] : m_heldCopies) {
+            if (m_runtime.now() - held.receivedAt > m_options.maxCopyAge)
                 owners.insert(held.owner);
         }
         for (const std::string &owner : owners)
             adopt(owner);
     }
 
-    /// \returns true when a new bill has a place: there is room, and a second holder or
-    /// the table can be reached.
+    /// \returns true if a new bill can be stored safely: there is room, and the table or
+    /// another holder can be reached.
     bool accepts(bool tableReachable)
     {
-        if (m_own.size() + m_copies.size() >= m_options.most)
+        if (m_ownBills.size() + m_heldCopies.size() >= m_options.maxBills)
             return false;
         return tableReachable || !m_port.billHolders().empty();
     }
 
-    /// Sets the time between batches. Many processes flush more rarely, so that batches
-    /// stay full and the table's rate is kept.
+    /// Sets the time between batches. Where many processes write, a longer period keeps their
+    /// batches full and the total call rate within the table's limit.
     void setFlushPeriod(duration period) { m_options.flushPeriod = period; }
 
-    /// \returns own bills that the table does not have yet.
-    std::size_t pending() const { return m_own.size(); }
-    std::size_t copies() const { return m_copies.size(); }
+    /// \returns the number of own bills that the table has not stored yet.
+    std::size_t pending() const { return m_ownBills.size(); }
+    std::size_t copies() const { return m_heldCopies.size(); }
 
-    /// \returns true when nothing, own or another's, waits for the table.
-    bool isEmpty() const { return m_own.empty() && m_copies.empty(); }
+    /// \returns true if neither own bills nor copies remain to be written.
+    bool isEmpty() const { return m_ownBills.empty() && m_heldCopies.empty(); }
 
 private:
     struct own_bill
     {
         wire::bill bill;
-        std::string holder; ///< empty until a copy was acknowledged
-        std::vector<std::function<void()>> waiting;
+        std::string holder; ///< instance that acknowledged the copy; empty until then
+        std::vector<std::function<void()>> callbacks;
     };
     struct held_copy
     {
         wire::bill bill;
         std::string owner;
-        time_point since{};
+        time_point receivedAt{};
     };
 
-    static void release(own_bill &mine)
+    static void runCallbacks(own_bill &own)
     {
-        const auto waiting = std::move(mine.waiting);
-        mine.waiting.clear();
-        for (const auto &done : waiting)
+        const auto callbacks = std::move(own.callbacks);
+        own.callbacks.clear();
+        for (const auto &done : callbacks)
             done();
     }
 
@@ -181,35 +182,35 @@
         if (m_copyScheduled)
             return;
         m_copyScheduled = true;
-        m_runtime.after(m_options.gather, [this] {
+        m_runtime.after(m_options.copyDelay, [this] {
             m_copyScheduled = false;
-            copyGathered();
+            copyPending();
         });
     }
 
-    void copyGathered()
+    void copyPending()
     {
-        std::vector<std::string> ids = std::move(m_toCopy);
-        m_toCopy.clear();
+        std::vector<std::string> ids = std::move(m_uncopiedIds);
+        m_uncopiedIds.clear();
         copyTo(ids, 0);
     }
 
-    /// Sends copies to the holder at \p rank, and to the next one when it does not answer.
+    /// Sends copies to the holder at \p rank, and to the next one unless they are acknowledged.
     void copyTo(const std::vector<std::string> &ids, std::size_t rank)
     {
         wire::bill_copy copy;
         copy.set_owner(m_instance);
         for (const std::string &id : ids) {
-            const auto it = m_own.find(id);
-            if (it != m_own.end() && it->second.holder.empty())
+            const auto it = m_ownBills.find(id);
+            if (it != m_ownBills.end() && it->second.holder.empty())
                 *copy.add_bills() = it->second.bill;
         }
         const std::vector<std::string> holders = m_port.billHolders();
         if (copy.bills_size() == 0)
             return;
-        if (rank >= std::min(holders.size(), mostHolders)) {
-            m_toCopy.insert(m_toCopy.end(), ids.begin(), ids.end());
-            retryCopies();
+        if (rank >= std::min(holders.size(), maxHolders)) {
+            m_uncopiedIds.insert(m_uncopiedIds.end(), ids.begin(), ids.end());
+            scheduleCopyRetry();
             return;
         }
         const std::string &holder = holders[rank];
@@ -225,45 +226,45 @@
 
     void markCopied(const std::string &id, const std::string &holder)
     {
-        const auto it = m_own.find(id);
-        if (it == m_own.end()) {
-            // The table was faster: the holder may forget its copy at once.
-            m_stored[holder].push_back(id);
+        const auto it = m_ownBills.find(id);
+        if (it == m_ownBills.end()) {
+            // The table stored the bill first, so the holder may delete its copy.
+            m_storedByHolder[holder].push_back(id);
             return;
         }
         it->second.holder = holder;
-        release(it->second);
+        runCallbacks(it->second);
     }
 
-    void retryCopies()
+    void scheduleCopyRetry()
     {
         if (m_copyScheduled)
             return;
         m_copyScheduled = true;
-        m_runtime.after(copyRetry, [this] {
+        m_runtime.after(copyRetryDelay, [this] {
             m_copyScheduled = false;
-            copyGathered();
+            copyPending();
         });
     }
 
     void scheduleFlush()
     {
-        if (m_flushScheduled || m_own.empty())
+        if (m_flushScheduled || m_ownBills.empty())
             return;
         m_flushScheduled = true;
-        m_runtime.after(m_flushWait, [this] { flush(); });
-        m_flushWait = m_options.flushPeriod;
+        m_runtime.after(m_flushDelay, [this] { flush(); });
+        m_flushDelay = m_options.flushPeriod;
     }
 
     void flush()
     {
         std::vector<std::string> ids;
         std::vector<new_row> rows;
-        for (const auto &[id, mine] : m_own) {
-            if (rows.size() >= m_options.batch)
+        for (const auto &[id, own] : m_ownBills) {
+            if (rows.size() >= m_options.maxBatchRows)
                 break;
             ids.push_back(id);
-            rows.push_back({billKey(id), encodeBill(mine.bill)});
+            rows.push_back({billKey(id), encodeBill(own.bill)});
         }
         if (rows.empty()) {
             m_flushScheduled = false;
@@ -272,41 +273,42 @@
         m_table.insertAll(rows, [this, ids](outcome<std::vector<write_result>, table_error> done) {
             m_flushScheduled = false;
             if (done)
-                takeWritten(ids, done.value());
+                onBatchWritten(ids, done.value());
             else
-                m_flushWait = std::max<duration>(
+                m_flushDelay = std::max<duration>(
                         m_options.flushPeriod * 5,
-                        std::min<duration>(done.error().retryAfter, longestFlushWait));
+                        std::min<duration>(done.error().retryAfter, maxFlushDelay));
             scheduleFlush();
         });
     }
 
-    void takeWritten(const std::vector<std::string> &ids, const std::vector<write_result> &results)
+    void onBatchWritten(const std::vector<std::string> &ids,
+                        const std::vector<write_result> &results)
     {
         for (std::size_t i = 0; i < ids.size(); ++i) {
-            const auto it = m_own.find(ids[i]);
-            if (it == m_own.end())
+            const auto it = m_ownBills.find(ids[i]);
+            if (it == m_ownBills.end())
                 continue;
-            if (results[i].done || !replaces(it->second.bill, results[i].row))
+            if (results[i].done || !supersedes(it->second.bill, results[i].row))
                 markStored(ids[i]);
             else
                 replaceProvisional(ids[i], results[i].row.version);
         }
-        tellStored();
+        notifyHolders();
     }
 
-    /// A row that knows less of the request gives way: an agent that lost its entry
-    /// writes what it knows, and the entry's own bill, with the sum over all steps,
-    /// takes its place.
-    static bool replaces(const wire::bill &mine, const table_row &row)
+    /// \returns true if \p own has a higher rank than the stored bill and must replace it.
+    /// An agent that lost its entry writes a provisional bill of the step that it knows; the
+    /// entry's final bill, with the sum over all steps, replaces it.
+    static bool supersedes(const wire::bill &own, const table_row &row)
     {
         const auto found = decodeBill(row.value);
-        return found && billRank(mine) > billRank(*found);
+        return found && billRank(own) > billRank(*found);
     }
 
     void replaceProvisional(const std::string &id, std::uint64_t version)
     {
-        const auto it = m_own.find(id);
+        const auto it = m_ownBills.find(id);
         m_table.compareAndSet(billKey(id), version, encodeBill(it->second.bill),
                               [this, id](outcome<write_result, table_error> result) {
                                   if (result && result.value().done)
@@ -316,46 +318,46 @@
 
     void markStored(const std::string &id)
     {
-        auto node = m_own.extract(id);
+        auto node = m_ownBills.extract(id);
         if (node.empty())
             return;
-        own_bill &mine = node.mapped();
-        if (!mine.holder.empty())
-            m_stored[mine.holder].push_back(id);
-        release(mine);
+        own_bill &own = node.mapped();
+        if (!own.holder.empty())
+            m_storedByHolder[own.holder].push_back(id);
+        runCallbacks(own);
     }
 
-    void tellStored()
+    void notifyHolders()
     {
-        auto stored = std::move(m_stored);
-        m_stored.clear();
+        auto stored = std::move(m_storedByHolder);
+        m_storedByHolder.clear();
         for (const auto &[holder, ids] : stored) {
             wire::bill_copy copy;
             copy.set_owner(m_instance);
             for (const std::string &id : ids)
                 copy.add_stored(id);
-            // A lost word costs nothing but a second insert by the holder.
+            // If this message is lost, the holder only inserts the row a second time.
             m_port.copyBills(holder, copy, [](bool) {});
         }
     }
 
-    static constexpr std::size_t mostHolders = 3;
-    static constexpr duration copyRetry = milliseconds(200);
-    static constexpr duration longestFlushWait = seconds(2);
+    static constexpr std::size_t maxHolders = 3;
+    static constexpr duration copyRetryDelay = milliseconds(200);
+    static constexpr duration maxFlushDelay = seconds(2);
 
     Runtime &m_runtime;
     Table &m_table;
     Port &m_port;
     std::string m_instance;
     outbox_options m_options;
-    std::map<std::string, own_bill> m_own;
-    std::map<std::string, held_copy> m_copies;
-    std::map<std::string, std::vector<std::string>> m_stored;
-    std::vector<std::string> m_toCopy;
+    std::map<std::string, own_bill> m_ownBills;
+    std::map<std::string, held_copy> m_heldCopies;
+    std::map<std::string, std::vector<std::string>> m_storedByHolder;
+    std::vector<std::string> m_uncopiedIds;
     bool m_closing = false;
     bool m_copyScheduled = false;
     bool m_flushScheduled = false;
-    duration m_flushWait = milliseconds(50);
+    duration m_flushDelay = milliseconds(50);
 };
 
 } // namespace laurelcroft
--- a/lib/Contract/BundleCanonical.cpp
+++ b/lib/Contract/BundleCanonical.cpp
@@ -1,7 +1,7 @@
 //===-- BundleCanonical.cpp - canonical text and differences ----------------===//
 //
-// The canonical text is what is hashed, signed and stored. Numbers are printed by
-// std::to_chars, shortest form, so that no locale or precision changes a hash.
+// The canonical text is hashed, signed and stored. std::to_chars prints numbers in
+// their shortest form, so that neither locale nor precision can change a hash.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/BundleText.h"
@@ -15,7 +15,7 @@
 
 using namespace laurelcroft;
 
-static std::string numberText(double value)
+static std::string formatNumber(double value)
 {
     std::array<char, 32> buffer{};
     const auto [end, error] = std::to_chars(buffer.data(), buffer.data() + buffer.size(), value);
@@ -30,15 +30,16 @@
 
 static void emitField(YAML::Emitter &out, const char *name, double value)
 {
-    out << YAML::Key << name << YAML::Value << numberText(value);
+    out << YAML::Key << name << YAML::Value << formatNumber(value);
 }
 
-static void emitText(YAML::Emitter &out, const char *name, const std::string &value)
+static void emitString(YAML::Emitter &out, const char *name, const std::string &value)
 {
     out << YAML::Key << name << YAML::Value << YAML::DoubleQuoted << value;
 }
 
-static void emitTexts(YAML::Emitter &out, const char *name, const std::vector<std::string> &values)
+static void emitStrings(YAML::Emitter &out, const char *name,
+                        const std::vector<std::string> &values)
 {
     out << YAML::Key << name << YAML::Value << YAML::Flow << YAML::BeginSeq;
     for (const std::string &value : values)
@@ -61,22 +62,22 @@
 
 static void emitPool(YAML::Emitter &out, const pool &item)
 {
-    emitText(out, "name", item.name);
+    emitString(out, "name", item.name);
     emitField(out, "kind", item.kind == pool_kind::engine ? "engine" : "service");
     emitField(out, "fenced", item.fenced);
 }
 
 static void emitVersion(YAML::Emitter &out, const model_version &item)
 {
-    emitText(out, "name", item.name);
+    emitString(out, "name", item.name);
     emitField(out, "state", std::string(textOf(item.state)));
-    emitText(out, "weights", item.weights);
+    emitString(out, "weights", item.weights);
 }
 
 static void emitModel(YAML::Emitter &out, const model &item)
 {
-    emitText(out, "name", item.name);
-    emitText(out, "pool", item.pool);
+    emitString(out, "name", item.name);
+    emitString(out, "pool", item.pool);
     emitField(out, "input_cost", item.inputCost);
     emitField(out, "output_cost", item.outputCost);
     emitList(out, "versions", item.versions, emitVersion);
@@ -84,16 +85,16 @@
 
 static void emitService(YAML::Emitter &out, const service &item)
 {
-    emitText(out, "name", item.name);
-    emitText(out, "pool", item.pool);
+    emitString(out, "name", item.name);
+    emitString(out, "pool", item.pool);
     emitField(out, "repeatable", item.repeatable);
     emitField(out, "cost", item.cost);
 }
 
 static void emitCascade(YAML::Emitter &out, const cascade &item)
 {
-    emitText(out, "name", item.name);
-    emitTexts(out, "tiers", item.tiers);
+    emitString(out, "name", item.name);
+    emitStrings(out, "tiers", item.tiers);
     emitField(out, "quality_target", item.qualityTarget);
     emitField(out, "start_score", item.startScore);
     emitField(out, "latency_ms", item.latencyMs);
@@ -102,9 +103,9 @@
 
 static void emitRollout(YAML::Emitter &out, const rollout &item)
 {
-    emitText(out, "model", item.model);
-    emitText(out, "from", item.from);
-    emitText(out, "to", item.to);
+    emitString(out, "model", item.model);
+    emitString(out, "from", item.from);
+    emitString(out, "to", item.to);
     emitField(out, "share_percent", item.sharePercent);
     out << YAML::Key << "guard" << YAML::Value << YAML::BeginMap;
     emitField(out, "worse_by", item.guard.worseBy);
@@ -115,10 +116,10 @@
 
 static void emitCustomer(YAML::Emitter &out, const customer &item)
 {
-    emitText(out, "name", item.name);
-    emitText(out, "key_sha256", item.keySha256);
-    emitText(out, "group", item.group);
-    emitTexts(out, "allowed", item.allowed);
+    emitString(out, "name", item.name);
+    emitString(out, "key_sha256", item.keySha256);
+    emitString(out, "group", item.group);
+    emitStrings(out, "allowed", item.allowed);
     emitField(out, "requests_per_second", item.requestsPerSecond);
     emitField(out, "burst", item.burst);
     emitField(out, "max_concurrent", item.maxConcurrent);
@@ -130,7 +131,7 @@
     YAML::Emitter out;
     out << YAML::BeginMap;
     emitField(out, "laurelcroft", bundleFormat);
-    emitText(out, "site", rules.site);
+    emitString(out, "site", rules.site);
     emitList(out, "pools", rules.pools, emitPool);
     emitList(out, "models", rules.models, emitModel);
     emitList(out, "services", rules.services, emitService);
@@ -141,7 +142,8 @@
     return std::string(out.c_str()) + "\n";
 }
 
-/// Notes what was added, removed or changed between two lists of named items.
+/// Appends a line for each item that was added or removed between two lists of named items, and
+/// calls \p explain for each changed one.
 template <class T, class F>
 static void diffNamed(const char *kind, const std::vector<T> &before, const std::vector<T> &after,
                       std::vector<std::string> &lines, F explain)
@@ -166,7 +168,7 @@
     }
 }
 
-static std::string usersOf(const bundle &rules, const std::string &name)
+static std::string customersUsing(const bundle &rules, const std::string &name)
 {
     std::string users;
     for (const customer &who : rules.customers) {
@@ -200,7 +202,7 @@
             || before.priority != after.priority;
     if (limitsChanged)
         lines.push_back("customer " + after.name + " gets other limits: "
-                        + numberText(after.requestsPerSecond) + " requests/s, burst "
+                        + formatNumber(after.requestsPerSecond) + " requests/s, burst "
                         + std::to_string(after.burst) + ", " + std::to_string(after.maxConcurrent)
                         + " in flight, priority " + std::to_string(after.priority));
     if (before.group != after.group)
@@ -210,21 +212,21 @@
 static void diffModel(const bundle &rules, const model &before, const model &after,
                       std::vector<std::string> &lines)
 {
-    const std::string touched = " (touches " + usersOf(rules, after.name) + ")";
+    const std::string affected = " (affects " + customersUsing(rules, after.name) + ")";
     diffNamed("version", before.versions, after.versions, lines,
               [&](const model_version &old, const model_version &fresh) {
                   if (old.state != fresh.state)
                       lines.push_back("version " + after.name + "@" + fresh.name + " goes from "
                                       + std::string(textOf(old.state)) + " to "
-                                      + std::string(textOf(fresh.state)) + touched);
+                                      + std::string(textOf(fresh.state)) + affected);
                   if (old.weights != fresh.weights)
                       lines.push_back("version " + after.name + "@" + fresh.name
-                                      + " gets other weights" + touched);
+                                      + " gets other weights" + affected);
               });
     if (before.inputCost != after.inputCost || before.outputCost != after.outputCost)
-        lines.push_back("model " + after.name + " gets another cost" + touched);
+        lines.push_back("model " + after.name + " gets another cost" + affected);
     if (before.pool != after.pool)
-        lines.push_back("model " + after.name + " moves to pool " + after.pool + touched);
+        lines.push_back("model " + after.name + " moves to pool " + after.pool + affected);
 }
 
 static void diffRollouts(const bundle &before, const bundle &after, std::vector<std::string> &lines)
@@ -236,7 +238,7 @@
         lines.push_back("roll-out of " + item.model + " from " + item.from + " to " + item.to
                         + " takes " + std::to_string(item.sharePercent) + "% of new sessions"
                         + (old ? " instead of " + std::to_string(old->sharePercent) + "%" : "")
-                        + " (touches " + usersOf(after, item.model) + ")");
+                        + " (affects " + customersUsing(after, item.model) + ")");
     }
     for (const rollout &item : before.rollouts) {
         if (after.findRollout(item.model) == nullptr)
--- a/lib/Contract/BundleText.cpp
+++ b/lib/Contract/BundleText.cpp
@@ -1,7 +1,7 @@
 //===-- BundleText.cpp - reads a bundle from YAML ---------------------------===//
 //
-// The reader walks the tree once, collects every error with its place and never
-// stops at the first. Cross references are checked in BundleCheck.cpp.
+// The parser walks the YAML tree once and collects all errors with line and column.
+// References between items are checked in BundleCheck.cpp.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/BundleText.h"
@@ -20,10 +20,10 @@
 
 namespace {
 
-/// Deeper nesting than any bundle has; guards the recursive YAML reader.
-constexpr int deepestNesting = 32;
+/// Nesting limit that protects the recursive YAML parser. No valid bundle is this deep.
+constexpr int maxNestingDepth = 32;
 
-/// Reads fields of one YAML mapping and notes what is wrong with them.
+/// Reads the fields of one YAML mapping and collects errors.
 class mapping_reader
 {
 public:
@@ -34,10 +34,10 @@
     {
         m_usable = node.IsMap();
         if (!m_usable)
-            note(node, m_path, "must be a mapping");
+            addError(node, m_path, "must be a mapping");
     }
 
-    /// Notes fields that were not asked for; call it last.
+    /// Reports fields that were not read. Must be called last.
     void finish()
     {
         if (!m_usable)
@@ -45,7 +45,7 @@
         for (const auto &field : m_node) {
             const std::string name = field.first.as<std::string>("");
             if (m_known.count(name) == 0)
-                note(field.first, pathOf(name), "unknown field");
+                addError(field.first, pathOf(name), "unknown field");
         }
     }
 
@@ -58,7 +58,7 @@
         try {
             value = field.as<T>();
         } catch (const YAML::Exception &) {
-            note(field, pathOf(name), "has the wrong type");
+            addError(field, pathOf(name), "has the wrong type");
         }
     }
 
@@ -72,12 +72,12 @@
             return;
         std::ostringstream text;
         text << "must lie in " << least << ".." << most;
-        note(field, pathOf(name), text.str());
+        addError(field, pathOf(name), text.str());
     }
 
-    /// Reads one of several words; \p words[i] stands for value i of the enumeration.
+    /// Reads a value of an enumeration; \p words[i] is the name of value i.
     template <class E>
-    void readWord(const std::string &name, E &value, const std::vector<std::string> &words)
+    void readEnum(const std::string &name, E &value, const std::vector<std::string> &words)
     {
         const YAML::Node field = find(name, false);
         if (!field)
@@ -91,7 +91,7 @@
         std::string all;
         for (const std::string &word : words)
             all += (all.empty() ? "" : ", ") + word;
-        note(field, pathOf(name), "must be one of " + all);
+        addError(field, pathOf(name), "must be one of " + all);
     }
 
     /// Calls \p each for every item of the sequence \p name.
@@ -102,14 +102,14 @@
         if (!field)
             return;
         if (!field.IsSequence()) {
-            note(field, pathOf(name), "must be a list");
+            addError(field, pathOf(name), "must be a list");
             return;
         }
         for (std::size_t i = 0; i < field.size(); ++i)
             each(field[i], pathOf(name) + "[" + std::to_string(i) + "]");
     }
 
-    /// Reads the nested mapping \p name with \p inner; absent is allowed.
+    /// Reads the optional nested mapping \p name with \p inner.
     void readNested(const std::string &name, const std::function<void(mapping_reader &)> &inner)
     {
         const YAML::Node field = find(name, false);
@@ -130,7 +130,7 @@
         if (field.IsDefined())
             return field;
         if (required)
-            note(m_node, m_path, "lacks the field '" + name + "'");
+            addError(m_node, m_path, "field '" + name + "' is missing");
         return YAML::Node(YAML::NodeType::Undefined);
     }
 
@@ -139,7 +139,7 @@
         return m_path.empty() ? name : m_path + "." + name;
     }
 
-    void note(const YAML::Node &node, const std::string &path, const std::string &message)
+    void addError(const YAML::Node &node, const std::string &path, const std::string &message)
     {
         const YAML::Mark mark = node.Mark();
         m_errors.push_back({mark.line + 1, mark.column + 1, path, message});
@@ -152,12 +152,12 @@
     bool m_usable = false;
 };
 
-constexpr double highestCost = 1e6;
-constexpr double highestRate = 1e6;
-constexpr std::uint32_t highestCount = 1000000;
-constexpr std::uint32_t highestPriority = 9;
-constexpr std::uint32_t longestLatencyMs = 3600000;
-constexpr std::uint32_t longestConfirmSeconds = 3600;
+constexpr double maxCost = 1e6;
+constexpr double maxRate = 1e6;
+constexpr std::uint32_t maxCount = 1000000;
+constexpr std::uint32_t maxPriority = 9;
+constexpr std::uint32_t maxLatencyMs = 3600000;
+constexpr std::uint32_t maxConfirmSeconds = 3600;
 
 } // namespace
 
@@ -167,13 +167,13 @@
     mapping_reader reader(node, path, errors);
     reader.read("name", item.name, true);
     reader.read("pool", item.pool, true);
-    reader.readRange("input_cost", item.inputCost, 0.0, highestCost, true);
-    reader.readRange("output_cost", item.outputCost, 0.0, highestCost, true);
+    reader.readRange("input_cost", item.inputCost, 0.0, maxCost, true);
+    reader.readRange("output_cost", item.outputCost, 0.0, maxCost, true);
     reader.readItems("versions", true, [&](const YAML::Node &child, const std::string &place) {
         model_version version;
         mapping_reader inner(child, place, errors);
         inner.read("name", version.name, true);
-        inner.readWord("state", version.state, {"settled", "rollout", "withdrawn"});
+        inner.readEnum("state", version.state, {"settled", "rollout", "withdrawn"});
         inner.read("weights", version.weights, false);
         inner.finish();
         item.versions.push_back(version);
@@ -190,10 +190,10 @@
     reader.read("key_sha256", item.keySha256, true);
     reader.read("group", item.group, true);
     reader.read("allowed", item.allowed, true);
-    reader.readRange("requests_per_second", item.requestsPerSecond, 0.001, highestRate, true);
-    reader.readRange<std::uint32_t>("burst", item.burst, 1, highestCount, true);
-    reader.readRange<std::uint32_t>("max_concurrent", item.maxConcurrent, 1, highestCount, true);
-    reader.readRange<std::uint32_t>("priority", item.priority, 0, highestPriority, false);
+    reader.readRange("requests_per_second", item.requestsPerSecond, 0.001, maxRate, true);
+    reader.readRange<std::uint32_t>("burst", item.burst, 1, maxCount, true);
+    reader.readRange<std::uint32_t>("max_concurrent", item.maxConcurrent, 1, maxCount, true);
+    reader.readRange<std::uint32_t>("priority", item.priority, 0, maxPriority, false);
     reader.finish();
     return item;
 }
@@ -206,7 +206,7 @@
     reader.read("tiers", item.tiers, true);
     reader.readRange("quality_target", item.qualityTarget, 0.0, 1.0, true);
     reader.readRange("start_score", item.startScore, 0.0, 1.0, true);
-    reader.readRange<std::uint32_t>("latency_ms", item.latencyMs, 1, longestLatencyMs, true);
+    reader.readRange<std::uint32_t>("latency_ms", item.latencyMs, 1, maxLatencyMs, true);
     reader.read("repeatable", item.repeatable, false);
     reader.finish();
     return item;
@@ -225,7 +225,7 @@
         guard.readRange("worse_by", item.guard.worseBy, 0.01, 0.9, false);
         guard.readRange("false_stop", item.guard.falseStop, 1e-9, 0.5, false);
         guard.readRange<std::uint32_t>("confirm_seconds", item.guard.confirmSeconds, 1,
-                                       longestConfirmSeconds, false);
+                                       maxConfirmSeconds, false);
     });
     reader.finish();
     return item;
@@ -238,7 +238,7 @@
     reader.read("name", item.name, true);
     reader.read("pool", item.pool, true);
     reader.read("repeatable", item.repeatable, true);
-    reader.readRange("cost", item.cost, 0.0, highestCost, false);
+    reader.readRange("cost", item.cost, 0.0, maxCost, false);
     reader.finish();
     return item;
 }
@@ -248,7 +248,7 @@
     pool item;
     mapping_reader reader(node, path, errors);
     reader.read("name", item.name, true);
-    reader.readWord("kind", item.kind, {"engine", "service"});
+    reader.readEnum("kind", item.kind, {"engine", "service"});
     reader.read("fenced", item.fenced, false);
     reader.finish();
     return item;
@@ -264,8 +264,9 @@
     });
 }
 
-/// yaml-cpp recurses once for each level: flow nesting is bounded before it is read.
-static bool nestsTooDeep(std::string_view text)
+/// \returns true if flow collections are nested too deeply. This is checked before the text is
+/// parsed because yaml-cpp recurses once for each level.
+static bool exceedsMaxNesting(std::string_view text)
 {
     int depth = 0;
     for (const char c : text) {
@@ -273,7 +274,7 @@
             depth += 1;
         if ((c == ']' || c == '}') && depth > 0)
             depth -= 1;
-        if (depth > deepestNesting)
+        if (depth > maxNestingDepth)
             return true;
     }
     return false;
@@ -299,9 +300,9 @@
 outcome<bundle, bundle_errors> laurelcroft::parseBundle(std::string_view text)
 {
     bundle_errors errors;
-    if (text.size() > largestBundle)
+    if (text.size() > maxBundleBytes)
         return failure(bundle_errors{{1, 1, "", "is larger than 1 MiB"}});
-    if (nestsTooDeep(text))
+    if (exceedsMaxNesting(text))
         return failure(bundle_errors{{1, 1, "", "is nested too deeply"}});
     YAML::Node root;
     bundle rules;
--- a/lib/Contract/ServiceContract.cpp
+++ b/lib/Contract/ServiceContract.cpp
@@ -1,6 +1,6 @@
 //===-- ServiceContract.cpp - routes, services, customers -------------------===//
 //
-// Lookups and the check of a whole contract.
+// Lookups in a contract, and its validation.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Contract/ServiceContract.h"
@@ -37,8 +37,8 @@
 
 const contract_customer *service_contract::findCustomer(const std::string &key) const
 {
-    const auto it = customerOfKey.find(key);
-    return it == customerOfKey.end() ? nullptr : &customers[it->second];
+    const auto it = customerIndexByKey.find(key);
+    return it == customerIndexByKey.end() ? nullptr : &customers[it->second];
 }
 
 const service_description *service_contract::findService(std::string_view name) const
@@ -60,7 +60,7 @@
         faults.push_back(where + "no service is named");
     if (route.timeout.count() <= 0)
         faults.push_back(where + "timeout must be above 0 ms");
-    if (route.mostEndpoints == 0)
+    if (route.maxEndpoints == 0)
         faults.push_back(where + "at least one endpoint must be allowed");
     for (const weighted_service &service : route.services) {
         if (service.weight < 0)
@@ -73,10 +73,10 @@
     std::vector<std::string> faults;
     if (contract.version == 0)
         faults.emplace_back("version is missing");
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> hostPrefixes;
     for (const service_route &route : contract.routes) {
         checkRoute(route, faults);
-        if (!places.emplace(route.host, route.pathPrefix).second)
+        if (!hostPrefixes.emplace(route.host, route.pathPrefix).second)
             faults.push_back("route " + route.name + ": host and path prefix are given twice");
     }
     if (contract.limits.maxHeaderBytes == 0 || contract.limits.maxBodyBytes == 0)
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -292,7 +292,7 @@
 void entry_process::onMember(const wire::member &item)
 {
     if (item.state() == wire::member_dead)
-        m_core.outbox().peerGone(item.id());
+        m_core.outbox().onPeerDead(item.id());
     if (m_core.directory().onMember(item) || item.state() == wire::member_dead)
         refreshSubsets();
     std::size_t entries = 1;
@@ -382,7 +382,7 @@
         m_announcedEpoch = m_core.keeper().epoch();
         m_node.gossipDigest();
     }
-    m_core.outbox().adoptOld();
+    m_core.outbox().adoptExpired();
     m_metrics.set("in_flight", static_cast<double>(m_core.inFlight()));
     m_metrics.set("bundle_epoch", static_cast<double>(m_core.keeper().epoch()));
     m_metrics.set("bills_pending", static_cast<double>(m_core.outbox().pending()));
--- a/lib/Operator/Commands.cpp
+++ b/lib/Operator/Commands.cpp
@@ -1,7 +1,7 @@
 //===-- Commands.cpp - propose, sign, accept, roll forward, withdraw --------===//
 //
-// Nothing here touches a live site: every change is a bundle that was signed off,
-// put in force by one compare-and-set of the table's row.
+// No subcommand changes a running site directly: every change is a signed-off bundle that
+// one compare-and-set of the table row puts in force.
 //
 //===----------------------------------------------------------------------===//
 #include "Commands.h"
@@ -31,9 +31,9 @@
     return result;
 }
 
-static report platformAway(const table_error &error)
+static report tableUnreachableReport(const table_error &error)
 {
-    return failedReport(operator_exit::platformAway, std::string(textOf(error.kind)));
+    return failedReport(operator_exit::platformUnreachable, std::string(textOf(error.kind)));
 }
 
 static std::optional<std::string> readFile(const std::string &path)
@@ -68,9 +68,9 @@
 
 report laurelcroft::validateCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "validate takes one file");
-    const auto rules = loadBundle(context.words[0]);
+    const auto rules = loadBundle(context.arguments[0]);
     if (!rules)
         return rules.error();
     report result;
@@ -81,12 +81,12 @@
 
 report laurelcroft::diffCommand(command_context &context)
 {
-    if (context.words.size() != 2)
+    if (context.arguments.size() != 2)
         return failedReport(operator_exit::usage, "diff takes two files");
-    const auto before = loadBundle(context.words[0]);
+    const auto before = loadBundle(context.arguments[0]);
     if (!before)
         return before.error();
-    const auto after = loadBundle(context.words[1]);
+    const auto after = loadBundle(context.arguments[1]);
     if (!after)
         return after.error();
     report result;
@@ -99,15 +99,15 @@
 
 report laurelcroft::keygenCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "keygen takes the file for the secret key");
-    if (readFile(context.words[0]))
-        return failedReport(operator_exit::failed, "'" + context.words[0] + "' exists already");
+    if (readFile(context.arguments[0]))
+        return failedReport(operator_exit::failed, "'" + context.arguments[0] + "' exists already");
     const signing_key key = makeSigningKey();
-    std::ofstream out(context.words[0]);
+    std::ofstream out(context.arguments[0]);
     out << key.secretHex << "\n";
     if (!out)
-        return failedReport(operator_exit::failed, "cannot write '" + context.words[0] + "'");
+        return failedReport(operator_exit::failed, "cannot write '" + context.arguments[0] + "'");
     report result;
     result.data["public_key"] = key.publicHex;
     result.lines.push_back("public key " + key.publicHex);
@@ -132,19 +132,20 @@
     return std::string("bundle/history/") + digits.data();
 }
 
-/// Stores the text of a bundle and notes the proposal.
+/// Stores the text of a bundle and records the proposal in the table.
 static report propose(command_context &context, const bundle &rules)
 {
     const std::string hash = bundleHash(rules);
     const auto stored = context.platform.putObject(bundleObjectKey(hash), canonicalText(rules));
     if (!stored)
-        return failedReport(operator_exit::platformAway, "the object store cannot be reached");
+        return failedReport(operator_exit::platformUnreachable,
+                            "the object store cannot be reached");
     const nlohmann::ordered_json row = {{"hash", hash},
-                                        {"operator", context.given.text("operator")},
+                                        {"operator", context.options.text("operator")},
                                         {"wall_ms", wallMilliseconds()}};
     const auto noted = context.platform.insert(proposalKey(hash), row.dump());
     if (!noted)
-        return platformAway(noted.error());
+        return tableUnreachableReport(noted.error());
     report result;
     result.data["hash"] = hash;
     result.lines.push_back("proposed " + hash);
@@ -153,30 +154,30 @@
 
 report laurelcroft::proposeCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "propose takes one file");
-    const auto rules = loadBundle(context.words[0]);
+    const auto rules = loadBundle(context.arguments[0]);
     return rules ? propose(context, rules.value()) : rules.error();
 }
 
 static report sign(command_context &context, const std::string &hash)
 {
-    const auto secret = readFile(context.given.text("key-file"));
+    const auto secret = readFile(context.options.text("key-file"));
     if (!secret)
         return failedReport(operator_exit::usage, "--key-file: cannot read the secret key");
     const std::string secretHex = secret->substr(0, secret->find('\n'));
     const auto publicHex = publicKeyOf(secretHex);
     const auto signature = signEd25519(secretHex, signedText(hash));
     if (!publicHex || !signature)
-        return failedReport(operator_exit::usage, "--key-file: holds no secret key");
+        return failedReport(operator_exit::usage, "--key-file: not a valid secret key");
     const auto proposal = context.platform.read(proposalKey(hash));
     if (!proposal)
-        return platformAway(proposal.error());
+        return tableUnreachableReport(proposal.error());
     if (!proposal.value())
-        return failedReport(operator_exit::failed, "nothing was proposed under this hash");
+        return failedReport(operator_exit::failed, "no proposal has this hash");
     const auto noted = context.platform.insert(signaturePrefix(hash) + *publicHex, *signature);
     if (!noted)
-        return platformAway(noted.error());
+        return tableUnreachableReport(noted.error());
     report result;
     result.data["hash"] = hash;
     result.data["key"] = *publicHex;
@@ -186,9 +187,9 @@
 
 report laurelcroft::signCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "sign takes a hash");
-    return sign(context, context.words[0]);
+    return sign(context, context.arguments[0]);
 }
 
 outcome<current_bundle, report> laurelcroft::readCurrent(operator_platform &platform)
@@ -196,7 +197,7 @@
     current_bundle current;
     const auto row = platform.read(std::string(currentRowKey));
     if (!row)
-        return failure(platformAway(row.error()));
+        return failure(tableUnreachableReport(row.error()));
     if (!row.value())
         return current;
     current.rowVersion = row.value()->version;
@@ -206,8 +207,8 @@
     current.accepted = *accepted;
     const auto text = platform.getObject(bundleObjectKey(accepted->hash));
     if (!text)
-        return failure(
-                failedReport(operator_exit::platformAway, "the bundle in force cannot be read"));
+        return failure(failedReport(operator_exit::platformUnreachable,
+                                    "the bundle in force cannot be read"));
     auto parsed = parseBundle(text.value());
     if (!parsed)
         return failure(failedReport(operator_exit::failed, "the bundle in force is malformed"));
@@ -215,41 +216,42 @@
     return current;
 }
 
-static report conflictReport(const std::string &standing)
+static report conflictReport(const std::string &storedRow)
 {
-    const auto winner = decodeAcceptance(standing);
+    const auto winner = decodeAcceptance(storedRow);
     if (!winner)
-        return failedReport(operator_exit::conflict, "another operator was faster");
-    report result
-            = failedReport(operator_exit::conflict,
-                           "another operator was faster: epoch " + std::to_string(winner->epoch)
-                                   + " by " + winner->operatorName + " with hash " + winner->hash);
+        return failedReport(operator_exit::conflict, "another operator changed the bundle first");
+    report result = failedReport(operator_exit::conflict,
+                                 "another operator changed the bundle first: epoch "
+                                         + std::to_string(winner->epoch) + " by "
+                                         + winner->operatorName + " with hash " + winner->hash);
     result.data["winner"] = {
             {"epoch", winner->epoch}, {"operator", winner->operatorName}, {"hash", winner->hash}};
     return result;
 }
 
-/// Writes the row of the bundle in force; a lost answer is resolved by reading back.
-static report swapCurrent(command_context &context, const acceptance &next,
-                          std::uint64_t rowVersion)
+/// Writes the row of the bundle in force. If the answer is lost, the row is read again to find
+/// out whether the write took effect.
+static report replaceCurrent(command_context &context, const acceptance &next,
+                             std::uint64_t rowVersion)
 {
     const std::string value = encodeAcceptance(next);
     const auto swapped
             = context.platform.compareAndSet(std::string(currentRowKey), rowVersion, value);
     if (!swapped && swapped.error().hadNoEffect())
-        return platformAway(swapped.error());
-    std::string standing = swapped ? swapped.value().row.value : std::string();
+        return tableUnreachableReport(swapped.error());
+    std::string storedRow = swapped ? swapped.value().row.value : std::string();
     if (!swapped) {
         const auto back = context.platform.read(std::string(currentRowKey));
         if (!back)
-            return failedReport(operator_exit::platformAway,
-                                "no answer came: run 'status' to see whether epoch "
+            return failedReport(operator_exit::platformUnreachable,
+                                "the table did not answer: run 'status' to see whether epoch "
                                         + std::to_string(next.epoch) + " is in force");
-        standing = back.value() ? back.value()->value : std::string();
+        storedRow = back.value() ? back.value()->value : std::string();
     }
-    const auto winner = decodeAcceptance(standing);
+    const auto winner = decodeAcceptance(storedRow);
     if (!winner || winner->operationId != next.operationId)
-        return conflictReport(standing);
+        return conflictReport(storedRow);
     report result;
     result.data["epoch"] = next.epoch;
     result.data["hash"] = next.hash;
@@ -258,19 +260,20 @@
     return result;
 }
 
-/// \returns false when the table could not take the line.
-static bool noteHistory(command_context &context, const acceptance &accepted)
+/// Adds an epoch to the history. \returns false if the table did not store the row.
+static bool writeHistory(command_context &context, const acceptance &accepted)
 {
     const auto noted
             = context.platform.insert(historyKey(accepted.epoch), encodeAcceptance(accepted));
     return noted.has_value();
 }
 
-/// Says what is missing and how to go on.
-static report waitingReport(const acceptance &next, const signoff_rule &rule, bundle_epoch base)
+/// \returns a report of how many signatures are missing and how to continue.
+static report missingSignaturesReport(const acceptance &next, const signoff_rule &rule,
+                                      bundle_epoch base)
 {
     report result;
-    result.exit = operator_exit::waitsForSignatures;
+    result.exit = operator_exit::signaturesMissing;
     std::size_t missing = rule.required;
     while (missing > 1 && isSignedOff(next, {rule.trustedKeys, rule.required - missing + 1}))
         missing -= 1;
@@ -287,43 +290,45 @@
 {
     const auto signatures = context.platform.scan(signaturePrefix(hash));
     if (!signatures)
-        return platformAway(signatures.error());
+        return tableUnreachableReport(signatures.error());
     acceptance next;
     next.epoch = base.accepted.epoch + 1;
     next.hash = hash;
     next.operationId = randomHex(operationIdBytes);
-    next.operatorName = context.given.text("operator");
+    next.operatorName = context.options.text("operator");
     for (const new_row &row : signatures.value())
         next.signatures.push_back({row.key.substr(signaturePrefix(hash).size()), row.value});
-    const signoff_rule rule{splitList(context.given.text("signoff-keys"), ','),
-                            static_cast<std::size_t>(context.given.number("signoff-required"))};
+    const signoff_rule rule{splitList(context.options.text("signoff-keys"), ','),
+                            static_cast<std::size_t>(context.options.number("signoff-required"))};
     if (!isSignedOff(next, rule))
-        return waitingReport(next, rule, base.accepted.epoch);
-    // The epoch that ends is noted first: a lost note of the last acceptance is made up.
-    if (base.accepted.epoch > 0 && !noteHistory(context, base.accepted))
-        return failedReport(operator_exit::platformAway, "the history cannot be written");
-    report result = swapCurrent(context, next, base.rowVersion);
-    if (result.exit == operator_exit::done && !noteHistory(context, next))
-        result.lines.push_back("the history will name it after the next acceptance");
+        return missingSignaturesReport(next, rule, base.accepted.epoch);
+    // Write the history row of the current epoch first, in case it was lost when that epoch was
+    // accepted.
+    if (base.accepted.epoch > 0 && !writeHistory(context, base.accepted))
+        return failedReport(operator_exit::platformUnreachable, "the history cannot be written");
+    report result = replaceCurrent(context, next, base.rowVersion);
+    if (result.exit == operator_exit::done && !writeHistory(context, next))
+        result.lines.push_back(
+                "the history could not be written; the next acceptance adds this epoch");
     return result;
 }
 
 report laurelcroft::acceptCommand(command_context &context)
 {
-    if (context.words.size() != 1)
+    if (context.arguments.size() != 1)
         return failedReport(operator_exit::usage, "accept takes a hash");
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
-    const std::string &wanted = context.given.text("base-epoch");
+    const std::string &wanted = context.options.text("base-epoch");
     if (!wanted.empty() && wanted != std::to_string(base.value().accepted.epoch))
         return conflictReport(encodeAcceptance(base.value().accepted));
-    return accept(context, context.words[0], base.value());
+    return accept(context, context.arguments[0], base.value());
 }
 
-/// Proposes, signs and accepts an edited bundle in one go.
-static report putInForce(command_context &context, const current_bundle &base,
-                         const outcome<bundle, std::string> &edited)
+/// Proposes, signs and accepts an edited bundle.
+static report applyEdit(command_context &context, const current_bundle &base,
+                        const outcome<bundle, std::string> &edited)
 {
     if (!edited)
         return failedReport(operator_exit::failed, edited.error());
@@ -346,29 +351,30 @@
 
 report laurelcroft::rollForwardCommand(command_context &context)
 {
-    if (context.words.size() != 2)
+    if (context.arguments.size() != 2)
         return failedReport(operator_exit::usage, "roll-forward takes a model and a share in %");
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
     char *end = nullptr;
-    const unsigned long share = std::strtoul(context.words[1].c_str(), &end, 10);
-    if (*end != '\0' || context.words[1].empty() || share > 100)
+    const unsigned long share = std::strtoul(context.arguments[1].c_str(), &end, 10);
+    if (*end != '\0' || context.arguments[1].empty() || share > 100)
         return failedReport(operator_exit::usage, "the share must be a number in 0..100");
-    return putInForce(
-            context, base.value(),
-            rollForward(base.value().rules, context.words[0], static_cast<std::uint32_t>(share)));
+    return applyEdit(context, base.value(),
+                     rollForward(base.value().rules, context.arguments[0],
+                                 static_cast<std::uint32_t>(share)));
 }
 
 report laurelcroft::withdrawCommand(command_context &context)
 {
-    const std::size_t at = context.words.empty() ? std::string::npos : context.words[0].find('@');
-    if (context.words.size() != 1 || at == std::string::npos)
+    const std::size_t at
+            = context.arguments.empty() ? std::string::npos : context.arguments[0].find('@');
+    if (context.arguments.size() != 1 || at == std::string::npos)
         return failedReport(operator_exit::usage, "withdraw takes model@version");
     const auto base = readCurrent(context.platform);
     if (!base)
         return base.error();
-    return putInForce(context, base.value(),
-                      withdrawVersion(base.value().rules, context.words[0].substr(0, at),
-                                      context.words[0].substr(at + 1)));
+    return applyEdit(context, base.value(),
+                     withdrawVersion(base.value().rules, context.arguments[0].substr(0, at),
+                                     context.arguments[0].substr(at + 1)));
 }
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -114,7 +114,7 @@
 
 void fake_entry::adoptOld()
 {
-    core->outbox().adoptOld();
+    core->outbox().adoptExpired();
 }
 
 bool fake_entry::isIdle() const
@@ -312,7 +312,7 @@
 
 void fake_entry::peerDied(const std::string &peer)
 {
-    core->outbox().peerGone(peer);
+    core->outbox().onPeerDead(peer);
 }
 
 fake_agent::fake_agent(world &all, std::string id, std::string dataCentre, std::string pool)
@@ -325,7 +325,7 @@
 
 void fake_agent::adoptOld()
 {
-    core->outbox().adoptOld();
+    core->outbox().adoptExpired();
 }
 
 bool fake_agent::isIdle() const
@@ -467,5 +467,5 @@
 
 void fake_agent::peerDied(const std::string &peer)
 {
-    core->outbox().peerGone(peer);
+    core->outbox().onPeerDead(peer);
 }
--- a/unittests/Ledger/LedgerTests.cpp
+++ b/unittests/Ledger/LedgerTests.cpp
@@ -1,10 +1,10 @@
 //===-- LedgerTests.cpp - bills, copies and claims --------------------------===//
 //
-// Over a table in memory that can be away, and a port that loses copies.
+// Uses an in-memory table that can be unavailable, and a port that can refuse copies.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Ledger/BillOutbox.h"
-#include "laurelcroft/Ledger/ClaimBook.h"
+#include "laurelcroft/Ledger/ClaimRegistry.h"
 
 #include <doctest/doctest.h>
 
@@ -101,7 +101,7 @@
     memory_table table{runtime};
     copy_port port;
     bill_outbox<manual_runtime, memory_table, copy_port> outbox{runtime, table, port, "e1"};
-    claim_book<manual_runtime, memory_table> claims{runtime, table, "e1"};
+    claim_registry<manual_runtime, memory_table> claims{runtime, table, "e1"};
 
     static wire::bill bill(const std::string &id)
     {
@@ -121,7 +121,7 @@
         mine.operationId = operation;
         mine.bodySha256 = body;
         claim_verdict verdict = claim_verdict::unavailable;
-        claims.take(mine, [&](const claim_result &result) { verdict = result.verdict; });
+        claims.acquire(mine, [&](const claim_result &result) { verdict = result.verdict; });
         runtime.advance(milliseconds(20));
         return verdict;
     }
@@ -129,7 +129,7 @@
 
 } // namespace
 
-TEST_CASE("a bill waits for its copy, then stands in the table once")
+TEST_CASE("a bill is acknowledged once it is copied, and is written to the table once")
 {
     ledger_bench bench;
     bench.port.holders = {"e2"};
@@ -146,7 +146,7 @@
     CHECK(placed == 1);
 }
 
-TEST_CASE("without a second process the bill waits for the table")
+TEST_CASE("without a second process a bill is acknowledged when the table has stored it")
 {
     ledger_bench bench;
     bench.table.away = true;
@@ -160,7 +160,7 @@
     CHECK(placed == 1);
 }
 
-TEST_CASE("a holder writes the copies of an owner that is gone, and each stands once")
+TEST_CASE("a holder writes the copies of a dead owner, each of them once")
 {
     ledger_bench bench;
     wire::bill_copy copy;
@@ -175,7 +175,7 @@
     CHECK(bench.outbox.copies() == 0);
 }
 
-TEST_CASE("a copy is forgotten once the table has it, and written when its owner is silent")
+TEST_CASE("a copy is deleted once the table has it, and is written if its owner is silent")
 {
     ledger_bench bench;
     wire::bill_copy copy;
@@ -188,12 +188,12 @@
     CHECK(bench.outbox.copies() == 0);
     bench.outbox.hold(copy);
     bench.runtime.advance(seconds(61));
-    bench.outbox.adoptOld();
+    bench.outbox.adoptExpired();
     bench.runtime.advance(seconds(1));
     CHECK(bench.table.rows.count("bill/r1") == 1);
 }
 
-TEST_CASE("who knows more of a request replaces its bill; who knows less does not")
+TEST_CASE("a bill replaces a stored bill of lower rank, but not one of higher rank")
 {
     ledger_bench bench;
     wire::bill agents = ledger_bench::bill("r1");
@@ -208,17 +208,17 @@
     bench.runtime.advance(seconds(1));
     CHECK(decodeBill(bench.table.rows["bill/r1"].value)->cost() == 9);
     wire::bill unsure = agents;
-    unsure.set_outcome(std::string(uncertainBill));
+    unsure.set_outcome(std::string(uncertainOutcome));
     CHECK(billRank(unsure) < billRank(agents));
     CHECK(billRank(agents) < billRank(own));
 }
 
-TEST_CASE("claims: granted once; the same key again is held, done or refused")
+TEST_CASE("claims: a key is granted once; reuse of it is held, done or refused")
 {
     ledger_bench bench;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
     CHECK(bench.take("k1", "op2") == claim_verdict::held);
-    CHECK(bench.take("k1", "op3", "another body") == claim_verdict::otherBody);
+    CHECK(bench.take("k1", "op3", "another body") == claim_verdict::bodyMismatch);
     claim answered;
     answered.requestId = "k1";
     answered.operationId = "op1";
@@ -229,14 +229,14 @@
     CHECK(decodeClaim(bench.table.rows["claim/k1"].value)->answer == "the answer");
 }
 
-TEST_CASE("claims: a lost answer is resolved by reading back")
+TEST_CASE("claims: if the answer of an insert is lost, the row is read to find the result")
 {
     ledger_bench bench;
     bench.table.loseAnswer = true;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
 }
 
-TEST_CASE("claims: a released one can be taken again, a foreign one is left alone")
+TEST_CASE("claims: a released claim can be acquired again, and only its holder releases it")
 {
     ledger_bench bench;
     CHECK(bench.take("k1", "op1") == claim_verdict::granted);
@@ -248,7 +248,7 @@
     CHECK(bench.take("k1", "op3") == claim_verdict::granted);
 }
 
-TEST_CASE("claims: while the table is away nothing is granted; the release comes later")
+TEST_CASE("claims: nothing is granted while the table is unavailable")
 {
     ledger_bench bench;
     bench.table.away = true;
@@ -257,7 +257,7 @@
     CHECK(bench.take("k1", "op2") == claim_verdict::granted);
 }
 
-TEST_CASE("rows go there and back, and damaged ones are refused")
+TEST_CASE("rows survive encoding and decoding, and malformed rows are refused")
 {
     wire::bill item = ledger_bench::bill("r1");
     wire::bill_step &step = *item.add_steps();
--- a/unittests/Proxy/FlowFixture.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -40,7 +40,7 @@
     addEndpoint(id);
     auto contract = std::make_shared<service_contract>(*routing.contract());
     contract->version += 1;
-    contract->services.front().coldPerSecond = 1;
+    contract->services.front().coldRequestsPerSecond = 1;
     routing.setContract(contract);
     routing.setEntries({owner}, "own");
     routing.directory().all().at(id)->setColdFor(seconds(5), runtime.now());
@@ -65,7 +65,7 @@
     contract->services.push_back(pool);
     contract->needsKeys = true;
     contract->customers.push_back({"daan", 3});
-    contract->customerOfKey["key-daan"] = 0;
+    contract->customerIndexByKey["key-daan"] = 0;
     routing.setContract(contract);
     for (const weighted_service &service : route.services)
         earnFurtherSends(service.name);
@@ -122,7 +122,7 @@
 {
     service_route route = baseRoute();
     route.repeatable = true;
-    route.mostEndpoints = 2;
+    route.maxEndpoints = 2;
     return route;
 }
 
@@ -139,7 +139,7 @@
     route.objective = milliseconds(2000);
     route.eventGap = milliseconds(1200);
     route.timeout = milliseconds(20000);
-    route.mostEndpoints = 3;
+    route.maxEndpoints = 3;
     route.models = {"small", "middle", "large"};
     return route;
 }
