--- a/include/laurelcroft/Load/LoadTool.h
+++ b/include/laurelcroft/Load/LoadTool.h
@@ -1,7 +1,7 @@
-//===-- Load/LoadTool.h - the load and experiment tool -----------*- C++ -*-===//
+//===-- Load/LoadTool.h - load generator and experiments --------*- C++ -*-===//
 //
-// `laurelcroft-load` runs an open-loop load over real processes, or experiments
-// over the decision code from a file.
+// Implements `laurelcroft-load`, which sends open-loop HTTP load to running processes or runs the
+// experiments that a YAML file lists.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LOAD_LOADTOOL_H
@@ -11,9 +11,12 @@
 
 namespace laurelcroft {
 
+/// Declares the command-line settings of `laurelcroft-load`.
 void addLoadSettings(settings &declared);
 
-/// \returns the exit code: 0 when every experiment ran, 1 otherwise.
+/// Runs the command given by the first word, `http` or `run`.
+/// \returns the exit code: 0 on success, 1 if the load or an experiment can't run, 2 if the command
+/// is invalid.
 int runLoadTool(const settings &given);
 
 } // namespace laurelcroft
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -1,6 +1,6 @@
-//===-- LoadTool.cpp - the load and experiment tool -------------------------===//
+//===-- LoadTool.cpp - load generator and experiments -----------------------===//
 //
-// Words choose what runs: `http` sends a load, `run FILE` runs experiments.
+// The first word is the command: `http` sends load, `run FILE` runs the experiments in FILE.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/LoadTool.h"
@@ -45,7 +45,7 @@
     plan.threads = static_cast<std::uint32_t>(given.number("threads"));
     plan.seed = static_cast<std::uint64_t>(given.number("seed"));
     if (plan.urls.empty()) {
-        std::cerr << "laurelcroft-load: error: --urls names no entry\n";
+        std::cerr << "laurelcroft-load: error: --urls is empty\n";
         return 1;
     }
     const load_result result = runLoad(plan);
@@ -94,25 +94,27 @@
     return given;
 }
 
-/// Runs one experiment. \returns false when its kind is unknown.
+/// Runs one experiment and appends its rows to \p rows.
+/// \returns false if the kind of the experiment is unknown.
 static bool runTrial(const trial_settings &given, std::vector<trial_row> &rows)
 {
     for (const trial_kind &kind : trialKinds) {
         if (kind.name != given.kind)
             continue;
-        std::cerr << "running " << given.kind << " with seed " << given.seed << std::endl;
+        std::cerr << "running experiment " << given.kind << " with seed " << given.seed
+                  << std::endl;
         const auto found = kind.run(given);
         rows.insert(rows.end(), found.begin(), found.end());
         return true;
     }
-    std::cerr << "laurelcroft-load: error: no experiment is called '" << given.kind << "'\n";
+    std::cerr << "laurelcroft-load: error: unknown kind of experiment '" << given.kind << "'\n";
     return false;
 }
 
 static int runExperiments(const settings &given)
 {
     if (given.words().size() != 2) {
-        std::cerr << "laurelcroft-load: error: run takes one file\n";
+        std::cerr << "laurelcroft-load: error: 'run' expects one file name\n";
         return 2;
     }
     std::ifstream in(given.words()[1]);
@@ -138,19 +140,22 @@
 void laurelcroft::addLoadSettings(settings &declared)
 {
     declared.allowWords();
-    declared.addText("html", "", "file for a page with plots (run)");
+    declared.addText("html", "", "write the results as an HTML page with plots to this file (run)");
     declared.addFlag("json", "print JSON lines instead of a table (run)");
-    declared.addText("urls", "", "base URLs, separated by commas");
-    declared.addText("key", "", "bearer key");
-    declared.addText("model", "portal-small", "model or cascade to ask for");
-    declared.addFlag("whole", "ask for whole answers instead of streams");
-    declared.addNumber("rate", 100, 1, 100000, "requests/s", "arrivals, Poisson");
-    declared.addNumber("for", 5, 1, 600, "s", "how long requests are sent");
-    declared.addNumber("tokens", 8, 1, 100000, "tokens", "generated for a request");
-    declared.addNumber("prompt-bytes", 200, 1, 1000000, "bytes", "of a prompt");
-    declared.addNumber("sessions", 0, 0, 1000000, "prompts", "distinct ones; 0: all are new");
-    declared.addNumber("threads", 2, 1, 16, "threads", "that send");
-    declared.addNumber("seed", 1, 0, 1000000000, "", "of all draws");
+    declared.addText("urls", "", "base URLs of the servers, separated by commas (http)");
+    declared.addText("key", "", "bearer token; no Authorization header if empty (http)");
+    declared.addText("model", "portal-small", "model or cascade to request (http)");
+    declared.addFlag("whole", "request complete responses instead of streams (http)");
+    declared.addNumber("rate", 100, 1, 100000, "requests/s",
+                       "mean rate of the Poisson arrivals (http)");
+    declared.addNumber("for", 5, 1, 600, "s", "how long requests are sent (http)");
+    declared.addNumber("tokens", 8, 1, 100000, "tokens",
+                       "number of tokens to generate per request (http)");
+    declared.addNumber("prompt-bytes", 200, 1, 1000000, "bytes", "size of a prompt (http)");
+    declared.addNumber("sessions", 0, 0, 1000000, "prompts",
+                       "number of distinct prompts; 0 makes every prompt new (http)");
+    declared.addNumber("threads", 2, 1, 16, "threads", "number of threads that send (http)");
+    declared.addNumber("seed", 1, 0, 1000000000, "", "random seed (http)");
 }
 
 int laurelcroft::runLoadTool(const settings &given)
@@ -160,6 +165,6 @@
         return runHttp(given);
     if (word == "run")
         return runExperiments(given);
-    std::cerr << "laurelcroft-load: error: say 'http' or 'run FILE'\n";
+    std::cerr << "laurelcroft-load: error: expected the command 'http' or 'run FILE'\n";
     return 2;
 }
