--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -1,7 +1,8 @@
-//===-- Load/OpenLoop.h - open-loop load over HTTP ---------------*- C++ -*-===//
+//===-- Load/OpenLoop.h - open-loop load over HTTP --------------*- C++ -*-===//
 //
-// Sends requests at seeded arrival times, whatever the answers do, and measures
-// from the intended time, so that a stalled server can't hide its stall.
+// Sends requests at random arrival times that don't depend on the responses. Latency is measured
+// from the intended send time, so that requests delayed by a stalled server count in full (no
+// coordinated omission).
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LOAD_OPENLOOP_H
@@ -16,11 +17,11 @@
 
 namespace laurelcroft {
 
-/// One load to run. It is bounded in count and in time.
+/// Parameters of a load run. Both its duration and its number of requests are limited.
 struct load_plan
 {
-    std::vector<std::string> urls; ///< of entries, or of engines for a direct run
-    std::string key; ///< bearer key; empty: none
+    std::vector<std::string> urls; ///< base URLs of entries, or of engines to bypass the entries
+    std::string key; ///< bearer token; no Authorization header if empty
     std::string model;
     bool stream = true;
     double perSecond = 100;
@@ -28,25 +29,27 @@
     std::uint64_t mostRequests = 1000000;
     std::uint32_t outputTokens = 8;
     std::uint32_t promptBytes = 200;
-    std::uint32_t sessions = 0; ///< distinct prompts; 0: every prompt is new
+    std::uint32_t sessions = 0; ///< number of distinct prompts; 0 gives each request a new prompt
     std::uint32_t threads = 2;
     std::uint64_t seed = 1;
 };
 
-/// What a load measured.
+/// Measurements of a load run.
 struct load_result
 {
-    latency_histogram firstToken; ///< from the intended time to the first data
-    latency_histogram whole; ///< to the end of the answer
-    latency_histogram betweenTokens;
+    latency_histogram firstToken; ///< from the intended send time to the first response data
+    latency_histogram whole; ///< from the intended send time to the end of the response
+    latency_histogram betweenTokens; ///< between consecutive chunks of response data
     std::uint64_t sent = 0;
     std::uint64_t complete = 0;
     std::uint64_t tokens = 0;
-    std::map<std::string, std::uint64_t> errors; ///< by status or reason
-    double seconds = 0; ///< that the run took
+    /// Counts by HTTP status or transport error. "unanswered" counts the requests that were still
+    /// outstanding when the run ended.
+    std::map<std::string, std::uint64_t> errors;
+    double seconds = 0; ///< duration of the run
 };
 
-/// Runs the load to its end.
+/// Runs the load on `plan.threads` threads and merges their measurements.
 load_result runLoad(const load_plan &plan);
 
 } // namespace laurelcroft
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -1,6 +1,6 @@
 //===-- OpenLoop.cpp - open-loop load over HTTP -----------------------------===//
 //
-// Each thread draws its own Poisson arrivals at its part of the rate.
+// Each thread generates its own Poisson arrivals at an equal share of the total rate.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/OpenLoop.h"
@@ -19,9 +19,11 @@
 
 namespace {
 
+/// Time after the last request to wait for outstanding responses.
 constexpr duration longestDrain = seconds(20);
 constexpr milliseconds callTimeout{60000};
 
+/// Sends the requests of one thread and records their latencies.
 class load_worker
 {
 public:
@@ -36,6 +38,7 @@
     load_result run();
 
 private:
+    /// A request that has been sent and has not ended.
     struct pending
     {
         time_point intended{};
@@ -88,7 +91,8 @@
     std::exponential_distribution<double> gap(m_plan.perSecond / m_plan.threads);
     m_next += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
     m_runtime.after(std::max<duration>(m_next - m_runtime.now(), duration(0)), [this] {
-        // All that is due is sent now, each with the time it was meant for.
+        // An overdue request is sent without delay; its latency still counts from m_next, its
+        // intended send time.
         send(m_next);
         scheduleNext();
     });
