--- a/include/laurelcroft/Load/Trial.h
+++ b/include/laurelcroft/Load/Trial.h
@@ -1,7 +1,8 @@
-//===-- Load/Trial.h - experiments over the decision code --------*- C++ -*-===//
+//===-- Load/Trial.h - experiments with the decision code -------*- C++ -*-===//
 //
-// Each experiment runs the product's own decisions beside baselines, in one run,
-// under a paused clock and with seeds, and gives rows of figures.
+// Each experiment runs the product's decision code with a fixed seed and returns rows of figures.
+// Most compare it with baseline policies. Where an experiment needs a clock it is a simulated one,
+// except over real sockets.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LOAD_TRIAL_H
@@ -14,49 +15,50 @@
 
 namespace laurelcroft {
 
-/// One figure of one variant.
+/// A named result of a variant.
 struct trial_figure
 {
-    std::string name; ///< with its unit
+    std::string name; ///< includes the unit
     double value = 0;
 };
 
-/// One line of an experiment.
+/// Results of one variant at one x-axis value.
 struct trial_row
 {
     std::string experiment;
-    std::string variant; ///< the policy; "laurelcroft" is the product's
-    double at = 0; ///< the setting on the x axis
-    std::string axis; ///< what that setting is, with its unit
+    std::string variant; ///< name of the policy; "laurelcroft" is the product's own
+    double at = 0; ///< value on the x axis
+    std::string axis; ///< label of the x axis; empty if the experiment has none
     std::vector<trial_figure> figures;
 };
 
-/// What an experiment is given from its file.
+/// Parameters of an experiment, read from the experiment file.
 struct trial_settings
 {
     std::string kind;
     std::uint64_t seed = 1;
-    std::vector<double> at; ///< settings to run
-    double runs = 1; ///< repetitions or length, as the kind says
-    double loss = 0; ///< of datagrams, in [0, 1]
+    std::vector<double> at; ///< x-axis values to run, one after the other
+    double runs = 1; ///< repetitions (guard) or simulated seconds (endpoints, limits)
+    double loss = 0; ///< fraction of datagrams that is dropped, in [0, 1]
 };
 
-/// Members that tell each other a new bundle and deaths, under a paused clock.
+/// Measures how fast gossip spreads new bundle epochs and member failures, in simulated time.
 std::vector<trial_row> runSpreadTrial(const trial_settings &given);
 
-/// The same over real sockets on loopback, at most 300 members.
+/// Measures the spread of a bundle epoch over UDP sockets on loopback, with at most 300 members.
 std::vector<trial_row> runSocketSpreadTrial(const trial_settings &given);
 
-/// Cost at the quality target, with request mixes that shift.
+/// Measures the cost of a cascade that must meet a quality target while the request mix shifts.
 std::vector<trial_row> runCascadeTrial(const trial_settings &given);
 
-/// Answers served from a bad version until it stopped, and false stops.
+/// Counts the answers that a bad version serves before its roll-out is stopped, and how often the
+/// roll-out of a good version is stopped.
 std::vector<trial_row> runGuardTrial(const trial_settings &given);
 
-/// Time to the first token at shares of the capacity.
+/// Measures the time to first token at given fractions of the capacity, by endpoint choice policy.
 std::vector<trial_row> runEndpointTrial(const trial_settings &given);
 
-/// A customer's overshoot over several entries.
+/// Measures by how much a customer exceeds its rate limit when several entries enforce it.
 std::vector<trial_row> runLimitTrial(const trial_settings &given);
 
 } // namespace laurelcroft
