--- a/lib/Load/Report.cpp
+++ b/lib/Load/Report.cpp
@@ -1,6 +1,6 @@
-//===-- Report.cpp - JSON lines and an HTML page ----------------------------===//
+//===-- Report.cpp - JSON, text and HTML reports ----------------------------===//
 //
-// Plots are plain SVG: a line for each variant, one plot for each figure.
+// The HTML page has an inline SVG plot for each figure, with a line for each variant.
 //
 //===----------------------------------------------------------------------===//
 #include "Report.h"
@@ -77,9 +77,10 @@
     return all;
 }
 
-/// Points of one figure, by variant.
+/// The (x, y) points of one figure, by variant.
 using series = std::map<std::string, std::vector<std::pair<double, double>>>;
 
+/// \returns an SVG line plot of \p lines. Its y axis starts at 0.
 static std::string plot(const std::string &title, const std::string &axis, const series &lines)
 {
     double lowX = 1e300;
--- a/lib/Load/Report.h
+++ b/lib/Load/Report.h
@@ -1,6 +1,6 @@
-//===-- Report.h - JSON lines and an HTML page -------------------*- C++ -*-===//
+//===-- Report.h - JSON, text and HTML reports ------------------*- C++ -*-===//
 //
-// Private to Load: what experiments leave behind.
+// Formats the rows of experiments. Internal to Load.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_LOAD_REPORT_H
@@ -13,14 +13,14 @@
 
 namespace laurelcroft {
 
-/// \returns one JSON object a line.
+/// \returns one JSON object per row, each on its own line.
 std::string jsonLines(const std::vector<trial_row> &rows);
 
-/// \returns a self-contained page with a table and an SVG plot for each experiment.
-/// \param source the experiment file, shown with its seeds.
+/// \returns a self-contained HTML page with a table and SVG plots for each experiment.
+/// \param source text of the experiment file, which is shown at the end of the page.
 std::string htmlPage(const std::vector<trial_row> &rows, const std::string &source);
 
-/// \returns a table for people.
+/// \returns a plain-text listing of the rows.
 std::string textTable(const std::vector<trial_row> &rows);
 
 } // namespace laurelcroft
