--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -1,7 +1,8 @@
 //===-- CascadeTrial.cpp - cost at the quality target -----------------------===//
 //
-// Requests have a hidden difficulty. The cheap tier's score tells of it with
-// noise; ratings are few, late and sometimes wrong. The mix shifts twice.
+// Each request has a hidden difficulty, of which the cheap tier's score is a noisy signal. Only a
+// small share of the answers is rated, and ratings arrive late and are sometimes wrong. The mix of
+// easy and hard requests shifts twice during a run.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/Trial.h"
@@ -21,11 +22,11 @@
 constexpr double costlyGood = 0.98;
 constexpr double ratedShare = 0.05;
 constexpr double wrongRating = 0.02;
-constexpr std::size_t ratingDelay = 200; ///< requests
+constexpr std::size_t ratingDelay = 200; ///< in requests
 constexpr int requests = 60000;
-constexpr int warmup = 6000; ///< not counted: learning has just begun
+constexpr int warmup = 6000; ///< requests excluded from the results while the learner starts
 
-/// One request as only the oracle sees it.
+/// A request and the quality of its answers, all of which only the oracle knows in advance.
 struct trial_request
 {
     double score = 0;
@@ -33,7 +34,8 @@
     bool costlyGood = false;
 };
 
-/// The score is calibrated for the first mix only; later mixes fool it.
+/// Draws a request. Scores are calibrated for the first third of a run: in the second third there
+/// are fewer easy requests and scores are lower, in the last third there are more easy requests.
 trial_request draw(int number, double targetMix, random_source &random)
 {
     const int phase = number * 3 / requests;
@@ -49,6 +51,7 @@
     return item;
 }
 
+/// Cost and quality of the counted requests of a run.
 struct tally
 {
     double cost = 0;
@@ -72,9 +75,11 @@
     return rules;
 }
 
-/// \returns true when the cheap answer is released, for one request.
+/// \returns true if the cheap answer of the request is released.
 using accept_rule = std::function<bool(const trial_request &)>;
 
+/// Runs a fixed acceptance rule.
+/// \param cheapFirst if false, every request goes to the costly tier only.
 tally runRule(double mix, std::uint64_t seed, const accept_rule &accept, bool cheapFirst)
 {
     random_source random(seed);
@@ -89,7 +94,8 @@
     return sum;
 }
 
-/// Knows each outcome: escalates the fewest bad cheap answers that meet the target.
+/// Runs a policy that knows the quality of each answer in advance. It escalates bad cheap answers
+/// only as far as the target requires.
 tally runOracle(double mix, std::uint64_t seed, double target)
 {
     random_source random(seed);
@@ -98,8 +104,8 @@
     for (int i = 0; i < requests; ++i) {
         const trial_request item = draw(i, mix, random);
         allowedBad += 1 - target;
-        // Where cheap is good it is released; where it is bad and the costly one good,
-        // the budget of bad answers decides.
+        // A bad cheap answer is released only if the budget of bad answers allows it. A costly
+        // answer that is bad as well is charged to the same budget.
         bool takesCheap = item.cheapGood;
         if (!item.cheapGood && allowedBad >= 1) {
             takesCheap = true;
@@ -114,8 +120,8 @@
     return sum;
 }
 
-/// The cheapest fixed threshold that meets the target, found with all outcomes known:
-/// what the score alone can give while it is not adapted to the shifts.
+/// Finds the cheapest fixed threshold that meets the target, by trying all multiples of 0.02 on the
+/// same requests. This shows what a score threshold can achieve without adapting to the shifts.
 tally bestThreshold(double mix, std::uint64_t seed, double target)
 {
     tally best = runRule(
@@ -130,7 +136,7 @@
     return best;
 }
 
-/// The product's learner, with ratings that come late and are sometimes wrong.
+/// Runs the product's learner with ratings that are delayed and sometimes wrong.
 tally runLearner(double mix, std::uint64_t seed, double target)
 {
     random_source random(seed);
