--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -1,7 +1,7 @@
-//===-- EndpointTrial.cpp - time to the first token by policy ---------------===//
+//===-- EndpointTrial.cpp - time to first token by choice policy ------------===//
 //
-// Several entries send to unequal engines whose load reports come late. Each run
-// sees the same arrivals; only the choice differs.
+// Simulates several entries that send to engines of unequal speed whose load reports are delayed.
+// Every policy sees the same arrivals.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/Trial.h"
@@ -27,11 +27,11 @@
 constexpr double prefillMsPerToken = 0.25;
 constexpr std::size_t sessions = 400;
 constexpr std::size_t cachedSessions = 30;
-/// Requests that may wait for each slot: the agent's default.
+/// Number of requests that may be queued per slot. Equals the default of the agent.
 constexpr double ourWaiting = 0.25;
-/// Offers of one request, refused ones included, as in the entry.
+/// Number of times that a request is offered to an engine before it fails, as in the entry.
 constexpr int mostOffers = 4;
-/// Wanted by the users for 95 in 100.
+/// Time to first token that users expect for 95% of the requests.
 constexpr duration wantedFirstToken = milliseconds(1400);
 
 struct trial_job
@@ -53,21 +53,24 @@
     double reportedRate = 0;
 };
 
-/// What one entry knows by itself.
+/// The local state of an entry, from which it corrects the reported load.
 struct trial_entry
 {
-    std::vector<double> sentSince = std::vector<double>(engineCount, 0);
+    std::vector<double> sentSince
+            = std::vector<double>(engineCount, 0); ///< offers since the last report, by engine
     std::vector<double> ownRunning = std::vector<double>(engineCount, 0);
     std::vector<std::size_t> lastEngine = std::vector<std::size_t>(sessions, engineCount);
     std::size_t next = 0;
 };
 
+/// Simulates the entries and engines in virtual time.
 class endpoint_world
 {
 public:
     using policy = std::function<std::size_t(endpoint_world &, trial_entry &, const trial_job &)>;
 
-    /// \param waitingPerSlot requests that an engine's agent lets wait for each slot.
+    /// \param load offered load as a fraction of the capacity of all engines.
+    /// \param waitingPerSlot number of requests that an engine's agent queues per slot.
     endpoint_world(std::uint64_t seed, double load, policy choose, double waitingPerSlot)
         : random(seed)
         , choices(seed + 1)
@@ -77,7 +80,7 @@
         double capacity = 0;
         for (std::size_t i = 0; i < engineCount; ++i) {
             trial_engine engine;
-            // A third of the engines is half as fast, a few have twice the slots.
+            // Every third engine is half as fast and every fifth has twice as many slots.
             engine.tokenMs = i % 3 == 0 ? 30 : 15;
             engine.slots = i % 5 == 0 ? 16 : 8;
             engines.push_back(engine);
@@ -98,15 +101,15 @@
     }
 
     manual_runtime runtime;
-    random_source random; ///< arrivals, the same for every policy
-    random_source choices; ///< draws of the policy
+    random_source random; ///< draws the arrivals, which are the same for every policy
+    random_source choices; ///< used by the policies only
     std::vector<trial_engine> engines;
     std::vector<trial_entry> entries;
     latency_histogram firstToken;
     latency_histogram betweenTokens;
     double served = 0;
     double refused = 0;
-    double inTime = 0; ///< first tokens as early as the users want them
+    double inTime = 0; ///< requests with a first token within wantedFirstToken
 
 private:
     void arrive()
@@ -131,7 +134,7 @@
         for (int offer = 0; offer < mostOffers; ++offer) {
             const std::size_t chosen = m_choose(*this, entry, job);
             trial_engine &engine = engines[chosen];
-            // Sent or refused, the entry counts it until the next report.
+            // Refused requests count as well until the next report arrives.
             entry.sentSince[chosen] += 1;
             if (static_cast<double>(engine.waiting.size())
                 >= m_waitingPerSlot * static_cast<double>(engine.slots))
@@ -175,6 +178,7 @@
         }
     }
 
+    /// Samples the load of each engine. The entries see the sample after reportLag.
     void reportTick()
     {
         for (std::size_t i = 0; i < engineCount; ++i) {
@@ -196,6 +200,8 @@
     time_point m_end{};
 };
 
+/// \returns the engines as \p entry sees them.
+/// \param corrected whether to add the requests that the entry itself has sent.
 std::vector<endpoint_view> viewsOf(const endpoint_world &world, const trial_entry &entry,
                                    const trial_job &job, bool corrected)
 {
