--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -1,7 +1,7 @@
 //===-- GuardTrial.cpp - exposure to bad versions ---------------------------===//
 //
-// A roll-out takes a tenth of the answers. The version is good, bad from the
-// start, turns bad slowly, or is bad for one group of customers only.
+// A roll-out serves a tenth of the answers. Its version is good, bad from the start, slightly
+// worse, degrades slowly, or is bad for one customer group only.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/GuardBoard.h"
@@ -17,24 +17,28 @@
 
 constexpr double settledBad = 0.04;
 constexpr double rolloutShare = 0.1;
-constexpr int answers = 40000; ///< of both versions
+constexpr int answers = 40000; ///< served by both versions together
 constexpr double ratedShare = 0.1;
 constexpr int fixedWindow = 100;
 constexpr double fixedThreshold = 0.1;
 
-/// How bad the version is at a given answer of its own.
+/// \returns the probability of a bad answer.
+/// \param answer number of answers that the version of the roll-out has served so far.
 using badness = std::function<double(int answer, std::size_t group)>;
 
-/// One customer group in ten; the fault of one group strikes the first.
+/// Number of customer groups. A fault that affects one group only affects the first.
 constexpr std::size_t groupCount = 10;
 
+/// Outcome of one roll-out.
 struct exposure
 {
-    double served = 0; ///< bad version's answers until it stopped
+    double served = 0; ///< answers of the roll-out's version until it was stopped
     bool stopped = false;
 };
 
-/// Runs one roll-out; \p judge is told of each answer and says when to stop.
+/// Simulates one roll-out until it is stopped or all answers are served.
+/// \param seenShare share of the answers whose quality becomes known.
+/// \param judge called with each of these answers; returns true to stop the roll-out.
 template <class Judge>
 exposure runRollout(const badness &bad, std::uint64_t seed, double seenShare, Judge &&judge)
 {
@@ -60,6 +64,7 @@
     return result;
 }
 
+/// Runs a roll-out under the product's guard.
 exposure runGuard(const badness &bad, std::uint64_t seed, double seenShare)
 {
     static const std::vector<std::string> names
@@ -73,7 +78,8 @@
     });
 }
 
-/// A window of the last answers against a fixed share, as a plain alert does.
+/// Stops a roll-out when the share of bad answers in a sliding window exceeds a fixed threshold, as
+/// a simple alert does.
 exposure runFixed(const badness &bad, std::uint64_t seed, double seenShare)
 {
     std::vector<int> window;
@@ -93,6 +99,7 @@
     });
 }
 
+/// Runs a roll-out that is never stopped.
 exposure runNone(const badness &bad, std::uint64_t seed, double seenShare)
 {
     return runRollout(bad, seed, seenShare, [](bool, std::size_t, bool) { return false; });
