--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -1,7 +1,7 @@
 //===-- LimitTrial.cpp - a customer's overshoot over several entries --------===//
 //
-// One large customer asks for three times its rate, at entries that change every
-// few seconds; a small one stays within its own.
+// A large customer sends three times its rate limit, mostly to one entry that changes every few
+// seconds. A small customer stays within its limit.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/Trial.h"
@@ -18,7 +18,7 @@
 constexpr duration reportPeriod = seconds(1);
 constexpr duration shareLife = seconds(3);
 constexpr duration phaseLength = seconds(5);
-constexpr double rate = 100;
+constexpr double rate = 100; ///< rate limit of the large customer, in requests/s
 
 customer makeCustomer(const char *name, double perSecond)
 {
@@ -30,14 +30,17 @@
     return who;
 }
 
+/// Requests over all entries in one run.
 struct limit_result
 {
     double largeAdmitted = 0;
     double smallAsked = 0;
     double smallAdmitted = 0;
-    double worstSecond = 0;
+    double worstSecond = 0; ///< most admitted of the large customer in 1 s, after the first 2 s
 };
 
+/// How the rate of a customer is divided among the entries: by reported demand, in equal parts, or
+/// not at all, so that each entry grants the full rate.
 enum class sharing { demand, even, none };
 
 limit_result runLimits(sharing how, std::size_t entries, std::uint64_t seed, double forSeconds)
@@ -68,7 +71,7 @@
             hot = random.index(entries);
             nextPhase = runtime.now() + phaseLength;
         }
-        // Four fifths of the large customer's demand stand at one entry.
+        // The large customer sends 80% of its requests to one entry, the others to random ones.
         for (int k = 0; k < 3; ++k) {
             const std::size_t at = random.chance(0.8) ? hot : random.index(entries);
             const double passed = ask(large, at) ? 1 : 0;
