--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -1,6 +1,7 @@
-//===-- SpreadTrial.cpp - spread of epochs and deaths -----------------------===//
+//===-- SpreadTrial.cpp - gossip of epochs and member failures --------------===//
 //
-// The product's membership over a port that counts, loses and delays datagrams.
+// Runs the product's membership protocol in simulated time, over a port that counts, drops and
+// delays datagrams, and over UDP sockets on loopback.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/Membership.h"
@@ -19,17 +20,17 @@
 namespace {
 
 constexpr const char *trialKey = "key of the spread trial";
-constexpr double udpHeaderBytes = 28;
+constexpr double udpHeaderBytes = 28; ///< IPv4 and UDP headers
 constexpr duration settle = seconds(40);
 constexpr duration watch = seconds(30);
 
-/// Common to both transports: what a member counts.
+/// Counters and epoch of one member, for either transport.
 struct member_counts
 {
     std::uint64_t datagrams = 0;
     double bytes = 0;
     std::uint64_t epoch = 0;
-    time_point tookAt{};
+    time_point tookAt{}; ///< when the member adopted the epoch
 };
 
 double processorSeconds()
@@ -59,7 +60,7 @@
     return digest;
 }
 
-// ---- paused clock ------------------------------------------------------------
+// ---- simulated time ----------------------------------------------------------
 
 class paused_fleet;
 
@@ -75,7 +76,7 @@
     paused_port port;
     member_counts counts;
     std::unique_ptr<membership<manual_runtime, paused_port>> protocol;
-    bool silent = false;
+    bool silent = false; ///< simulates a failed member: it neither sends nor receives
 };
 
 class paused_fleet
@@ -109,6 +110,7 @@
         item.protocol->start(seeds);
     }
 
+    /// Stores the epoch of the member and starts to gossip it.
     void take(paused_member &item, std::uint64_t epoch)
     {
         item.counts.epoch = epoch;
@@ -125,7 +127,7 @@
         }
     }
 
-    /// \returns how many live members call \p number dead.
+    /// \returns the number of live members that consider member \p number dead.
     std::size_t calledDead(std::size_t number) const
     {
         const std::string id = makeMember(number, "").id();
@@ -166,7 +168,8 @@
     });
 }
 
-/// \returns seconds until all live members took the epoch that member 0 takes now; -1: not all.
+/// Lets member 0 adopt \p epoch now.
+/// \returns the seconds until all live members have adopted it, or -1 if one has not within 20 s.
 static double measureEpoch(paused_fleet &fleet, std::uint64_t epoch)
 {
     const time_point began = fleet.runtime.now();
@@ -189,7 +192,8 @@
     for (const double size : given.at) {
         const auto count = static_cast<std::size_t>(size);
         paused_fleet fleet(count, given.seed, given.loss);
-        // Long enough for the joins to have been told to all: the figures are of a quiet fleet.
+        // Waits long enough for all joins to reach all members, so that the traffic measured is
+        // that of a stable fleet.
         fleet.runtime.advance(settle + milliseconds(static_cast<std::int64_t>(size) * 500));
         fleet.resetCounts();
         const double before = processorSeconds();
@@ -205,7 +209,7 @@
             known += static_cast<double>(item->protocol->members().size());
         }
         const double epochSeconds = measureEpoch(fleet, 2);
-        // A sixth of the members falls silent at once, as when a data centre goes.
+        // Silences a sixth of the members at once, as when a data centre fails.
         for (std::size_t i = 1; i < count; i += 6)
             fleet.members[i]->silent = true;
         const double afterLoss = measureEpoch(fleet, 3);
