--- a/include/laurelcroft/Standin/Standin.h
+++ b/include/laurelcroft/Standin/Standin.h
@@ -1,7 +1,7 @@
-//===-- Standin/Standin.h - small stand-ins of the outside -------*- C++ -*-===//
+//===-- Standin/Standin.h - stand-ins for external services -----*- C++ -*-===//
 //
-// The platform's services and the endpoints, as small deterministic processes for
-// tests, the demo and measurements. docs/STANDINS.md gives their protocols.
+// Simulates the services of the platform and the endpoints as small processes with seeded random
+// draws, for tests, the demo and measurements. docs/STANDINS.md describes their protocols.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_STANDIN_STANDIN_H
@@ -22,7 +22,8 @@
 
 using exchange_ptr = std::shared_ptr<http_exchange>;
 
-/// What a stand-in really did, in order: the truth that tests compare with.
+/// Log of the actions that a stand-in performed, in order. Tests compare it with what the product
+/// reports.
 class journal
 {
 public:
@@ -33,18 +34,18 @@
     std::vector<nlohmann::ordered_json> m_lines;
 };
 
-/// Faults that tests switch on and off.
+/// Injected faults, which tests set through `/standin/fault`.
 struct standin_fault
 {
-    bool down = false; ///< answers 503
-    milliseconds slow{0}; ///< before each answer
-    int loseAnswers = 0; ///< of the next calls, after they took effect
-    double errorShare = 0; ///< of calls that fail
-    std::string badVersion; ///< `model@version` whose answers turned bad
-    double badShare = 0; ///< of its answers that are bad
+    bool down = false; ///< reply with status 503; the instance list ignores it
+    milliseconds slow{0}; ///< extra delay of JSON replies, service calls and engine steps
+    int loseAnswers = 0; ///< number of calls whose reply is dropped after they took effect
+    double errorShare = 0; ///< share of an engine's chat requests that fail
+    std::string badVersion; ///< `model@version` whose answers are degraded
+    double badShare = 0; ///< share of its good answers that turn bad
 };
 
-/// What all roles share: faults, journal, clock.
+/// State shared by all roles: clock, random source, journal and faults.
 struct standin_base
 {
     standin_base(asio_runtime &runtime, std::uint64_t seed)
@@ -57,14 +58,14 @@
     journal log;
     standin_fault fault;
 
-    /// Sends \p reply after the fault's delay, or loses it.
+    /// Sends a JSON reply, which the fault settings may delay or drop.
     void reply(const exchange_ptr &exchange, int status, const nlohmann::json &body);
 };
 
-/// Declares the stand-ins' settings.
+/// Declares the command-line settings of `laurelcroft-standin`.
 void addStandinSettings(settings &declared);
 
-/// Runs one stand-in until a stop signal. \returns the exit code.
+/// Runs one stand-in until the process receives a stop signal. \returns the exit code.
 int runStandin(const settings &given);
 
 } // namespace laurelcroft
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -1,6 +1,7 @@
-//===-- Standin.cpp - small stand-ins of the outside ------------------------===//
+//===-- Standin.cpp - stand-ins for external services -----------------------===//
 //
-// One process, one role, one duty; faults and journal are the same for all.
+// Each process runs a single role on one thread. Fault injection and the journal are common to all
+// roles.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Standin/Standin.h"
@@ -32,7 +33,7 @@
 void standin_base::reply(const exchange_ptr &exchange, int status, const json &body)
 {
     if (fault.loseAnswers > 0) {
-        // Dropped without an answer: the caller can't tell whether it took effect.
+        // No reply is sent, so that the caller can't tell whether the call took effect.
         fault.loseAnswers -= 1;
         return;
     }
@@ -57,7 +58,7 @@
     return fault;
 }
 
-/// Answers the paths that every stand-in has. \returns false for others.
+/// Handles the paths that every stand-in serves. \returns false for other paths.
 static bool handleCommon(standin_base &base, const exchange_ptr &exchange)
 {
     const http_request &request = exchange->request();
@@ -114,24 +115,30 @@
 
 void laurelcroft::addStandinSettings(settings &declared)
 {
-    declared.addRequired("role", "engine, service, table, objects, ratings or list");
-    declared.addText("listen", "127.0.0.1:0", "host:port");
-    declared.addNumber("seed", 1, 0, 1000000000, "", "of all draws");
-    declared.addNumber("rate", 500, 1, 1000000, "calls/s", "that the table takes");
-    declared.addNumber("delay-ms", 0, 0, 600000, "ms", "of a rating, a service or the list");
-    declared.addNumber("slots", 8, 1, 4096, "requests", "that an engine runs at once");
-    declared.addNumber("decode-us", 2000, 1, 1000000, "us", "of a token at batch one");
-    declared.addNumber("prefill-us", 20, 0, 1000000, "us", "of a prompt token");
-    declared.addNumber("quality-percent", 90, 0, 100, "%", "mean confidence of an engine");
-    declared.addNumber("load-ms", 50, 0, 600000, "ms", "to load a version");
-    declared.addFlag("unfenced", "an engine that does not check the fence of orders");
+    declared.addRequired("role",
+                         "service to simulate: engine, service, table, objects, ratings or list");
+    declared.addText("listen", "127.0.0.1:0", "host:port to listen on; port 0 picks a free port");
+    declared.addNumber("seed", 1, 0, 1000000000, "", "random seed");
+    declared.addNumber("rate", 500, 1, 1000000, "calls/s", "rate limit of the table");
+    declared.addNumber("delay-ms", 0, 0, 600000, "ms",
+                       "response time of a rating or a service, or lag of the instance list");
+    declared.addNumber("slots", 8, 1, 4096, "requests",
+                       "number of requests that an engine runs concurrently");
+    declared.addNumber("decode-us", 2000, 1, 1000000, "us",
+                       "decode time per token of a single request");
+    declared.addNumber("prefill-us", 20, 0, 1000000, "us", "prefill time per prompt token");
+    declared.addNumber("quality-percent", 90, 0, 100, "%",
+                       "mean confidence of an engine's answers");
+    declared.addNumber("load-ms", 50, 0, 600000, "ms",
+                       "time that an engine takes to load a version");
+    declared.addFlag("unfenced", "let an engine execute orders with a stale fence");
 }
 
 int laurelcroft::runStandin(const settings &given)
 {
     http_server_options options;
     if (!splitAddress(given.text("listen"), options.host, options.port)) {
-        std::cerr << "laurelcroft-standin: error: --listen is not host:port\n";
+        std::cerr << "laurelcroft-standin: error: --listen: expected host:port\n";
         return 1;
     }
     blockStopSignals();
@@ -140,8 +147,8 @@
     standin_base base(runtime, static_cast<std::uint64_t>(given.number("seed")));
     const std::unique_ptr<standin_role> role = makeRole(base, given);
     if (!role) {
-        std::cerr << "laurelcroft-standin: error: --role: '" << given.text("role")
-                  << "' is no role\n";
+        std::cerr << "laurelcroft-standin: error: --role: unknown role '" << given.text("role")
+                  << "'\n";
         return 1;
     }
     http_server server(duty, options, [&](const exchange_ptr &exchange) {
