--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -1,8 +1,8 @@
-//===-- Engine.cpp - a model engine with continuous batching ----------------===//
+//===-- Engine.cpp - simulated model engine ---------------------------------===//
 //
-// All running requests make one token a step; a step takes longer the more run.
-// Whether an answer is good is drawn so that its confidence is calibrated, and the
-// answer's last word tells it to the rating service.
+// Each step generates one token for every running request, and takes longer the more requests run.
+// An answer is good with a probability equal to its confidence, unless a fault degrades it. Its
+// last word, "checked" or "unchecked", tells the simulated rating service whether it is good.
 //
 //===----------------------------------------------------------------------===//
 #include "Roles.h"
@@ -79,7 +79,8 @@
     });
 }
 
-/// \returns the prompt tokens that an earlier request left in the cache.
+/// Looks up the prompt's prefix in the cache and adds it as the most recently used one.
+/// \returns the number of prompt tokens served from the cache.
 std::uint64_t engine_role::useCache(const std::string &body, std::uint64_t tokens)
 {
     const std::size_t at = body.find("\"messages\"");
@@ -168,7 +169,8 @@
     admit();
     const auto others = static_cast<double>(m_running.empty() ? 0 : m_running.size() - 1);
     double stepMs = m_options.decodeMs * (1.0 + m_options.batchSlowdown * others);
-    // Prefill runs before the step; requests that are being prefilled share it.
+    // The prefills of newly admitted requests run one after the other before the step and delay it
+    // for all running requests.
     double prefillMs = 0;
     for (job &item : m_running) {
         prefillMs += item.prefillLeftMs;
--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -1,6 +1,6 @@
-//===-- Platform.cpp - table, objects, ratings, list, service ---------------===//
+//===-- Platform.cpp - simulated table, objects, ratings, list, service -----===//
 //
-// Small and in memory; each keeps a journal of what it really did.
+// These roles keep their data in memory. All but the list log their actions in the journal.
 //
 //===----------------------------------------------------------------------===//
 #include "Roles.h"
@@ -139,7 +139,7 @@
     }
     const json body = json::parse(exchange->request().body, nullptr, false);
     const std::string answer = body.is_object() ? body.value("answer", "") : "";
-    // The engine stand-in ends a bad answer with "unchecked".
+    // The engine stand-in marks a bad answer by "unchecked" as its last word.
     const bool good = answer.find("unchecked") == std::string::npos;
     const double rating = good ? 0.9 : 0.1;
     m_base.log.add({{"kind", "rated"},
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -1,6 +1,6 @@
-//===-- Roles.h - the roles of the stand-in ----------------------*- C++ -*-===//
+//===-- Roles.h - roles of the stand-in --------------------------*- C++ -*-===//
 //
-// Private to Standin: one class for each outside system.
+// Declares one class for each external service. Internal to Standin.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_STANDIN_ROLES_H
@@ -16,7 +16,7 @@
 
 namespace laurelcroft {
 
-/// A role handles requests; what it does not know it leaves to the caller.
+/// Base class of the simulated services.
 class standin_role
 {
 public:
@@ -26,14 +26,14 @@
     }
     virtual ~standin_role() = default;
 
-    /// \returns false when the path is none of this role's.
+    /// Handles a request. \returns false if the role does not serve its path.
     virtual bool handle(const exchange_ptr &exchange) = 0;
 
 protected:
     standin_base &m_base;
 };
 
-/// The transactional table, rate-limited.
+/// Simulates the transactional table, with a rate limit.
 class table_role : public standin_role
 {
 public:
@@ -46,6 +46,7 @@
         std::string value;
         std::uint64_t version = 0;
     };
+    /// Takes one call from the rate limit. \returns false if the limit is exceeded.
     bool takeRate();
     nlohmann::json apply(const nlohmann::json &operation);
     void transact(const exchange_ptr &exchange);
@@ -57,7 +58,7 @@
     std::map<std::string, row> m_rows;
 };
 
-/// The object store.
+/// Simulates the object store.
 class objects_role : public standin_role
 {
 public:
@@ -68,7 +69,8 @@
     std::map<std::string, std::string> m_objects;
 };
 
-/// The rating service: slow, rate-limited, right with a given probability.
+/// Simulates the rating service. It replies after a delay and reads the quality of an answer from
+/// the marker that the engine stand-in puts at its end.
 class ratings_role : public standin_role
 {
 public:
@@ -83,7 +85,7 @@
     milliseconds m_delay;
 };
 
-/// The lagging list of instances.
+/// Simulates the instance list. Updates become visible after a lag.
 class list_role : public standin_role
 {
 public:
@@ -99,7 +101,7 @@
     nlohmann::json m_shown = nlohmann::json::array();
 };
 
-/// A plain service.
+/// Simulates an endpoint that is no model engine and serves any path.
 class service_role : public standin_role
 {
 public:
@@ -114,20 +116,20 @@
     milliseconds m_took;
 };
 
-/// How an engine stand-in works.
+/// Parameters of a simulated engine.
 struct engine_options
 {
     std::size_t slots = 8;
-    double decodeMs = 20; ///< of one token at batch one
-    double batchSlowdown = 0.03; ///< more decode time for each further request
+    double decodeMs = 20; ///< time per token of a single request
+    double batchSlowdown = 0.03; ///< relative increase of the decode time per additional request
     double prefillMsPerToken = 0.2;
     double quality = 0.9; ///< mean confidence of its answers
     std::size_t cachedPrefixes = 64;
-    milliseconds loadTime{50}; ///< of a version
-    bool fenced = true; ///< checks the fence of orders
+    milliseconds loadTime{50}; ///< time to load a version
+    bool fenced = true; ///< reject orders with a stale fence
 };
 
-/// A model engine with continuous batching.
+/// Simulates a model engine with continuous batching.
 class engine_role : public standin_role
 {
 public:
