--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -26,7 +26,7 @@
     bool stream = true;
     double perSecond = 100;
     double forSeconds = 5;
-    std::uint64_t mostRequests = 1000000;
+    std::uint64_t maxRequests = 1000000;
     std::uint32_t outputTokens = 8;
     std::uint32_t promptBytes = 200;
     std::uint32_t sessions = 0; ///< number of distinct prompts; 0 gives each request a new prompt
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -86,7 +86,7 @@
 
 void load_worker::scheduleNext()
 {
-    if (!m_sending || m_result.sent >= m_plan.mostRequests / m_plan.threads)
+    if (!m_sending || m_result.sent >= m_plan.maxRequests / m_plan.threads)
         return;
     std::exponential_distribution<double> gap(m_plan.perSecond / m_plan.threads);
     m_next += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
