--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -24,7 +24,7 @@
     std::string key; ///< bearer token; no Authorization header if empty
     std::string model;
     bool stream = true;
-    double perSecond = 100;
+    double requestsPerSecond = 100;
     double forSeconds = 5;
     std::uint64_t maxRequests = 1000000;
     std::uint32_t outputTokens = 8;
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -37,7 +37,7 @@
     plan.key = given.text("key");
     plan.model = given.text("model");
     plan.stream = !given.flag("whole");
-    plan.perSecond = static_cast<double>(given.number("rate"));
+    plan.requestsPerSecond = static_cast<double>(given.number("rate"));
     plan.forSeconds = static_cast<double>(given.number("for"));
     plan.outputTokens = static_cast<std::uint32_t>(given.number("tokens"));
     plan.promptBytes = static_cast<std::uint32_t>(given.number("prompt-bytes"));
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -88,7 +88,7 @@
 {
     if (!m_sending || m_result.sent >= m_plan.maxRequests / m_plan.threads)
         return;
-    std::exponential_distribution<double> gap(m_plan.perSecond / m_plan.threads);
+    std::exponential_distribution<double> gap(m_plan.requestsPerSecond / m_plan.threads);
     m_next += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
     m_runtime.after(std::max<duration>(m_next - m_runtime.now(), duration(0)), [this] {
         // An overdue request is sent without delay; its latency still counts from m_next, its
