--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -25,7 +25,7 @@
     std::string model;
     bool stream = true;
     double requestsPerSecond = 100;
-    double forSeconds = 5;
+    double durationSeconds = 5;
     std::uint64_t maxRequests = 1000000;
     std::uint32_t outputTokens = 8;
     std::uint32_t promptBytes = 200;
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -38,7 +38,7 @@
     plan.model = given.text("model");
     plan.stream = !given.flag("whole");
     plan.requestsPerSecond = static_cast<double>(given.number("rate"));
-    plan.forSeconds = static_cast<double>(given.number("for"));
+    plan.durationSeconds = static_cast<double>(given.number("for"));
     plan.outputTokens = static_cast<std::uint32_t>(given.number("tokens"));
     plan.promptBytes = static_cast<std::uint32_t>(given.number("prompt-bytes"));
     plan.sessions = static_cast<std::uint32_t>(given.number("sessions"));
@@ -54,9 +54,9 @@
     line["complete"] = result.complete;
     line["errors"] = result.errors;
     line["requests_per_second"]
-            = static_cast<double>(result.complete) / std::max(plan.forSeconds, 0.001);
+            = static_cast<double>(result.complete) / std::max(plan.durationSeconds, 0.001);
     line["tokens_per_second"]
-            = static_cast<double>(result.tokens) / std::max(plan.forSeconds, 0.001);
+            = static_cast<double>(result.tokens) / std::max(plan.durationSeconds, 0.001);
     line["first_token"] = quantiles(result.firstToken);
     line["between_tokens"] = quantiles(result.betweenTokens);
     line["whole"] = quantiles(result.whole);
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -71,7 +71,7 @@
     m_began = m_runtime.now();
     m_next = m_began;
     scheduleNext();
-    const duration sending(static_cast<std::int64_t>(m_plan.forSeconds * 1e9));
+    const duration sending(static_cast<std::int64_t>(m_plan.durationSeconds * 1e9));
     m_runtime.after(sending, [this] {
         m_sending = false;
         if (m_open == 0)
