--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -38,7 +38,7 @@
 struct load_result
 {
     latency_histogram firstToken; ///< from the intended send time to the first response data
-    latency_histogram whole; ///< from the intended send time to the end of the response
+    latency_histogram totalLatency; ///< from the intended send time to the end of the response
     latency_histogram betweenTokens; ///< between consecutive chunks of response data
     std::uint64_t sent = 0;
     std::uint64_t complete = 0;
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -59,7 +59,7 @@
             = static_cast<double>(result.tokens) / std::max(plan.durationSeconds, 0.001);
     line["first_token"] = quantiles(result.firstToken);
     line["between_tokens"] = quantiles(result.betweenTokens);
-    line["whole"] = quantiles(result.whole);
+    line["whole"] = quantiles(result.totalLatency);
     std::cout << line.dump() << "\n";
     return 0;
 }
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -154,7 +154,7 @@
     else
         m_result.complete += 1;
     if (result && result.value() < http_status::badRequest)
-        m_result.whole.record(m_runtime.now() - item.intended);
+        m_result.totalLatency.record(m_runtime.now() - item.intended);
     if (!m_sending && m_open == 0)
         m_context.stop();
 }
@@ -174,7 +174,7 @@
     load_result total;
     for (const load_result &part : parts) {
         total.firstToken.merge(part.firstToken);
-        total.whole.merge(part.whole);
+        total.totalLatency.merge(part.totalLatency);
         total.betweenTokens.merge(part.betweenTokens);
         total.sent += part.sent;
         total.complete += part.complete;
