--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -37,7 +37,7 @@
 /// Measurements of a load run.
 struct load_result
 {
-    latency_histogram firstToken; ///< from the intended send time to the first response data
+    latency_histogram timeToFirstToken; ///< from the intended send time to the first response data
     latency_histogram totalLatency; ///< from the intended send time to the end of the response
     latency_histogram betweenTokens; ///< between consecutive chunks of response data
     std::uint64_t sent = 0;
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -57,7 +57,7 @@
             = static_cast<double>(result.complete) / std::max(plan.durationSeconds, 0.001);
     line["tokens_per_second"]
             = static_cast<double>(result.tokens) / std::max(plan.durationSeconds, 0.001);
-    line["first_token"] = quantiles(result.firstToken);
+    line["first_token"] = quantiles(result.timeToFirstToken);
     line["between_tokens"] = quantiles(result.betweenTokens);
     line["whole"] = quantiles(result.totalLatency);
     std::cout << line.dump() << "\n";
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -134,7 +134,7 @@
 {
     const time_point now = m_runtime.now();
     if (!item.anyData)
-        m_result.firstToken.record(now - item.intended);
+        m_result.timeToFirstToken.record(now - item.intended);
     else
         m_result.betweenTokens.record(now - item.last);
     item.anyData = true;
@@ -173,7 +173,7 @@
         thread.join();
     load_result total;
     for (const load_result &part : parts) {
-        total.firstToken.merge(part.firstToken);
+        total.timeToFirstToken.merge(part.timeToFirstToken);
         total.totalLatency.merge(part.totalLatency);
         total.betweenTokens.merge(part.betweenTokens);
         total.sent += part.sent;
