--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -39,7 +39,7 @@
 {
     latency_histogram timeToFirstToken; ///< from the intended send time to the first response data
     latency_histogram totalLatency; ///< from the intended send time to the end of the response
-    latency_histogram betweenTokens; ///< between consecutive chunks of response data
+    latency_histogram interTokenLatency; ///< between consecutive chunks of response data
     std::uint64_t sent = 0;
     std::uint64_t complete = 0;
     std::uint64_t tokens = 0;
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -58,7 +58,7 @@
     line["tokens_per_second"]
             = static_cast<double>(result.tokens) / std::max(plan.durationSeconds, 0.001);
     line["first_token"] = quantiles(result.timeToFirstToken);
-    line["between_tokens"] = quantiles(result.betweenTokens);
+    line["between_tokens"] = quantiles(result.interTokenLatency);
     line["whole"] = quantiles(result.totalLatency);
     std::cout << line.dump() << "\n";
     return 0;
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -136,7 +136,7 @@
     if (!item.anyData)
         m_result.timeToFirstToken.record(now - item.intended);
     else
-        m_result.betweenTokens.record(now - item.last);
+        m_result.interTokenLatency.record(now - item.last);
     item.anyData = true;
     item.last = now;
     for (std::size_t at = data.find("\"content\":"); at != std::string_view::npos;
@@ -175,7 +175,7 @@
     for (const load_result &part : parts) {
         total.timeToFirstToken.merge(part.timeToFirstToken);
         total.totalLatency.merge(part.totalLatency);
-        total.betweenTokens.merge(part.betweenTokens);
+        total.interTokenLatency.merge(part.interTokenLatency);
         total.sent += part.sent;
         total.complete += part.complete;
         total.tokens += part.tokens;
