--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -46,7 +46,7 @@
     /// Counts by HTTP status or transport error. "unanswered" counts the requests that were still
     /// outstanding when the run ended.
     std::map<std::string, std::uint64_t> errors;
-    double seconds = 0; ///< duration of the run
+    double elapsedSeconds = 0; ///< duration of the run
 };
 
 /// Runs the load on `plan.threads` threads and merges their measurements.
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -80,7 +80,7 @@
     m_runtime.after(sending + longestDrain, [this] { m_context.stop(); });
     m_context.run();
     m_result.errors["unanswered"] += m_open;
-    m_result.seconds = std::chrono::duration<double>(m_runtime.now() - m_began).count();
+    m_result.elapsedSeconds = std::chrono::duration<double>(m_runtime.now() - m_began).count();
     return std::move(m_result);
 }
 
@@ -179,7 +179,7 @@
         total.sent += part.sent;
         total.complete += part.complete;
         total.tokens += part.tokens;
-        total.seconds = std::max(total.seconds, part.seconds);
+        total.elapsedSeconds = std::max(total.elapsedSeconds, part.elapsedSeconds);
         for (const auto &[name, count] : part.errors) {
             if (count > 0)
                 total.errors[name] += count;
