--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 /// Time after the last request to wait for outstanding responses.
-constexpr duration longestDrain = seconds(20);
+constexpr duration drainTimeout = seconds(20);
 constexpr milliseconds callTimeout{60000};
 
 /// Sends the requests of one thread and records their latencies.
@@ -77,7 +77,7 @@
         if (m_open == 0)
             m_context.stop();
     });
-    m_runtime.after(sending + longestDrain, [this] { m_context.stop(); });
+    m_runtime.after(sending + drainTimeout, [this] { m_context.stop(); });
     m_context.run();
     m_result.errors["unanswered"] += m_open;
     m_result.elapsedSeconds = std::chrono::duration<double>(m_runtime.now() - m_began).count();
