--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -60,7 +60,7 @@
     load_result m_result;
     time_point m_began{};
     time_point m_next{};
-    std::uint64_t m_open = 0;
+    std::uint64_t m_outstandingRequests = 0;
     bool m_sending = true;
 };
 
@@ -74,12 +74,12 @@
     const duration sending(static_cast<std::int64_t>(m_plan.durationSeconds * 1e9));
     m_runtime.after(sending, [this] {
         m_sending = false;
-        if (m_open == 0)
+        if (m_outstandingRequests == 0)
             m_context.stop();
     });
     m_runtime.after(sending + drainTimeout, [this] { m_context.stop(); });
     m_context.run();
-    m_result.errors["unanswered"] += m_open;
+    m_result.errors["unanswered"] += m_outstandingRequests;
     m_result.elapsedSeconds = std::chrono::duration<double>(m_runtime.now() - m_began).count();
     return std::move(m_result);
 }
@@ -123,7 +123,7 @@
     const auto item = std::make_shared<pending>();
     item->intended = intended;
     m_result.sent += 1;
-    m_open += 1;
+    m_outstandingRequests += 1;
     http_call_events events;
     events.onData = [this, item](std::string_view data) { onData(*item, data); };
     events.onEnd = [this, item](const outcome<int, http_error> &result) { onEnd(*item, result); };
@@ -146,7 +146,7 @@
 
 void load_worker::onEnd(const pending &item, const outcome<int, http_error> &result)
 {
-    m_open -= 1;
+    m_outstandingRequests -= 1;
     if (!result)
         m_result.errors[std::string(textOf(result.error()))] += 1;
     else if (result.value() >= http_status::badRequest)
@@ -155,7 +155,7 @@
         m_result.complete += 1;
     if (result && result.value() < http_status::badRequest)
         m_result.totalLatency.record(m_runtime.now() - item.intended);
-    if (!m_sending && m_open == 0)
+    if (!m_sending && m_outstandingRequests == 0)
         m_context.stop();
 }
 
