--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -58,7 +58,7 @@
     http_client m_client;
     random_source m_random;
     load_result m_result;
-    time_point m_began{};
+    time_point m_startTime{};
     time_point m_next{};
     std::uint64_t m_outstandingRequests = 0;
     bool m_sending = true;
@@ -68,8 +68,8 @@
 
 load_result load_worker::run()
 {
-    m_began = m_runtime.now();
-    m_next = m_began;
+    m_startTime = m_runtime.now();
+    m_next = m_startTime;
     scheduleNext();
     const duration sending(static_cast<std::int64_t>(m_plan.durationSeconds * 1e9));
     m_runtime.after(sending, [this] {
@@ -80,7 +80,7 @@
     m_runtime.after(sending + drainTimeout, [this] { m_context.stop(); });
     m_context.run();
     m_result.errors["unanswered"] += m_outstandingRequests;
-    m_result.elapsedSeconds = std::chrono::duration<double>(m_runtime.now() - m_began).count();
+    m_result.elapsedSeconds = std::chrono::duration<double>(m_runtime.now() - m_startTime).count();
     return std::move(m_result);
 }
 
