--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -59,7 +59,7 @@
     random_source m_random;
     load_result m_result;
     time_point m_startTime{};
-    time_point m_next{};
+    time_point m_nextArrival{};
     std::uint64_t m_outstandingRequests = 0;
     bool m_sending = true;
 };
@@ -69,7 +69,7 @@
 load_result load_worker::run()
 {
     m_startTime = m_runtime.now();
-    m_next = m_startTime;
+    m_nextArrival = m_startTime;
     scheduleNext();
     const duration sending(static_cast<std::int64_t>(m_plan.durationSeconds * 1e9));
     m_runtime.after(sending, [this] {
@@ -89,11 +89,11 @@
     if (!m_sending || m_result.sent >= m_plan.maxRequests / m_plan.threads)
         return;
     std::exponential_distribution<double> gap(m_plan.requestsPerSecond / m_plan.threads);
-    m_next += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
-    m_runtime.after(std::max<duration>(m_next - m_runtime.now(), duration(0)), [this] {
-        // An overdue request is sent without delay; its latency still counts from m_next, its
-        // intended send time.
-        send(m_next);
+    m_nextArrival += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
+    m_runtime.after(std::max<duration>(m_nextArrival - m_runtime.now(), duration(0)), [this] {
+        // An overdue request is sent without delay; its latency still counts from m_nextArrival,
+        // its intended send time.
+        send(m_nextArrival);
         scheduleNext();
     });
 }
