--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -41,7 +41,7 @@
     /// A request that has been sent and has not ended.
     struct pending
     {
-        time_point intended{};
+        time_point intendedTime{};
         time_point last{};
         bool anyData = false;
     };
@@ -121,7 +121,7 @@
 void load_worker::send(time_point intended)
 {
     const auto item = std::make_shared<pending>();
-    item->intended = intended;
+    item->intendedTime = intended;
     m_result.sent += 1;
     m_outstandingRequests += 1;
     http_call_events events;
@@ -134,7 +134,7 @@
 {
     const time_point now = m_runtime.now();
     if (!item.anyData)
-        m_result.timeToFirstToken.record(now - item.intended);
+        m_result.timeToFirstToken.record(now - item.intendedTime);
     else
         m_result.interTokenLatency.record(now - item.last);
     item.anyData = true;
@@ -154,7 +154,7 @@
     else
         m_result.complete += 1;
     if (result && result.value() < http_status::badRequest)
-        m_result.totalLatency.record(m_runtime.now() - item.intended);
+        m_result.totalLatency.record(m_runtime.now() - item.intendedTime);
     if (!m_sending && m_outstandingRequests == 0)
         m_context.stop();
 }
