--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -42,7 +42,7 @@
     struct pending
     {
         time_point intendedTime{};
-        time_point last{};
+        time_point lastDataTime{};
         bool anyData = false;
     };
 
@@ -136,9 +136,9 @@
     if (!item.anyData)
         m_result.timeToFirstToken.record(now - item.intendedTime);
     else
-        m_result.interTokenLatency.record(now - item.last);
+        m_result.interTokenLatency.record(now - item.lastDataTime);
     item.anyData = true;
-    item.last = now;
+    item.lastDataTime = now;
     for (std::size_t at = data.find("\"content\":"); at != std::string_view::npos;
          at = data.find("\"content\":", at + 1))
         m_result.tokens += 1;
