--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -43,7 +43,7 @@
     {
         time_point intendedTime{};
         time_point lastDataTime{};
-        bool anyData = false;
+        bool hasData = false;
     };
 
     void scheduleNext();
@@ -133,11 +133,11 @@
 void load_worker::onData(pending &item, std::string_view data)
 {
     const time_point now = m_runtime.now();
-    if (!item.anyData)
+    if (!item.hasData)
         m_result.timeToFirstToken.record(now - item.intendedTime);
     else
         m_result.interTokenLatency.record(now - item.lastDataTime);
-    item.anyData = true;
+    item.hasData = true;
     item.lastDataTime = now;
     for (std::size_t at = data.find("\"content\":"); at != std::string_view::npos;
          at = data.find("\"content\":", at + 1))
