--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -39,7 +39,7 @@
 
 private:
     /// A request that has been sent and has not ended.
-    struct pending
+    struct pending_request
     {
         time_point intendedTime{};
         time_point lastDataTime{};
@@ -48,8 +48,8 @@
 
     void scheduleNext();
     void send(time_point intended);
-    void onData(pending &item, std::string_view data);
-    void onEnd(const pending &item, const outcome<int, http_error> &result);
+    void onData(pending_request &item, std::string_view data);
+    void onEnd(const pending_request &item, const outcome<int, http_error> &result);
     http_call makeCall();
 
     const load_plan &m_plan;
@@ -120,7 +120,7 @@
 
 void load_worker::send(time_point intended)
 {
-    const auto item = std::make_shared<pending>();
+    const auto item = std::make_shared<pending_request>();
     item->intendedTime = intended;
     m_result.sent += 1;
     m_outstandingRequests += 1;
@@ -130,7 +130,7 @@
     m_client.start(makeCall(), std::move(events));
 }
 
-void load_worker::onData(pending &item, std::string_view data)
+void load_worker::onData(pending_request &item, std::string_view data)
 {
     const time_point now = m_runtime.now();
     if (!item.hasData)
@@ -144,7 +144,7 @@
         m_result.tokens += 1;
 }
 
-void load_worker::onEnd(const pending &item, const outcome<int, http_error> &result)
+void load_worker::onEnd(const pending_request &item, const outcome<int, http_error> &result)
 {
     m_outstandingRequests -= 1;
     if (!result)
