--- a/include/laurelcroft/Load/Trial.h
+++ b/include/laurelcroft/Load/Trial.h
@@ -27,7 +27,7 @@
 {
     std::string experiment;
     std::string variant; ///< name of the policy; "laurelcroft" is the product's own
-    double at = 0; ///< value on the x axis
+    double axisValue = 0; ///< value on the x axis
     std::string axis; ///< label of the x axis; empty if the experiment has none
     std::vector<trial_figure> figures;
 };
--- a/lib/Load/Report.cpp
+++ b/lib/Load/Report.cpp
@@ -50,7 +50,7 @@
     for (const trial_row &row : rows) {
         nlohmann::ordered_json line = {{"experiment", row.experiment}, {"variant", row.variant}};
         if (!row.axis.empty())
-            line[row.axis] = row.at;
+            line[row.axis] = row.axisValue;
         for (const trial_figure &figure : row.figures)
             line[figure.name] = figure.value;
         all += line.dump() + "\n";
@@ -68,7 +68,7 @@
         last = row.experiment;
         all += "  " + row.variant;
         if (!row.axis.empty())
-            all += " at " + number(row.at) + " " + row.axis;
+            all += " at " + number(row.axisValue) + " " + row.axis;
         all += ":";
         for (const trial_figure &figure : row.figures)
             all += " " + figure.name + " = " + number(figure.value) + ";";
@@ -127,10 +127,10 @@
     html += "</tr>";
     std::map<std::string, series> plots;
     for (const trial_row &row : rows) {
-        html += "<tr><td>" + escaped(row.variant) + "</td><td>" + number(row.at) + "</td>";
+        html += "<tr><td>" + escaped(row.variant) + "</td><td>" + number(row.axisValue) + "</td>";
         for (const trial_figure &figure : row.figures) {
             html += "<td>" + number(figure.value) + "</td>";
-            plots[figure.name][row.variant].emplace_back(row.at, figure.value);
+            plots[figure.name][row.variant].emplace_back(row.axisValue, figure.value);
         }
         html += "</tr>";
     }
