--- a/include/laurelcroft/Load/Trial.h
+++ b/include/laurelcroft/Load/Trial.h
@@ -37,7 +37,7 @@
 {
     std::string kind;
     std::uint64_t seed = 1;
-    std::vector<double> at; ///< x-axis values to run, one after the other
+    std::vector<double> axisValues; ///< x-axis values to run, one after the other
     double runs = 1; ///< repetitions (guard) or simulated seconds (endpoints, limits)
     double loss = 0; ///< fraction of datagrams that is dropped, in [0, 1]
 };
--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -189,7 +189,7 @@
 {
     constexpr double target = 0.92;
     std::vector<trial_row> rows;
-    for (const double mix : given.at) {
+    for (const double mix : given.axisValues) {
         const tally oracle = runOracle(mix, given.seed, target);
         const auto add = [&](const char *variant, const tally &sum) {
             rows.push_back({given.kind,
--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -268,7 +268,7 @@
     const auto ms = [](std::chrono::nanoseconds value) {
         return std::chrono::duration<double, std::milli>(value).count();
     };
-    for (const double load : given.at) {
+    for (const double load : given.axisValues) {
         for (const auto &[variant, choose, waiting] : variants) {
             endpoint_world world(given.seed, load, choose, waiting);
             world.run(given.runs);
--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -113,7 +113,7 @@
                {"even split", sharing::even},
                {"each entry the whole rate", sharing::none}};
     std::vector<trial_row> rows;
-    for (const double entries : given.at) {
+    for (const double entries : given.axisValues) {
         for (const auto &[variant, how] : variants) {
             const limit_result result
                     = runLimits(how, static_cast<std::size_t>(entries), given.seed, given.runs);
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -88,7 +88,7 @@
     trial_settings given;
     given.kind = node["kind"].as<std::string>();
     given.seed = node["seed"].as<std::uint64_t>(1);
-    given.at = node["at"].as<std::vector<double>>(std::vector<double>{0});
+    given.axisValues = node["at"].as<std::vector<double>>(std::vector<double>{0});
     given.runs = node["runs"].as<double>(1);
     given.loss = node["loss"].as<double>(0);
     return given;
--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -189,7 +189,7 @@
 std::vector<trial_row> laurelcroft::runSpreadTrial(const trial_settings &given)
 {
     std::vector<trial_row> rows;
-    for (const double size : given.at) {
+    for (const double size : given.axisValues) {
         const auto count = static_cast<std::size_t>(size);
         paused_fleet fleet(count, given.seed, given.loss);
         // Waits long enough for all joins to reach all members, so that the traffic measured is
@@ -317,7 +317,7 @@
 std::vector<trial_row> laurelcroft::runSocketSpreadTrial(const trial_settings &given)
 {
     std::vector<trial_row> rows;
-    for (const double size : given.at) {
+    for (const double size : given.axisValues) {
         const std::size_t count = std::min(mostSocketMembers, static_cast<std::size_t>(size));
         asio::io_context context(1);
         asio_runtime runtime(context);
