--- a/lib/Load/Report.cpp
+++ b/lib/Load/Report.cpp
@@ -23,7 +23,7 @@
         = {"#1f5fa8", "#c0392b", "#2c8a4b", "#8e44ad", "#b9770e", "#566573"};
 } // namespace
 
-static std::string number(double value)
+static std::string formatNumber(double value)
 {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.4g", value);
@@ -68,10 +68,10 @@
         last = row.experiment;
         all += "  " + row.variant;
         if (!row.axis.empty())
-            all += " at " + number(row.axisValue) + " " + row.axis;
+            all += " at " + formatNumber(row.axisValue) + " " + row.axis;
         all += ":";
         for (const trial_figure &figure : row.figures)
-            all += " " + figure.name + " = " + number(figure.value) + ";";
+            all += " " + figure.name + " = " + formatNumber(figure.value) + ";";
         all += "\n";
     }
     return all;
@@ -101,16 +101,17 @@
     const auto toY = [&](double y) {
         return plotHeight - plotMargin - y / spanY * (plotHeight - 2 * plotMargin);
     };
-    std::string svg = "<svg width='" + number(plotWidth) + "' height='" + number(plotHeight)
-            + "'><text x='8' y='14' font-size='12'>" + escaped(title) + "</text>" + "<text x='"
-            + number(plotMargin) + "' y='" + number(plotHeight - 8) + "' font-size='10'>"
-            + escaped(axis) + " " + number(lowX) + " to " + number(highX)
-            + "</text><text x='4' y='30' font-size='10'>" + number(highY) + "</text>";
+    std::string svg = "<svg width='" + formatNumber(plotWidth) + "' height='"
+            + formatNumber(plotHeight) + "'><text x='8' y='14' font-size='12'>" + escaped(title)
+            + "</text>" + "<text x='" + formatNumber(plotMargin) + "' y='"
+            + formatNumber(plotHeight - 8) + "' font-size='10'>" + escaped(axis) + " "
+            + formatNumber(lowX) + " to " + formatNumber(highX)
+            + "</text><text x='4' y='30' font-size='10'>" + formatNumber(highY) + "</text>";
     std::size_t colour = 0;
     for (const auto &[name, points] : lines) {
         std::string path;
         for (const auto &[x, y] : points)
-            path += number(toX(x)) + "," + number(toY(y)) + " ";
+            path += formatNumber(toX(x)) + "," + formatNumber(toY(y)) + " ";
         svg += "<polyline fill='none' stroke='" + std::string(colours[colour % colours.size()])
                 + "' stroke-width='2' points='" + path + "'/>";
         colour += 1;
@@ -127,9 +128,10 @@
     html += "</tr>";
     std::map<std::string, series> plots;
     for (const trial_row &row : rows) {
-        html += "<tr><td>" + escaped(row.variant) + "</td><td>" + number(row.axisValue) + "</td>";
+        html += "<tr><td>" + escaped(row.variant) + "</td><td>" + formatNumber(row.axisValue)
+                + "</td>";
         for (const trial_figure &figure : row.figures) {
-            html += "<td>" + number(figure.value) + "</td>";
+            html += "<td>" + formatNumber(figure.value) + "</td>";
             plots[figure.name][row.variant].emplace_back(row.axisValue, figure.value);
         }
         html += "</tr>";
