--- a/lib/Load/Report.cpp
+++ b/lib/Load/Report.cpp
@@ -30,7 +30,7 @@
     return text.data();
 }
 
-static std::string escaped(const std::string &text)
+static std::string escapeHtml(const std::string &text)
 {
     std::string out;
     for (const char c : text) {
@@ -102,9 +102,9 @@
         return plotHeight - plotMargin - y / spanY * (plotHeight - 2 * plotMargin);
     };
     std::string svg = "<svg width='" + formatNumber(plotWidth) + "' height='"
-            + formatNumber(plotHeight) + "'><text x='8' y='14' font-size='12'>" + escaped(title)
+            + formatNumber(plotHeight) + "'><text x='8' y='14' font-size='12'>" + escapeHtml(title)
             + "</text>" + "<text x='" + formatNumber(plotMargin) + "' y='"
-            + formatNumber(plotHeight - 8) + "' font-size='10'>" + escaped(axis) + " "
+            + formatNumber(plotHeight - 8) + "' font-size='10'>" + escapeHtml(axis) + " "
             + formatNumber(lowX) + " to " + formatNumber(highX)
             + "</text><text x='4' y='30' font-size='10'>" + formatNumber(highY) + "</text>";
     std::size_t colour = 0;
@@ -121,14 +121,14 @@
 
 static std::string experimentSection(const std::string &name, const std::vector<trial_row> &rows)
 {
-    std::string html = "<h2>" + escaped(name) + "</h2><table><tr><th>variant</th><th>"
-            + escaped(rows.front().axis) + "</th>";
+    std::string html = "<h2>" + escapeHtml(name) + "</h2><table><tr><th>variant</th><th>"
+            + escapeHtml(rows.front().axis) + "</th>";
     for (const trial_figure &figure : rows.front().figures)
-        html += "<th>" + escaped(figure.name) + "</th>";
+        html += "<th>" + escapeHtml(figure.name) + "</th>";
     html += "</tr>";
     std::map<std::string, series> plots;
     for (const trial_row &row : rows) {
-        html += "<tr><td>" + escaped(row.variant) + "</td><td>" + formatNumber(row.axisValue)
+        html += "<tr><td>" + escapeHtml(row.variant) + "</td><td>" + formatNumber(row.axisValue)
                 + "</td>";
         for (const trial_figure &figure : row.figures) {
             html += "<td>" + formatNumber(figure.value) + "</td>";
@@ -146,7 +146,7 @@
     html += "<p>";
     for (const std::string &variant : names) {
         html += "<span style='color:" + std::string(colours[colour % colours.size()]) + "'>&#9644; "
-                + escaped(variant) + "</span> ";
+                + escapeHtml(variant) + "</span> ";
         colour += 1;
     }
     html += "</p>";
@@ -166,5 +166,5 @@
         groups[row.experiment].push_back(row);
     for (const auto &[name, group] : groups)
         html += experimentSection(name, group);
-    return html + "<h2>file</h2><pre>" + escaped(source) + "</pre>";
+    return html + "<h2>file</h2><pre>" + escapeHtml(source) + "</pre>";
 }
