--- a/lib/Load/Report.cpp
+++ b/lib/Load/Report.cpp
@@ -81,7 +81,7 @@
 using series = std::map<std::string, std::vector<std::pair<double, double>>>;
 
 /// \returns an SVG line plot of \p lines. Its y axis starts at 0.
-static std::string plot(const std::string &title, const std::string &axis, const series &lines)
+static std::string svgPlot(const std::string &title, const std::string &axis, const series &lines)
 {
     double lowX = 1e300;
     double highX = -1e300;
@@ -151,7 +151,7 @@
     }
     html += "</p>";
     for (const auto &[figure, lines] : plots)
-        html += plot(figure, rows.front().axis, lines);
+        html += svgPlot(figure, rows.front().axis, lines);
     return html;
 }
 
