--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -19,7 +19,7 @@
 
 constexpr double cheapCost = 1;
 constexpr double costlyCost = 20;
-constexpr double costlyGood = 0.98;
+constexpr double costlyGoodShare = 0.98;
 constexpr double ratedShare = 0.05;
 constexpr double wrongRating = 0.02;
 constexpr std::size_t ratingDelay = 200; ///< in requests
@@ -44,7 +44,7 @@
     const double goodShare = easy ? 0.97 : 0.35;
     trial_request item;
     item.cheapGood = random.chance(goodShare);
-    item.costlyGood = random.chance(costlyGood);
+    item.costlyGood = random.chance(costlyGoodShare);
     const double centre = item.cheapGood ? (easy ? 0.82 : 0.62) : 0.42;
     std::normal_distribution<double> noise(centre - (phase == 1 ? 0.08 : 0.0), 0.13);
     item.score = std::clamp(noise(random.engine()), 0.0, 0.999);
