--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -21,7 +21,7 @@
 constexpr double costlyCost = 20;
 constexpr double costlyGoodShare = 0.98;
 constexpr double ratedShare = 0.05;
-constexpr double wrongRating = 0.02;
+constexpr double wrongRatingShare = 0.02;
 constexpr std::size_t ratingDelay = 200; ///< in requests
 constexpr int requests = 60000;
 constexpr int warmup = 6000; ///< requests excluded from the results while the learner starts
@@ -162,7 +162,7 @@
         const auto sample = [&](std::size_t tier, bool good, bool released) {
             if (!choices.chance(ratedShare))
                 return;
-            const bool told = choices.chance(wrongRating) ? !good : good;
+            const bool told = choices.chance(wrongRatingShare) ? !good : good;
             late.back().push_back({tier, tier == 0 ? request.score : 0.95, told, released});
         };
         const start_decision start = learner.chooseStart(rules, item, "g", 1e6, 10, choices);
