--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -23,7 +23,7 @@
 constexpr double ratedShare = 0.05;
 constexpr double wrongRatingShare = 0.02;
 constexpr std::size_t ratingDelay = 200; ///< in requests
-constexpr int requests = 60000;
+constexpr int requestCount = 60000;
 constexpr int warmup = 6000; ///< requests excluded from the results while the learner starts
 
 /// A request and the quality of its answers, all of which only the oracle knows in advance.
@@ -38,7 +38,7 @@
 /// are fewer easy requests and scores are lower, in the last third there are more easy requests.
 trial_request draw(int number, double targetMix, random_source &random)
 {
-    const int phase = number * 3 / requests;
+    const int phase = number * 3 / requestCount;
     const double easyShare = targetMix + (phase == 1 ? -0.25 : 0.0) + (phase == 2 ? 0.15 : 0.0);
     const bool easy = random.chance(std::clamp(easyShare, 0.05, 0.95));
     const double goodShare = easy ? 0.97 : 0.35;
@@ -84,7 +84,7 @@
 {
     random_source random(seed);
     tally sum;
-    for (int i = 0; i < requests; ++i) {
+    for (int i = 0; i < requestCount; ++i) {
         const trial_request item = draw(i, mix, random);
         const bool takesCheap = cheapFirst && accept(item);
         const double paid = (cheapFirst ? cheapCost : 0) + (takesCheap ? 0 : costlyCost);
@@ -101,7 +101,7 @@
     random_source random(seed);
     tally sum;
     double allowedBad = 0;
-    for (int i = 0; i < requests; ++i) {
+    for (int i = 0; i < requestCount; ++i) {
         const trial_request item = draw(i, mix, random);
         allowedBad += 1 - target;
         // A bad cheap answer is released only if the budget of bad answers allows it. A costly
@@ -153,7 +153,7 @@
     };
     std::deque<std::vector<late_rating>> late(ratingDelay);
     tally sum;
-    for (int i = 0; i < requests; ++i) {
+    for (int i = 0; i < requestCount; ++i) {
         const trial_request request = draw(i, mix, random);
         for (const late_rating &rating : late.front())
             learner.addRating(item, "g", rating.tier, rating.score, rating.good, rating.released);
