--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -24,7 +24,8 @@
 constexpr double wrongRatingShare = 0.02;
 constexpr std::size_t ratingDelay = 200; ///< in requests
 constexpr int requestCount = 60000;
-constexpr int warmup = 6000; ///< requests excluded from the results while the learner starts
+constexpr int warmupRequests
+        = 6000; ///< requests excluded from the results while the learner starts
 
 /// A request and the quality of its answers, all of which only the oracle knows in advance.
 struct trial_request
@@ -88,7 +89,7 @@
         const trial_request item = draw(i, mix, random);
         const bool takesCheap = cheapFirst && accept(item);
         const double paid = (cheapFirst ? cheapCost : 0) + (takesCheap ? 0 : costlyCost);
-        if (i >= warmup)
+        if (i >= warmupRequests)
             sum.add(paid, takesCheap ? item.cheapGood : item.costlyGood, !takesCheap);
     }
     return sum;
@@ -114,7 +115,7 @@
             allowedBad -= 1;
         }
         const double paid = takesCheap ? cheapCost : costlyCost;
-        if (i >= warmup)
+        if (i >= warmupRequests)
             sum.add(paid, takesCheap ? item.cheapGood : item.costlyGood, !takesCheap);
     }
     return sum;
@@ -177,7 +178,7 @@
             paid += costlyCost;
             sample(1, request.costlyGood, true);
         }
-        if (i >= warmup)
+        if (i >= warmupRequests)
             sum.add(paid, takesCheap ? request.cheapGood : request.costlyGood, !takesCheap);
     }
     return sum;
