--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -37,7 +37,7 @@
 
 /// Draws a request. Scores are calibrated for the first third of a run: in the second third there
 /// are fewer easy requests and scores are lower, in the last third there are more easy requests.
-trial_request draw(int number, double targetMix, random_source &random)
+trial_request drawRequest(int number, double targetMix, random_source &random)
 {
     const int phase = number * 3 / requestCount;
     const double easyShare = targetMix + (phase == 1 ? -0.25 : 0.0) + (phase == 2 ? 0.15 : 0.0);
@@ -86,7 +86,7 @@
     random_source random(seed);
     tally sum;
     for (int i = 0; i < requestCount; ++i) {
-        const trial_request item = draw(i, mix, random);
+        const trial_request item = drawRequest(i, mix, random);
         const bool takesCheap = cheapFirst && accept(item);
         const double paid = (cheapFirst ? cheapCost : 0) + (takesCheap ? 0 : costlyCost);
         if (i >= warmupRequests)
@@ -103,7 +103,7 @@
     tally sum;
     double allowedBad = 0;
     for (int i = 0; i < requestCount; ++i) {
-        const trial_request item = draw(i, mix, random);
+        const trial_request item = drawRequest(i, mix, random);
         allowedBad += 1 - target;
         // A bad cheap answer is released only if the budget of bad answers allows it. A costly
         // answer that is bad as well is charged to the same budget.
@@ -155,7 +155,7 @@
     std::deque<std::vector<late_rating>> late(ratingDelay);
     tally sum;
     for (int i = 0; i < requestCount; ++i) {
-        const trial_request request = draw(i, mix, random);
+        const trial_request request = drawRequest(i, mix, random);
         for (const late_rating &rating : late.front())
             learner.addRating(item, "g", rating.tier, rating.score, rating.good, rating.released);
         late.pop_front();
