--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -53,7 +53,7 @@
 }
 
 /// Cost and quality of the counted requests of a run.
-struct tally
+struct run_totals
 {
     double cost = 0;
     double good = 0;
@@ -81,10 +81,10 @@
 
 /// Runs a fixed acceptance rule.
 /// \param cheapFirst if false, every request goes to the costly tier only.
-tally runRule(double mix, std::uint64_t seed, const accept_rule &accept, bool cheapFirst)
+run_totals runRule(double mix, std::uint64_t seed, const accept_rule &accept, bool cheapFirst)
 {
     random_source random(seed);
-    tally sum;
+    run_totals sum;
     for (int i = 0; i < requestCount; ++i) {
         const trial_request item = drawRequest(i, mix, random);
         const bool takesCheap = cheapFirst && accept(item);
@@ -97,10 +97,10 @@
 
 /// Runs a policy that knows the quality of each answer in advance. It escalates bad cheap answers
 /// only as far as the target requires.
-tally runOracle(double mix, std::uint64_t seed, double target)
+run_totals runOracle(double mix, std::uint64_t seed, double target)
 {
     random_source random(seed);
-    tally sum;
+    run_totals sum;
     double allowedBad = 0;
     for (int i = 0; i < requestCount; ++i) {
         const trial_request item = drawRequest(i, mix, random);
@@ -123,12 +123,12 @@
 
 /// Finds the cheapest fixed threshold that meets the target, by trying all multiples of 0.02 on the
 /// same requests. This shows what a score threshold can achieve without adapting to the shifts.
-tally bestThreshold(double mix, std::uint64_t seed, double target)
+run_totals bestThreshold(double mix, std::uint64_t seed, double target)
 {
-    tally best = runRule(
+    run_totals best = runRule(
             mix, seed, [](const trial_request &) { return false; }, false);
     for (double threshold = 0; threshold < 1; threshold += 0.02) {
-        const tally sum = runRule(
+        const run_totals sum = runRule(
                 mix, seed, [threshold](const trial_request &r) { return r.score >= threshold; },
                 true);
         if (sum.good / sum.count >= target && sum.cost / sum.count < best.cost / best.count)
@@ -138,7 +138,7 @@
 }
 
 /// Runs the product's learner with ratings that are delayed and sometimes wrong.
-tally runLearner(double mix, std::uint64_t seed, double target)
+run_totals runLearner(double mix, std::uint64_t seed, double target)
 {
     random_source random(seed);
     random_source choices(seed + 1);
@@ -153,7 +153,7 @@
         bool released;
     };
     std::deque<std::vector<late_rating>> late(ratingDelay);
-    tally sum;
+    run_totals sum;
     for (int i = 0; i < requestCount; ++i) {
         const trial_request request = drawRequest(i, mix, random);
         for (const late_rating &rating : late.front())
@@ -191,8 +191,8 @@
     constexpr double target = 0.92;
     std::vector<trial_row> rows;
     for (const double mix : given.axisValues) {
-        const tally oracle = runOracle(mix, given.seed, target);
-        const auto add = [&](const char *variant, const tally &sum) {
+        const run_totals oracle = runOracle(mix, given.seed, target);
+        const auto add = [&](const char *variant, const run_totals &sum) {
             rows.push_back({given.kind,
                             variant,
                             mix,
