--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -145,18 +145,18 @@
     const bundle rules = trialBundle();
     const cascade item{"c", {"small", "large"}, target, 0.7, 1000, true};
     cascade_learner learner;
-    struct late_rating
+    struct delayed_rating
     {
         std::size_t tier;
         double score;
         bool good;
         bool released;
     };
-    std::deque<std::vector<late_rating>> late(ratingDelay);
+    std::deque<std::vector<delayed_rating>> late(ratingDelay);
     run_totals sum;
     for (int i = 0; i < requestCount; ++i) {
         const trial_request request = drawRequest(i, mix, random);
-        for (const late_rating &rating : late.front())
+        for (const delayed_rating &rating : late.front())
             learner.addRating(item, "g", rating.tier, rating.score, rating.good, rating.released);
         late.pop_front();
         late.emplace_back();
