--- a/lib/Load/CascadeTrial.cpp
+++ b/lib/Load/CascadeTrial.cpp
@@ -123,7 +123,7 @@
 
 /// Finds the cheapest fixed threshold that meets the target, by trying all multiples of 0.02 on the
 /// same requests. This shows what a score threshold can achieve without adapting to the shifts.
-run_totals bestThreshold(double mix, std::uint64_t seed, double target)
+run_totals findBestThreshold(double mix, std::uint64_t seed, double target)
 {
     run_totals best = runRule(
             mix, seed, [](const trial_request &) { return false; }, false);
@@ -212,7 +212,7 @@
         add("always cheap",
             runRule(
                     mix, given.seed, [](const trial_request &) { return true; }, true));
-        add("best fixed threshold, known afterwards", bestThreshold(mix, given.seed, target));
+        add("best fixed threshold, known afterwards", findBestThreshold(mix, given.seed, target));
         add("fixed threshold 0.7",
             runRule(
                     mix, given.seed, [](const trial_request &r) { return r.score >= 0.7; }, true));
