--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t sessions = 400;
 constexpr std::size_t cachedSessions = 30;
 /// Number of requests that may be queued per slot. Equals the default of the agent.
-constexpr double ourWaiting = 0.25;
+constexpr double agentWaitingPerSlot = 0.25;
 /// Number of times that a request is offered to an engine before it fails, as in the entry.
 constexpr int mostOffers = 4;
 /// Time to first token that users expect for 95% of the requests.
@@ -259,11 +259,12 @@
         endpoint_world::policy choose;
         double waitingPerSlot;
     };
-    const std::vector<variant_row> variants = {{"laurelcroft", chooseOurs, ourWaiting},
-                                               {"laurelcroft, long queues", chooseOurs, 8},
-                                               {"round robin", chooseNext, ourWaiting},
-                                               {"random two, reported load", chooseTwo, ourWaiting},
-                                               {"least reported load", chooseLeast, ourWaiting}};
+    const std::vector<variant_row> variants
+            = {{"laurelcroft", chooseOurs, agentWaitingPerSlot},
+               {"laurelcroft, long queues", chooseOurs, 8},
+               {"round robin", chooseNext, agentWaitingPerSlot},
+               {"random two, reported load", chooseTwo, agentWaitingPerSlot},
+               {"least reported load", chooseLeast, agentWaitingPerSlot}};
     std::vector<trial_row> rows;
     const auto ms = [](std::chrono::nanoseconds value) {
         return std::chrono::duration<double, std::milli>(value).count();
