--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -30,7 +30,7 @@
 /// Number of requests that may be queued per slot. Equals the default of the agent.
 constexpr double agentWaitingPerSlot = 0.25;
 /// Number of times that a request is offered to an engine before it fails, as in the entry.
-constexpr int mostOffers = 4;
+constexpr int maxOffers = 4;
 /// Time to first token that users expect for 95% of the requests.
 constexpr duration wantedFirstToken = milliseconds(1400);
 
@@ -131,7 +131,7 @@
     void send(const trial_job &job)
     {
         trial_entry &entry = entries[job.entry];
-        for (int offer = 0; offer < mostOffers; ++offer) {
+        for (int offer = 0; offer < maxOffers; ++offer) {
             const std::size_t chosen = m_choose(*this, entry, job);
             trial_engine &engine = engines[chosen];
             // Refused requests count as well until the next report arrives.
