--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -32,7 +32,7 @@
 /// Number of times that a request is offered to an engine before it fails, as in the entry.
 constexpr int maxOffers = 4;
 /// Time to first token that users expect for 95% of the requests.
-constexpr duration wantedFirstToken = milliseconds(1400);
+constexpr duration firstTokenTarget = milliseconds(1400);
 
 struct trial_job
 {
@@ -109,7 +109,7 @@
     latency_histogram betweenTokens;
     double served = 0;
     double refused = 0;
-    double inTime = 0; ///< requests with a first token within wantedFirstToken
+    double inTime = 0; ///< requests with a first token within firstTokenTarget
 
 private:
     void arrive()
@@ -166,7 +166,7 @@
             const duration first(static_cast<std::int64_t>((prefill + step) * 1e6));
             const duration waited = runtime.now() + first - job.sentAt;
             firstToken.record(waited);
-            inTime += waited <= wantedFirstToken ? 1 : 0;
+            inTime += waited <= firstTokenTarget ? 1 : 0;
             betweenTokens.record(duration(static_cast<std::int64_t>(step * 1e6)));
             const duration whole(static_cast<std::int64_t>((prefill + step * job.tokens) * 1e6));
             runtime.after(whole, [this, number, entry = job.entry] {
