--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -56,7 +56,7 @@
 /// The local state of an entry, from which it corrects the reported load.
 struct trial_entry
 {
-    std::vector<double> sentSince
+    std::vector<double> sentSinceReport
             = std::vector<double>(engineCount, 0); ///< offers since the last report, by engine
     std::vector<double> ownRunning = std::vector<double>(engineCount, 0);
     std::vector<std::size_t> lastEngine = std::vector<std::size_t>(sessions, engineCount);
@@ -135,7 +135,7 @@
             const std::size_t chosen = m_choose(*this, entry, job);
             trial_engine &engine = engines[chosen];
             // Refused requests count as well until the next report arrives.
-            entry.sentSince[chosen] += 1;
+            entry.sentSinceReport[chosen] += 1;
             if (static_cast<double>(engine.waiting.size())
                 >= m_waitingPerSlot * static_cast<double>(engine.slots))
                 continue;
@@ -188,7 +188,7 @@
                 engines[i].reportedPending = pending;
                 engines[i].reportedRate = 1000.0 / engines[i].tokenMs;
                 for (trial_entry &entry : entries)
-                    entry.sentSince[i] = 0;
+                    entry.sentSinceReport[i] = 0;
             });
         }
         runtime.after(reportPeriod, [this] { reportTick(); });
@@ -212,7 +212,7 @@
         view.slots = static_cast<double>(world.engines[i].slots);
         view.tokensPerSecond = world.engines[i].reportedRate;
         if (corrected) {
-            view.sentSinceReport = entry.sentSince[i];
+            view.sentSinceReport = entry.sentSinceReport[i];
             view.ownRunning = entry.ownRunning[i];
             view.holdsPrefix = entry.lastEngine[job.session] == i;
         }
