--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -109,7 +109,7 @@
     latency_histogram betweenTokens;
     double served = 0;
     double refused = 0;
-    double inTime = 0; ///< requests with a first token within firstTokenTarget
+    double withinTarget = 0; ///< requests with a first token within firstTokenTarget
 
 private:
     void arrive()
@@ -166,7 +166,7 @@
             const duration first(static_cast<std::int64_t>((prefill + step) * 1e6));
             const duration waited = runtime.now() + first - job.sentAt;
             firstToken.record(waited);
-            inTime += waited <= firstTokenTarget ? 1 : 0;
+            withinTarget += waited <= firstTokenTarget ? 1 : 0;
             betweenTokens.record(duration(static_cast<std::int64_t>(step * 1e6)));
             const duration whole(static_cast<std::int64_t>((prefill + step * job.tokens) * 1e6));
             runtime.after(whole, [this, number, entry = job.entry] {
@@ -282,7 +282,7 @@
                              {"first token p99 ms", ms(world.firstToken.quantile(0.99))},
                              {"between tokens p95 ms", ms(world.betweenTokens.quantile(0.95))},
                              {"served/s", world.served / given.runs},
-                             {"first token in 1.4 s, /s", world.inTime / given.runs},
+                             {"first token in 1.4 s, /s", world.withinTarget / given.runs},
                              {"refused share",
                               world.refused / std::max(1.0, world.refused + world.served)}}});
         }
