--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -64,14 +64,15 @@
 };
 
 /// Simulates the entries and engines in virtual time.
-class endpoint_world
+class endpoint_simulation
 {
 public:
-    using policy = std::function<std::size_t(endpoint_world &, trial_entry &, const trial_job &)>;
+    using policy
+            = std::function<std::size_t(endpoint_simulation &, trial_entry &, const trial_job &)>;
 
     /// \param load offered load as a fraction of the capacity of all engines.
     /// \param waitingPerSlot number of requests that an engine's agent queues per slot.
-    endpoint_world(std::uint64_t seed, double load, policy choose, double waitingPerSlot)
+    endpoint_simulation(std::uint64_t seed, double load, policy choose, double waitingPerSlot)
         : random(seed)
         , choices(seed + 1)
         , m_choose(std::move(choose))
@@ -202,7 +203,7 @@
 
 /// \returns the engines as \p entry sees them.
 /// \param corrected whether to add the requests that the entry itself has sent.
-std::vector<endpoint_view> viewsOf(const endpoint_world &world, const trial_entry &entry,
+std::vector<endpoint_view> viewsOf(const endpoint_simulation &world, const trial_entry &entry,
                                    const trial_job &job, bool corrected)
 {
     std::vector<endpoint_view> views;
@@ -221,20 +222,20 @@
     return views;
 }
 
-std::size_t chooseOurs(endpoint_world &world, trial_entry &entry, const trial_job &job)
+std::size_t chooseOurs(endpoint_simulation &world, trial_entry &entry, const trial_job &job)
 {
     const auto views = viewsOf(world, entry, job, true);
     return chooseEndpoint(views, {promptTokens, meanTokens}, world.choices)->index;
 }
 
-std::size_t chooseTwo(endpoint_world &world, trial_entry &, const trial_job &)
+std::size_t chooseTwo(endpoint_simulation &world, trial_entry &, const trial_job &)
 {
     const std::size_t a = world.choices.index(engineCount);
     const std::size_t b = world.choices.index(engineCount);
     return world.engines[a].reportedPending <= world.engines[b].reportedPending ? a : b;
 }
 
-std::size_t chooseLeast(endpoint_world &world, trial_entry &, const trial_job &)
+std::size_t chooseLeast(endpoint_simulation &world, trial_entry &, const trial_job &)
 {
     std::size_t best = 0;
     for (std::size_t i = 1; i < engineCount; ++i) {
@@ -244,7 +245,7 @@
     return best;
 }
 
-std::size_t chooseNext(endpoint_world &, trial_entry &entry, const trial_job &)
+std::size_t chooseNext(endpoint_simulation &, trial_entry &entry, const trial_job &)
 {
     return entry.next++ % engineCount;
 }
@@ -256,7 +257,7 @@
     struct variant_row
     {
         const char *name;
-        endpoint_world::policy choose;
+        endpoint_simulation::policy choose;
         double waitingPerSlot;
     };
     const std::vector<variant_row> variants
@@ -271,7 +272,7 @@
     };
     for (const double load : given.axisValues) {
         for (const auto &[variant, choose, waiting] : variants) {
-            endpoint_world world(given.seed, load, choose, waiting);
+            endpoint_simulation world(given.seed, load, choose, waiting);
             world.run(given.runs);
             rows.push_back({given.kind,
                             variant,
