--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -203,8 +203,9 @@
 
 /// \returns the engines as \p entry sees them.
 /// \param corrected whether to add the requests that the entry itself has sent.
-std::vector<endpoint_view> viewsOf(const endpoint_simulation &world, const trial_entry &entry,
-                                   const trial_job &job, bool corrected)
+std::vector<endpoint_view> makeEndpointViews(const endpoint_simulation &world,
+                                             const trial_entry &entry, const trial_job &job,
+                                             bool corrected)
 {
     std::vector<endpoint_view> views;
     for (std::size_t i = 0; i < engineCount; ++i) {
@@ -224,7 +225,7 @@
 
 std::size_t chooseOurs(endpoint_simulation &world, trial_entry &entry, const trial_job &job)
 {
-    const auto views = viewsOf(world, entry, job, true);
+    const auto views = makeEndpointViews(world, entry, job, true);
     return chooseEndpoint(views, {promptTokens, meanTokens}, world.choices)->index;
 }
 
