--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -223,7 +223,8 @@
     return views;
 }
 
-std::size_t chooseOurs(endpoint_simulation &world, trial_entry &entry, const trial_job &job)
+std::size_t chooseByExpectedWait(endpoint_simulation &world, trial_entry &entry,
+                                 const trial_job &job)
 {
     const auto views = makeEndpointViews(world, entry, job, true);
     return chooseEndpoint(views, {promptTokens, meanTokens}, world.choices)->index;
@@ -262,8 +263,8 @@
         double waitingPerSlot;
     };
     const std::vector<variant_row> variants
-            = {{"laurelcroft", chooseOurs, agentWaitingPerSlot},
-               {"laurelcroft, long queues", chooseOurs, 8},
+            = {{"laurelcroft", chooseByExpectedWait, agentWaitingPerSlot},
+               {"laurelcroft, long queues", chooseByExpectedWait, 8},
                {"round robin", chooseNext, agentWaitingPerSlot},
                {"random two, reported load", chooseTwo, agentWaitingPerSlot},
                {"least reported load", chooseLeast, agentWaitingPerSlot}};
