--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -230,7 +230,7 @@
     return chooseEndpoint(views, {promptTokens, meanTokens}, world.choices)->index;
 }
 
-std::size_t chooseTwo(endpoint_simulation &world, trial_entry &, const trial_job &)
+std::size_t chooseFromTwo(endpoint_simulation &world, trial_entry &, const trial_job &)
 {
     const std::size_t a = world.choices.index(engineCount);
     const std::size_t b = world.choices.index(engineCount);
@@ -266,7 +266,7 @@
             = {{"laurelcroft", chooseByExpectedWait, agentWaitingPerSlot},
                {"laurelcroft, long queues", chooseByExpectedWait, 8},
                {"round robin", chooseNext, agentWaitingPerSlot},
-               {"random two, reported load", chooseTwo, agentWaitingPerSlot},
+               {"random two, reported load", chooseFromTwo, agentWaitingPerSlot},
                {"least reported load", chooseLeast, agentWaitingPerSlot}};
     std::vector<trial_row> rows;
     const auto ms = [](std::chrono::nanoseconds value) {
