--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -237,7 +237,7 @@
     return world.engines[a].reportedPending <= world.engines[b].reportedPending ? a : b;
 }
 
-std::size_t chooseLeast(endpoint_simulation &world, trial_entry &, const trial_job &)
+std::size_t chooseLeastLoaded(endpoint_simulation &world, trial_entry &, const trial_job &)
 {
     std::size_t best = 0;
     for (std::size_t i = 1; i < engineCount; ++i) {
@@ -267,7 +267,7 @@
                {"laurelcroft, long queues", chooseByExpectedWait, 8},
                {"round robin", chooseNext, agentWaitingPerSlot},
                {"random two, reported load", chooseFromTwo, agentWaitingPerSlot},
-               {"least reported load", chooseLeast, agentWaitingPerSlot}};
+               {"least reported load", chooseLeastLoaded, agentWaitingPerSlot}};
     std::vector<trial_row> rows;
     const auto ms = [](std::chrono::nanoseconds value) {
         return std::chrono::duration<double, std::milli>(value).count();
