--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -247,7 +247,7 @@
     return best;
 }
 
-std::size_t chooseNext(endpoint_simulation &, trial_entry &entry, const trial_job &)
+std::size_t chooseRoundRobin(endpoint_simulation &, trial_entry &entry, const trial_job &)
 {
     return entry.next++ % engineCount;
 }
@@ -265,7 +265,7 @@
     const std::vector<variant_row> variants
             = {{"laurelcroft", chooseByExpectedWait, agentWaitingPerSlot},
                {"laurelcroft, long queues", chooseByExpectedWait, 8},
-               {"round robin", chooseNext, agentWaitingPerSlot},
+               {"round robin", chooseRoundRobin, agentWaitingPerSlot},
                {"random two, reported load", chooseFromTwo, agentWaitingPerSlot},
                {"least reported load", chooseLeastLoaded, agentWaitingPerSlot}};
     std::vector<trial_row> rows;
