--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -96,7 +96,7 @@
     void run(double forSeconds)
     {
         m_end = runtime.now() + duration(static_cast<std::int64_t>(forSeconds * 1e9));
-        reportTick();
+        publishReports();
         arrive();
         while (runtime.now() < m_end && runtime.runNext()) { }
     }
@@ -180,7 +180,7 @@
     }
 
     /// Samples the load of each engine. The entries see the sample after reportLag.
-    void reportTick()
+    void publishReports()
     {
         for (std::size_t i = 0; i < engineCount; ++i) {
             const auto pending
@@ -192,7 +192,7 @@
                     entry.sentSinceReport[i] = 0;
             });
         }
-        runtime.after(reportPeriod, [this] { reportTick(); });
+        runtime.after(reportPeriod, [this] { publishReports(); });
     }
 
     policy m_choose;
