--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -97,7 +97,7 @@
     {
         m_end = runtime.now() + duration(static_cast<std::int64_t>(forSeconds * 1e9));
         publishReports();
-        arrive();
+        scheduleArrival();
         while (runtime.now() < m_end && runtime.runNext()) { }
     }
 
@@ -113,7 +113,7 @@
     double withinTarget = 0; ///< requests with a first token within firstTokenTarget
 
 private:
-    void arrive()
+    void scheduleArrival()
     {
         std::exponential_distribution<double> gap(m_perSecond);
         const duration wait(static_cast<std::int64_t>(gap(random.engine()) * 1e9));
@@ -125,7 +125,7 @@
             job.tokens = std::max(1.0, length(random.engine()));
             job.entry = random.index(entryCount);
             send(job);
-            arrive();
+            scheduleArrival();
         });
     }
 
