--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t engineCount = 20;
 constexpr std::size_t entryCount = 6;
 constexpr duration reportPeriod = milliseconds(500);
-constexpr duration reportLag = milliseconds(250);
+constexpr duration reportDelay = milliseconds(250);
 constexpr double meanTokens = 60;
 constexpr double promptTokens = 600;
 constexpr double prefillMsPerToken = 0.25;
@@ -179,13 +179,13 @@
         }
     }
 
-    /// Samples the load of each engine. The entries see the sample after reportLag.
+    /// Samples the load of each engine. The entries see the sample after reportDelay.
     void publishReports()
     {
         for (std::size_t i = 0; i < engineCount; ++i) {
             const auto pending
                     = static_cast<double>(engines[i].running + engines[i].waiting.size());
-            runtime.after(reportLag, [this, i, pending] {
+            runtime.after(reportDelay, [this, i, pending] {
                 engines[i].reportedPending = pending;
                 engines[i].reportedRate = 1000.0 / engines[i].tokenMs;
                 for (trial_entry &entry : entries)
