--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t entryCount = 6;
 constexpr duration reportPeriod = milliseconds(500);
 constexpr duration reportDelay = milliseconds(250);
-constexpr double meanTokens = 60;
+constexpr double meanOutputTokens = 60;
 constexpr double promptTokens = 600;
 constexpr double prefillMsPerToken = 0.25;
 constexpr std::size_t sessions = 400;
@@ -85,7 +85,7 @@
             engine.tokenMs = i % 3 == 0 ? 30 : 15;
             engine.slots = i % 5 == 0 ? 16 : 8;
             engines.push_back(engine);
-            const double serviceMs = meanTokens * engine.tokenMs * (1 + 0.03 * engine.slots)
+            const double serviceMs = meanOutputTokens * engine.tokenMs * (1 + 0.03 * engine.slots)
                     + promptTokens * prefillMsPerToken * 0.6;
             capacity += 1000.0 * static_cast<double>(engine.slots) / serviceMs;
         }
@@ -118,7 +118,7 @@
         std::exponential_distribution<double> gap(m_perSecond);
         const duration wait(static_cast<std::int64_t>(gap(random.engine()) * 1e9));
         runtime.after(wait, [this] {
-            std::exponential_distribution<double> length(1.0 / meanTokens);
+            std::exponential_distribution<double> length(1.0 / meanOutputTokens);
             trial_job job;
             job.sentAt = runtime.now();
             job.session = random.index(sessions);
@@ -227,7 +227,7 @@
                                  const trial_job &job)
 {
     const auto views = makeEndpointViews(world, entry, job, true);
-    return chooseEndpoint(views, {promptTokens, meanTokens}, world.choices)->index;
+    return chooseEndpoint(views, {promptTokens, meanOutputTokens}, world.choices)->index;
 }
 
 std::size_t chooseFromTwo(endpoint_simulation &world, trial_entry &, const trial_job &)
