--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -60,7 +60,7 @@
             = std::vector<double>(engineCount, 0); ///< offers since the last report, by engine
     std::vector<double> ownRunning = std::vector<double>(engineCount, 0);
     std::vector<std::size_t> lastEngine = std::vector<std::size_t>(sessions, engineCount);
-    std::size_t next = 0;
+    std::size_t nextEngine = 0;
 };
 
 /// Simulates the entries and engines in virtual time.
@@ -249,7 +249,7 @@
 
 std::size_t chooseRoundRobin(endpoint_simulation &, trial_entry &entry, const trial_job &)
 {
-    return entry.next++ % engineCount;
+    return entry.nextEngine++ % engineCount;
 }
 
 } // namespace
