--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -24,7 +24,7 @@
 
 /// \returns the probability of a bad answer.
 /// \param answer number of answers that the version of the roll-out has served so far.
-using badness = std::function<double(int answer, std::size_t group)>;
+using bad_share_function = std::function<double(int answer, std::size_t group)>;
 
 /// Number of customer groups. A fault that affects one group only affects the first.
 constexpr std::size_t groupCount = 10;
@@ -40,7 +40,8 @@
 /// \param seenShare share of the answers whose quality becomes known.
 /// \param judge called with each of these answers; returns true to stop the roll-out.
 template <class Judge>
-exposure runRollout(const badness &bad, std::uint64_t seed, double seenShare, Judge &&judge)
+exposure runRollout(const bad_share_function &bad, std::uint64_t seed, double seenShare,
+                    Judge &&judge)
 {
     random_source random(seed);
     exposure result;
@@ -65,7 +66,7 @@
 }
 
 /// Runs a roll-out under the product's guard.
-exposure runGuard(const badness &bad, std::uint64_t seed, double seenShare)
+exposure runGuard(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     static const std::vector<std::string> names
             = {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"};
@@ -80,7 +81,7 @@
 
 /// Stops a roll-out when the share of bad answers in a sliding window exceeds a fixed threshold, as
 /// a simple alert does.
-exposure runFixed(const badness &bad, std::uint64_t seed, double seenShare)
+exposure runFixed(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     std::vector<int> window;
     std::size_t at = 0;
@@ -100,7 +101,7 @@
 }
 
 /// Runs a roll-out that is never stopped.
-exposure runNone(const badness &bad, std::uint64_t seed, double seenShare)
+exposure runNone(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     return runRollout(bad, seed, seenShare, [](bool, std::size_t, bool) { return false; });
 }
@@ -108,7 +109,7 @@
 struct rollout_case
 {
     const char *name;
-    badness bad;
+    bad_share_function bad;
     double seenShare;
 };
 
@@ -132,7 +133,7 @@
 {
     std::vector<trial_row> rows;
     const auto runs = static_cast<std::uint64_t>(given.runs);
-    using runner = exposure (*)(const badness &, std::uint64_t, double);
+    using runner = exposure (*)(const bad_share_function &, std::uint64_t, double);
     const std::vector<std::pair<const char *, runner>> variants
             = {{"laurelcroft", &runGuard},
                {"fixed threshold 10% of 100", &runFixed},
