--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr double settledBad = 0.04;
+constexpr double baselineBadShare = 0.04;
 constexpr double rolloutShare = 0.1;
 constexpr int answers = 40000; ///< served by both versions together
 constexpr double ratedShare = 0.1;
@@ -49,7 +49,7 @@
     for (int i = 0; i < answers; ++i) {
         const bool isRollout = random.chance(rolloutShare);
         const std::size_t group = random.index(groupCount);
-        const double share = isRollout ? bad(own, group) : settledBad;
+        const double share = isRollout ? bad(own, group) : baselineBadShare;
         const bool good = !random.chance(share);
         if (isRollout) {
             own += 1;
@@ -116,13 +116,13 @@
 std::vector<rollout_case> cases()
 {
     return {
-            {"good", [](int, std::size_t) { return settledBad; }, 1.0},
+            {"good", [](int, std::size_t) { return baselineBadShare; }, 1.0},
             {"bad from the start", [](int, std::size_t) { return 0.5; }, 1.0},
             {"a little worse", [](int, std::size_t) { return 0.2; }, 1.0},
             {"turns bad slowly",
-             [](int i, std::size_t) { return std::min(0.5, settledBad + i * 0.0004); }, 1.0},
+             [](int i, std::size_t) { return std::min(0.5, baselineBadShare + i * 0.0004); }, 1.0},
             {"bad for one group in ten",
-             [](int, std::size_t group) { return group == 0 ? 0.9 : settledBad; }, 1.0},
+             [](int, std::size_t group) { return group == 0 ? 0.9 : baselineBadShare; }, 1.0},
             {"bad from the start, rated only", [](int, std::size_t) { return 0.5; }, ratedShare},
     };
 }
