--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -17,7 +17,7 @@
 
 constexpr double baselineBadShare = 0.04;
 constexpr double rolloutShare = 0.1;
-constexpr int answers = 40000; ///< served by both versions together
+constexpr int answerCount = 40000; ///< served by both versions together
 constexpr double ratedShare = 0.1;
 constexpr int fixedWindow = 100;
 constexpr double fixedThreshold = 0.1;
@@ -46,7 +46,7 @@
     random_source random(seed);
     exposure result;
     int own = 0;
-    for (int i = 0; i < answers; ++i) {
+    for (int i = 0; i < answerCount; ++i) {
         const bool isRollout = random.chance(rolloutShare);
         const std::size_t group = random.index(groupCount);
         const double share = isRollout ? bad(own, group) : baselineBadShare;
