--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t groupCount = 10;
 
 /// Outcome of one roll-out.
-struct exposure
+struct rollout_result
 {
     double served = 0; ///< answers of the roll-out's version until it was stopped
     bool stopped = false;
@@ -40,11 +40,11 @@
 /// \param seenShare share of the answers whose quality becomes known.
 /// \param judge called with each of these answers; returns true to stop the roll-out.
 template <class Judge>
-exposure runRollout(const bad_share_function &bad, std::uint64_t seed, double seenShare,
-                    Judge &&judge)
+rollout_result runRollout(const bad_share_function &bad, std::uint64_t seed, double seenShare,
+                          Judge &&judge)
 {
     random_source random(seed);
-    exposure result;
+    rollout_result result;
     int own = 0;
     for (int i = 0; i < answerCount; ++i) {
         const bool isRollout = random.chance(rolloutShare);
@@ -66,7 +66,7 @@
 }
 
 /// Runs a roll-out under the product's guard.
-exposure runGuard(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runGuard(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     static const std::vector<std::string> names
             = {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"};
@@ -81,7 +81,7 @@
 
 /// Stops a roll-out when the share of bad answers in a sliding window exceeds a fixed threshold, as
 /// a simple alert does.
-exposure runFixed(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runFixed(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     std::vector<int> window;
     std::size_t at = 0;
@@ -101,7 +101,7 @@
 }
 
 /// Runs a roll-out that is never stopped.
-exposure runNone(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runNone(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     return runRollout(bad, seed, seenShare, [](bool, std::size_t, bool) { return false; });
 }
@@ -133,7 +133,7 @@
 {
     std::vector<trial_row> rows;
     const auto runs = static_cast<std::uint64_t>(given.runs);
-    using runner = exposure (*)(const bad_share_function &, std::uint64_t, double);
+    using runner = rollout_result (*)(const bad_share_function &, std::uint64_t, double);
     const std::vector<std::pair<const char *, runner>> variants
             = {{"laurelcroft", &runGuard},
                {"fixed threshold 10% of 100", &runFixed},
@@ -144,7 +144,8 @@
             double stopped = 0;
             std::vector<double> all;
             for (std::uint64_t i = 0; i < runs; ++i) {
-                const exposure result = run(item.bad, given.seed * 100000 + i, item.seenShare);
+                const rollout_result result
+                        = run(item.bad, given.seed * 100000 + i, item.seenShare);
                 served += result.served;
                 stopped += result.stopped ? 1 : 0;
                 all.push_back(result.served);
