--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -101,7 +101,7 @@
 }
 
 /// Runs a roll-out that is never stopped.
-rollout_result runNone(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runWithoutGuard(const bad_share_function &bad, std::uint64_t seed, double seenShare)
 {
     return runRollout(bad, seed, seenShare, [](bool, std::size_t, bool) { return false; });
 }
@@ -137,7 +137,7 @@
     const std::vector<std::pair<const char *, runner>> variants
             = {{"laurelcroft", &runGuard},
                {"fixed threshold 10% of 100", &runFixed},
-               {"no guard", &runNone}};
+               {"no guard", &runWithoutGuard}};
     for (const rollout_case &item : cases()) {
         for (const auto &[variant, run] : variants) {
             double served = 0;
