--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -81,7 +81,8 @@
 
 /// Stops a roll-out when the share of bad answers in a sliding window exceeds a fixed threshold, as
 /// a simple alert does.
-rollout_result runFixed(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runFixedThreshold(const bad_share_function &bad, std::uint64_t seed,
+                                 double seenShare)
 {
     std::vector<int> window;
     std::size_t at = 0;
@@ -136,7 +137,7 @@
     using runner = rollout_result (*)(const bad_share_function &, std::uint64_t, double);
     const std::vector<std::pair<const char *, runner>> variants
             = {{"laurelcroft", &runGuard},
-               {"fixed threshold 10% of 100", &runFixed},
+               {"fixed threshold 10% of 100", &runFixedThreshold},
                {"no guard", &runWithoutGuard}};
     for (const rollout_case &item : cases()) {
         for (const auto &[variant, run] : variants) {
