--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -114,7 +114,7 @@
     double seenShare;
 };
 
-std::vector<rollout_case> cases()
+std::vector<rollout_case> rolloutCases()
 {
     return {
             {"good", [](int, std::size_t) { return baselineBadShare; }, 1.0},
@@ -139,7 +139,7 @@
             = {{"laurelcroft", &runGuard},
                {"fixed threshold 10% of 100", &runFixedThreshold},
                {"no guard", &runWithoutGuard}};
-    for (const rollout_case &item : cases()) {
+    for (const rollout_case &item : rolloutCases()) {
         for (const auto &[variant, run] : variants) {
             double served = 0;
             double stopped = 0;
