--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -37,10 +37,10 @@
 };
 
 /// Simulates one roll-out until it is stopped or all answers are served.
-/// \param seenShare share of the answers whose quality becomes known.
+/// \param observedShare share of the answers whose quality becomes known.
 /// \param judge called with each of these answers; returns true to stop the roll-out.
 template <class Judge>
-rollout_result runRollout(const bad_share_function &bad, std::uint64_t seed, double seenShare,
+rollout_result runRollout(const bad_share_function &bad, std::uint64_t seed, double observedShare,
                           Judge &&judge)
 {
     random_source random(seed);
@@ -55,7 +55,7 @@
             own += 1;
             result.served += 1;
         }
-        if (!random.chance(seenShare))
+        if (!random.chance(observedShare))
             continue;
         if (judge(isRollout, group, good)) {
             result.stopped = true;
@@ -66,7 +66,7 @@
 }
 
 /// Runs a roll-out under the product's guard.
-rollout_result runGuard(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runGuard(const bad_share_function &bad, std::uint64_t seed, double observedShare)
 {
     static const std::vector<std::string> names
             = {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"};
@@ -74,7 +74,7 @@
     rules.rollouts = {{"m", "1", "2", 10, {0.1, 0.001, 30}}};
     guard_board board;
     board.onBundle(rules);
-    return runRollout(bad, seed, seenShare, [&](bool isRollout, std::size_t group, bool good) {
+    return runRollout(bad, seed, observedShare, [&](bool isRollout, std::size_t group, bool good) {
         return board.add({"m", isRollout ? "2" : "1", names[group], evidence_kind::errors, good});
     });
 }
@@ -82,11 +82,11 @@
 /// Stops a roll-out when the share of bad answers in a sliding window exceeds a fixed threshold, as
 /// a simple alert does.
 rollout_result runFixedThreshold(const bad_share_function &bad, std::uint64_t seed,
-                                 double seenShare)
+                                 double observedShare)
 {
     std::vector<int> window;
     std::size_t at = 0;
-    return runRollout(bad, seed, seenShare, [&](bool isRollout, std::size_t, bool good) {
+    return runRollout(bad, seed, observedShare, [&](bool isRollout, std::size_t, bool good) {
         if (!isRollout)
             return false;
         if (window.size() < fixedWindow) {
@@ -102,16 +102,17 @@
 }
 
 /// Runs a roll-out that is never stopped.
-rollout_result runWithoutGuard(const bad_share_function &bad, std::uint64_t seed, double seenShare)
+rollout_result runWithoutGuard(const bad_share_function &bad, std::uint64_t seed,
+                               double observedShare)
 {
-    return runRollout(bad, seed, seenShare, [](bool, std::size_t, bool) { return false; });
+    return runRollout(bad, seed, observedShare, [](bool, std::size_t, bool) { return false; });
 }
 
 struct rollout_case
 {
     const char *name;
     bad_share_function bad;
-    double seenShare;
+    double observedShare;
 };
 
 std::vector<rollout_case> rolloutCases()
@@ -146,7 +147,7 @@
             std::vector<double> all;
             for (std::uint64_t i = 0; i < runs; ++i) {
                 const rollout_result result
-                        = run(item.bad, given.seed * 100000 + i, item.seenShare);
+                        = run(item.bad, given.seed * 100000 + i, item.observedShare);
                 served += result.served;
                 stopped += result.stopped ? 1 : 0;
                 all.push_back(result.served);
