--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -41,9 +41,9 @@
 
 /// How the rate of a customer is divided among the entries: by reported demand, in equal parts, or
 /// not at all, so that each entry grants the full rate.
-enum class sharing { demand, even, none };
+enum class rate_sharing { demand, even, none };
 
-limit_result runLimits(sharing how, std::size_t entries, std::uint64_t seed, double forSeconds)
+limit_result runLimits(rate_sharing how, std::size_t entries, std::uint64_t seed, double forSeconds)
 {
     manual_runtime runtime;
     random_source random(seed);
@@ -52,7 +52,7 @@
     std::vector<customer_limits> limits(entries);
     allowance_allocator ledger;
     for (customer_limits &item : limits)
-        item.setEntries(how == sharing::none ? 1 : entries);
+        item.setEntries(how == rate_sharing::none ? 1 : entries);
     limit_result result;
     double thisSecond = 0;
     time_point nextReport = runtime.now() + reportPeriod;
@@ -88,7 +88,7 @@
         if (i > 200)
             result.worstSecond = std::max(result.worstSecond, thisSecond);
         thisSecond = 0;
-        if (how != sharing::demand)
+        if (how != rate_sharing::demand)
             continue;
         for (std::size_t e = 0; e < entries; ++e) {
             for (const customer_demand &demand : limits[e].takeDemand(reportPeriod)) {
@@ -108,10 +108,10 @@
 
 std::vector<trial_row> laurelcroft::runLimitTrial(const trial_settings &given)
 {
-    const std::vector<std::pair<const char *, sharing>> variants
-            = {{"laurelcroft", sharing::demand},
-               {"even split", sharing::even},
-               {"each entry the whole rate", sharing::none}};
+    const std::vector<std::pair<const char *, rate_sharing>> variants
+            = {{"laurelcroft", rate_sharing::demand},
+               {"even split", rate_sharing::even},
+               {"each entry the whole rate", rate_sharing::none}};
     std::vector<trial_row> rows;
     for (const double entries : given.axisValues) {
         for (const auto &[variant, how] : variants) {
