--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -16,7 +16,7 @@
 
 constexpr duration tick = milliseconds(10);
 constexpr duration reportPeriod = seconds(1);
-constexpr duration shareLife = seconds(3);
+constexpr duration shareLifetime = seconds(3);
 constexpr duration phaseLength = seconds(5);
 constexpr double rate = 100; ///< rate limit of the large customer, in requests/s
 
@@ -94,10 +94,10 @@
             for (const customer_demand &demand : limits[e].takeDemand(reportPeriod)) {
                 const double whole = demand.customer == large.name ? large.requestsPerSecond
                                                                    : small.requestsPerSecond;
-                const double share = ledger.report(demand.customer, std::to_string(e),
-                                                   {demand.perSecond, whole, entries, shareLife},
-                                                   runtime.now());
-                limits[e].setShare(demand.customer, share, runtime.now() + shareLife);
+                const double share = ledger.report(
+                        demand.customer, std::to_string(e),
+                        {demand.perSecond, whole, entries, shareLifetime}, runtime.now());
+                limits[e].setShare(demand.customer, share, runtime.now() + shareLifetime);
             }
         }
     }
