--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr duration tick = milliseconds(10);
+constexpr duration timeStep = milliseconds(10);
 constexpr duration reportPeriod = seconds(1);
 constexpr duration shareLifetime = seconds(3);
 constexpr duration phaseLength = seconds(5);
@@ -66,7 +66,7 @@
     };
     const auto steps = static_cast<int>(forSeconds * 100);
     for (int i = 0; i < steps; ++i) {
-        runtime.advance(tick);
+        runtime.advance(timeStep);
         if (runtime.now() >= nextPhase) {
             hot = random.index(entries);
             nextPhase = runtime.now() + phaseLength;
