--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -18,7 +18,7 @@
 constexpr duration reportPeriod = seconds(1);
 constexpr duration shareLifetime = seconds(3);
 constexpr duration phaseLength = seconds(5);
-constexpr double rate = 100; ///< rate limit of the large customer, in requests/s
+constexpr double largeCustomerRate = 100; ///< rate limit of the large customer, in requests/s
 
 customer makeCustomer(const char *name, double perSecond)
 {
@@ -47,7 +47,7 @@
 {
     manual_runtime runtime;
     random_source random(seed);
-    const customer large = makeCustomer("large", rate);
+    const customer large = makeCustomer("large", largeCustomerRate);
     const customer small = makeCustomer("small", 20);
     std::vector<customer_limits> limits(entries);
     allowance_allocator ledger;
@@ -122,8 +122,9 @@
                      variant,
                      entries,
                      "entries",
-                     {{"large: admitted of its rate", result.largeAdmitted / given.runs / rate},
-                      {"large: worst second of its rate", result.worstSecond / rate},
+                     {{"large: admitted of its rate",
+                       result.largeAdmitted / given.runs / largeCustomerRate},
+                      {"large: worst second of its rate", result.worstSecond / largeCustomerRate},
                       {"small: admitted of asked",
                        result.smallAdmitted / std::max(1.0, result.smallAsked)}}});
         }
