--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -36,7 +36,8 @@
     double largeAdmitted = 0;
     double smallAsked = 0;
     double smallAdmitted = 0;
-    double worstSecond = 0; ///< most admitted of the large customer in 1 s, after the first 2 s
+    double maxAdmittedPerSecond
+            = 0; ///< most admitted of the large customer in 1 s, after the first 2 s
 };
 
 /// How the rate of a customer is divided among the entries: by reported demand, in equal parts, or
@@ -86,7 +87,7 @@
             continue;
         nextReport = runtime.now() + reportPeriod;
         if (i > 200)
-            result.worstSecond = std::max(result.worstSecond, thisSecond);
+            result.maxAdmittedPerSecond = std::max(result.maxAdmittedPerSecond, thisSecond);
         thisSecond = 0;
         if (how != rate_sharing::demand)
             continue;
@@ -117,16 +118,16 @@
         for (const auto &[variant, how] : variants) {
             const limit_result result
                     = runLimits(how, static_cast<std::size_t>(entries), given.seed, given.runs);
-            rows.push_back(
-                    {given.kind,
-                     variant,
-                     entries,
-                     "entries",
-                     {{"large: admitted of its rate",
-                       result.largeAdmitted / given.runs / largeCustomerRate},
-                      {"large: worst second of its rate", result.worstSecond / largeCustomerRate},
-                      {"small: admitted of asked",
-                       result.smallAdmitted / std::max(1.0, result.smallAsked)}}});
+            rows.push_back({given.kind,
+                            variant,
+                            entries,
+                            "entries",
+                            {{"large: admitted of its rate",
+                              result.largeAdmitted / given.runs / largeCustomerRate},
+                             {"large: worst second of its rate",
+                              result.maxAdmittedPerSecond / largeCustomerRate},
+                             {"small: admitted of asked",
+                              result.smallAdmitted / std::max(1.0, result.smallAsked)}}});
         }
     }
     return rows;
