--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -34,7 +34,7 @@
 struct limit_result
 {
     double largeAdmitted = 0;
-    double smallAsked = 0;
+    double smallRequested = 0;
     double smallAdmitted = 0;
     double maxAdmittedPerSecond
             = 0; ///< most admitted of the large customer in 1 s, after the first 2 s
@@ -80,7 +80,7 @@
             thisSecond += passed;
         }
         if (random.chance(0.1)) {
-            result.smallAsked += 1;
+            result.smallRequested += 1;
             result.smallAdmitted += ask(small, random.index(entries)) ? 1 : 0;
         }
         if (runtime.now() < nextReport)
@@ -127,7 +127,7 @@
                              {"large: worst second of its rate",
                               result.maxAdmittedPerSecond / largeCustomerRate},
                              {"small: admitted of asked",
-                              result.smallAdmitted / std::max(1.0, result.smallAsked)}}});
+                              result.smallAdmitted / std::max(1.0, result.smallRequested)}}});
         }
     }
     return rows;
