--- a/lib/Load/LimitTrial.cpp
+++ b/lib/Load/LimitTrial.cpp
@@ -17,7 +17,7 @@
 constexpr duration timeStep = milliseconds(10);
 constexpr duration reportPeriod = seconds(1);
 constexpr duration shareLifetime = seconds(3);
-constexpr duration phaseLength = seconds(5);
+constexpr duration hotEntryPeriod = seconds(5);
 constexpr double largeCustomerRate = 100; ///< rate limit of the large customer, in requests/s
 
 customer makeCustomer(const char *name, double perSecond)
@@ -70,7 +70,7 @@
         runtime.advance(timeStep);
         if (runtime.now() >= nextPhase) {
             hot = random.index(entries);
-            nextPhase = runtime.now() + phaseLength;
+            nextPhase = runtime.now() + hotEntryPeriod;
         }
         // The large customer sends 80% of its requests to one entry, the others to random ones.
         for (int k = 0; k < 3; ++k) {
