--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -21,7 +21,7 @@
 
 constexpr const char *trialKey = "key of the spread trial";
 constexpr double udpHeaderBytes = 28; ///< IPv4 and UDP headers
-constexpr duration settle = seconds(40);
+constexpr duration settleTime = seconds(40);
 constexpr duration watch = seconds(30);
 
 /// Counters and epoch of one member, for either transport.
@@ -194,7 +194,7 @@
         paused_fleet fleet(count, given.seed, given.loss);
         // Waits long enough for all joins to reach all members, so that the traffic measured is
         // that of a stable fleet.
-        fleet.runtime.advance(settle + milliseconds(static_cast<std::int64_t>(size) * 500));
+        fleet.runtime.advance(settleTime + milliseconds(static_cast<std::int64_t>(size) * 500));
         fleet.resetCounts();
         const double before = processorSeconds();
         fleet.runtime.advance(watch);
