--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -22,7 +22,7 @@
 constexpr const char *trialKey = "key of the spread trial";
 constexpr double udpHeaderBytes = 28; ///< IPv4 and UDP headers
 constexpr duration settleTime = seconds(40);
-constexpr duration watch = seconds(30);
+constexpr duration measurementTime = seconds(30);
 
 /// Counters and epoch of one member, for either transport.
 struct member_counts
@@ -197,9 +197,9 @@
         fleet.runtime.advance(settleTime + milliseconds(static_cast<std::int64_t>(size) * 500));
         fleet.resetCounts();
         const double before = processorSeconds();
-        fleet.runtime.advance(watch);
+        fleet.runtime.advance(measurementTime);
         const double used = processorSeconds() - before;
-        const double watched = std::chrono::duration<double>(watch).count();
+        const double watched = std::chrono::duration<double>(measurementTime).count();
         double bytes = 0;
         double datagrams = 0;
         double known = 0;
