--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -62,11 +62,11 @@
 
 // ---- simulated time ----------------------------------------------------------
 
-class paused_fleet;
+class simulated_fleet;
 
 struct paused_port
 {
-    paused_fleet *fleet = nullptr;
+    simulated_fleet *fleet = nullptr;
     std::size_t number = 0;
     void send(const std::string &address, const std::string &bytes);
 };
@@ -79,10 +79,10 @@
     bool silent = false; ///< simulates a failed member: it neither sends nor receives
 };
 
-class paused_fleet
+class simulated_fleet
 {
 public:
-    paused_fleet(std::size_t size, std::uint64_t seed, double loss)
+    simulated_fleet(std::size_t size, std::uint64_t seed, double loss)
         : random(seed)
         , loss(loss)
     {
@@ -170,7 +170,7 @@
 
 /// Lets member 0 adopt \p epoch now.
 /// \returns the seconds until all live members have adopted it, or -1 if one has not within 20 s.
-static double measureEpoch(paused_fleet &fleet, std::uint64_t epoch)
+static double measureEpoch(simulated_fleet &fleet, std::uint64_t epoch)
 {
     const time_point began = fleet.runtime.now();
     fleet.take(*fleet.members[0], epoch);
@@ -191,7 +191,7 @@
     std::vector<trial_row> rows;
     for (const double size : given.axisValues) {
         const auto count = static_cast<std::size_t>(size);
-        paused_fleet fleet(count, given.seed, given.loss);
+        simulated_fleet fleet(count, given.seed, given.loss);
         // Waits long enough for all joins to reach all members, so that the traffic measured is
         // that of a stable fleet.
         fleet.runtime.advance(settleTime + milliseconds(static_cast<std::int64_t>(size) * 500));
