--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -64,7 +64,7 @@
 
 class simulated_fleet;
 
-struct paused_port
+struct simulated_port
 {
     simulated_fleet *fleet = nullptr;
     std::size_t number = 0;
@@ -73,9 +73,9 @@
 
 struct paused_member
 {
-    paused_port port;
+    simulated_port port;
     member_counts counts;
-    std::unique_ptr<membership<manual_runtime, paused_port>> protocol;
+    std::unique_ptr<membership<manual_runtime, simulated_port>> protocol;
     bool silent = false; ///< simulates a failed member: it neither sends nor receives
 };
 
@@ -101,7 +101,7 @@
             if (seen.epoch > item.counts.epoch)
                 take(item, seen.epoch);
         };
-        item.protocol = std::make_unique<membership<manual_runtime, paused_port>>(
+        item.protocol = std::make_unique<membership<manual_runtime, simulated_port>>(
                 runtime, item.port, random, makeMember(i, std::to_string(i)), trialKey,
                 membership_options{}, events);
         std::vector<std::string> seeds;
@@ -149,7 +149,7 @@
 
 } // namespace
 
-void paused_port::send(const std::string &address, const std::string &bytes)
+void simulated_port::send(const std::string &address, const std::string &bytes)
 {
     paused_member &from = *fleet->members[number];
     if (from.silent)
