--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -71,7 +71,7 @@
     void send(const std::string &address, const std::string &bytes);
 };
 
-struct paused_member
+struct simulated_member
 {
     simulated_port port;
     member_counts counts;
@@ -87,14 +87,14 @@
         , loss(loss)
     {
         for (std::size_t i = 0; i < size; ++i)
-            members.push_back(std::make_unique<paused_member>());
+            members.push_back(std::make_unique<simulated_member>());
         for (std::size_t i = 0; i < size; ++i)
             begin(i);
     }
 
     void begin(std::size_t i)
     {
-        paused_member &item = *members[i];
+        simulated_member &item = *members[i];
         item.port = {this, i};
         membership_events events;
         events.onEpoch = [this, &item](const epoch_observation &seen) {
@@ -111,7 +111,7 @@
     }
 
     /// Stores the epoch of the member and starts to gossip it.
-    void take(paused_member &item, std::uint64_t epoch)
+    void take(simulated_member &item, std::uint64_t epoch)
     {
         item.counts.epoch = epoch;
         item.counts.tookAt = runtime.now();
@@ -144,14 +144,14 @@
     manual_runtime runtime;
     random_source random;
     double loss;
-    std::vector<std::unique_ptr<paused_member>> members;
+    std::vector<std::unique_ptr<simulated_member>> members;
 };
 
 } // namespace
 
 void simulated_port::send(const std::string &address, const std::string &bytes)
 {
-    paused_member &from = *fleet->members[number];
+    simulated_member &from = *fleet->members[number];
     if (from.silent)
         return;
     from.counts.bytes += static_cast<double>(bytes.size()) + udpHeaderBytes;
@@ -160,7 +160,7 @@
         return;
     const std::size_t target = std::stoul(address);
     fleet->runtime.after(milliseconds(1), [all = fleet, target, sender = number, bytes] {
-        paused_member &to = *all->members[target];
+        simulated_member &to = *all->members[target];
         if (to.silent || !to.protocol)
             return;
         to.counts.bytes += static_cast<double>(bytes.size()) + udpHeaderBytes;
