--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -30,7 +30,7 @@
     std::uint64_t datagrams = 0;
     double bytes = 0;
     std::uint64_t epoch = 0;
-    time_point tookAt{}; ///< when the member adopted the epoch
+    time_point adoptedAt{}; ///< when the member adopted the epoch
 };
 
 double processorSeconds()
@@ -114,7 +114,7 @@
     void take(simulated_member &item, std::uint64_t epoch)
     {
         item.counts.epoch = epoch;
-        item.counts.tookAt = runtime.now();
+        item.counts.adoptedAt = runtime.now();
         item.protocol->setDigest(makeDigest(epoch, runtime.now()));
         item.protocol->gossipToRandomMembers();
     }
@@ -181,7 +181,8 @@
             continue;
         if (item->counts.epoch != epoch)
             return -1;
-        last = std::max(last, std::chrono::duration<double>(item->counts.tookAt - began).count());
+        last = std::max(last,
+                        std::chrono::duration<double>(item->counts.adoptedAt - began).count());
     }
     return last;
 }
@@ -309,7 +310,7 @@
 static void takeEpoch(socket_member &item, asio_runtime &runtime, std::uint64_t epoch)
 {
     item.counts.epoch = epoch;
-    item.counts.tookAt = runtime.now();
+    item.counts.adoptedAt = runtime.now();
     item.protocol->setDigest(makeDigest(epoch, runtime.now()));
     item.protocol->gossipToRandomMembers();
 }
@@ -360,7 +361,7 @@
         for (const auto &item : members) {
             missing += item->counts.epoch == 2 ? 0 : 1;
             last = std::max(last,
-                            std::chrono::duration<double>(item->counts.tookAt - began).count());
+                            std::chrono::duration<double>(item->counts.adoptedAt - began).count());
         }
         const auto total = static_cast<double>(count);
         rows.push_back({given.kind,
