--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -33,7 +33,7 @@
     time_point adoptedAt{}; ///< when the member adopted the epoch
 };
 
-double processorSeconds()
+double cpuSeconds()
 {
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
@@ -197,9 +197,9 @@
         // that of a stable fleet.
         fleet.runtime.advance(settleTime + milliseconds(static_cast<std::int64_t>(size) * 500));
         fleet.resetCounts();
-        const double before = processorSeconds();
+        const double before = cpuSeconds();
         fleet.runtime.advance(measurementTime);
-        const double used = processorSeconds() - before;
+        const double used = cpuSeconds() - before;
         const double watched = std::chrono::duration<double>(measurementTime).count();
         double bytes = 0;
         double datagrams = 0;
@@ -343,9 +343,9 @@
         context.run_for(socketSettle);
         for (const auto &item : members)
             item->counts.bytes = 0;
-        const double before = processorSeconds();
+        const double before = cpuSeconds();
         context.run_for(socketWatch);
-        const double used = processorSeconds() - before;
+        const double used = cpuSeconds() - before;
         const double watched = std::chrono::duration<double>(socketWatch).count();
         double bytes = 0;
         double known = 0;
