--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -128,7 +128,7 @@
     }
 
     /// \returns the number of live members that consider member \p number dead.
-    std::size_t calledDead(std::size_t number) const
+    std::size_t countDeadReports(std::size_t number) const
     {
         const std::string id = makeMember(number, "").id();
         std::size_t count = 0;
@@ -221,14 +221,14 @@
         for (std::size_t i = 0; i < count; ++i) {
             if (!fleet.members[i]->silent)
                 continue;
-            found += static_cast<double>(fleet.calledDead(i)) / live;
+            found += static_cast<double>(fleet.countDeadReports(i)) / live;
             gone += 1;
         }
         fleet.runtime.advance(seconds(50));
         double falseAlarms = 0;
         for (std::size_t i = 0; i < count; ++i) {
             if (!fleet.members[i]->silent)
-                falseAlarms += static_cast<double>(fleet.calledDead(i));
+                falseAlarms += static_cast<double>(fleet.countDeadReports(i));
         }
         rows.push_back({given.kind,
                         "laurelcroft",
