--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -99,7 +99,7 @@
         membership_events events;
         events.onEpoch = [this, &item](const epoch_observation &seen) {
             if (seen.epoch > item.counts.epoch)
-                take(item, seen.epoch);
+                adoptEpoch(item, seen.epoch);
         };
         item.protocol = std::make_unique<membership<manual_runtime, simulated_port>>(
                 runtime, item.port, random, makeMember(i, std::to_string(i)), trialKey,
@@ -111,7 +111,7 @@
     }
 
     /// Stores the epoch of the member and starts to gossip it.
-    void take(simulated_member &item, std::uint64_t epoch)
+    void adoptEpoch(simulated_member &item, std::uint64_t epoch)
     {
         item.counts.epoch = epoch;
         item.counts.adoptedAt = runtime.now();
@@ -173,7 +173,7 @@
 static double measureEpoch(simulated_fleet &fleet, std::uint64_t epoch)
 {
     const time_point began = fleet.runtime.now();
-    fleet.take(*fleet.members[0], epoch);
+    fleet.adoptEpoch(*fleet.members[0], epoch);
     fleet.runtime.advance(seconds(20));
     double last = 0;
     for (const auto &item : fleet.members) {
