--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -307,7 +307,7 @@
 
 } // namespace
 
-static void takeEpoch(socket_member &item, asio_runtime &runtime, std::uint64_t epoch)
+static void adoptSocketEpoch(socket_member &item, asio_runtime &runtime, std::uint64_t epoch)
 {
     item.counts.epoch = epoch;
     item.counts.adoptedAt = runtime.now();
@@ -331,7 +331,7 @@
             membership_events events;
             events.onEpoch = [&item, &runtime](const epoch_observation &seen) {
                 if (seen.epoch > item.counts.epoch)
-                    takeEpoch(item, runtime, seen.epoch);
+                    adoptSocketEpoch(item, runtime, seen.epoch);
             };
             item.protocol = std::make_unique<membership<asio_runtime, socket_port>>(
                     runtime, item.port, random, makeMember(i, item.address), trialKey,
@@ -354,7 +354,7 @@
             known += static_cast<double>(item->protocol->members().size());
         }
         const time_point began = runtime.now();
-        takeEpoch(*members[0], runtime, 2);
+        adoptSocketEpoch(*members[0], runtime, 2);
         context.run_for(socketSpread);
         double last = 0;
         double missing = 0;
