--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -89,10 +89,10 @@
         for (std::size_t i = 0; i < size; ++i)
             members.push_back(std::make_unique<simulated_member>());
         for (std::size_t i = 0; i < size; ++i)
-            begin(i);
+            startMember(i);
     }
 
-    void begin(std::size_t i)
+    void startMember(std::size_t i)
     {
         simulated_member &item = *members[i];
         item.port = {this, i};
