--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -300,7 +300,7 @@
     std::array<char, 2 * maxDatagramBytes> input{};
 };
 
-constexpr std::size_t mostSocketMembers = 300;
+constexpr std::size_t maxSocketMembers = 300;
 constexpr auto socketSettle = std::chrono::seconds(8);
 constexpr auto socketWatch = std::chrono::seconds(8);
 constexpr auto socketSpread = std::chrono::seconds(6);
@@ -319,7 +319,7 @@
 {
     std::vector<trial_row> rows;
     for (const double size : given.axisValues) {
-        const std::size_t count = std::min(mostSocketMembers, static_cast<std::size_t>(size));
+        const std::size_t count = std::min(maxSocketMembers, static_cast<std::size_t>(size));
         asio::io_context context(1);
         asio_runtime runtime(context);
         random_source random(given.seed);
