--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -301,7 +301,7 @@
 };
 
 constexpr std::size_t maxSocketMembers = 300;
-constexpr auto socketSettle = std::chrono::seconds(8);
+constexpr auto socketSettleTime = std::chrono::seconds(8);
 constexpr auto socketWatch = std::chrono::seconds(8);
 constexpr auto socketSpread = std::chrono::seconds(6);
 
@@ -340,7 +340,7 @@
             item.protocol->start(i == 0 ? std::vector<std::string>{}
                                         : std::vector<std::string>{members[0]->address});
         }
-        context.run_for(socketSettle);
+        context.run_for(socketSettleTime);
         for (const auto &item : members)
             item->counts.bytes = 0;
         const double before = cpuSeconds();
