--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -302,7 +302,7 @@
 
 constexpr std::size_t maxSocketMembers = 300;
 constexpr auto socketSettleTime = std::chrono::seconds(8);
-constexpr auto socketWatch = std::chrono::seconds(8);
+constexpr auto socketMeasurementTime = std::chrono::seconds(8);
 constexpr auto socketSpread = std::chrono::seconds(6);
 
 } // namespace
@@ -344,9 +344,9 @@
         for (const auto &item : members)
             item->counts.bytes = 0;
         const double before = cpuSeconds();
-        context.run_for(socketWatch);
+        context.run_for(socketMeasurementTime);
         const double used = cpuSeconds() - before;
-        const double watched = std::chrono::duration<double>(socketWatch).count();
+        const double watched = std::chrono::duration<double>(socketMeasurementTime).count();
         double bytes = 0;
         double known = 0;
         for (const auto &item : members) {
