--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -303,7 +303,7 @@
 constexpr std::size_t maxSocketMembers = 300;
 constexpr auto socketSettleTime = std::chrono::seconds(8);
 constexpr auto socketMeasurementTime = std::chrono::seconds(8);
-constexpr auto socketSpread = std::chrono::seconds(6);
+constexpr auto socketSpreadTime = std::chrono::seconds(6);
 
 } // namespace
 
@@ -355,7 +355,7 @@
         }
         const time_point began = runtime.now();
         adoptSocketEpoch(*members[0], runtime, 2);
-        context.run_for(socketSpread);
+        context.run_for(socketSpreadTime);
         double last = 0;
         double missing = 0;
         for (const auto &item : members) {
