--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr const char *trialKey = "key of the spread trial";
+constexpr const char *membershipKey = "key of the spread trial";
 constexpr double udpHeaderBytes = 28; ///< IPv4 and UDP headers
 constexpr duration settleTime = seconds(40);
 constexpr duration measurementTime = seconds(30);
@@ -102,7 +102,7 @@
                 adoptEpoch(item, seen.epoch);
         };
         item.protocol = std::make_unique<membership<manual_runtime, simulated_port>>(
-                runtime, item.port, random, makeMember(i, std::to_string(i)), trialKey,
+                runtime, item.port, random, makeMember(i, std::to_string(i)), membershipKey,
                 membership_options{}, events);
         std::vector<std::string> seeds;
         if (i > 0)
@@ -334,7 +334,7 @@
                     adoptSocketEpoch(item, runtime, seen.epoch);
             };
             item.protocol = std::make_unique<membership<asio_runtime, socket_port>>(
-                    runtime, item.port, random, makeMember(i, item.address), trialKey,
+                    runtime, item.port, random, makeMember(i, item.address), membershipKey,
                     membership_options{}, events);
             item.receive();
             item.protocol->start(i == 0 ? std::vector<std::string>{}
