--- a/include/laurelcroft/Standin/Standin.h
+++ b/include/laurelcroft/Standin/Standin.h
@@ -46,9 +46,9 @@
 };
 
 /// State shared by all roles: clock, random source, journal and faults.
-struct standin_base
+struct standin_context
 {
-    standin_base(asio_runtime &runtime, std::uint64_t seed)
+    standin_context(asio_runtime &runtime, std::uint64_t seed)
         : runtime(runtime)
         , random(seed)
     {
--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -10,7 +10,7 @@
 using namespace laurelcroft;
 using nlohmann::json;
 
-table_role::table_role(standin_base &base, double perSecond)
+table_role::table_role(standin_context &base, double perSecond)
     : standin_role(base)
     , m_perSecond(perSecond)
     , m_tokens(perSecond)
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -20,7 +20,7 @@
 class standin_role
 {
 public:
-    explicit standin_role(standin_base &base)
+    explicit standin_role(standin_context &base)
         : m_base(base)
     {
     }
@@ -30,14 +30,14 @@
     virtual bool handle(const exchange_ptr &exchange) = 0;
 
 protected:
-    standin_base &m_base;
+    standin_context &m_base;
 };
 
 /// Simulates the transactional table, with a rate limit.
 class table_role : public standin_role
 {
 public:
-    table_role(standin_base &base, double perSecond);
+    table_role(standin_context &base, double perSecond);
     bool handle(const exchange_ptr &exchange) override;
 
 private:
@@ -74,7 +74,7 @@
 class ratings_role : public standin_role
 {
 public:
-    ratings_role(standin_base &base, milliseconds delay)
+    ratings_role(standin_context &base, milliseconds delay)
         : standin_role(base)
         , m_delay(delay)
     {
@@ -89,7 +89,7 @@
 class list_role : public standin_role
 {
 public:
-    list_role(standin_base &base, milliseconds lag)
+    list_role(standin_context &base, milliseconds lag)
         : standin_role(base)
         , m_lag(lag)
     {
@@ -105,7 +105,7 @@
 class service_role : public standin_role
 {
 public:
-    service_role(standin_base &base, milliseconds took)
+    service_role(standin_context &base, milliseconds took)
         : standin_role(base)
         , m_took(took)
     {
@@ -133,7 +133,7 @@
 class engine_role : public standin_role
 {
 public:
-    engine_role(standin_base &base, engine_options options)
+    engine_role(standin_context &base, engine_options options)
         : standin_role(base)
         , m_options(options)
     {
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -30,7 +30,7 @@
     return all;
 }
 
-void standin_base::reply(const exchange_ptr &exchange, int status, const json &body)
+void standin_context::reply(const exchange_ptr &exchange, int status, const json &body)
 {
     if (fault.loseAnswers > 0) {
         // No reply is sent, so that the caller can't tell whether the call took effect.
@@ -59,7 +59,7 @@
 }
 
 /// Handles the paths that every stand-in serves. \returns false for other paths.
-static bool handleCommon(standin_base &base, const exchange_ptr &exchange)
+static bool handleCommon(standin_context &base, const exchange_ptr &exchange)
 {
     const http_request &request = exchange->request();
     if (request.path == "/standin/journal") {
@@ -94,7 +94,7 @@
     return options;
 }
 
-static std::unique_ptr<standin_role> makeRole(standin_base &base, const settings &given)
+static std::unique_ptr<standin_role> makeRole(standin_context &base, const settings &given)
 {
     const std::string &role = given.text("role");
     const milliseconds delay(given.number("delay-ms"));
@@ -144,7 +144,7 @@
     blockStopSignals();
     duty_thread duty("standin");
     asio_runtime runtime(duty.context());
-    standin_base base(runtime, static_cast<std::uint64_t>(given.number("seed")));
+    standin_context base(runtime, static_cast<std::uint64_t>(given.number("seed")));
     const std::unique_ptr<standin_role> role = makeRole(base, given);
     if (!role) {
         std::cerr << "laurelcroft-standin: error: --role: unknown role '" << given.text("role")
