--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -40,42 +40,42 @@
 
 void engine_role::onLoad(const exchange_ptr &exchange)
 {
-    m_base.reply(exchange, http_status::ok,
-                 {{"running", m_running.size()},
-                  {"queued", m_waiting.size()},
-                  {"slots", m_options.slots},
-                  {"loaded", m_loaded}});
+    m_context.reply(exchange, http_status::ok,
+                    {{"running", m_running.size()},
+                     {"queued", m_waiting.size()},
+                     {"slots", m_options.slots},
+                     {"loaded", m_loaded}});
 }
 
 void engine_role::onOrder(const exchange_ptr &exchange)
 {
     const json order = json::parse(exchange->request().body, nullptr, false);
     if (!order.is_object()) {
-        m_base.reply(exchange, http_status::badRequest, {{"error", "bad order"}});
+        m_context.reply(exchange, http_status::badRequest, {{"error", "bad order"}});
         return;
     }
     const std::uint64_t fence = order.value("fence", std::uint64_t{0});
     const std::string version = order.value("version", "");
     const bool loads = order.value("action", "") == "load";
     const bool stale = m_options.fenced && fence < m_fence;
-    m_base.log.add({{"kind", "order"},
-                    {"action", loads ? "load" : "unload"},
-                    {"version", version},
-                    {"fence", fence},
-                    {"done", !stale}});
+    m_context.log.add({{"kind", "order"},
+                       {"action", loads ? "load" : "unload"},
+                       {"version", version},
+                       {"fence", fence},
+                       {"done", !stale}});
     if (stale) {
-        m_base.reply(exchange, http_status::conflict, {{"error", "stale fence"}});
+        m_context.reply(exchange, http_status::conflict, {{"error", "stale fence"}});
         return;
     }
     m_fence = std::max(m_fence, fence);
     if (!loads) {
         m_loaded.erase(version);
-        m_base.reply(exchange, http_status::ok, {{"done", true}});
+        m_context.reply(exchange, http_status::ok, {{"done", true}});
         return;
     }
-    m_base.runtime.after(m_options.loadTime, [this, exchange, version] {
+    m_context.runtime.after(m_options.loadTime, [this, exchange, version] {
         m_loaded.insert(version);
-        m_base.reply(exchange, http_status::ok, {{"done", true}});
+        m_context.reply(exchange, http_status::ok, {{"done", true}});
     });
 }
 
@@ -98,12 +98,12 @@
 void engine_role::drawQuality(job &item)
 {
     std::normal_distribution<double> spread(m_options.quality, confidenceSpread);
-    item.confidence = std::clamp(spread(m_base.random.engine()), 0.01, 0.99);
+    item.confidence = std::clamp(spread(m_context.random.engine()), 0.01, 0.99);
     double goodShare = item.confidence;
-    const bool turnedBad = item.model == m_base.fault.badVersion;
+    const bool turnedBad = item.model == m_context.fault.badVersion;
     if (turnedBad)
-        goodShare *= 1.0 - m_base.fault.badShare;
-    item.good = m_base.random.chance(goodShare);
+        goodShare *= 1.0 - m_context.fault.badShare;
+    item.good = m_context.random.chance(goodShare);
 }
 
 void engine_role::onChat(const exchange_ptr &exchange)
@@ -112,9 +112,10 @@
     const json body = json::parse(request.body, nullptr, false);
     job item;
     item.requestId = findHeader(request.headers, "X-Request-Id");
-    if (!body.is_object() || m_base.fault.down || m_base.random.chance(m_base.fault.errorShare)) {
-        m_base.log.add({{"kind", "error"}, {"request_id", item.requestId}});
-        m_base.reply(exchange, http_status::unavailable, {{"error", "engine fault"}});
+    if (!body.is_object() || m_context.fault.down
+        || m_context.random.chance(m_context.fault.errorShare)) {
+        m_context.log.add({{"kind", "error"}, {"request_id", item.requestId}});
+        m_context.reply(exchange, http_status::unavailable, {{"error", "engine fault"}});
         return;
     }
     item.id = ++m_lastJob;
@@ -128,7 +129,7 @@
     item.prefillLeftMs = static_cast<double>(item.promptTokens - item.cachedTokens)
             * m_options.prefillMsPerToken;
     drawQuality(item);
-    m_base.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
+    m_context.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
     exchange->onPeerLeft([this, id = item.id] { cancel(id); });
     const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const job &other) {
         return other.priority > item.priority;
@@ -142,7 +143,7 @@
     const auto drop = [&](const job &item) {
         if (item.id != id)
             return false;
-        m_base.log.add(
+        m_context.log.add(
                 {{"kind", "cancelled"}, {"request_id", item.requestId}, {"tokens", item.made}});
         return true;
     };
@@ -176,8 +177,8 @@
         prefillMs += item.prefillLeftMs;
         item.prefillLeftMs = 0;
     }
-    stepMs += prefillMs + static_cast<double>(m_base.fault.slow.count());
-    m_base.runtime.after(duration(static_cast<std::int64_t>(stepMs * 1e6)), [this] { step(); });
+    stepMs += prefillMs + static_cast<double>(m_context.fault.slow.count());
+    m_context.runtime.after(duration(static_cast<std::int64_t>(stepMs * 1e6)), [this] { step(); });
 }
 
 void engine_role::step()
@@ -214,11 +215,11 @@
 
 void engine_role::finish(job &item)
 {
-    m_base.log.add({{"kind", "finished"},
-                    {"request_id", item.requestId},
-                    {"model", item.model},
-                    {"tokens", item.made},
-                    {"good", item.good}});
+    m_context.log.add({{"kind", "finished"},
+                       {"request_id", item.requestId},
+                       {"model", item.model},
+                       {"tokens", item.made},
+                       {"good", item.good}});
     ordered_json body;
     body["object"] = item.stream ? "chat.completion.chunk" : "chat.completion";
     body["model"] = item.model;
--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -20,7 +20,7 @@
 
 bool table_role::takeRate()
 {
-    const time_point now = m_base.runtime.now();
+    const time_point now = m_context.runtime.now();
     const double elapsed = std::chrono::duration<double>(now - m_filledAt).count();
     m_tokens = std::min(m_perSecond, m_tokens + elapsed * m_perSecond);
     m_filledAt = now;
@@ -36,8 +36,8 @@
     const bool isScan = path == "/v1/table/scan";
     if (!isScan && path != "/v1/table/transact")
         return false;
-    if (m_base.fault.down)
-        m_base.reply(exchange, http_status::unavailable, {{"error", "down"}});
+    if (m_context.fault.down)
+        m_context.reply(exchange, http_status::unavailable, {{"error", "down"}});
     else if (!takeRate())
         exchange->reply(http_status::tooManyRequests, {{"Retry-After", "0.2"}}, "{}");
     else if (isScan)
@@ -67,7 +67,7 @@
         if (found != m_rows.end())
             return rowJson("exists", found->second.value, found->second.version);
         m_rows[key] = {value, 1};
-        m_base.log.add({{"kind", "inserted"}, {"key", key}, {"value", value}});
+        m_context.log.add({{"kind", "inserted"}, {"key", key}, {"value", value}});
         return rowJson("done", value, 1);
     }
     const std::uint64_t wanted = operation.value("version", std::uint64_t{0});
@@ -75,7 +75,7 @@
     if (wanted != standing)
         return rowJson("conflict", found == m_rows.end() ? "" : found->second.value, standing);
     m_rows[key] = {value, standing + 1};
-    m_base.log.add({{"kind", "set"}, {"key", key}, {"value", value}});
+    m_context.log.add({{"kind", "set"}, {"key", key}, {"value", value}});
     return rowJson("done", value, standing + 1);
 }
 
@@ -83,13 +83,13 @@
 {
     const json body = json::parse(exchange->request().body, nullptr, false);
     if (!body.is_object() || !body.contains("operations")) {
-        m_base.reply(exchange, http_status::badRequest, {{"error", "bad transaction"}});
+        m_context.reply(exchange, http_status::badRequest, {{"error", "bad transaction"}});
         return;
     }
     json results = json::array();
     for (const json &operation : body["operations"])
         results.push_back(apply(operation));
-    m_base.reply(exchange, http_status::ok, {{"results", results}});
+    m_context.reply(exchange, http_status::ok, {{"results", results}});
 }
 
 void table_role::scan(const exchange_ptr &exchange)
@@ -101,7 +101,7 @@
             break;
         rows.push_back({{"key", it->first}, {"value", it->second.value}});
     }
-    m_base.reply(exchange, http_status::ok, {{"rows", rows}});
+    m_context.reply(exchange, http_status::ok, {{"rows", rows}});
 }
 
 bool objects_role::handle(const exchange_ptr &exchange)
@@ -111,19 +111,19 @@
     if (request.path.rfind(prefix, 0) != 0)
         return false;
     const std::string key = request.path.substr(prefix.size());
-    if (m_base.fault.down) {
-        m_base.reply(exchange, http_status::unavailable, {{"error", "down"}});
+    if (m_context.fault.down) {
+        m_context.reply(exchange, http_status::unavailable, {{"error", "down"}});
         return true;
     }
     if (request.method == "PUT") {
         m_objects[key] = request.body;
-        m_base.log.add({{"kind", "stored"}, {"key", key}, {"bytes", request.body.size()}});
-        m_base.reply(exchange, http_status::ok, {{"stored", true}});
+        m_context.log.add({{"kind", "stored"}, {"key", key}, {"bytes", request.body.size()}});
+        m_context.reply(exchange, http_status::ok, {{"stored", true}});
         return true;
     }
     const auto found = m_objects.find(key);
     if (found == m_objects.end())
-        m_base.reply(exchange, http_status::notFound, {{"error", "no such object"}});
+        m_context.reply(exchange, http_status::notFound, {{"error", "no such object"}});
     else
         exchange->reply(http_status::ok, {}, found->second);
     return true;
@@ -133,8 +133,8 @@
 {
     if (exchange->request().path != "/v1/ratings")
         return false;
-    if (m_base.fault.down) {
-        m_base.reply(exchange, http_status::unavailable, {{"error", "down"}});
+    if (m_context.fault.down) {
+        m_context.reply(exchange, http_status::unavailable, {{"error", "down"}});
         return true;
     }
     const json body = json::parse(exchange->request().body, nullptr, false);
@@ -142,11 +142,11 @@
     // The engine stand-in marks a bad answer by "unchecked" as its last word.
     const bool good = answer.find("unchecked") == std::string::npos;
     const double rating = good ? 0.9 : 0.1;
-    m_base.log.add({{"kind", "rated"},
-                    {"request_id", body.is_object() ? body.value("request_id", "") : ""},
-                    {"rating", rating}});
-    m_base.runtime.after(m_delay, [this, exchange, rating] {
-        m_base.reply(exchange, http_status::ok, {{"rating", rating}});
+    m_context.log.add({{"kind", "rated"},
+                       {"request_id", body.is_object() ? body.value("request_id", "") : ""},
+                       {"rating", rating}});
+    m_context.runtime.after(m_delay, [this, exchange, rating] {
+        m_context.reply(exchange, http_status::ok, {{"rating", rating}});
     });
     return true;
 }
@@ -158,14 +158,14 @@
         return false;
     if (request.method == "PUT") {
         const json body = json::parse(request.body, nullptr, false);
-        m_base.runtime.after(m_lag, [this, body] {
+        m_context.runtime.after(m_lag, [this, body] {
             if (body.is_object() && body.contains("instances"))
                 m_shown = body["instances"];
         });
-        m_base.reply(exchange, http_status::ok, {{"taken", true}});
+        m_context.reply(exchange, http_status::ok, {{"taken", true}});
         return true;
     }
-    m_base.reply(exchange, http_status::ok, {{"instances", m_shown}});
+    m_context.reply(exchange, http_status::ok, {{"instances", m_shown}});
     return true;
 }
 
@@ -173,13 +173,13 @@
 {
     const http_request &request = exchange->request();
     const std::string id(findHeader(request.headers, "X-Request-Id"));
-    if (m_base.fault.down) {
-        m_base.reply(exchange, http_status::unavailable, {{"error", "down"}});
+    if (m_context.fault.down) {
+        m_context.reply(exchange, http_status::unavailable, {{"error", "down"}});
         return true;
     }
-    m_base.log.add({{"kind", "started"}, {"request_id", id}, {"path", request.path}});
-    m_base.runtime.after(m_took + m_base.fault.slow, [this, exchange, id] {
-        m_base.log.add({{"kind", "finished"}, {"request_id", id}});
+    m_context.log.add({{"kind", "started"}, {"request_id", id}, {"path", request.path}});
+    m_context.runtime.after(m_took + m_context.fault.slow, [this, exchange, id] {
+        m_context.log.add({{"kind", "finished"}, {"request_id", id}});
         exchange->reply(http_status::ok, {{"Content-Type", "application/json"}},
                         json{{"done", true}, {"request_id", id}}.dump());
     });
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -21,7 +21,7 @@
 {
 public:
     explicit standin_role(standin_context &base)
-        : m_base(base)
+        : m_context(base)
     {
     }
     virtual ~standin_role() = default;
@@ -30,7 +30,7 @@
     virtual bool handle(const exchange_ptr &exchange) = 0;
 
 protected:
-    standin_context &m_base;
+    standin_context &m_context;
 };
 
 /// Simulates the transactional table, with a rate limit.
