--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -32,9 +32,9 @@
 
 void standin_context::reply(const exchange_ptr &exchange, int status, const json &body)
 {
-    if (fault.loseAnswers > 0) {
+    if (fault.dropReplies > 0) {
         // No reply is sent, so that the caller can't tell whether the call took effect.
-        fault.loseAnswers -= 1;
+        fault.dropReplies -= 1;
         return;
     }
     const auto send = [exchange, status, text = body.dump()] {
@@ -51,7 +51,7 @@
     standin_fault fault;
     fault.down = body.value("down", false);
     fault.slow = milliseconds(body.value("slow_ms", 0));
-    fault.loseAnswers = body.value("lose_answers", 0);
+    fault.dropReplies = body.value("lose_answers", 0);
     fault.errorShare = body.value("error_share", 0.0);
     fault.badVersion = body.value("bad_version", "");
     fault.badShare = body.value("bad_share", 0.0);
