--- a/include/laurelcroft/Standin/Standin.h
+++ b/include/laurelcroft/Standin/Standin.h
@@ -38,7 +38,7 @@
 struct standin_fault
 {
     bool down = false; ///< reply with status 503; the instance list ignores it
-    milliseconds slow{0}; ///< extra delay of JSON replies, service calls and engine steps
+    milliseconds extraDelay{0}; ///< extra delay of JSON replies, service calls and engine steps
     int dropReplies = 0; ///< number of calls whose reply is dropped after they took effect
     double errorShare = 0; ///< share of an engine's chat requests that fail
     std::string badVersion; ///< `model@version` whose answers are degraded
--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -177,7 +177,7 @@
         prefillMs += item.prefillLeftMs;
         item.prefillLeftMs = 0;
     }
-    stepMs += prefillMs + static_cast<double>(m_context.fault.slow.count());
+    stepMs += prefillMs + static_cast<double>(m_context.fault.extraDelay.count());
     m_context.runtime.after(duration(static_cast<std::int64_t>(stepMs * 1e6)), [this] { step(); });
 }
 
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -40,8 +40,8 @@
     const auto send = [exchange, status, text = body.dump()] {
         exchange->reply(status, {{"Content-Type", "application/json"}}, text);
     };
-    if (fault.slow.count() > 0)
-        runtime.after(fault.slow, send);
+    if (fault.extraDelay.count() > 0)
+        runtime.after(fault.extraDelay, send);
     else
         send();
 }
@@ -50,7 +50,7 @@
 {
     standin_fault fault;
     fault.down = body.value("down", false);
-    fault.slow = milliseconds(body.value("slow_ms", 0));
+    fault.extraDelay = milliseconds(body.value("slow_ms", 0));
     fault.dropReplies = body.value("lose_answers", 0);
     fault.errorShare = body.value("error_share", 0.0);
     fault.badVersion = body.value("bad_version", "");
