--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -151,7 +151,7 @@
     return true;
 }
 
-bool list_role::handle(const exchange_ptr &exchange)
+bool instance_list_role::handle(const exchange_ptr &exchange)
 {
     const http_request &request = exchange->request();
     if (request.path != "/v1/instances")
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -86,10 +86,10 @@
 };
 
 /// Simulates the instance list. Updates become visible after a lag.
-class list_role : public standin_role
+class instance_list_role : public standin_role
 {
 public:
-    list_role(standin_context &base, milliseconds lag)
+    instance_list_role(standin_context &base, milliseconds lag)
         : standin_role(base)
         , m_lag(lag)
     {
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -107,7 +107,7 @@
     if (role == "ratings")
         return std::make_unique<ratings_role>(base, delay);
     if (role == "list")
-        return std::make_unique<list_role>(base, delay);
+        return std::make_unique<instance_list_role>(base, delay);
     if (role == "service")
         return std::make_unique<service_role>(base, delay);
     return nullptr;
