--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -104,7 +104,7 @@
     m_context.reply(exchange, http_status::ok, {{"rows", rows}});
 }
 
-bool objects_role::handle(const exchange_ptr &exchange)
+bool object_store_role::handle(const exchange_ptr &exchange)
 {
     static constexpr std::string_view prefix = "/v1/objects/";
     const http_request &request = exchange->request();
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -59,7 +59,7 @@
 };
 
 /// Simulates the object store.
-class objects_role : public standin_role
+class object_store_role : public standin_role
 {
 public:
     using standin_role::standin_role;
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -103,7 +103,7 @@
     if (role == "table")
         return std::make_unique<table_role>(base, static_cast<double>(given.number("rate")));
     if (role == "objects")
-        return std::make_unique<objects_role>(base);
+        return std::make_unique<object_store_role>(base);
     if (role == "ratings")
         return std::make_unique<ratings_role>(base, delay);
     if (role == "list")
