--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -160,12 +160,12 @@
         const json body = json::parse(request.body, nullptr, false);
         m_context.runtime.after(m_lag, [this, body] {
             if (body.is_object() && body.contains("instances"))
-                m_shown = body["instances"];
+                m_visibleInstances = body["instances"];
         });
         m_context.reply(exchange, http_status::ok, {{"taken", true}});
         return true;
     }
-    m_context.reply(exchange, http_status::ok, {{"instances", m_shown}});
+    m_context.reply(exchange, http_status::ok, {{"instances", m_visibleInstances}});
     return true;
 }
 
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -98,7 +98,7 @@
 
 private:
     milliseconds m_lag;
-    nlohmann::json m_shown = nlohmann::json::array();
+    nlohmann::json m_visibleInstances = nlohmann::json::array();
 };
 
 /// Simulates an endpoint that is no model engine and serves any path.
