--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -178,7 +178,7 @@
         return true;
     }
     m_context.log.add({{"kind", "started"}, {"request_id", id}, {"path", request.path}});
-    m_context.runtime.after(m_took + m_context.fault.extraDelay, [this, exchange, id] {
+    m_context.runtime.after(m_processingTime + m_context.fault.extraDelay, [this, exchange, id] {
         m_context.log.add({{"kind", "finished"}, {"request_id", id}});
         exchange->reply(http_status::ok, {{"Content-Type", "application/json"}},
                         json{{"done", true}, {"request_id", id}}.dump());
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -107,13 +107,13 @@
 public:
     service_role(standin_context &base, milliseconds took)
         : standin_role(base)
-        , m_took(took)
+        , m_processingTime(took)
     {
     }
     bool handle(const exchange_ptr &exchange) override;
 
 private:
-    milliseconds m_took;
+    milliseconds m_processingTime;
 };
 
 /// Parameters of a simulated engine.
