--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -18,7 +18,7 @@
 {
 }
 
-bool table_role::takeRate()
+bool table_role::takeToken()
 {
     const time_point now = m_context.runtime.now();
     const double elapsed = std::chrono::duration<double>(now - m_filledAt).count();
@@ -38,7 +38,7 @@
         return false;
     if (m_context.fault.down)
         m_context.reply(exchange, http_status::unavailable, {{"error", "down"}});
-    else if (!takeRate())
+    else if (!takeToken())
         exchange->reply(http_status::tooManyRequests, {{"Retry-After", "0.2"}}, "{}");
     else if (isScan)
         scan(exchange);
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -47,7 +47,7 @@
         std::uint64_t version = 0;
     };
     /// Takes one call from the rate limit. \returns false if the limit is exceeded.
-    bool takeRate();
+    bool takeToken();
     nlohmann::json apply(const nlohmann::json &operation);
     void transact(const exchange_ptr &exchange);
     void scan(const exchange_ptr &exchange);
