--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -14,16 +14,16 @@
     : standin_role(base)
     , m_perSecond(perSecond)
     , m_tokens(perSecond)
-    , m_filledAt(base.runtime.now())
+    , m_refilledAt(base.runtime.now())
 {
 }
 
 bool table_role::takeToken()
 {
     const time_point now = m_context.runtime.now();
-    const double elapsed = std::chrono::duration<double>(now - m_filledAt).count();
+    const double elapsed = std::chrono::duration<double>(now - m_refilledAt).count();
     m_tokens = std::min(m_perSecond, m_tokens + elapsed * m_perSecond);
-    m_filledAt = now;
+    m_refilledAt = now;
     if (m_tokens < 1)
         return false;
     m_tokens -= 1;
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -54,7 +54,7 @@
 
     double m_perSecond;
     double m_tokens;
-    time_point m_filledAt;
+    time_point m_refilledAt;
     std::map<std::string, row> m_rows;
 };
 
