--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -185,7 +185,7 @@
 {
     m_stepping = false;
     for (auto it = m_running.begin(); it != m_running.end();) {
-        makeToken(*it);
+        generateToken(*it);
         if (it->made < it->wanted) {
             ++it;
             continue;
@@ -197,7 +197,7 @@
         scheduleStep();
 }
 
-void engine_role::makeToken(job &item)
+void engine_role::generateToken(job &item)
 {
     item.made += 1;
     std::string word = "w" + std::to_string(item.made) + " ";
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -167,7 +167,7 @@
     void admit();
     void scheduleStep();
     void step();
-    void makeToken(job &item);
+    void generateToken(job &item);
     void finish(job &item);
     void cancel(std::uint64_t id);
 
