--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -81,7 +81,7 @@
 
 /// Looks up the prompt's prefix in the cache and adds it as the most recently used one.
 /// \returns the number of prompt tokens served from the cache.
-std::uint64_t engine_role::useCache(const std::string &body, std::uint64_t tokens)
+std::uint64_t engine_role::lookUpPrefix(const std::string &body, std::uint64_t tokens)
 {
     const std::size_t at = body.find("\"messages\"");
     const std::string prefix = body.substr(at == std::string::npos ? 0 : at, prefixBytes);
@@ -124,7 +124,7 @@
     item.stream = body.value("stream", false);
     item.priority = std::atoi(std::string(findHeader(request.headers, "X-Priority")).c_str());
     item.promptTokens = request.body.size() / bytesPerToken;
-    item.cachedTokens = useCache(request.body, item.promptTokens);
+    item.cachedTokens = lookUpPrefix(request.body, item.promptTokens);
     item.wanted = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, mostTokens);
     item.prefillLeftMs = static_cast<double>(item.promptTokens - item.cachedTokens)
             * m_options.prefillMsPerToken;
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -163,7 +163,7 @@
     void onOrder(const exchange_ptr &exchange);
     void onLoad(const exchange_ptr &exchange);
     void drawQuality(job &item);
-    std::uint64_t useCache(const std::string &body, std::uint64_t tokens);
+    std::uint64_t lookUpPrefix(const std::string &body, std::uint64_t tokens);
     void admit();
     void scheduleStep();
     void step();
