--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -126,7 +126,7 @@
     item.promptTokens = request.body.size() / bytesPerToken;
     item.cachedTokens = lookUpPrefix(request.body, item.promptTokens);
     item.wanted = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, mostTokens);
-    item.prefillLeftMs = static_cast<double>(item.promptTokens - item.cachedTokens)
+    item.remainingPrefillMs = static_cast<double>(item.promptTokens - item.cachedTokens)
             * m_options.prefillMsPerToken;
     drawQuality(item);
     m_context.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
@@ -174,8 +174,8 @@
     // for all running requests.
     double prefillMs = 0;
     for (job &item : m_running) {
-        prefillMs += item.prefillLeftMs;
-        item.prefillLeftMs = 0;
+        prefillMs += item.remainingPrefillMs;
+        item.remainingPrefillMs = 0;
     }
     stepMs += prefillMs + static_cast<double>(m_context.fault.extraDelay.count());
     m_context.runtime.after(duration(static_cast<std::int64_t>(stepMs * 1e6)), [this] { step(); });
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -153,7 +153,7 @@
         std::uint64_t cachedTokens = 0;
         std::uint64_t wanted = 0;
         std::uint64_t made = 0;
-        double prefillLeftMs = 0;
+        double remainingPrefillMs = 0;
         double confidence = 0;
         bool good = true;
         std::string text;
