--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -125,7 +125,8 @@
     item.priority = std::atoi(std::string(findHeader(request.headers, "X-Priority")).c_str());
     item.promptTokens = request.body.size() / bytesPerToken;
     item.cachedTokens = lookUpPrefix(request.body, item.promptTokens);
-    item.wanted = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, mostTokens);
+    item.requestedTokens
+            = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, mostTokens);
     item.remainingPrefillMs = static_cast<double>(item.promptTokens - item.cachedTokens)
             * m_options.prefillMsPerToken;
     drawQuality(item);
@@ -186,7 +187,7 @@
     m_stepping = false;
     for (auto it = m_running.begin(); it != m_running.end();) {
         generateToken(*it);
-        if (it->made < it->wanted) {
+        if (it->made < it->requestedTokens) {
             ++it;
             continue;
         }
@@ -201,7 +202,7 @@
 {
     item.made += 1;
     std::string word = "w" + std::to_string(item.made) + " ";
-    if (item.made == item.wanted)
+    if (item.made == item.requestedTokens)
         word = item.good ? "checked" : "unchecked";
     item.text += word;
     if (!item.stream)
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -151,7 +151,7 @@
         int priority = 0;
         std::uint64_t promptTokens = 0;
         std::uint64_t cachedTokens = 0;
-        std::uint64_t wanted = 0;
+        std::uint64_t requestedTokens = 0;
         std::uint64_t made = 0;
         double remainingPrefillMs = 0;
         double confidence = 0;
