--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -144,8 +144,9 @@
     const auto drop = [&](const job &item) {
         if (item.id != id)
             return false;
-        m_context.log.add(
-                {{"kind", "cancelled"}, {"request_id", item.requestId}, {"tokens", item.made}});
+        m_context.log.add({{"kind", "cancelled"},
+                           {"request_id", item.requestId},
+                           {"tokens", item.generatedTokens}});
         return true;
     };
     std::erase_if(m_waiting, drop);
@@ -187,7 +188,7 @@
     m_stepping = false;
     for (auto it = m_running.begin(); it != m_running.end();) {
         generateToken(*it);
-        if (it->made < it->requestedTokens) {
+        if (it->generatedTokens < it->requestedTokens) {
             ++it;
             continue;
         }
@@ -200,9 +201,9 @@
 
 void engine_role::generateToken(job &item)
 {
-    item.made += 1;
-    std::string word = "w" + std::to_string(item.made) + " ";
-    if (item.made == item.requestedTokens)
+    item.generatedTokens += 1;
+    std::string word = "w" + std::to_string(item.generatedTokens) + " ";
+    if (item.generatedTokens == item.requestedTokens)
         word = item.good ? "checked" : "unchecked";
     item.text += word;
     if (!item.stream)
@@ -219,7 +220,7 @@
     m_context.log.add({{"kind", "finished"},
                        {"request_id", item.requestId},
                        {"model", item.model},
-                       {"tokens", item.made},
+                       {"tokens", item.generatedTokens},
                        {"good", item.good}});
     ordered_json body;
     body["object"] = item.stream ? "chat.completion.chunk" : "chat.completion";
@@ -231,7 +232,7 @@
         choice["delta"] = json::object();
     body["choices"] = {choice};
     body["usage"] = {{"prompt_tokens", item.promptTokens},
-                     {"completion_tokens", item.made},
+                     {"completion_tokens", item.generatedTokens},
                      {"prompt_tokens_details", {{"cached_tokens", item.cachedTokens}}}};
     body["confidence"] = std::round(item.confidence * 1000) / 1000;
     if (!item.stream) {
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -152,7 +152,7 @@
         std::uint64_t promptTokens = 0;
         std::uint64_t cachedTokens = 0;
         std::uint64_t requestedTokens = 0;
-        std::uint64_t made = 0;
+        std::uint64_t generatedTokens = 0;
         double remainingPrefillMs = 0;
         double confidence = 0;
         bool good = true;
