--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -176,7 +176,7 @@
     std::list<job> m_running;
     std::list<std::string> m_prefixes;
     std::set<std::string> m_loaded;
-    std::uint64_t m_fence = 0;
+    std::uint64_t m_highestFence = 0;
     std::uint64_t m_lastJob = 0;
     bool m_stepping = false;
 };
