--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -57,7 +57,7 @@
     const std::uint64_t fence = order.value("fence", std::uint64_t{0});
     const std::string version = order.value("version", "");
     const bool loads = order.value("action", "") == "load";
-    const bool stale = m_options.fenced && fence < m_highestFence;
+    const bool stale = m_options.checksFence && fence < m_highestFence;
     m_context.log.add({{"kind", "order"},
                        {"action", loads ? "load" : "unload"},
                        {"version", version},
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -126,7 +126,7 @@
     double quality = 0.9; ///< mean confidence of its answers
     std::size_t cachedPrefixes = 64;
     milliseconds loadTime{50}; ///< time to load a version
-    bool fenced = true; ///< reject orders with a stale fence
+    bool checksFence = true; ///< reject orders with a stale fence
 };
 
 /// Simulates a model engine with continuous batching.
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -90,7 +90,7 @@
     options.prefillMsPerToken = static_cast<double>(given.number("prefill-us")) / 1000.0;
     options.quality = static_cast<double>(given.number("quality-percent")) / 100.0;
     options.loadTime = milliseconds(given.number("load-ms"));
-    options.fenced = !given.flag("unfenced");
+    options.checksFence = !given.flag("unfenced");
     return options;
 }
 
