--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -85,13 +85,13 @@
 {
     const std::size_t at = body.find("\"messages\"");
     const std::string prefix = body.substr(at == std::string::npos ? 0 : at, prefixBytes);
-    const auto found = std::find(m_prefixes.begin(), m_prefixes.end(), prefix);
-    const bool known = found != m_prefixes.end();
+    const auto found = std::find(m_cachedPrefixes.begin(), m_cachedPrefixes.end(), prefix);
+    const bool known = found != m_cachedPrefixes.end();
     if (known)
-        m_prefixes.erase(found);
-    m_prefixes.push_front(prefix);
-    if (m_prefixes.size() > m_options.cachedPrefixes)
-        m_prefixes.pop_back();
+        m_cachedPrefixes.erase(found);
+    m_cachedPrefixes.push_front(prefix);
+    if (m_cachedPrefixes.size() > m_options.cachedPrefixes)
+        m_cachedPrefixes.pop_back();
     return known ? tokens * 3 / 4 : 0;
 }
 
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -174,7 +174,7 @@
     engine_options m_options;
     std::deque<job> m_waiting;
     std::list<job> m_running;
-    std::list<std::string> m_prefixes;
+    std::list<std::string> m_cachedPrefixes;
     std::set<std::string> m_loaded;
     std::uint64_t m_highestFence = 0;
     std::uint64_t m_lastJob = 0;
