--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -166,9 +166,9 @@
 
 void engine_role::scheduleStep()
 {
-    if (m_stepping)
+    if (m_stepScheduled)
         return;
-    m_stepping = true;
+    m_stepScheduled = true;
     admit();
     const auto others = static_cast<double>(m_running.empty() ? 0 : m_running.size() - 1);
     double stepMs = m_options.decodeMs * (1.0 + m_options.batchSlowdown * others);
@@ -185,7 +185,7 @@
 
 void engine_role::step()
 {
-    m_stepping = false;
+    m_stepScheduled = false;
     for (auto it = m_running.begin(); it != m_running.end();) {
         generateToken(*it);
         if (it->generatedTokens < it->requestedTokens) {
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -178,7 +178,7 @@
     std::set<std::string> m_loaded;
     std::uint64_t m_highestFence = 0;
     std::uint64_t m_lastJob = 0;
-    bool m_stepping = false;
+    bool m_stepScheduled = false;
 };
 
 } // namespace laurelcroft
