--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 constexpr std::uint64_t defaultTokens = 16;
-constexpr std::uint64_t mostTokens = 100000;
+constexpr std::uint64_t maxTokens = 100000;
 constexpr std::size_t bytesPerToken = 4;
 constexpr std::size_t prefixBytes = 64;
 constexpr double confidenceSpread = 0.18;
@@ -126,7 +126,7 @@
     item.promptTokens = request.body.size() / bytesPerToken;
     item.cachedTokens = lookUpPrefix(request.body, item.promptTokens);
     item.requestedTokens
-            = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, mostTokens);
+            = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, maxTokens);
     item.remainingPrefillMs = static_cast<double>(item.promptTokens - item.cachedTokens)
             * m_options.prefillMsPerToken;
     drawQuality(item);
