--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -38,26 +38,26 @@
 
 /// Simulates one roll-out until it is stopped or all answers are served.
 /// \param observedShare share of the answers whose quality becomes known.
-/// \param judge called with each of these answers; returns true to stop the roll-out.
-template <class Judge>
+/// \param shouldStop called with each of these answers; returns true to stop the roll-out.
+template <class StopRule>
 rollout_result runRollout(const bad_share_function &bad, std::uint64_t seed, double observedShare,
-                          Judge &&judge)
+                          StopRule &&shouldStop)
 {
     random_source random(seed);
     rollout_result result;
-    int own = 0;
+    int servedByRollout = 0;
     for (int i = 0; i < answerCount; ++i) {
         const bool isRollout = random.chance(rolloutShare);
         const std::size_t group = random.index(groupCount);
-        const double share = isRollout ? bad(own, group) : baselineBadShare;
+        const double share = isRollout ? bad(servedByRollout, group) : baselineBadShare;
         const bool good = !random.chance(share);
         if (isRollout) {
-            own += 1;
+            servedByRollout += 1;
             result.served += 1;
         }
         if (!random.chance(observedShare))
             continue;
-        if (judge(isRollout, group, good)) {
+        if (shouldStop(isRollout, group, good)) {
             result.stopped = true;
             return result;
         }
@@ -85,19 +85,19 @@
                                  double observedShare)
 {
     std::vector<int> window;
-    std::size_t at = 0;
+    std::size_t oldest = 0;
     return runRollout(bad, seed, observedShare, [&](bool isRollout, std::size_t, bool good) {
         if (!isRollout)
             return false;
         if (window.size() < fixedWindow) {
             window.push_back(good ? 0 : 1);
         } else {
-            window[at] = good ? 0 : 1;
-            at = (at + 1) % fixedWindow;
+            window[oldest] = good ? 0 : 1;
+            oldest = (oldest + 1) % fixedWindow;
         }
-        const auto wrong = std::count(window.begin(), window.end(), 1);
+        const auto badAnswers = std::count(window.begin(), window.end(), 1);
         return window.size() == fixedWindow
-                && static_cast<double>(wrong) > fixedThreshold * fixedWindow;
+                && static_cast<double>(badAnswers) > fixedThreshold * fixedWindow;
     });
 }
 
