--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -56,9 +56,11 @@
 /// The local state of an entry, from which it corrects the reported load.
 struct trial_entry
 {
-    std::vector<double> sentSinceReport
-            = std::vector<double>(engineCount, 0); ///< offers since the last report, by engine
+    /// Requests offered to each engine since its last report.
+    std::vector<double> sentSinceReport = std::vector<double>(engineCount, 0);
+    /// Unfinished requests of this entry at each engine.
     std::vector<double> ownRunning = std::vector<double>(engineCount, 0);
+    /// The engine that last accepted a request of each session; engineCount if none.
     std::vector<std::size_t> lastEngine = std::vector<std::size_t>(sessions, engineCount);
     std::size_t nextEngine = 0;
 };
@@ -93,9 +95,9 @@
         m_perSecond = capacity * load;
     }
 
-    void run(double forSeconds)
+    void run(double durationSeconds)
     {
-        m_end = runtime.now() + duration(static_cast<std::int64_t>(forSeconds * 1e9));
+        m_end = runtime.now() + duration(static_cast<std::int64_t>(durationSeconds * 1e9));
         publishReports();
         scheduleArrival();
         while (runtime.now() < m_end && runtime.runNext()) { }
@@ -164,13 +166,14 @@
                 engine.cached.pop_front();
             const double prefill = promptTokens * prefillMsPerToken * (hit ? 0.25 : 1.0);
             const double step = engine.tokenMs * (1 + 0.03 * static_cast<double>(engine.running));
-            const duration first(static_cast<std::int64_t>((prefill + step) * 1e6));
-            const duration waited = runtime.now() + first - job.sentAt;
+            const duration firstTokenDelay(static_cast<std::int64_t>((prefill + step) * 1e6));
+            const duration waited = runtime.now() + firstTokenDelay - job.sentAt;
             firstToken.record(waited);
             withinTarget += waited <= firstTokenTarget ? 1 : 0;
             betweenTokens.record(duration(static_cast<std::int64_t>(step * 1e6)));
-            const duration whole(static_cast<std::int64_t>((prefill + step * job.tokens) * 1e6));
-            runtime.after(whole, [this, number, entry = job.entry] {
+            const duration totalTime(
+                    static_cast<std::int64_t>((prefill + step * job.tokens) * 1e6));
+            runtime.after(totalTime, [this, number, entry = job.entry] {
                 engines[number].running -= 1;
                 entries[entry].ownRunning[number] -= 1;
                 served += 1;
@@ -203,16 +206,16 @@
 
 /// \returns the engines as \p entry sees them.
 /// \param corrected whether to add the requests that the entry itself has sent.
-std::vector<endpoint_view> makeEndpointViews(const endpoint_simulation &world,
+std::vector<endpoint_view> makeEndpointViews(const endpoint_simulation &simulation,
                                              const trial_entry &entry, const trial_job &job,
                                              bool corrected)
 {
     std::vector<endpoint_view> views;
     for (std::size_t i = 0; i < engineCount; ++i) {
         endpoint_view view;
-        view.reportedPending = world.engines[i].reportedPending;
-        view.slots = static_cast<double>(world.engines[i].slots);
-        view.tokensPerSecond = world.engines[i].reportedRate;
+        view.reportedPending = simulation.engines[i].reportedPending;
+        view.slots = static_cast<double>(simulation.engines[i].slots);
+        view.tokensPerSecond = simulation.engines[i].reportedRate;
         if (corrected) {
             view.sentSinceReport = entry.sentSinceReport[i];
             view.ownRunning = entry.ownRunning[i];
@@ -223,25 +226,25 @@
     return views;
 }
 
-std::size_t chooseByExpectedWait(endpoint_simulation &world, trial_entry &entry,
+std::size_t chooseByExpectedWait(endpoint_simulation &simulation, trial_entry &entry,
                                  const trial_job &job)
 {
-    const auto views = makeEndpointViews(world, entry, job, true);
-    return chooseEndpoint(views, {promptTokens, meanOutputTokens}, world.choices)->index;
+    const auto views = makeEndpointViews(simulation, entry, job, true);
+    return chooseEndpoint(views, {promptTokens, meanOutputTokens}, simulation.choices)->index;
 }
 
-std::size_t chooseFromTwo(endpoint_simulation &world, trial_entry &, const trial_job &)
+std::size_t chooseFromTwo(endpoint_simulation &simulation, trial_entry &, const trial_job &)
 {
-    const std::size_t a = world.choices.index(engineCount);
-    const std::size_t b = world.choices.index(engineCount);
-    return world.engines[a].reportedPending <= world.engines[b].reportedPending ? a : b;
+    const std::size_t a = simulation.choices.index(engineCount);
+    const std::size_t b = simulation.choices.index(engineCount);
+    return simulation.engines[a].reportedPending <= simulation.engines[b].reportedPending ? a : b;
 }
 
-std::size_t chooseLeastLoaded(endpoint_simulation &world, trial_entry &, const trial_job &)
+std::size_t chooseLeastLoaded(endpoint_simulation &simulation, trial_entry &, const trial_job &)
 {
     std::size_t best = 0;
     for (std::size_t i = 1; i < engineCount; ++i) {
-        if (world.engines[i].reportedPending < world.engines[best].reportedPending)
+        if (simulation.engines[i].reportedPending < simulation.engines[best].reportedPending)
             best = i;
     }
     return best;
@@ -274,20 +277,21 @@
     };
     for (const double load : given.axisValues) {
         for (const auto &[variant, choose, waiting] : variants) {
-            endpoint_simulation world(given.seed, load, choose, waiting);
-            world.run(given.runs);
+            endpoint_simulation simulation(given.seed, load, choose, waiting);
+            simulation.run(given.runs);
             rows.push_back({given.kind,
                             variant,
                             load,
                             "share of the capacity",
-                            {{"first token p50 ms", ms(world.firstToken.quantile(0.5))},
-                             {"first token p95 ms", ms(world.firstToken.quantile(0.95))},
-                             {"first token p99 ms", ms(world.firstToken.quantile(0.99))},
-                             {"between tokens p95 ms", ms(world.betweenTokens.quantile(0.95))},
-                             {"served/s", world.served / given.runs},
-                             {"first token in 1.4 s, /s", world.withinTarget / given.runs},
+                            {{"first token p50 ms", ms(simulation.firstToken.quantile(0.5))},
+                             {"first token p95 ms", ms(simulation.firstToken.quantile(0.95))},
+                             {"first token p99 ms", ms(simulation.firstToken.quantile(0.99))},
+                             {"between tokens p95 ms", ms(simulation.betweenTokens.quantile(0.95))},
+                             {"served/s", simulation.served / given.runs},
+                             {"first token in 1.4 s, /s", simulation.withinTarget / given.runs},
                              {"refused share",
-                              world.refused / std::max(1.0, world.refused + world.served)}}});
+                              simulation.refused
+                                      / std::max(1.0, simulation.refused + simulation.served)}}});
         }
     }
     return rows;
