--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -175,16 +175,16 @@
     const time_point began = fleet.runtime.now();
     fleet.adoptEpoch(*fleet.members[0], epoch);
     fleet.runtime.advance(seconds(20));
-    double last = 0;
+    double slowest = 0;
     for (const auto &item : fleet.members) {
         if (item->silent)
             continue;
         if (item->counts.epoch != epoch)
             return -1;
-        last = std::max(last,
-                        std::chrono::duration<double>(item->counts.adoptedAt - began).count());
+        slowest = std::max(slowest,
+                           std::chrono::duration<double>(item->counts.adoptedAt - began).count());
     }
-    return last;
+    return slowest;
 }
 
 std::vector<trial_row> laurelcroft::runSpreadTrial(const trial_settings &given)
@@ -197,9 +197,9 @@
         // that of a stable fleet.
         fleet.runtime.advance(settleTime + milliseconds(static_cast<std::int64_t>(size) * 500));
         fleet.resetCounts();
-        const double before = cpuSeconds();
+        const double cpuBefore = cpuSeconds();
         fleet.runtime.advance(measurementTime);
-        const double used = cpuSeconds() - before;
+        const double cpuTime = cpuSeconds() - cpuBefore;
         const double watched = std::chrono::duration<double>(measurementTime).count();
         double bytes = 0;
         double datagrams = 0;
@@ -215,14 +215,14 @@
             fleet.members[i]->silent = true;
         const double afterLoss = measureEpoch(fleet, 3);
         fleet.runtime.advance(seconds(10));
-        double found = 0;
-        double gone = 0;
+        double detectedDeaths = 0;
+        double silentMembers = 0;
         const double live = size - std::ceil((size - 1) / 6);
         for (std::size_t i = 0; i < count; ++i) {
             if (!fleet.members[i]->silent)
                 continue;
-            found += static_cast<double>(fleet.countDeadReports(i)) / live;
-            gone += 1;
+            detectedDeaths += static_cast<double>(fleet.countDeadReports(i)) / live;
+            silentMembers += 1;
         }
         fleet.runtime.advance(seconds(50));
         double falseAlarms = 0;
@@ -238,10 +238,11 @@
                          {"epoch everywhere, a sixth gone s", afterLoss},
                          {"bytes/s a node", bytes / size / watched},
                          {"datagrams/s a node", datagrams / size / watched},
-                         {"processor % of a core a node", 100 * used / watched / size},
+                         {"processor % of a core a node", 100 * cpuTime / watched / size},
                          {"members known", known / size},
                          {"live members called dead after 80 s, pairs", falseAlarms},
-                         {"deaths known after 30 s", gone > 0 ? found / gone : 1}}});
+                         {"deaths known after 30 s",
+                          silentMembers > 0 ? detectedDeaths / silentMembers : 1}}});
     }
     return rows;
 }
@@ -343,9 +344,9 @@
         context.run_for(socketSettleTime);
         for (const auto &item : members)
             item->counts.bytes = 0;
-        const double before = cpuSeconds();
+        const double cpuBefore = cpuSeconds();
         context.run_for(socketMeasurementTime);
-        const double used = cpuSeconds() - before;
+        const double cpuTime = cpuSeconds() - cpuBefore;
         const double watched = std::chrono::duration<double>(socketMeasurementTime).count();
         double bytes = 0;
         double known = 0;
@@ -356,22 +357,22 @@
         const time_point began = runtime.now();
         adoptSocketEpoch(*members[0], runtime, 2);
         context.run_for(socketSpreadTime);
-        double last = 0;
+        double slowest = 0;
         double missing = 0;
         for (const auto &item : members) {
             missing += item->counts.epoch == 2 ? 0 : 1;
-            last = std::max(last,
-                            std::chrono::duration<double>(item->counts.adoptedAt - began).count());
+            slowest = std::max(
+                    slowest, std::chrono::duration<double>(item->counts.adoptedAt - began).count());
         }
         const auto total = static_cast<double>(count);
         rows.push_back({given.kind,
                         "laurelcroft",
                         total,
                         "members",
-                        {{"epoch everywhere s", last},
+                        {{"epoch everywhere s", slowest},
                          {"members without it after 6 s", missing},
                          {"bytes/s a node", bytes / total / watched},
-                         {"processor % of a core a node", 100 * used / watched / total},
+                         {"processor % of a core a node", 100 * cpuTime / watched / total},
                          {"members known", known / total}}});
     }
     return rows;
