--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -103,8 +103,8 @@
             continue;
         std::cerr << "running experiment " << given.kind << " with seed " << given.seed
                   << std::endl;
-        const auto found = kind.run(given);
-        rows.insert(rows.end(), found.begin(), found.end());
+        const auto results = kind.run(given);
+        rows.insert(rows.end(), results.begin(), results.end());
         return true;
     }
     std::cerr << "laurelcroft-load: error: unknown kind of experiment '" << given.kind << "'\n";
