--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -56,10 +56,10 @@
     }
     const std::uint64_t fence = order.value("fence", std::uint64_t{0});
     const std::string version = order.value("version", "");
-    const bool loads = order.value("action", "") == "load";
+    const bool isLoad = order.value("action", "") == "load";
     const bool stale = m_options.checksFence && fence < m_highestFence;
     m_context.log.add({{"kind", "order"},
-                       {"action", loads ? "load" : "unload"},
+                       {"action", isLoad ? "load" : "unload"},
                        {"version", version},
                        {"fence", fence},
                        {"done", !stale}});
@@ -68,7 +68,7 @@
         return;
     }
     m_highestFence = std::max(m_highestFence, fence);
-    if (!loads) {
+    if (!isLoad) {
         m_loaded.erase(version);
         m_context.reply(exchange, http_status::ok, {{"done", true}});
         return;
@@ -86,13 +86,13 @@
     const std::size_t at = body.find("\"messages\"");
     const std::string prefix = body.substr(at == std::string::npos ? 0 : at, prefixBytes);
     const auto found = std::find(m_cachedPrefixes.begin(), m_cachedPrefixes.end(), prefix);
-    const bool known = found != m_cachedPrefixes.end();
-    if (known)
+    const bool isCached = found != m_cachedPrefixes.end();
+    if (isCached)
         m_cachedPrefixes.erase(found);
     m_cachedPrefixes.push_front(prefix);
     if (m_cachedPrefixes.size() > m_options.cachedPrefixes)
         m_cachedPrefixes.pop_back();
-    return known ? tokens * 3 / 4 : 0;
+    return isCached ? tokens * 3 / 4 : 0;
 }
 
 void engine_role::drawQuality(job &item)
@@ -100,8 +100,8 @@
     std::normal_distribution<double> spread(m_options.quality, confidenceSpread);
     item.confidence = std::clamp(spread(m_context.random.engine()), 0.01, 0.99);
     double goodShare = item.confidence;
-    const bool turnedBad = item.model == m_context.fault.badVersion;
-    if (turnedBad)
+    const bool isDegraded = item.model == m_context.fault.badVersion;
+    if (isDegraded)
         goodShare *= 1.0 - m_context.fault.badShare;
     item.good = m_context.random.chance(goodShare);
 }
@@ -132,10 +132,10 @@
     drawQuality(item);
     m_context.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
     exchange->onPeerLeft([this, id = item.id] { cancel(id); });
-    const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const job &other) {
+    const auto position = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const job &other) {
         return other.priority > item.priority;
     });
-    m_waiting.insert(place, std::move(item));
+    m_waiting.insert(position, std::move(item));
     scheduleStep();
 }
 
--- a/lib/Standin/Platform.cpp
+++ b/lib/Standin/Platform.cpp
@@ -10,11 +10,11 @@
 using namespace laurelcroft;
 using nlohmann::json;
 
-table_role::table_role(standin_context &base, double perSecond)
-    : standin_role(base)
+table_role::table_role(standin_context &context, double perSecond)
+    : standin_role(context)
     , m_perSecond(perSecond)
     , m_tokens(perSecond)
-    , m_refilledAt(base.runtime.now())
+    , m_refilledAt(context.runtime.now())
 {
 }
 
@@ -70,13 +70,14 @@
         m_context.log.add({{"kind", "inserted"}, {"key", key}, {"value", value}});
         return rowJson("done", value, 1);
     }
-    const std::uint64_t wanted = operation.value("version", std::uint64_t{0});
-    const std::uint64_t standing = found == m_rows.end() ? 0 : found->second.version;
-    if (wanted != standing)
-        return rowJson("conflict", found == m_rows.end() ? "" : found->second.value, standing);
-    m_rows[key] = {value, standing + 1};
+    const std::uint64_t expectedVersion = operation.value("version", std::uint64_t{0});
+    const std::uint64_t currentVersion = found == m_rows.end() ? 0 : found->second.version;
+    if (expectedVersion != currentVersion)
+        return rowJson("conflict", found == m_rows.end() ? "" : found->second.value,
+                       currentVersion);
+    m_rows[key] = {value, currentVersion + 1};
     m_context.log.add({{"kind", "set"}, {"key", key}, {"value", value}});
-    return rowJson("done", value, standing + 1);
+    return rowJson("done", value, currentVersion + 1);
 }
 
 void table_role::transact(const exchange_ptr &exchange)
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -20,8 +20,8 @@
 class standin_role
 {
 public:
-    explicit standin_role(standin_context &base)
-        : m_context(base)
+    explicit standin_role(standin_context &context)
+        : m_context(context)
     {
     }
     virtual ~standin_role() = default;
@@ -37,7 +37,7 @@
 class table_role : public standin_role
 {
 public:
-    table_role(standin_context &base, double perSecond);
+    table_role(standin_context &context, double perSecond);
     bool handle(const exchange_ptr &exchange) override;
 
 private:
@@ -74,8 +74,8 @@
 class ratings_role : public standin_role
 {
 public:
-    ratings_role(standin_context &base, milliseconds delay)
-        : standin_role(base)
+    ratings_role(standin_context &context, milliseconds delay)
+        : standin_role(context)
         , m_delay(delay)
     {
     }
@@ -89,8 +89,8 @@
 class instance_list_role : public standin_role
 {
 public:
-    instance_list_role(standin_context &base, milliseconds lag)
-        : standin_role(base)
+    instance_list_role(standin_context &context, milliseconds lag)
+        : standin_role(context)
         , m_lag(lag)
     {
     }
@@ -105,9 +105,9 @@
 class service_role : public standin_role
 {
 public:
-    service_role(standin_context &base, milliseconds took)
-        : standin_role(base)
-        , m_processingTime(took)
+    service_role(standin_context &context, milliseconds processingTime)
+        : standin_role(context)
+        , m_processingTime(processingTime)
     {
     }
     bool handle(const exchange_ptr &exchange) override;
@@ -133,8 +133,8 @@
 class engine_role : public standin_role
 {
 public:
-    engine_role(standin_context &base, engine_options options)
-        : standin_role(base)
+    engine_role(standin_context &context, engine_options options)
+        : standin_role(context)
         , m_options(options)
     {
     }
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -59,11 +59,12 @@
 }
 
 /// Handles the paths that every stand-in serves. \returns false for other paths.
-static bool handleCommon(standin_context &base, const exchange_ptr &exchange)
+static bool handleCommon(standin_context &context, const exchange_ptr &exchange)
 {
     const http_request &request = exchange->request();
     if (request.path == "/standin/journal") {
-        exchange->reply(http_status::ok, {{"Content-Type", "application/jsonl"}}, base.log.text());
+        exchange->reply(http_status::ok, {{"Content-Type", "application/jsonl"}},
+                        context.log.text());
         return true;
     }
     if (request.path == "/healthz") {
@@ -77,7 +78,7 @@
         exchange->reply(http_status::badRequest, {}, "a fault is a JSON object\n");
         return true;
     }
-    base.fault = readFault(body);
+    context.fault = readFault(body);
     exchange->reply(http_status::ok, {}, "ok\n");
     return true;
 }
@@ -94,22 +95,22 @@
     return options;
 }
 
-static std::unique_ptr<standin_role> makeRole(standin_context &base, const settings &given)
+static std::unique_ptr<standin_role> makeRole(standin_context &context, const settings &given)
 {
     const std::string &role = given.text("role");
     const milliseconds delay(given.number("delay-ms"));
     if (role == "engine")
-        return std::make_unique<engine_role>(base, readEngineOptions(given));
+        return std::make_unique<engine_role>(context, readEngineOptions(given));
     if (role == "table")
-        return std::make_unique<table_role>(base, static_cast<double>(given.number("rate")));
+        return std::make_unique<table_role>(context, static_cast<double>(given.number("rate")));
     if (role == "objects")
-        return std::make_unique<object_store_role>(base);
+        return std::make_unique<object_store_role>(context);
     if (role == "ratings")
-        return std::make_unique<ratings_role>(base, delay);
+        return std::make_unique<ratings_role>(context, delay);
     if (role == "list")
-        return std::make_unique<instance_list_role>(base, delay);
+        return std::make_unique<instance_list_role>(context, delay);
     if (role == "service")
-        return std::make_unique<service_role>(base, delay);
+        return std::make_unique<service_role>(context, delay);
     return nullptr;
 }
 
@@ -144,15 +145,15 @@
     blockStopSignals();
     duty_thread duty("standin");
     asio_runtime runtime(duty.context());
-    standin_context base(runtime, static_cast<std::uint64_t>(given.number("seed")));
-    const std::unique_ptr<standin_role> role = makeRole(base, given);
+    standin_context context(runtime, static_cast<std::uint64_t>(given.number("seed")));
+    const std::unique_ptr<standin_role> role = makeRole(context, given);
     if (!role) {
         std::cerr << "laurelcroft-standin: error: --role: unknown role '" << given.text("role")
                   << "'\n";
         return 1;
     }
     http_server server(duty, options, [&](const exchange_ptr &exchange) {
-        if (!handleCommon(base, exchange) && !role->handle(exchange))
+        if (!handleCommon(context, exchange) && !role->handle(exchange))
             exchange->reply(http_status::notFound, {}, "no such path\n");
     });
     duty.start();
