--- a/include/laurelcroft/Load/OpenLoop.h
+++ b/include/laurelcroft/Load/OpenLoop.h
@@ -1,8 +1,8 @@
 //===-- Load/OpenLoop.h - open-loop load over HTTP --------------*- C++ -*-===//
 //
-// Sends requests at random arrival times that don't depend on the responses. Latency is measured
-// from the intended send time, so that requests delayed by a stalled server count in full (no
-// coordinated omission).
+// Sends requests at random arrival times, drawn from a seed, that don't depend on the responses.
+// Latency is measured from the intended send time, so that a stalled server can't hide the delay of
+// later requests (no coordinated omission).
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LOAD_OPENLOOP_H
--- a/include/laurelcroft/Load/Trial.h
+++ b/include/laurelcroft/Load/Trial.h
@@ -1,8 +1,8 @@
 //===-- Load/Trial.h - experiments with the decision code -------*- C++ -*-===//
 //
 // Each experiment runs the product's decision code with a fixed seed and returns rows of figures.
-// Most compare it with baseline policies. Where an experiment needs a clock it is a simulated one,
-// except over real sockets.
+// Most compare it with baseline policies in the same run. All but the socket experiment use a
+// simulated clock or none.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LOAD_TRIAL_H
--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -56,7 +56,7 @@
 /// The local state of an entry, from which it corrects the reported load.
 struct trial_entry
 {
-    /// Requests offered to each engine since its last report.
+    /// Requests that this entry has offered to each engine since the engine's last report.
     std::vector<double> sentSinceReport = std::vector<double>(engineCount, 0);
     /// Unfinished requests of this entry at each engine.
     std::vector<double> ownRunning = std::vector<double>(engineCount, 0);
@@ -65,7 +65,7 @@
     std::size_t nextEngine = 0;
 };
 
-/// Simulates the entries and engines in virtual time.
+/// Simulates the entries and engines in simulated time.
 class endpoint_simulation
 {
 public:
--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -24,9 +24,10 @@
 
 /// \returns the probability of a bad answer.
 /// \param answer number of answers that the version of the roll-out has served so far.
+/// \param group customer group that the request belongs to.
 using bad_share_function = std::function<double(int answer, std::size_t group)>;
 
-/// Number of customer groups. A fault that affects one group only affects the first.
+/// Number of customer groups. A version that is bad for one group is bad for the first.
 constexpr std::size_t groupCount = 10;
 
 /// Outcome of one roll-out.
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Time after the last request to wait for outstanding responses.
+/// Maximum wait for outstanding responses after the sending period.
 constexpr duration drainTimeout = seconds(20);
 constexpr milliseconds callTimeout{60000};
 
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -101,7 +101,7 @@
     nlohmann::json m_visibleInstances = nlohmann::json::array();
 };
 
-/// Simulates an endpoint that is no model engine and serves any path.
+/// Simulates an endpoint that is not a model engine. It serves any path.
 class service_role : public standin_role
 {
 public:
