--- a/lib/Load/EndpointTrial.cpp
+++ b/lib/Load/EndpointTrial.cpp
@@ -1,7 +1,7 @@
-//===-- EndpointTrial.cpp - time to the first token by policy ---------------===//
+//===-- EndpointTrial.cpp - time to first token by choice policy ------------===//
 //
-// Several entries send to unequal engines whose load reports come late. Each run
-// sees the same arrivals; only the choice differs.
+// Simulates several entries that send to engines of unequal speed whose load reports are delayed.
+// Every policy sees the same arrivals.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/Trial.h"
@@ -21,18 +21,18 @@
 constexpr std::size_t engineCount = 20;
 constexpr std::size_t entryCount = 6;
 constexpr duration reportPeriod = milliseconds(500);
-constexpr duration reportLag = milliseconds(250);
-constexpr double meanTokens = 60;
+constexpr duration reportDelay = milliseconds(250);
+constexpr double meanOutputTokens = 60;
 constexpr double promptTokens = 600;
 constexpr double prefillMsPerToken = 0.25;
 constexpr std::size_t sessions = 400;
 constexpr std::size_t cachedSessions = 30;
-/// Requests that may wait for each slot: the agent's default.
-constexpr double ourWaiting = 0.25;
-/// Offers of one request, refused ones included, as in the entry.
-constexpr int mostOffers = 4;
-/// Wanted by the users for 95 in 100.
-constexpr duration wantedFirstToken = milliseconds(1400);
+/// Number of requests that may be queued per slot. Equals the default of the agent.
+constexpr double agentWaitingPerSlot = 0.25;
+/// Number of times that a request is offered to an engine before it fails, as in the entry.
+constexpr int maxOffers = 4;
+/// Time to first token that users expect for 95% of the requests.
+constexpr duration firstTokenTarget = milliseconds(1400);
 
 struct trial_job
 {
@@ -53,22 +53,28 @@
     double reportedRate = 0;
 };
 
-/// What one entry knows by itself.
+/// The local state of an entry, from which it corrects the reported load.
 struct trial_entry
 {
-    std::vector<double> sentSince = std::vector<double>(engineCount, 0);
+    /// Requests that this entry has offered to each engine since the engine's last report.
+    std::vector<double> sentSinceReport = std::vector<double>(engineCount, 0);
+    /// Unfinished requests of this entry at each engine.
     std::vector<double> ownRunning = std::vector<double>(engineCount, 0);
+    /// The engine that last accepted a request of each session; engineCount if none.
     std::vector<std::size_t> lastEngine = std::vector<std::size_t>(sessions, engineCount);
-    std::size_t next = 0;
+    std::size_t nextEngine = 0;
 };
 
-class endpoint_world
+/// Simulates the entries and engines in simulated time.
+class endpoint_simulation
 {
 public:
-    using policy = std::function<std::size_t(endpoint_world &, trial_entry &, const trial_job &)>;
+    using policy
+            = std::function<std::size_t(endpoint_simulation &, trial_entry &, const trial_job &)>;
 
-    /// \param waitingPerSlot requests that an engine's agent lets wait for each slot.
-    endpoint_world(std::uint64_t seed, double load, policy choose, double waitingPerSlot)
+    /// \param load offered load as a fraction of the capacity of all engines.
+    /// \param waitingPerSlot number of requests that an engine's agent queues per slot.
+    endpoint_simulation(std::uint64_t seed, double load, policy choose, double waitingPerSlot)
         : random(seed)
         , choices(seed + 1)
         , m_choose(std::move(choose))
@@ -77,11 +83,11 @@
         double capacity = 0;
         for (std::size_t i = 0; i < engineCount; ++i) {
             trial_engine engine;
-            // A third of the engines is half as fast, a few have twice the slots.
+            // Every third engine is half as fast and every fifth has twice as many slots.
             engine.tokenMs = i % 3 == 0 ? 30 : 15;
             engine.slots = i % 5 == 0 ? 16 : 8;
             engines.push_back(engine);
-            const double serviceMs = meanTokens * engine.tokenMs * (1 + 0.03 * engine.slots)
+            const double serviceMs = meanOutputTokens * engine.tokenMs * (1 + 0.03 * engine.slots)
                     + promptTokens * prefillMsPerToken * 0.6;
             capacity += 1000.0 * static_cast<double>(engine.slots) / serviceMs;
         }
@@ -89,50 +95,50 @@
         m_perSecond = capacity * load;
     }
 
-    void run(double forSeconds)
+    void run(double durationSeconds)
     {
-        m_end = runtime.now() + duration(static_cast<std::int64_t>(forSeconds * 1e9));
-        reportTick();
-        arrive();
+        m_end = runtime.now() + duration(static_cast<std::int64_t>(durationSeconds * 1e9));
+        publishReports();
+        scheduleArrival();
         while (runtime.now() < m_end && runtime.runNext()) { }
     }
 
     manual_runtime runtime;
-    random_source random; ///< arrivals, the same for every policy
-    random_source choices; ///< draws of the policy
+    random_source random; ///< draws the arrivals, which are the same for every policy
+    random_source choices; ///< used by the policies only
     std::vector<trial_engine> engines;
     std::vector<trial_entry> entries;
     latency_histogram firstToken;
     latency_histogram betweenTokens;
     double served = 0;
     double refused = 0;
-    double inTime = 0; ///< first tokens as early as the users want them
+    double withinTarget = 0; ///< requests with a first token within firstTokenTarget
 
 private:
-    void arrive()
+    void scheduleArrival()
     {
         std::exponential_distribution<double> gap(m_perSecond);
         const duration wait(static_cast<std::int64_t>(gap(random.engine()) * 1e9));
         runtime.after(wait, [this] {
-            std::exponential_distribution<double> length(1.0 / meanTokens);
+            std::exponential_distribution<double> length(1.0 / meanOutputTokens);
             trial_job job;
             job.sentAt = runtime.now();
             job.session = random.index(sessions);
             job.tokens = std::max(1.0, length(random.engine()));
             job.entry = random.index(entryCount);
             send(job);
-            arrive();
+            scheduleArrival();
         });
     }
 
     void send(const trial_job &job)
     {
         trial_entry &entry = entries[job.entry];
-        for (int offer = 0; offer < mostOffers; ++offer) {
+        for (int offer = 0; offer < maxOffers; ++offer) {
             const std::size_t chosen = m_choose(*this, entry, job);
             trial_engine &engine = engines[chosen];
-            // Sent or refused, the entry counts it until the next report.
-            entry.sentSince[chosen] += 1;
+            // Refused requests count as well until the next report arrives.
+            entry.sentSinceReport[chosen] += 1;
             if (static_cast<double>(engine.waiting.size())
                 >= m_waitingPerSlot * static_cast<double>(engine.slots))
                 continue;
@@ -160,13 +166,14 @@
                 engine.cached.pop_front();
             const double prefill = promptTokens * prefillMsPerToken * (hit ? 0.25 : 1.0);
             const double step = engine.tokenMs * (1 + 0.03 * static_cast<double>(engine.running));
-            const duration first(static_cast<std::int64_t>((prefill + step) * 1e6));
-            const duration waited = runtime.now() + first - job.sentAt;
+            const duration firstTokenDelay(static_cast<std::int64_t>((prefill + step) * 1e6));
+            const duration waited = runtime.now() + firstTokenDelay - job.sentAt;
             firstToken.record(waited);
-            inTime += waited <= wantedFirstToken ? 1 : 0;
+            withinTarget += waited <= firstTokenTarget ? 1 : 0;
             betweenTokens.record(duration(static_cast<std::int64_t>(step * 1e6)));
-            const duration whole(static_cast<std::int64_t>((prefill + step * job.tokens) * 1e6));
-            runtime.after(whole, [this, number, entry = job.entry] {
+            const duration totalTime(
+                    static_cast<std::int64_t>((prefill + step * job.tokens) * 1e6));
+            runtime.after(totalTime, [this, number, entry = job.entry] {
                 engines[number].running -= 1;
                 entries[entry].ownRunning[number] -= 1;
                 served += 1;
@@ -175,19 +182,20 @@
         }
     }
 
-    void reportTick()
+    /// Samples the load of each engine. The entries see the sample after reportDelay.
+    void publishReports()
     {
         for (std::size_t i = 0; i < engineCount; ++i) {
             const auto pending
                     = static_cast<double>(engines[i].running + engines[i].waiting.size());
-            runtime.after(reportLag, [this, i, pending] {
+            runtime.after(reportDelay, [this, i, pending] {
                 engines[i].reportedPending = pending;
                 engines[i].reportedRate = 1000.0 / engines[i].tokenMs;
                 for (trial_entry &entry : entries)
-                    entry.sentSince[i] = 0;
+                    entry.sentSinceReport[i] = 0;
             });
         }
-        runtime.after(reportPeriod, [this] { reportTick(); });
+        runtime.after(reportPeriod, [this] { publishReports(); });
     }
 
     policy m_choose;
@@ -196,17 +204,20 @@
     time_point m_end{};
 };
 
-std::vector<endpoint_view> viewsOf(const endpoint_world &world, const trial_entry &entry,
-                                   const trial_job &job, bool corrected)
+/// \returns the engines as \p entry sees them.
+/// \param corrected whether to add the requests that the entry itself has sent.
+std::vector<endpoint_view> makeEndpointViews(const endpoint_simulation &simulation,
+                                             const trial_entry &entry, const trial_job &job,
+                                             bool corrected)
 {
     std::vector<endpoint_view> views;
     for (std::size_t i = 0; i < engineCount; ++i) {
         endpoint_view view;
-        view.reportedPending = world.engines[i].reportedPending;
-        view.slots = static_cast<double>(world.engines[i].slots);
-        view.tokensPerSecond = world.engines[i].reportedRate;
+        view.reportedPending = simulation.engines[i].reportedPending;
+        view.slots = static_cast<double>(simulation.engines[i].slots);
+        view.tokensPerSecond = simulation.engines[i].reportedRate;
         if (corrected) {
-            view.sentSinceReport = entry.sentSince[i];
+            view.sentSinceReport = entry.sentSinceReport[i];
             view.ownRunning = entry.ownRunning[i];
             view.holdsPrefix = entry.lastEngine[job.session] == i;
         }
@@ -215,32 +226,33 @@
     return views;
 }
 
-std::size_t chooseOurs(endpoint_world &world, trial_entry &entry, const trial_job &job)
+std::size_t chooseByExpectedWait(endpoint_simulation &simulation, trial_entry &entry,
+                                 const trial_job &job)
 {
-    const auto views = viewsOf(world, entry, job, true);
-    return chooseEndpoint(views, {promptTokens, meanTokens}, world.choices)->index;
+    const auto views = makeEndpointViews(simulation, entry, job, true);
+    return chooseEndpoint(views, {promptTokens, meanOutputTokens}, simulation.choices)->index;
 }
 
-std::size_t chooseTwo(endpoint_world &world, trial_entry &, const trial_job &)
+std::size_t chooseFromTwo(endpoint_simulation &simulation, trial_entry &, const trial_job &)
 {
-    const std::size_t a = world.choices.index(engineCount);
-    const std::size_t b = world.choices.index(engineCount);
-    return world.engines[a].reportedPending <= world.engines[b].reportedPending ? a : b;
+    const std::size_t a = simulation.choices.index(engineCount);
+    const std::size_t b = simulation.choices.index(engineCount);
+    return simulation.engines[a].reportedPending <= simulation.engines[b].reportedPending ? a : b;
 }
 
-std::size_t chooseLeast(endpoint_world &world, trial_entry &, const trial_job &)
+std::size_t chooseLeastLoaded(endpoint_simulation &simulation, trial_entry &, const trial_job &)
 {
     std::size_t best = 0;
     for (std::size_t i = 1; i < engineCount; ++i) {
-        if (world.engines[i].reportedPending < world.engines[best].reportedPending)
+        if (simulation.engines[i].reportedPending < simulation.engines[best].reportedPending)
             best = i;
     }
     return best;
 }
 
-std::size_t chooseNext(endpoint_world &, trial_entry &entry, const trial_job &)
+std::size_t chooseRoundRobin(endpoint_simulation &, trial_entry &entry, const trial_job &)
 {
-    return entry.next++ % engineCount;
+    return entry.nextEngine++ % engineCount;
 }
 
 } // namespace
@@ -250,34 +262,36 @@
     struct variant_row
     {
         const char *name;
-        endpoint_world::policy choose;
+        endpoint_simulation::policy choose;
         double waitingPerSlot;
     };
-    const std::vector<variant_row> variants = {{"laurelcroft", chooseOurs, ourWaiting},
-                                               {"laurelcroft, long queues", chooseOurs, 8},
-                                               {"round robin", chooseNext, ourWaiting},
-                                               {"random two, reported load", chooseTwo, ourWaiting},
-                                               {"least reported load", chooseLeast, ourWaiting}};
+    const std::vector<variant_row> variants
+            = {{"laurelcroft", chooseByExpectedWait, agentWaitingPerSlot},
+               {"laurelcroft, long queues", chooseByExpectedWait, 8},
+               {"round robin", chooseRoundRobin, agentWaitingPerSlot},
+               {"random two, reported load", chooseFromTwo, agentWaitingPerSlot},
+               {"least reported load", chooseLeastLoaded, agentWaitingPerSlot}};
     std::vector<trial_row> rows;
     const auto ms = [](std::chrono::nanoseconds value) {
         return std::chrono::duration<double, std::milli>(value).count();
     };
-    for (const double load : given.at) {
+    for (const double load : given.axisValues) {
         for (const auto &[variant, choose, waiting] : variants) {
-            endpoint_world world(given.seed, load, choose, waiting);
-            world.run(given.runs);
+            endpoint_simulation simulation(given.seed, load, choose, waiting);
+            simulation.run(given.runs);
             rows.push_back({given.kind,
                             variant,
                             load,
                             "share of the capacity",
-                            {{"first token p50 ms", ms(world.firstToken.quantile(0.5))},
-                             {"first token p95 ms", ms(world.firstToken.quantile(0.95))},
-                             {"first token p99 ms", ms(world.firstToken.quantile(0.99))},
-                             {"between tokens p95 ms", ms(world.betweenTokens.quantile(0.95))},
-                             {"served/s", world.served / given.runs},
-                             {"first token in 1.4 s, /s", world.inTime / given.runs},
+                            {{"first token p50 ms", ms(simulation.firstToken.quantile(0.5))},
+                             {"first token p95 ms", ms(simulation.firstToken.quantile(0.95))},
+                             {"first token p99 ms", ms(simulation.firstToken.quantile(0.99))},
+                             {"between tokens p95 ms", ms(simulation.betweenTokens.quantile(0.95))},
+                             {"served/s", simulation.served / given.runs},
+                             {"first token in 1.4 s, /s", simulation.withinTarget / given.runs},
                              {"refused share",
-                              world.refused / std::max(1.0, world.refused + world.served)}}});
+                              simulation.refused
+                                      / std::max(1.0, simulation.refused + simulation.served)}}});
         }
     }
     return rows;
--- a/lib/Load/GuardTrial.cpp
+++ b/lib/Load/GuardTrial.cpp
@@ -1,7 +1,7 @@
 //===-- GuardTrial.cpp - exposure to bad versions ---------------------------===//
 //
-// A roll-out takes a tenth of the answers. The version is good, bad from the
-// start, turns bad slowly, or is bad for one group of customers only.
+// A roll-out serves a tenth of the answers. Its version is good, bad from the start, slightly
+// worse, degrades slowly, or is bad for one customer group only.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/VersionGuardSet.h"
@@ -15,44 +15,50 @@
 
 namespace {
 
-constexpr double settledBad = 0.04;
+constexpr double baselineBadShare = 0.04;
 constexpr double rolloutShare = 0.1;
-constexpr int answers = 40000; ///< of both versions
+constexpr int answerCount = 40000; ///< served by both versions together
 constexpr double ratedShare = 0.1;
 constexpr int fixedWindow = 100;
 constexpr double fixedThreshold = 0.1;
 
-/// How bad the version is at a given answer of its own.
-using badness = std::function<double(int answer, std::size_t group)>;
+/// \returns the probability of a bad answer.
+/// \param answer number of answers that the version of the roll-out has served so far.
+/// \param group customer group that the request belongs to.
+using bad_share_function = std::function<double(int answer, std::size_t group)>;
 
-/// One customer group in ten; the fault of one group strikes the first.
+/// Number of customer groups. A version that is bad for one group is bad for the first.
 constexpr std::size_t groupCount = 10;
 
-struct exposure
+/// Outcome of one roll-out.
+struct rollout_result
 {
-    double served = 0; ///< bad version's answers until it stopped
+    double served = 0; ///< answers of the roll-out's version until it was stopped
     bool stopped = false;
 };
 
-/// Runs one roll-out; \p judge is told of each answer and says when to stop.
-template <class Judge>
-exposure runRollout(const badness &bad, std::uint64_t seed, double seenShare, Judge &&judge)
+/// Simulates one roll-out until it is stopped or all answers are served.
+/// \param observedShare share of the answers whose quality becomes known.
+/// \param shouldStop called with each of these answers; returns true to stop the roll-out.
+template <class StopRule>
+rollout_result runRollout(const bad_share_function &bad, std::uint64_t seed, double observedShare,
+                          StopRule &&shouldStop)
 {
     random_source random(seed);
-    exposure result;
-    int own = 0;
-    for (int i = 0; i < answers; ++i) {
+    rollout_result result;
+    int servedByRollout = 0;
+    for (int i = 0; i < answerCount; ++i) {
         const bool isRollout = random.chance(rolloutShare);
         const std::size_t group = random.index(groupCount);
-        const double share = isRollout ? bad(own, group) : settledBad;
+        const double share = isRollout ? bad(servedByRollout, group) : baselineBadShare;
         const bool good = !random.chance(share);
         if (isRollout) {
-            own += 1;
+            servedByRollout += 1;
             result.served += 1;
         }
-        if (!random.chance(seenShare))
+        if (!random.chance(observedShare))
             continue;
-        if (judge(isRollout, group, good)) {
+        if (shouldStop(isRollout, group, good)) {
             result.stopped = true;
             return result;
         }
@@ -60,7 +66,8 @@
     return result;
 }
 
-exposure runGuard(const badness &bad, std::uint64_t seed, double seenShare)
+/// Runs a roll-out under the product's guard.
+rollout_result runGuard(const bad_share_function &bad, std::uint64_t seed, double observedShare)
 {
     static const std::vector<std::string> names
             = {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"};
@@ -68,53 +75,57 @@
     rules.rollouts = {{"m", "1", "2", 10, {0.1, 0.001, 30}}};
     version_guard_set board;
     board.onBundle(rules);
-    return runRollout(bad, seed, seenShare, [&](bool isRollout, std::size_t group, bool good) {
+    return runRollout(bad, seed, observedShare, [&](bool isRollout, std::size_t group, bool good) {
         return board.add({"m", isRollout ? "2" : "1", names[group], evidence_kind::errors, good});
     });
 }
 
-/// A window of the last answers against a fixed share, as a plain alert does.
-exposure runFixed(const badness &bad, std::uint64_t seed, double seenShare)
+/// Stops a roll-out when the share of bad answers in a sliding window exceeds a fixed threshold, as
+/// a simple alert does.
+rollout_result runFixedThreshold(const bad_share_function &bad, std::uint64_t seed,
+                                 double observedShare)
 {
     std::vector<int> window;
-    std::size_t at = 0;
-    return runRollout(bad, seed, seenShare, [&](bool isRollout, std::size_t, bool good) {
+    std::size_t oldest = 0;
+    return runRollout(bad, seed, observedShare, [&](bool isRollout, std::size_t, bool good) {
         if (!isRollout)
             return false;
         if (window.size() < fixedWindow) {
             window.push_back(good ? 0 : 1);
         } else {
-            window[at] = good ? 0 : 1;
-            at = (at + 1) % fixedWindow;
+            window[oldest] = good ? 0 : 1;
+            oldest = (oldest + 1) % fixedWindow;
         }
-        const auto wrong = std::count(window.begin(), window.end(), 1);
+        const auto badAnswers = std::count(window.begin(), window.end(), 1);
         return window.size() == fixedWindow
-                && static_cast<double>(wrong) > fixedThreshold * fixedWindow;
+                && static_cast<double>(badAnswers) > fixedThreshold * fixedWindow;
     });
 }
 
-exposure runNone(const badness &bad, std::uint64_t seed, double seenShare)
+/// Runs a roll-out that is never stopped.
+rollout_result runWithoutGuard(const bad_share_function &bad, std::uint64_t seed,
+                               double observedShare)
 {
-    return runRollout(bad, seed, seenShare, [](bool, std::size_t, bool) { return false; });
+    return runRollout(bad, seed, observedShare, [](bool, std::size_t, bool) { return false; });
 }
 
 struct rollout_case
 {
     const char *name;
-    badness bad;
-    double seenShare;
+    bad_share_function bad;
+    double observedShare;
 };
 
-std::vector<rollout_case> cases()
+std::vector<rollout_case> rolloutCases()
 {
     return {
-            {"good", [](int, std::size_t) { return settledBad; }, 1.0},
+            {"good", [](int, std::size_t) { return baselineBadShare; }, 1.0},
             {"bad from the start", [](int, std::size_t) { return 0.5; }, 1.0},
             {"a little worse", [](int, std::size_t) { return 0.2; }, 1.0},
             {"turns bad slowly",
-             [](int i, std::size_t) { return std::min(0.5, settledBad + i * 0.0004); }, 1.0},
+             [](int i, std::size_t) { return std::min(0.5, baselineBadShare + i * 0.0004); }, 1.0},
             {"bad for one group in ten",
-             [](int, std::size_t group) { return group == 0 ? 0.9 : settledBad; }, 1.0},
+             [](int, std::size_t group) { return group == 0 ? 0.9 : baselineBadShare; }, 1.0},
             {"bad from the start, rated only", [](int, std::size_t) { return 0.5; }, ratedShare},
     };
 }
@@ -125,18 +136,19 @@
 {
     std::vector<trial_row> rows;
     const auto runs = static_cast<std::uint64_t>(given.runs);
-    using runner = exposure (*)(const badness &, std::uint64_t, double);
+    using runner = rollout_result (*)(const bad_share_function &, std::uint64_t, double);
     const std::vector<std::pair<const char *, runner>> variants
             = {{"laurelcroft", &runGuard},
-               {"fixed threshold 10% of 100", &runFixed},
-               {"no guard", &runNone}};
-    for (const rollout_case &item : cases()) {
+               {"fixed threshold 10% of 100", &runFixedThreshold},
+               {"no guard", &runWithoutGuard}};
+    for (const rollout_case &item : rolloutCases()) {
         for (const auto &[variant, run] : variants) {
             double served = 0;
             double stopped = 0;
             std::vector<double> all;
             for (std::uint64_t i = 0; i < runs; ++i) {
-                const exposure result = run(item.bad, given.seed * 100000 + i, item.seenShare);
+                const rollout_result result
+                        = run(item.bad, given.seed * 100000 + i, item.observedShare);
                 served += result.served;
                 stopped += result.stopped ? 1 : 0;
                 all.push_back(result.served);
--- a/lib/Load/OpenLoop.cpp
+++ b/lib/Load/OpenLoop.cpp
@@ -1,6 +1,6 @@
 //===-- OpenLoop.cpp - open-loop load over HTTP -----------------------------===//
 //
-// Each thread draws its own Poisson arrivals at its part of the rate.
+// Each thread generates its own Poisson arrivals at an equal share of the total rate.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/OpenLoop.h"
@@ -19,9 +19,11 @@
 
 namespace {
 
-constexpr duration longestDrain = seconds(20);
+/// Maximum wait for outstanding responses after the sending period.
+constexpr duration drainTimeout = seconds(20);
 constexpr milliseconds callTimeout{60000};
 
+/// Sends the requests of one thread and records their latencies.
 class load_worker
 {
 public:
@@ -36,17 +38,18 @@
     load_result run();
 
 private:
-    struct pending
+    /// A request that has been sent and has not ended.
+    struct pending_request
     {
-        time_point intended{};
-        time_point last{};
-        bool anyData = false;
+        time_point intendedTime{};
+        time_point lastDataTime{};
+        bool hasData = false;
     };
 
     void scheduleNext();
     void send(time_point intended);
-    void onData(pending &item, std::string_view data);
-    void onEnd(const pending &item, const outcome<int, http_error> &result);
+    void onData(pending_request &item, std::string_view data);
+    void onEnd(const pending_request &item, const outcome<int, http_error> &result);
     http_call makeCall();
 
     const load_plan &m_plan;
@@ -55,9 +58,9 @@
     http_client m_client;
     random_source m_random;
     load_result m_result;
-    time_point m_began{};
-    time_point m_next{};
-    std::uint64_t m_open = 0;
+    time_point m_startTime{};
+    time_point m_nextArrival{};
+    std::uint64_t m_outstandingRequests = 0;
     bool m_sending = true;
 };
 
@@ -65,31 +68,32 @@
 
 load_result load_worker::run()
 {
-    m_began = m_runtime.now();
-    m_next = m_began;
+    m_startTime = m_runtime.now();
+    m_nextArrival = m_startTime;
     scheduleNext();
-    const duration sending(static_cast<std::int64_t>(m_plan.forSeconds * 1e9));
+    const duration sending(static_cast<std::int64_t>(m_plan.durationSeconds * 1e9));
     m_runtime.after(sending, [this] {
         m_sending = false;
-        if (m_open == 0)
+        if (m_outstandingRequests == 0)
             m_context.stop();
     });
-    m_runtime.after(sending + longestDrain, [this] { m_context.stop(); });
+    m_runtime.after(sending + drainTimeout, [this] { m_context.stop(); });
     m_context.run();
-    m_result.errors["unanswered"] += m_open;
-    m_result.seconds = std::chrono::duration<double>(m_runtime.now() - m_began).count();
+    m_result.errors["unanswered"] += m_outstandingRequests;
+    m_result.elapsedSeconds = std::chrono::duration<double>(m_runtime.now() - m_startTime).count();
     return std::move(m_result);
 }
 
 void load_worker::scheduleNext()
 {
-    if (!m_sending || m_result.sent >= m_plan.mostRequests / m_plan.threads)
+    if (!m_sending || m_result.sent >= m_plan.maxRequests / m_plan.threads)
         return;
-    std::exponential_distribution<double> gap(m_plan.perSecond / m_plan.threads);
-    m_next += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
-    m_runtime.after(std::max<duration>(m_next - m_runtime.now(), duration(0)), [this] {
-        // All that is due is sent now, each with the time it was meant for.
-        send(m_next);
+    std::exponential_distribution<double> gap(m_plan.requestsPerSecond / m_plan.threads);
+    m_nextArrival += duration(static_cast<std::int64_t>(gap(m_random.engine()) * 1e9));
+    m_runtime.after(std::max<duration>(m_nextArrival - m_runtime.now(), duration(0)), [this] {
+        // An overdue request is sent without delay; its latency still counts from m_nextArrival,
+        // its intended send time.
+        send(m_nextArrival);
         scheduleNext();
     });
 }
@@ -116,33 +120,33 @@
 
 void load_worker::send(time_point intended)
 {
-    const auto item = std::make_shared<pending>();
-    item->intended = intended;
+    const auto item = std::make_shared<pending_request>();
+    item->intendedTime = intended;
     m_result.sent += 1;
-    m_open += 1;
+    m_outstandingRequests += 1;
     http_call_events events;
     events.onData = [this, item](std::string_view data) { onData(*item, data); };
     events.onEnd = [this, item](const outcome<int, http_error> &result) { onEnd(*item, result); };
     m_client.start(makeCall(), std::move(events));
 }
 
-void load_worker::onData(pending &item, std::string_view data)
+void load_worker::onData(pending_request &item, std::string_view data)
 {
     const time_point now = m_runtime.now();
-    if (!item.anyData)
-        m_result.firstToken.record(now - item.intended);
+    if (!item.hasData)
+        m_result.timeToFirstToken.record(now - item.intendedTime);
     else
-        m_result.betweenTokens.record(now - item.last);
-    item.anyData = true;
-    item.last = now;
+        m_result.interTokenLatency.record(now - item.lastDataTime);
+    item.hasData = true;
+    item.lastDataTime = now;
     for (std::size_t at = data.find("\"content\":"); at != std::string_view::npos;
          at = data.find("\"content\":", at + 1))
         m_result.tokens += 1;
 }
 
-void load_worker::onEnd(const pending &item, const outcome<int, http_error> &result)
+void load_worker::onEnd(const pending_request &item, const outcome<int, http_error> &result)
 {
-    m_open -= 1;
+    m_outstandingRequests -= 1;
     if (!result)
         m_result.errors[std::string(textOf(result.error()))] += 1;
     else if (result.value() >= http_status::badRequest)
@@ -150,8 +154,8 @@
     else
         m_result.complete += 1;
     if (result && result.value() < http_status::badRequest)
-        m_result.whole.record(m_runtime.now() - item.intended);
-    if (!m_sending && m_open == 0)
+        m_result.totalLatency.record(m_runtime.now() - item.intendedTime);
+    if (!m_sending && m_outstandingRequests == 0)
         m_context.stop();
 }
 
@@ -169,13 +173,13 @@
         thread.join();
     load_result total;
     for (const load_result &part : parts) {
-        total.firstToken.merge(part.firstToken);
-        total.whole.merge(part.whole);
-        total.betweenTokens.merge(part.betweenTokens);
+        total.timeToFirstToken.merge(part.timeToFirstToken);
+        total.totalLatency.merge(part.totalLatency);
+        total.interTokenLatency.merge(part.interTokenLatency);
         total.sent += part.sent;
         total.complete += part.complete;
         total.tokens += part.tokens;
-        total.seconds = std::max(total.seconds, part.seconds);
+        total.elapsedSeconds = std::max(total.elapsedSeconds, part.elapsedSeconds);
         for (const auto &[name, count] : part.errors) {
             if (count > 0)
                 total.errors[name] += count;
--- a/lib/Load/Report.cpp
+++ b/lib/Load/Report.cpp
@@ -1,6 +1,6 @@
-//===-- Report.cpp - JSON lines and an HTML page ----------------------------===//
+//===-- Report.cpp - JSON, text and HTML reports ----------------------------===//
 //
-// Plots are plain SVG: a line for each variant, one plot for each figure.
+// The HTML page has an inline SVG plot for each figure, with a line for each variant.
 //
 //===----------------------------------------------------------------------===//
 #include "Report.h"
@@ -23,14 +23,14 @@
         = {"#1f5fa8", "#c0392b", "#2c8a4b", "#8e44ad", "#b9770e", "#566573"};
 } // namespace
 
-static std::string number(double value)
+static std::string formatNumber(double value)
 {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.4g", value);
     return text.data();
 }
 
-static std::string escaped(const std::string &text)
+static std::string escapeHtml(const std::string &text)
 {
     std::string out;
     for (const char c : text) {
@@ -50,7 +50,7 @@
     for (const trial_row &row : rows) {
         nlohmann::ordered_json line = {{"experiment", row.experiment}, {"variant", row.variant}};
         if (!row.axis.empty())
-            line[row.axis] = row.at;
+            line[row.axis] = row.axisValue;
         for (const trial_figure &figure : row.figures)
             line[figure.name] = figure.value;
         all += line.dump() + "\n";
@@ -68,19 +68,20 @@
         last = row.experiment;
         all += "  " + row.variant;
         if (!row.axis.empty())
-            all += " at " + number(row.at) + " " + row.axis;
+            all += " at " + formatNumber(row.axisValue) + " " + row.axis;
         all += ":";
         for (const trial_figure &figure : row.figures)
-            all += " " + figure.name + " = " + number(figure.value) + ";";
+            all += " " + figure.name + " = " + formatNumber(figure.value) + ";";
         all += "\n";
     }
     return all;
 }
 
-/// Points of one figure, by variant.
+/// The (x, y) points of one figure, by variant.
 using series = std::map<std::string, std::vector<std::pair<double, double>>>;
 
-static std::string plot(const std::string &title, const std::string &axis, const series &lines)
+/// \returns an SVG line plot of \p lines. Its y axis starts at 0.
+static std::string svgPlot(const std::string &title, const std::string &axis, const series &lines)
 {
     double lowX = 1e300;
     double highX = -1e300;
@@ -100,16 +101,17 @@
     const auto toY = [&](double y) {
         return plotHeight - plotMargin - y / spanY * (plotHeight - 2 * plotMargin);
     };
-    std::string svg = "<svg width='" + number(plotWidth) + "' height='" + number(plotHeight)
-            + "'><text x='8' y='14' font-size='12'>" + escaped(title) + "</text>" + "<text x='"
-            + number(plotMargin) + "' y='" + number(plotHeight - 8) + "' font-size='10'>"
-            + escaped(axis) + " " + number(lowX) + " to " + number(highX)
-            + "</text><text x='4' y='30' font-size='10'>" + number(highY) + "</text>";
+    std::string svg = "<svg width='" + formatNumber(plotWidth) + "' height='"
+            + formatNumber(plotHeight) + "'><text x='8' y='14' font-size='12'>" + escapeHtml(title)
+            + "</text>" + "<text x='" + formatNumber(plotMargin) + "' y='"
+            + formatNumber(plotHeight - 8) + "' font-size='10'>" + escapeHtml(axis) + " "
+            + formatNumber(lowX) + " to " + formatNumber(highX)
+            + "</text><text x='4' y='30' font-size='10'>" + formatNumber(highY) + "</text>";
     std::size_t colour = 0;
     for (const auto &[name, points] : lines) {
         std::string path;
         for (const auto &[x, y] : points)
-            path += number(toX(x)) + "," + number(toY(y)) + " ";
+            path += formatNumber(toX(x)) + "," + formatNumber(toY(y)) + " ";
         svg += "<polyline fill='none' stroke='" + std::string(colours[colour % colours.size()])
                 + "' stroke-width='2' points='" + path + "'/>";
         colour += 1;
@@ -119,17 +121,18 @@
 
 static std::string experimentSection(const std::string &name, const std::vector<trial_row> &rows)
 {
-    std::string html = "<h2>" + escaped(name) + "</h2><table><tr><th>variant</th><th>"
-            + escaped(rows.front().axis) + "</th>";
+    std::string html = "<h2>" + escapeHtml(name) + "</h2><table><tr><th>variant</th><th>"
+            + escapeHtml(rows.front().axis) + "</th>";
     for (const trial_figure &figure : rows.front().figures)
-        html += "<th>" + escaped(figure.name) + "</th>";
+        html += "<th>" + escapeHtml(figure.name) + "</th>";
     html += "</tr>";
     std::map<std::string, series> plots;
     for (const trial_row &row : rows) {
-        html += "<tr><td>" + escaped(row.variant) + "</td><td>" + number(row.at) + "</td>";
+        html += "<tr><td>" + escapeHtml(row.variant) + "</td><td>" + formatNumber(row.axisValue)
+                + "</td>";
         for (const trial_figure &figure : row.figures) {
-            html += "<td>" + number(figure.value) + "</td>";
-            plots[figure.name][row.variant].emplace_back(row.at, figure.value);
+            html += "<td>" + formatNumber(figure.value) + "</td>";
+            plots[figure.name][row.variant].emplace_back(row.axisValue, figure.value);
         }
         html += "</tr>";
     }
@@ -143,12 +146,12 @@
     html += "<p>";
     for (const std::string &variant : names) {
         html += "<span style='color:" + std::string(colours[colour % colours.size()]) + "'>&#9644; "
-                + escaped(variant) + "</span> ";
+                + escapeHtml(variant) + "</span> ";
         colour += 1;
     }
     html += "</p>";
     for (const auto &[figure, lines] : plots)
-        html += plot(figure, rows.front().axis, lines);
+        html += svgPlot(figure, rows.front().axis, lines);
     return html;
 }
 
@@ -163,5 +166,5 @@
         groups[row.experiment].push_back(row);
     for (const auto &[name, group] : groups)
         html += experimentSection(name, group);
-    return html + "<h2>file</h2><pre>" + escaped(source) + "</pre>";
+    return html + "<h2>file</h2><pre>" + escapeHtml(source) + "</pre>";
 }
--- a/lib/Load/SpreadTrial.cpp
+++ b/lib/Load/SpreadTrial.cpp
@@ -1,6 +1,7 @@
-//===-- SpreadTrial.cpp - spread of epochs and deaths -----------------------===//
+//===-- SpreadTrial.cpp - gossip of epochs and member failures --------------===//
 //
-// The product's membership over a port that counts, loses and delays datagrams.
+// Runs the product's membership protocol in simulated time, over a port that counts, drops and
+// delays datagrams, and over UDP sockets on loopback.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Fleet/Membership.h"
@@ -18,21 +19,21 @@
 
 namespace {
 
-constexpr const char *trialKey = "key of the spread trial";
-constexpr double udpHeaderBytes = 28;
-constexpr duration settle = seconds(40);
-constexpr duration watch = seconds(30);
+constexpr const char *membershipKey = "key of the spread trial";
+constexpr double udpHeaderBytes = 28; ///< IPv4 and UDP headers
+constexpr duration settleTime = seconds(40);
+constexpr duration measurementTime = seconds(30);
 
-/// Common to both transports: what a member counts.
+/// Counters and epoch of one member, for either transport.
 struct member_counts
 {
     std::uint64_t datagrams = 0;
     double bytes = 0;
     std::uint64_t epoch = 0;
-    time_point tookAt{};
+    time_point adoptedAt{}; ///< when the member adopted the epoch
 };
 
-double processorSeconds()
+double cpuSeconds()
 {
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
@@ -59,49 +60,49 @@
     return digest;
 }
 
-// ---- paused clock ------------------------------------------------------------
+// ---- simulated time ----------------------------------------------------------
 
-class paused_fleet;
+class simulated_fleet;
 
-struct paused_port
+struct simulated_port
 {
-    paused_fleet *fleet = nullptr;
+    simulated_fleet *fleet = nullptr;
     std::size_t number = 0;
     void send(const std::string &address, const std::string &bytes);
 };
 
-struct paused_member
+struct simulated_member
 {
-    paused_port port;
+    simulated_port port;
     member_counts counts;
-    std::unique_ptr<membership<manual_runtime, paused_port>> protocol;
-    bool silent = false;
+    std::unique_ptr<membership<manual_runtime, simulated_port>> protocol;
+    bool silent = false; ///< simulates a failed member: it neither sends nor receives
 };
 
-class paused_fleet
+class simulated_fleet
 {
 public:
-    paused_fleet(std::size_t size, std::uint64_t seed, double loss)
+    simulated_fleet(std::size_t size, std::uint64_t seed, double loss)
         : random(seed)
         , loss(loss)
     {
         for (std::size_t i = 0; i < size; ++i)
-            members.push_back(std::make_unique<paused_member>());
+            members.push_back(std::make_unique<simulated_member>());
         for (std::size_t i = 0; i < size; ++i)
-            begin(i);
+            startMember(i);
     }
 
-    void begin(std::size_t i)
+    void startMember(std::size_t i)
     {
-        paused_member &item = *members[i];
+        simulated_member &item = *members[i];
         item.port = {this, i};
         membership_events events;
         events.onEpoch = [this, &item](const epoch_observation &seen) {
             if (seen.epoch > item.counts.epoch)
-                take(item, seen.epoch);
+                adoptEpoch(item, seen.epoch);
         };
-        item.protocol = std::make_unique<membership<manual_runtime, paused_port>>(
-                runtime, item.port, random, makeMember(i, std::to_string(i)), trialKey,
+        item.protocol = std::make_unique<membership<manual_runtime, simulated_port>>(
+                runtime, item.port, random, makeMember(i, std::to_string(i)), membershipKey,
                 membership_options{}, events);
         std::vector<std::string> seeds;
         if (i > 0)
@@ -109,10 +110,11 @@
         item.protocol->start(seeds);
     }
 
-    void take(paused_member &item, std::uint64_t epoch)
+    /// Stores the epoch of the member and starts to gossip it.
+    void adoptEpoch(simulated_member &item, std::uint64_t epoch)
     {
         item.counts.epoch = epoch;
-        item.counts.tookAt = runtime.now();
+        item.counts.adoptedAt = runtime.now();
         item.protocol->setDigest(makeDigest(epoch, runtime.now()));
         item.protocol->gossipToRandomMembers();
     }
@@ -125,8 +127,8 @@
         }
     }
 
-    /// \returns how many live members call \p number dead.
-    std::size_t calledDead(std::size_t number) const
+    /// \returns the number of live members that consider member \p number dead.
+    std::size_t countDeadReports(std::size_t number) const
     {
         const std::string id = makeMember(number, "").id();
         std::size_t count = 0;
@@ -142,14 +144,14 @@
     manual_runtime runtime;
     random_source random;
     double loss;
-    std::vector<std::unique_ptr<paused_member>> members;
+    std::vector<std::unique_ptr<simulated_member>> members;
 };
 
 } // namespace
 
-void paused_port::send(const std::string &address, const std::string &bytes)
+void simulated_port::send(const std::string &address, const std::string &bytes)
 {
-    paused_member &from = *fleet->members[number];
+    simulated_member &from = *fleet->members[number];
     if (from.silent)
         return;
     from.counts.bytes += static_cast<double>(bytes.size()) + udpHeaderBytes;
@@ -158,7 +160,7 @@
         return;
     const std::size_t target = std::stoul(address);
     fleet->runtime.after(milliseconds(1), [all = fleet, target, sender = number, bytes] {
-        paused_member &to = *all->members[target];
+        simulated_member &to = *all->members[target];
         if (to.silent || !to.protocol)
             return;
         to.counts.bytes += static_cast<double>(bytes.size()) + udpHeaderBytes;
@@ -166,36 +168,39 @@
     });
 }
 
-/// \returns seconds until all live members took the epoch that member 0 takes now; -1: not all.
-static double measureEpoch(paused_fleet &fleet, std::uint64_t epoch)
+/// Lets member 0 adopt \p epoch now.
+/// \returns the seconds until all live members have adopted it, or -1 if one has not within 20 s.
+static double measureEpoch(simulated_fleet &fleet, std::uint64_t epoch)
 {
     const time_point began = fleet.runtime.now();
-    fleet.take(*fleet.members[0], epoch);
+    fleet.adoptEpoch(*fleet.members[0], epoch);
     fleet.runtime.advance(seconds(20));
-    double last = 0;
+    double slowest = 0;
     for (const auto &item : fleet.members) {
         if (item->silent)
             continue;
         if (item->counts.epoch != epoch)
             return -1;
-        last = std::max(last, std::chrono::duration<double>(item->counts.tookAt - began).count());
+        slowest = std::max(slowest,
+                           std::chrono::duration<double>(item->counts.adoptedAt - began).count());
     }
-    return last;
+    return slowest;
 }
 
 std::vector<trial_row> laurelcroft::runSpreadTrial(const trial_settings &given)
 {
     std::vector<trial_row> rows;
-    for (const double size : given.at) {
+    for (const double size : given.axisValues) {
         const auto count = static_cast<std::size_t>(size);
-        paused_fleet fleet(count, given.seed, given.loss);
-        // Long enough for the joins to have been told to all: the figures are of a quiet fleet.
-        fleet.runtime.advance(settle + milliseconds(static_cast<std::int64_t>(size) * 500));
+        simulated_fleet fleet(count, given.seed, given.loss);
+        // Waits long enough for all joins to reach all members, so that the traffic measured is
+        // that of a stable fleet.
+        fleet.runtime.advance(settleTime + milliseconds(static_cast<std::int64_t>(size) * 500));
         fleet.resetCounts();
-        const double before = processorSeconds();
-        fleet.runtime.advance(watch);
-        const double used = processorSeconds() - before;
-        const double watched = std::chrono::duration<double>(watch).count();
+        const double cpuBefore = cpuSeconds();
+        fleet.runtime.advance(measurementTime);
+        const double cpuTime = cpuSeconds() - cpuBefore;
+        const double watched = std::chrono::duration<double>(measurementTime).count();
         double bytes = 0;
         double datagrams = 0;
         double known = 0;
@@ -205,25 +210,25 @@
             known += static_cast<double>(item->protocol->members().size());
         }
         const double epochSeconds = measureEpoch(fleet, 2);
-        // A sixth of the members falls silent at once, as when a data centre goes.
+        // Silences a sixth of the members at once, as when a data centre fails.
         for (std::size_t i = 1; i < count; i += 6)
             fleet.members[i]->silent = true;
         const double afterLoss = measureEpoch(fleet, 3);
         fleet.runtime.advance(seconds(10));
-        double found = 0;
-        double gone = 0;
+        double detectedDeaths = 0;
+        double silentMembers = 0;
         const double live = size - std::ceil((size - 1) / 6);
         for (std::size_t i = 0; i < count; ++i) {
             if (!fleet.members[i]->silent)
                 continue;
-            found += static_cast<double>(fleet.calledDead(i)) / live;
-            gone += 1;
+            detectedDeaths += static_cast<double>(fleet.countDeadReports(i)) / live;
+            silentMembers += 1;
         }
         fleet.runtime.advance(seconds(50));
         double falseAlarms = 0;
         for (std::size_t i = 0; i < count; ++i) {
             if (!fleet.members[i]->silent)
-                falseAlarms += static_cast<double>(fleet.calledDead(i));
+                falseAlarms += static_cast<double>(fleet.countDeadReports(i));
         }
         rows.push_back({given.kind,
                         "laurelcroft",
@@ -233,10 +238,11 @@
                          {"epoch everywhere, a sixth gone s", afterLoss},
                          {"bytes/s a node", bytes / size / watched},
                          {"datagrams/s a node", datagrams / size / watched},
-                         {"processor % of a core a node", 100 * used / watched / size},
+                         {"processor % of a core a node", 100 * cpuTime / watched / size},
                          {"members known", known / size},
                          {"live members called dead after 80 s, pairs", falseAlarms},
-                         {"deaths known after 30 s", gone > 0 ? found / gone : 1}}});
+                         {"deaths known after 30 s",
+                          silentMembers > 0 ? detectedDeaths / silentMembers : 1}}});
     }
     return rows;
 }
@@ -295,17 +301,17 @@
     std::array<char, 2 * maxDatagramBytes> input{};
 };
 
-constexpr std::size_t mostSocketMembers = 300;
-constexpr auto socketSettle = std::chrono::seconds(8);
-constexpr auto socketWatch = std::chrono::seconds(8);
-constexpr auto socketSpread = std::chrono::seconds(6);
+constexpr std::size_t maxSocketMembers = 300;
+constexpr auto socketSettleTime = std::chrono::seconds(8);
+constexpr auto socketMeasurementTime = std::chrono::seconds(8);
+constexpr auto socketSpreadTime = std::chrono::seconds(6);
 
 } // namespace
 
-static void takeEpoch(socket_member &item, asio_runtime &runtime, std::uint64_t epoch)
+static void adoptSocketEpoch(socket_member &item, asio_runtime &runtime, std::uint64_t epoch)
 {
     item.counts.epoch = epoch;
-    item.counts.tookAt = runtime.now();
+    item.counts.adoptedAt = runtime.now();
     item.protocol->setDigest(makeDigest(epoch, runtime.now()));
     item.protocol->gossipToRandomMembers();
 }
@@ -313,8 +319,8 @@
 std::vector<trial_row> laurelcroft::runSocketSpreadTrial(const trial_settings &given)
 {
     std::vector<trial_row> rows;
-    for (const double size : given.at) {
-        const std::size_t count = std::min(mostSocketMembers, static_cast<std::size_t>(size));
+    for (const double size : given.axisValues) {
+        const std::size_t count = std::min(maxSocketMembers, static_cast<std::size_t>(size));
         asio::io_context context(1);
         asio_runtime runtime(context);
         random_source random(given.seed);
@@ -326,22 +332,22 @@
             membership_events events;
             events.onEpoch = [&item, &runtime](const epoch_observation &seen) {
                 if (seen.epoch > item.counts.epoch)
-                    takeEpoch(item, runtime, seen.epoch);
+                    adoptSocketEpoch(item, runtime, seen.epoch);
             };
             item.protocol = std::make_unique<membership<asio_runtime, socket_port>>(
-                    runtime, item.port, random, makeMember(i, item.address), trialKey,
+                    runtime, item.port, random, makeMember(i, item.address), membershipKey,
                     membership_options{}, events);
             item.receive();
             item.protocol->start(i == 0 ? std::vector<std::string>{}
                                         : std::vector<std::string>{members[0]->address});
         }
-        context.run_for(socketSettle);
+        context.run_for(socketSettleTime);
         for (const auto &item : members)
             item->counts.bytes = 0;
-        const double before = processorSeconds();
-        context.run_for(socketWatch);
-        const double used = processorSeconds() - before;
-        const double watched = std::chrono::duration<double>(socketWatch).count();
+        const double cpuBefore = cpuSeconds();
+        context.run_for(socketMeasurementTime);
+        const double cpuTime = cpuSeconds() - cpuBefore;
+        const double watched = std::chrono::duration<double>(socketMeasurementTime).count();
         double bytes = 0;
         double known = 0;
         for (const auto &item : members) {
@@ -349,24 +355,24 @@
             known += static_cast<double>(item->protocol->members().size());
         }
         const time_point began = runtime.now();
-        takeEpoch(*members[0], runtime, 2);
-        context.run_for(socketSpread);
-        double last = 0;
+        adoptSocketEpoch(*members[0], runtime, 2);
+        context.run_for(socketSpreadTime);
+        double slowest = 0;
         double missing = 0;
         for (const auto &item : members) {
             missing += item->counts.epoch == 2 ? 0 : 1;
-            last = std::max(last,
-                            std::chrono::duration<double>(item->counts.tookAt - began).count());
+            slowest = std::max(
+                    slowest, std::chrono::duration<double>(item->counts.adoptedAt - began).count());
         }
         const auto total = static_cast<double>(count);
         rows.push_back({given.kind,
                         "laurelcroft",
                         total,
                         "members",
-                        {{"epoch everywhere s", last},
+                        {{"epoch everywhere s", slowest},
                          {"members without it after 6 s", missing},
                          {"bytes/s a node", bytes / total / watched},
-                         {"processor % of a core a node", 100 * used / watched / total},
+                         {"processor % of a core a node", 100 * cpuTime / watched / total},
                          {"members known", known / total}}});
     }
     return rows;
--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -1,8 +1,8 @@
-//===-- Engine.cpp - a model engine with continuous batching ----------------===//
+//===-- Engine.cpp - simulated model engine ---------------------------------===//
 //
-// All running requests make one token a step; a step takes longer the more run.
-// Whether an answer is good is drawn so that its confidence is calibrated, and the
-// answer's last word tells it to the rating service.
+// Each step generates one token for every running request, and takes longer the more requests run.
+// An answer is good with a probability equal to its confidence, unless a fault degrades it. Its
+// last word, "checked" or "unchecked", tells the simulated rating service whether it is good.
 //
 //===----------------------------------------------------------------------===//
 #include "Roles.h"
@@ -18,7 +18,7 @@
 
 namespace {
 constexpr std::uint64_t defaultTokens = 16;
-constexpr std::uint64_t mostTokens = 100000;
+constexpr std::uint64_t maxTokens = 100000;
 constexpr std::size_t bytesPerToken = 4;
 constexpr std::size_t prefixBytes = 64;
 constexpr double confidenceSpread = 0.18;
@@ -40,69 +40,70 @@
 
 void engine_role::onLoad(const exchange_ptr &exchange)
 {
-    m_base.reply(exchange, http_status::ok,
-                 {{"running", m_running.size()},
-                  {"queued", m_waiting.size()},
-                  {"slots", m_options.slots},
-                  {"loaded", m_loaded}});
+    m_context.reply(exchange, http_status::ok,
+                    {{"running", m_running.size()},
+                     {"queued", m_waiting.size()},
+                     {"slots", m_options.slots},
+                     {"loaded", m_loaded}});
 }
 
 void engine_role::onOrder(const exchange_ptr &exchange)
 {
     const json order = json::parse(exchange->request().body, nullptr, false);
     if (!order.is_object()) {
-        m_base.reply(exchange, http_status::badRequest, {{"error", "bad order"}});
+        m_context.reply(exchange, http_status::badRequest, {{"error", "bad order"}});
         return;
     }
     const std::uint64_t fence = order.value("fence", std::uint64_t{0});
     const std::string version = order.value("version", "");
-    const bool loads = order.value("action", "") == "load";
-    const bool stale = m_options.fenced && fence < m_fence;
-    m_base.log.add({{"kind", "order"},
-                    {"action", loads ? "load" : "unload"},
-                    {"version", version},
-                    {"fence", fence},
-                    {"done", !stale}});
+    const bool isLoad = order.value("action", "") == "load";
+    const bool stale = m_options.checksFence && fence < m_highestFence;
+    m_context.log.add({{"kind", "order"},
+                       {"action", isLoad ? "load" : "unload"},
+                       {"version", version},
+                       {"fence", fence},
+                       {"done", !stale}});
     if (stale) {
-        m_base.reply(exchange, http_status::conflict, {{"error", "stale fence"}});
+        m_context.reply(exchange, http_status::conflict, {{"error", "stale fence"}});
         return;
     }
-    m_fence = std::max(m_fence, fence);
-    if (!loads) {
+    m_highestFence = std::max(m_highestFence, fence);
+    if (!isLoad) {
         m_loaded.erase(version);
-        m_base.reply(exchange, http_status::ok, {{"done", true}});
+        m_context.reply(exchange, http_status::ok, {{"done", true}});
         return;
     }
-    m_base.runtime.after(m_options.loadTime, [this, exchange, version] {
+    m_context.runtime.after(m_options.loadTime, [this, exchange, version] {
         m_loaded.insert(version);
-        m_base.reply(exchange, http_status::ok, {{"done", true}});
+        m_context.reply(exchange, http_status::ok, {{"done", true}});
     });
 }
 
-/// \returns the prompt tokens that an earlier request left in the cache.
-std::uint64_t engine_role::useCache(const std::string &body, std::uint64_t tokens)
+/// Looks up the prompt's prefix in the cache and adds it as the most recently used one.
+/// \returns the number of prompt tokens served from the cache.
+std::uint64_t engine_role::lookUpPrefix(const std::string &body, std::uint64_t tokens)
 {
     const std::size_t at = body.find("\"messages\"");
     const std::string prefix = body.substr(at == std::string::npos ? 0 : at, prefixBytes);
-    const auto found = std::find(m_prefixes.begin(), m_prefixes.end(), prefix);
-    const bool known = found != m_prefixes.end();
-    if (known)
-        m_prefixes.erase(found);
-    m_prefixes.push_front(prefix);
-    if (m_prefixes.size() > m_options.cachedPrefixes)
-        m_prefixes.pop_back();
-    return known ? tokens * 3 / 4 : 0;
+    const auto found = std::find(m_cachedPrefixes.begin(), m_cachedPrefixes.end(), prefix);
+    const bool isCached = found != m_cachedPrefixes.end();
+    if (isCached)
+        m_cachedPrefixes.erase(found);
+    m_cachedPrefixes.push_front(prefix);
+    if (m_cachedPrefixes.size() > m_options.cachedPrefixes)
+        m_cachedPrefixes.pop_back();
+    return isCached ? tokens * 3 / 4 : 0;
 }
 
 void engine_role::drawQuality(job &item)
 {
     std::normal_distribution<double> spread(m_options.quality, confidenceSpread);
-    item.confidence = std::clamp(spread(m_base.random.engine()), 0.01, 0.99);
+    item.confidence = std::clamp(spread(m_context.random.engine()), 0.01, 0.99);
     double goodShare = item.confidence;
-    const bool turnedBad = item.model == m_base.fault.badVersion;
-    if (turnedBad)
-        goodShare *= 1.0 - m_base.fault.badShare;
-    item.good = m_base.random.chance(goodShare);
+    const bool isDegraded = item.model == m_context.fault.badVersion;
+    if (isDegraded)
+        goodShare *= 1.0 - m_context.fault.badShare;
+    item.good = m_context.random.chance(goodShare);
 }
 
 void engine_role::onChat(const exchange_ptr &exchange)
@@ -111,9 +112,10 @@
     const json body = json::parse(request.body, nullptr, false);
     job item;
     item.requestId = findHeader(request.headers, "X-Request-Id");
-    if (!body.is_object() || m_base.fault.down || m_base.random.chance(m_base.fault.errorShare)) {
-        m_base.log.add({{"kind", "error"}, {"request_id", item.requestId}});
-        m_base.reply(exchange, http_status::unavailable, {{"error", "engine fault"}});
+    if (!body.is_object() || m_context.fault.down
+        || m_context.random.chance(m_context.fault.errorShare)) {
+        m_context.log.add({{"kind", "error"}, {"request_id", item.requestId}});
+        m_context.reply(exchange, http_status::unavailable, {{"error", "engine fault"}});
         return;
     }
     item.id = ++m_lastJob;
@@ -122,17 +124,18 @@
     item.stream = body.value("stream", false);
     item.priority = std::atoi(std::string(findHeader(request.headers, "X-Priority")).c_str());
     item.promptTokens = request.body.size() / bytesPerToken;
-    item.cachedTokens = useCache(request.body, item.promptTokens);
-    item.wanted = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, mostTokens);
-    item.prefillLeftMs = static_cast<double>(item.promptTokens - item.cachedTokens)
+    item.cachedTokens = lookUpPrefix(request.body, item.promptTokens);
+    item.requestedTokens
+            = std::clamp<std::uint64_t>(body.value("max_tokens", defaultTokens), 1, maxTokens);
+    item.remainingPrefillMs = static_cast<double>(item.promptTokens - item.cachedTokens)
             * m_options.prefillMsPerToken;
     drawQuality(item);
-    m_base.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
+    m_context.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
     exchange->onPeerLeft([this, id = item.id] { cancel(id); });
-    const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const job &other) {
+    const auto position = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const job &other) {
         return other.priority > item.priority;
     });
-    m_waiting.insert(place, std::move(item));
+    m_waiting.insert(position, std::move(item));
     scheduleStep();
 }
 
@@ -141,8 +144,9 @@
     const auto drop = [&](const job &item) {
         if (item.id != id)
             return false;
-        m_base.log.add(
-                {{"kind", "cancelled"}, {"request_id", item.requestId}, {"tokens", item.made}});
+        m_context.log.add({{"kind", "cancelled"},
+                           {"request_id", item.requestId},
+                           {"tokens", item.generatedTokens}});
         return true;
     };
     std::erase_if(m_waiting, drop);
@@ -162,28 +166,29 @@
 
 void engine_role::scheduleStep()
 {
-    if (m_stepping)
+    if (m_stepScheduled)
         return;
-    m_stepping = true;
+    m_stepScheduled = true;
     admit();
     const auto others = static_cast<double>(m_running.empty() ? 0 : m_running.size() - 1);
     double stepMs = m_options.decodeMs * (1.0 + m_options.batchSlowdown * others);
-    // Prefill runs before the step; requests that are being prefilled share it.
+    // The prefills of newly admitted requests run one after the other before the step and delay it
+    // for all running requests.
     double prefillMs = 0;
     for (job &item : m_running) {
-        prefillMs += item.prefillLeftMs;
-        item.prefillLeftMs = 0;
+        prefillMs += item.remainingPrefillMs;
+        item.remainingPrefillMs = 0;
     }
-    stepMs += prefillMs + static_cast<double>(m_base.fault.slow.count());
-    m_base.runtime.after(duration(static_cast<std::int64_t>(stepMs * 1e6)), [this] { step(); });
+    stepMs += prefillMs + static_cast<double>(m_context.fault.extraDelay.count());
+    m_context.runtime.after(duration(static_cast<std::int64_t>(stepMs * 1e6)), [this] { step(); });
 }
 
 void engine_role::step()
 {
-    m_stepping = false;
+    m_stepScheduled = false;
     for (auto it = m_running.begin(); it != m_running.end();) {
-        makeToken(*it);
-        if (it->made < it->wanted) {
+        generateToken(*it);
+        if (it->generatedTokens < it->requestedTokens) {
             ++it;
             continue;
         }
@@ -194,11 +199,11 @@
         scheduleStep();
 }
 
-void engine_role::makeToken(job &item)
+void engine_role::generateToken(job &item)
 {
-    item.made += 1;
-    std::string word = "w" + std::to_string(item.made) + " ";
-    if (item.made == item.wanted)
+    item.generatedTokens += 1;
+    std::string word = "w" + std::to_string(item.generatedTokens) + " ";
+    if (item.generatedTokens == item.requestedTokens)
         word = item.good ? "checked" : "unchecked";
     item.text += word;
     if (!item.stream)
@@ -212,11 +217,11 @@
 
 void engine_role::finish(job &item)
 {
-    m_base.log.add({{"kind", "finished"},
-                    {"request_id", item.requestId},
-                    {"model", item.model},
-                    {"tokens", item.made},
-                    {"good", item.good}});
+    m_context.log.add({{"kind", "finished"},
+                       {"request_id", item.requestId},
+                       {"model", item.model},
+                       {"tokens", item.generatedTokens},
+                       {"good", item.good}});
     ordered_json body;
     body["object"] = item.stream ? "chat.completion.chunk" : "chat.completion";
     body["model"] = item.model;
@@ -227,7 +232,7 @@
         choice["delta"] = json::object();
     body["choices"] = {choice};
     body["usage"] = {{"prompt_tokens", item.promptTokens},
-                     {"completion_tokens", item.made},
+                     {"completion_tokens", item.generatedTokens},
                      {"prompt_tokens_details", {{"cached_tokens", item.cachedTokens}}}};
     body["confidence"] = std::round(item.confidence * 1000) / 1000;
     if (!item.stream) {
--- a/lib/Standin/Roles.h
+++ b/lib/Standin/Roles.h
@@ -1,6 +1,6 @@
-//===-- Roles.h - the roles of the stand-in ----------------------*- C++ -*-===//
+//===-- Roles.h - roles of the stand-in --------------------------*- C++ -*-===//
 //
-// Private to Standin: one class for each outside system.
+// Declares one class for each external service. Internal to Standin.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_STANDIN_ROLES_H
@@ -16,28 +16,28 @@
 
 namespace laurelcroft {
 
-/// A role handles requests; what it does not know it leaves to the caller.
+/// Base class of the simulated services.
 class standin_role
 {
 public:
-    explicit standin_role(standin_base &base)
-        : m_base(base)
+    explicit standin_role(standin_context &context)
+        : m_context(context)
     {
     }
     virtual ~standin_role() = default;
 
-    /// \returns false when the path is none of this role's.
+    /// Handles a request. \returns false if the role does not serve its path.
     virtual bool handle(const exchange_ptr &exchange) = 0;
 
 protected:
-    standin_base &m_base;
+    standin_context &m_context;
 };
 
-/// The transactional table, rate-limited.
+/// Simulates the transactional table, with a rate limit.
 class table_role : public standin_role
 {
 public:
-    table_role(standin_base &base, double perSecond);
+    table_role(standin_context &context, double perSecond);
     bool handle(const exchange_ptr &exchange) override;
 
 private:
@@ -46,19 +46,20 @@
         std::string value;
         std::uint64_t version = 0;
     };
-    bool takeRate();
+    /// Takes one call from the rate limit. \returns false if the limit is exceeded.
+    bool takeToken();
     nlohmann::json apply(const nlohmann::json &operation);
     void transact(const exchange_ptr &exchange);
     void scan(const exchange_ptr &exchange);
 
     double m_perSecond;
     double m_tokens;
-    time_point m_filledAt;
+    time_point m_refilledAt;
     std::map<std::string, row> m_rows;
 };
 
-/// The object store.
-class objects_role : public standin_role
+/// Simulates the object store.
+class object_store_role : public standin_role
 {
 public:
     using standin_role::standin_role;
@@ -68,12 +69,13 @@
     std::map<std::string, std::string> m_objects;
 };
 
-/// The rating service: slow, rate-limited, right with a given probability.
+/// Simulates the rating service. It replies after a delay and reads the quality of an answer from
+/// the marker that the engine stand-in puts at its end.
 class ratings_role : public standin_role
 {
 public:
-    ratings_role(standin_base &base, milliseconds delay)
-        : standin_role(base)
+    ratings_role(standin_context &context, milliseconds delay)
+        : standin_role(context)
         , m_delay(delay)
     {
     }
@@ -83,12 +85,12 @@
     milliseconds m_delay;
 };
 
-/// The lagging list of instances.
-class list_role : public standin_role
+/// Simulates the instance list. Updates become visible after a lag.
+class instance_list_role : public standin_role
 {
 public:
-    list_role(standin_base &base, milliseconds lag)
-        : standin_role(base)
+    instance_list_role(standin_context &context, milliseconds lag)
+        : standin_role(context)
         , m_lag(lag)
     {
     }
@@ -96,43 +98,43 @@
 
 private:
     milliseconds m_lag;
-    nlohmann::json m_shown = nlohmann::json::array();
+    nlohmann::json m_visibleInstances = nlohmann::json::array();
 };
 
-/// A plain service.
+/// Simulates an endpoint that is not a model engine. It serves any path.
 class service_role : public standin_role
 {
 public:
-    service_role(standin_base &base, milliseconds took)
-        : standin_role(base)
-        , m_took(took)
+    service_role(standin_context &context, milliseconds processingTime)
+        : standin_role(context)
+        , m_processingTime(processingTime)
     {
     }
     bool handle(const exchange_ptr &exchange) override;
 
 private:
-    milliseconds m_took;
+    milliseconds m_processingTime;
 };
 
-/// How an engine stand-in works.
+/// Parameters of a simulated engine.
 struct engine_options
 {
     std::size_t slots = 8;
-    double decodeMs = 20; ///< of one token at batch one
-    double batchSlowdown = 0.03; ///< more decode time for each further request
+    double decodeMs = 20; ///< time per token of a single request
+    double batchSlowdown = 0.03; ///< relative increase of the decode time per additional request
     double prefillMsPerToken = 0.2;
     double quality = 0.9; ///< mean confidence of its answers
     std::size_t cachedPrefixes = 64;
-    milliseconds loadTime{50}; ///< of a version
-    bool fenced = true; ///< checks the fence of orders
+    milliseconds loadTime{50}; ///< time to load a version
+    bool checksFence = true; ///< reject orders with a stale fence
 };
 
-/// A model engine with continuous batching.
+/// Simulates a model engine with continuous batching.
 class engine_role : public standin_role
 {
 public:
-    engine_role(standin_base &base, engine_options options)
-        : standin_role(base)
+    engine_role(standin_context &context, engine_options options)
+        : standin_role(context)
         , m_options(options)
     {
     }
@@ -149,9 +151,9 @@
         int priority = 0;
         std::uint64_t promptTokens = 0;
         std::uint64_t cachedTokens = 0;
-        std::uint64_t wanted = 0;
-        std::uint64_t made = 0;
-        double prefillLeftMs = 0;
+        std::uint64_t requestedTokens = 0;
+        std::uint64_t generatedTokens = 0;
+        double remainingPrefillMs = 0;
         double confidence = 0;
         bool good = true;
         std::string text;
@@ -161,22 +163,22 @@
     void onOrder(const exchange_ptr &exchange);
     void onLoad(const exchange_ptr &exchange);
     void drawQuality(job &item);
-    std::uint64_t useCache(const std::string &body, std::uint64_t tokens);
+    std::uint64_t lookUpPrefix(const std::string &body, std::uint64_t tokens);
     void admit();
     void scheduleStep();
     void step();
-    void makeToken(job &item);
+    void generateToken(job &item);
     void finish(job &item);
     void cancel(std::uint64_t id);
 
     engine_options m_options;
     std::deque<job> m_waiting;
     std::list<job> m_running;
-    std::list<std::string> m_prefixes;
+    std::list<std::string> m_cachedPrefixes;
     std::set<std::string> m_loaded;
-    std::uint64_t m_fence = 0;
+    std::uint64_t m_highestFence = 0;
     std::uint64_t m_lastJob = 0;
-    bool m_stepping = false;
+    bool m_stepScheduled = false;
 };
 
 } // namespace laurelcroft
