--- a/include/laurelcroft/Platform/Gate.h
+++ b/include/laurelcroft/Platform/Gate.h
@@ -1,7 +1,8 @@
-//===-- Platform/Gate.h - rate limit and breaker of a service ----*- C++ -*-===//
+//===-- Platform/Gate.h - rate limit and circuit breaker ---------*- C++ -*-===//
 //
-// Every outside service is rate-limited and can be down for long: each client
-// passes this gate before it sends, and is refused at once when it is shut.
+// Limits the calls to one external service. External services have rate limits
+// and can be down for a long time, so a client checks before each call and fails
+// at once when the rate is exceeded or the circuit breaker is open.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_GATE_H
@@ -12,23 +13,25 @@
 
 namespace laurelcroft {
 
-/// Own rate towards one service, and its breaker.
+/// Token bucket and circuit breaker for the calls to one external service.
 class platform_gate
 {
 public:
-    /// \param perSecond calls a second this process may make; \param burst at once.
+    /// \param perSecond calls per second that this process may make.
+    /// \param burst calls that may be made at once.
     platform_gate(double perSecond, double burst);
 
-    /// \returns true and takes one call when it may be made.
+    /// Takes one token if the call may be made now.
+    /// \returns true if it may.
     bool pass(time_point now);
 
     void succeeded();
     void failed(time_point now);
 
-    /// \returns true after several failures in a row.
+    /// \returns true while the circuit breaker is open after several consecutive failures.
     bool isShut() const { return m_breaker.isOpen(); }
 
-    /// \returns the time after which a refused call may be tried again.
+    /// \returns how long to wait before a refused call may be retried.
     milliseconds retryAfter(time_point now) const;
 
 private:
--- a/include/laurelcroft/Platform/HttpClients.h
+++ b/include/laurelcroft/Platform/HttpClients.h
@@ -1,7 +1,8 @@
 //===-- Platform/HttpClients.h - clients of the platform ---------*- C++ -*-===//
 //
-// The table, object store, rating service and instance list over HTTP. Each call
-// has a deadline, passes its service's gate and ends with that service's error.
+// HTTP clients of the table, the object store, the rating service and the instance
+// list. Each call has a timeout, is subject to the rate limit and circuit breaker
+// of its service, and reports failures in the error type of that service.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_HTTPCLIENTS_H
@@ -17,16 +18,16 @@
 
 namespace laurelcroft {
 
-/// Address and own bounds of one outside service.
+/// Address, timeout and client-side rate limit of one external service.
 struct platform_options
 {
     std::string url; ///< "http://10.0.0.1:8000"
-    milliseconds timeout{1000}; ///< for a whole call
-    double callsPerSecond = 50; ///< of this process
+    milliseconds timeout{1000}; ///< for a whole call, including the connect
+    double callsPerSecond = 50; ///< limit for this process
     double burst = 50;
 };
 
-/// The table over HTTP.
+/// HTTP client of the table service.
 class http_table
 {
 public:
@@ -40,10 +41,10 @@
     void insertAll(const std::vector<new_row> &rows,
                    table_callback<std::vector<write_result>> done);
 
-    /// Reads all rows whose key begins with \p prefix; for operators.
+    /// Reads all rows whose key begins with \p prefix. Used by operator commands only.
     void scan(const std::string &prefix, table_callback<std::vector<new_row>> done);
 
-    /// \returns true while the breaker holds calls back.
+    /// \returns true while the circuit breaker refuses calls.
     bool isShut() const { return m_gate.isShut(); }
 
 private:
@@ -59,10 +60,10 @@
 
 static_assert(table_like<http_table>);
 
-/// Why the object store gave no object.
+/// Why a call to the object store failed.
 enum class object_error { unavailable, missing };
 
-/// The object store: immutable bodies under their hash.
+/// HTTP client of the object store, which holds immutable objects keyed by their hash.
 class http_object_store
 {
 public:
@@ -79,7 +80,7 @@
     platform_gate m_gate;
 };
 
-/// An answer to be rated.
+/// An answer to be rated, with the request that it answers.
 struct rating_sample
 {
     std::string requestId;
@@ -90,13 +91,14 @@
     std::string answer;
 };
 
-/// The rating service: slow and rate-limited. Samples over the rate are dropped.
+/// HTTP client of the rating service, which is slow and rate-limited. Samples above the rate limit
+/// are dropped.
 class http_rating_service
 {
 public:
     http_rating_service(asio_runtime &runtime, http_client &client, platform_options options);
 
-    /// \param done gets the rating in [0, 1], or nothing.
+    /// \param done receives the rating in [0, 1], or nothing if the call failed.
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
 
 private:
@@ -106,7 +108,7 @@
     platform_gate m_gate;
 };
 
-/// One line of the platform's lagging list.
+/// One item of the platform's instance list, which may be out of date.
 struct listed_instance
 {
     std::string id;
@@ -114,7 +116,7 @@
     bool leaving = false;
 };
 
-/// The list of live and leaving instances: used to find first peers only.
+/// HTTP client of the list of live and leaving instances. Used only to find the first peers.
 class http_instance_list
 {
 public:
--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -1,8 +1,8 @@
-//===-- Platform/RowFollower.h - keeps up with one table ---------*- C++ -*-===//
+//===-- Platform/RowFollower.h - follows the changes of a table --*- C++ -*-===//
 //
-// Reads a table once, then follows its feed; begins anew when the history is gone or
-// the store was away. Reads are paced, because each call has its price. Where another process
-// gives the rows on, that one is asked, at the start as well.
+// Reads a table once, then follows its change feed. Reads the whole table again when the store no
+// longer has the history that the feed needs. Reads are spaced out because every call to the store
+// has a cost. Where another process relays the rows, the follower reads from it, also at startup.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_ROWFOLLOWER_H
@@ -16,73 +16,77 @@
 
 namespace laurelcroft {
 
-/// Pace of a follower.
+/// Read intervals and timeouts of a follower.
 struct follow_pace
 {
-    milliseconds between{0}; ///< least time from one answer to the next call
-    milliseconds held{0}; ///< how long the store may hold a call that has no news
-    /// How long a process that starts waits for a relay before it reads the store itself. When
-    /// all start at once, the relays need some tens of milliseconds more than the store to have a
-    /// table, and may start later. Where a hundred entries start together it saves nine of ten
-    /// calls to the store.
+    milliseconds between{0}; ///< minimum time from an answer to the next call
+    milliseconds held{0}; ///< how long the store may hold a call while there are no changes
+    /// How long a starting process waits for a relay before it reads the store itself. When all
+    /// processes start at once, a relay has a table some tens of milliseconds later than the store
+    /// could deliver it, and the relay may also start later. When a hundred entries start together,
+    /// the wait saves nine out of ten calls to the store.
     milliseconds firstWait{400};
-    /// How long a relay may say that its rows are outdated before the store is asked beside it.
-    /// The relays' own calls fail then, and so would most others: where a hundred entries asked
-    /// at once, a store that dropped its history for some seconds had 1,500 calls more.
+    /// How long a relay may report outdated rows before this process reads the store as well. A
+    /// relay reports them when its own calls to the store fail, and most other calls would fail
+    /// too: when a hundred entries read the store at once, a store that had lost its history for
+    /// some seconds received 1,500 additional calls.
     milliseconds staleWait{400};
 };
 
-/// What a follower tells its owner.
+/// Callbacks of a follower to its owner.
 struct follow_events
 {
-    std::function<void(row_batch &&batch)> onTable; ///< the whole table
+    std::function<void(row_batch &&batch)> onTable; ///< the whole table was read
     std::function<void(row_batch &&batch)> onChanges;
-    std::function<void(row_failure why)> onLost; ///< the first failure in a row
-    /// Other processes were outdated before, and now the store fails this process as well.
+    std::function<void(row_failure why)> onLost; ///< first of several consecutive failures
+    /// The relays had reported outdated rows, and now a call of this process to the store failed
+    /// as well.
     std::function<void()> onLostHere = [] {};
-    std::function<void(milliseconds away)> onRegained;
+    std::function<void(milliseconds away)> onRegained; ///< first success after failures
 };
 
-/// What is new in a table.
+/// Changes of a table, or the whole table.
 struct row_news
 {
     row_batch batch;
-    bool whole = false; ///< the batch is the whole table, otherwise changes to it
+    bool whole = false; ///< true: the batch is the whole table; false: changes to it
 };
 
-/// Version of a table of which a process knows nothing yet.
+/// Version of a table that has not been read yet.
 inline constexpr std::uint64_t nothingKnown = 0;
-/// Version to ask others from for a whole table that is known, but whose changes are lost. The
-/// store's versions are higher.
+/// Version with which a process requests the whole table from other processes when it has read
+/// the table before but has missed changes. Versions of the store are always higher.
 inline constexpr std::uint64_t readAnew = 1;
 
-/// Another way to the rows: a process that reads the store gives them on.
+/// Alternative source of rows: other processes that read the store and pass the rows on.
 struct row_relay
 {
-    /// \returns true while the relay is asked first and the store only when it fails. Otherwise
-    /// it is the other way round.
+    /// \returns true if the relay is read first and the store only when the relay fails; false for
+    /// the opposite order.
     std::function<bool()> isPreferred;
-    /// \returns true when this process asks the store at once while its relays are outdated, or
-    /// have nothing yet at its start, so that others find the rows here. May be empty.
+    /// \returns true if this process reads the store without delay when its relays are outdated or
+    /// have no table yet at startup, so that other processes can read the rows here. May be empty.
     std::function<bool()> isStandby;
-    /// Reads what is new since a version, or the whole table since \c nothingKnown or \c readAnew.
-    /// May fail.
+    /// Reads the changes since a version, or the whole table if the version is \c nothingKnown or
+    /// \c readAnew. May fail.
     std::function<void(const std::string &table, std::uint64_t since, row_callback<row_news> done)>
             read;
 };
 
-/// Follows one table.
+/// Follows the changes of one table.
 template <row_store_like Store, runtime_like Runtime>
 class row_follower
 {
 public:
-    /// First and longest wait after a failure. The longest is well below the time within
-    /// which a change must be in force after the store's return.
+    /// Minimum and maximum retry delay after a failure. The maximum is well below the time within
+    /// which a change must take effect after the store has recovered.
     static constexpr milliseconds firstRetry{100};
     static constexpr milliseconds longestRetry{800};
-    /// The same where a relay is asked first: it tells of the store's return by itself.
+    /// Maximum retry delay when a relay is read first: the relay's answers show that the store has
+    /// recovered.
     static constexpr milliseconds longestRetryBesideRelay{2400};
-    /// The same where a relay answers, though with nothing new.
+    /// Maximum retry delay when a relay answers that its rows are outdated, unless this process is
+    /// a standby.
     static constexpr milliseconds longestRetryBesideOutdated{20'000};
 
     row_follower(Store &store, Runtime &runtime, std::string table, follow_pace pace,
@@ -112,24 +116,26 @@
         read();
     }
 
-    /// Time from one read of a relay to the next when there is no news for longer. It is near
-    /// and costs little; with the store's own pace it stays within the time that a leaving
-    /// endpoint allows.
+    /// Minimum time between the starts of two reads of a relay. A relay is close and a read costs
+    /// little. Together with the read interval of the store, the delay stays within the time that
+    /// a leaving endpoint allows.
     static constexpr milliseconds relayPace{300};
-    /// Time from an answer of a relay to the next read; the relay holds what has no news.
+    /// Minimum time from an answer of a relay to the next read. The relay holds a read while it has
+    /// no changes.
     static constexpr milliseconds relayPause{50};
 
-    /// \returns when the last answer came; the clock's beginning when none has.
+    /// \returns when the store last answered, or the epoch of the clock if it never has.
     time_point confirmedAt() const { return m_confirmedAt; }
 
-    /// \returns since when the store has answered without a failure; meaningless before its
+    /// \returns since when the store has answered without a failure. Only meaningful after its
     /// first answer.
     time_point steadySince() const { return m_steadySince; }
 
-    /// \returns true when the news that are being told came from a relay.
+    /// \returns true if the last reported table or changes came from a relay. Callbacks may use it
+    /// for what they are given.
     bool isNewsRelayed() const { return m_newsRelayed; }
 
-    /// \returns when a relay last answered; the clock's beginning when none has.
+    /// \returns when a relay last answered, or the epoch of the clock if none has.
     time_point relayedAt() const { return m_relayedAt; }
 
 private:
@@ -155,11 +161,12 @@
                 });
     }
 
-    /// \param isCurrent false when the store was asked meanwhile, whose answer goes on.
+    /// \param isCurrent false if a read of the store began meanwhile; that read then schedules the
+    /// next one.
     void onRelayed(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
     {
         if (result) {
-            // It gives on only what the store has confirmed a moment ago.
+            // A relay passes on only rows that the store has confirmed recently.
             m_relayedAt = m_runtime.now();
             noteRegained();
             takeNews(std::move(result.value()));
@@ -196,7 +203,7 @@
 
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
 
-    /// Takes what a relay said; what is known never grows older.
+    /// Reports rows from a relay unless they are no newer than the rows already known.
     void takeNews(row_news &&news)
     {
         if (news.batch.version <= m_newest)
@@ -217,8 +224,8 @@
             if (*alive)
                 onAnswer(std::move(result));
         };
-        // While the store is lost nothing is held: its return shows at once, and a call that
-        // hangs is given up sooner.
+        // While the store is unavailable, its calls are not held: its recovery is noticed at once,
+        // and a call that hangs times out sooner.
         const milliseconds held = m_lost ? milliseconds(0) : m_pace.held;
         if (m_since == nothingKnown)
             m_store.list(m_table, std::move(done));
@@ -228,7 +235,7 @@
 
     void readAfter(duration wait)
     {
-        // A read that began meanwhile goes on by itself.
+        // A read that began meanwhile schedules the next one itself.
         m_runtime.after(wait, [this, round = m_round, alive = m_alive] {
             if (*alive && round == m_round)
                 read();
@@ -321,15 +328,15 @@
     row_relay m_relay;
     std::shared_ptr<bool> m_alive;
     std::uint64_t m_since = nothingKnown;
-    std::uint64_t m_newest = nothingKnown; ///< stays when the history is gone and all is read anew
-    unsigned m_round = 0; ///< of the read whose answer goes on with the next one
+    std::uint64_t m_newest = nothingKnown; ///< kept while the whole table is reread
+    unsigned m_round = 0; ///< number of the read whose answer schedules the next read
     time_point m_startedAt{};
     milliseconds m_retry = firstRetry;
     bool m_lost = false;
     row_failure m_lostWhy = row_failure::notDone;
-    bool m_outdated = false; ///< what the relay said last
+    bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
     bool m_newsRelayed = false;
-    time_point m_storeDueAt{}; ///< next call of the store while it is lost
+    time_point m_storeDueAt{}; ///< next call to the store while it is unavailable
     time_point m_lostAt{};
     time_point m_confirmedAt{};
     time_point m_steadySince{};
--- a/include/laurelcroft/Platform/RowStore.h
+++ b/include/laurelcroft/Platform/RowStore.h
@@ -1,8 +1,8 @@
-//===-- Platform/RowStore.h - rows with versions and a feed ------*- C++ -*-===//
+//===-- Platform/RowStore.h - versioned rows with a change feed --*- C++ -*-===//
 //
-// What laurelcroft asks of a store of rows: read a table, follow its changes, and write
-// several rows under conditions. Versions come from one counter that rises with every
-// write; every answer tells the store's own steady clock.
+// Interface of a row store: read a table, follow its changes, and write several rows
+// conditionally. Versions come from a single counter that increases with every write.
+// Every answer contains a reading of the store's own steady clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_ROWSTORE_H
@@ -20,63 +20,63 @@
 
 namespace laurelcroft {
 
-/// Why the store gave no result.
+/// Why a call to the store or to a relay failed.
 enum class row_failure {
-    notDone, ///< refused or never sent: nothing happened
-    unknown, ///< no answer came; a write may take effect even later
-    historyGone, ///< the feed no longer reaches back: read the table again
-    outdated ///< of a relay: it has not heard from the store for too long
+    notDone, ///< refused or never sent: the call had no effect
+    unknown, ///< no answer: a write may have taken effect or may still do so
+    historyGone, ///< the feed no longer covers the version asked for: reread the table
+    outdated ///< only from a relay: its last answer from the store is too old
 };
 
 std::string_view textOf(row_failure failure);
 
-/// One row.
+/// A row of a table, or its removal.
 struct store_row
 {
     std::string key;
     std::string value;
     std::uint64_t version = 0;
-    bool removed = false; ///< only in a feed
+    bool removed = false; ///< set only in a change feed
 };
 
-/// Rows as of one moment, or changes up to one.
+/// A consistent snapshot of a table, or the changes up to a version.
 struct row_batch
 {
     std::vector<store_row> rows;
-    std::uint64_t version = 0; ///< where a feed goes on
-    milliseconds storeTime{0};
+    std::uint64_t version = 0; ///< version from which to follow the feed
+    milliseconds storeTime{0}; ///< reading of the store's clock
 };
 
-/// A row with the table it stands in.
+/// A row and its table.
 struct table_entry
 {
     std::string table;
     store_row row;
 };
 
-/// One row of a write.
+/// One row of a conditional write.
 struct row_write
 {
     std::string table;
     std::string key;
     std::string value;
-    /// The version that must stand there; 0: no row. Empty: any.
+    /// Version that the row must have; 0: the row must not exist; empty: no condition.
     std::optional<std::uint64_t> expected;
-    bool remove = false; ///< drops the row instead
+    bool remove = false; ///< removes the row instead of writing it
 };
 
-/// What a conditional write came to.
+/// Result of a conditional write.
 struct conditional_write
 {
     bool done = false;
-    std::uint64_t version = 0; ///< of the rows that were written
-    milliseconds storeTime{0}; ///< when it was done
-    /// After a conflict, the rows that had a condition as they stand now; a version of 0
-    /// means that there is none.
+    std::uint64_t version = 0; ///< version of the written rows
+    milliseconds storeTime{0}; ///< time of the write by the store's clock
+    /// After a conflict: the current state of the rows that had a condition. Version 0 means
+    /// that the row does not exist.
     std::vector<table_entry> current;
 };
 
-/// \returns what a write came to, for the log.
+/// \returns the result of a write as text for the log.
 inline std::string_view textOf(const outcome<conditional_write, row_failure> &result)
 {
     if (!result)
@@ -87,7 +87,8 @@
 template <class T>
 using row_callback = std::function<void(outcome<T, row_failure>)>;
 
-/// A client of the store. Callbacks come later, once each, on the caller's thread.
+/// A client of the store. Each callback is called exactly once, after the call has returned, on
+/// the caller's thread.
 template <class S>
 concept row_store_like
         = requires(S store, const std::string &table, std::uint64_t since, milliseconds wait,
--- a/include/laurelcroft/Platform/StoreTimeBounds.h
+++ b/include/laurelcroft/Platform/StoreTimeBounds.h
@@ -1,7 +1,8 @@
-//===-- Platform/StoreTimeBounds.h - between which the store's clock is -*- C++ -*-===//
+//===-- Platform/StoreTimeBounds.h - bounds of the store's clock -*- C++ -*-===//
 //
-// A lease ends at a moment of the store's clock. Its holder must take that clock to be as late as
-// it can be, whoever waits for its end as early as it can be; then the two never overlap.
+// A lease expires at a time of the store's clock, which a process knows only within bounds. The
+// holder of a lease goes by the latest possible time, a process that waits for its expiry by the
+// earliest; so two processes never hold the lease at once.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_STORETIMEBOUNDS_H
@@ -11,12 +12,12 @@
 
 namespace laurelcroft {
 
-/// What one answer of the store says of its clock from then on.
+/// Bounds of the store's current time, derived from one answer of the store.
 class store_time_bounds
 {
 public:
-    /// \param reading that the answer tells; \param askedAt, \param answeredAt between which the
-    /// store has read its clock.
+    /// \param reading time of the store's clock in the answer.
+    /// \param askedAt, \param answeredAt local times between which the store read its clock.
     void note(milliseconds reading, time_point askedAt, time_point answeredAt)
     {
         m_reading = reading;
@@ -24,13 +25,13 @@
         m_answeredAt = answeredAt;
     }
 
-    /// \returns what the store's clock shows at \p now at least.
+    /// \returns the lower bound of the store's clock at \p now.
     milliseconds earliest(time_point now) const
     {
         return m_reading + std::chrono::floor<milliseconds>(now - m_answeredAt);
     }
 
-    /// \returns what the store's clock shows at \p now at most.
+    /// \returns the upper bound of the store's clock at \p now.
     milliseconds latest(time_point now) const
     {
         return m_reading + std::chrono::ceil<milliseconds>(now - m_askedAt);
--- a/include/laurelcroft/Platform/Table.h
+++ b/include/laurelcroft/Platform/Table.h
@@ -1,7 +1,7 @@
 //===-- Platform/Table.h - the platform's table service ----------*- C++ -*-===//
 //
-// What laurelcroft asks of the transactional table: read, insert if absent,
-// compare and set, and a batch of inserts. docs/PLATFORM.md gives the protocol.
+// Interface of the transactional table: read, insert if absent, compare and set,
+// and batches of inserts. docs/PLATFORM.md describes the protocol.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_TABLE_H
@@ -19,11 +19,11 @@
 
 namespace laurelcroft {
 
-/// Why the table gave no answer.
+/// Why a call to the table failed.
 enum class table_failure {
-    notSent, ///< nothing reached the table
-    rateLimited, ///< the table refused for its rate: nothing was done
-    unknown, ///< no answer came; a write may have taken effect
+    notSent, ///< the call did not reach the table
+    rateLimited, ///< refused by the table's rate limit: the call had no effect
+    unknown, ///< no valid answer: a write may have taken effect
 };
 
 struct table_error
@@ -31,7 +31,7 @@
     table_failure kind = table_failure::unknown;
     milliseconds retryAfter{0};
 
-    /// \returns true when a write surely had no effect.
+    /// \returns true if a write is certain to have had no effect.
     bool hadNoEffect() const { return kind != table_failure::unknown; }
 };
 
@@ -43,7 +43,7 @@
     std::uint64_t version = 0;
 };
 
-/// Result of a write: when \c done is false, \c row is what stands there instead.
+/// Result of a write. If \c done is false, \c row is the existing row that prevented the write.
 struct write_result
 {
     bool done = false;
@@ -60,7 +60,8 @@
 template <class T>
 using table_callback = std::function<void(outcome<T, table_error>)>;
 
-/// A client of the table. Callbacks come later, once each, on the caller's thread.
+/// A client of the table. Each callback is called exactly once, after the call has returned, on
+/// the caller's thread.
 template <class T>
 concept table_like
         = requires(T table, const std::string &key, const std::string &value, std::uint64_t version,
@@ -74,9 +75,9 @@
     table.insertAll(rows, onWrites);
 };
 
-/// Inserts a row whose value nobody else writes, and resolves a lost answer by
-/// reading back: the result tells for sure whether this value stands there, or the
-/// error that it could not be learnt.
+/// Inserts a row whose value no other process writes. If the answer is lost, reads the row back.
+/// The result is either definite (whether the row has this value) or an error if the outcome
+/// could not be determined.
 template <table_like Table>
 void insertResolved(Table &table, const std::string &key, const std::string &value,
                     table_callback<write_result> done)
@@ -91,7 +92,7 @@
         }
         table.read(key, [value, done](outcome<std::optional<table_row>, table_error> back) {
             if (!back) {
-                // The insert may have taken effect: the second error must say so too.
+                // The insert may have taken effect, whatever the error of this read is.
                 done(failure(table_error{table_failure::unknown, back.error().retryAfter}));
                 return;
             }
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -1,8 +1,8 @@
-//===-- Gate.cpp - rate limit and breaker of a service ----------------------===//
+//===-- Gate.cpp - rate limit and circuit breaker ---------------------------===//
 //
-// The breaker opens after three failures in a row and tries again after one
-// second, then two, up to eight: an outage of minutes costs a call in eight
-// seconds, and its end is seen within eight.
+// The circuit breaker opens after three consecutive failures and lets a call through
+// after one second, then two, up to eight: an outage of minutes costs one call in
+// eight seconds, and a recovery is noticed within eight seconds.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/Gate.h"
--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -1,6 +1,6 @@
 //===-- HttpClients.cpp - clients of the platform ---------------------------===//
 //
-// JSON over HTTP. Errors of the HTTP layer are turned into each service's own.
+// Sends JSON over HTTP and maps errors of the HTTP layer to the errors of each service.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/HttpClients.h"
@@ -21,7 +21,7 @@
     case table_failure::notSent:
         return "the table cannot be reached";
     case table_failure::rateLimited:
-        return "the table's rate is used up";
+        return "the rate limit of the table is exceeded";
     case table_failure::unknown:
         return "the table did not answer";
     }
@@ -36,13 +36,14 @@
     return milliseconds(static_cast<std::int64_t>(std::strtod(text.c_str(), nullptr) * 1000));
 }
 
-/// \returns the parsed body, or a discarded value that is no object.
+/// \returns the parsed body; a discarded value, which is not an object, if it is not valid JSON.
 static json parseBody(const std::string &body)
 {
     return json::parse(body, nullptr, false);
 }
 
-/// Sends through \p gate; a shut gate answers from the context as notSent.
+/// Sends a call if \p gate allows it. Otherwise \p done is called with notSent, not from within
+/// this function but from the runtime.
 static void sendGated(asio_runtime &runtime, http_client &client, platform_gate &gate,
                       http_call call, std::function<void(outcome<http_reply, http_error>)> done)
 {
@@ -116,7 +117,7 @@
     return result;
 }
 
-/// Reads the results of a transaction of \p count operations.
+/// Extracts the results of a transaction of \p count operations.
 static outcome<std::vector<json>, table_error> readResults(const outcome<json, table_error> &reply,
                                                            std::size_t count)
 {
--- a/lib/Platform/RowStore.cpp
+++ b/lib/Platform/RowStore.cpp
@@ -1,6 +1,6 @@
-//===-- RowStore.cpp - rows with versions and a feed ------------------------===//
+//===-- RowStore.cpp - versioned rows with a change feed --------------------===//
 //
-// Names of the failures, as they stand in logs.
+// Names of the failures as they appear in logs.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/RowStore.h"
