--- a/unittests/Platform/PlatformTests.cpp
+++ b/unittests/Platform/PlatformTests.cpp
@@ -1,6 +1,6 @@
-//===-- PlatformTests.cpp - gates towards the platform ----------------------===//
+//===-- PlatformTests.cpp - limits on calls to the platform -----------------===//
 //
-// Rate and breaker under a paused clock.
+// Rate limit and circuit breaker under a simulated clock.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/Gate.h"
@@ -9,7 +9,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("a gate keeps its rate")
+TEST_CASE("calls above the rate limit are refused")
 {
     manual_runtime runtime;
     platform_gate gate(10, 2);
@@ -21,7 +21,7 @@
     CHECK(gate.pass(runtime.now()));
 }
 
-TEST_CASE("a gate shuts after failures, and an outage costs a call in eight seconds")
+TEST_CASE("the breaker opens after failures and allows one call in eight seconds during an outage")
 {
     manual_runtime runtime;
     platform_gate gate(1000, 1000);
--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -1,6 +1,6 @@
-//===-- RowFollowerTests.cpp - keeps up with one table ----------------------===//
+//===-- RowFollowerTests.cpp - follows the changes of a table ---------------===//
 //
-// The store, a relay that is asked first, and what happens when either is away.
+// Reads from the store and from a relay, with either or both of them unavailable.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/RowFollower.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Answers at once, or fails.
+/// Row store that answers at once, or fails while it is \c away.
 struct plain_store
 {
     void list(const std::string &, row_callback<row_batch> done) { answer(std::move(done)); }
@@ -38,7 +38,7 @@
     milliseconds lastWait{-1};
 };
 
-/// Counts what a follower tells.
+/// Counts the callbacks of a follower.
 struct counted_events
 {
     unsigned tables = 0;
@@ -56,6 +56,7 @@
     }
 };
 
+/// A follower with a relay that answers at once, or fails.
 struct follower_world : counted_events
 {
     manual_runtime runtime;
@@ -83,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("a relay that answers again tells that the store is back")
+TEST_CASE("an answer of a relay reports the store as recovered")
 {
     follower_world world;
     world.relayAway = true;
@@ -100,7 +101,7 @@
     CHECK(world.store.calls == calls);
 }
 
-TEST_CASE("while both are away the relay is asked often and the store seldom")
+TEST_CASE("while both are unavailable the relay is read often and the store rarely")
 {
     follower_world world;
     world.relayAway = true;
@@ -114,7 +115,7 @@
     CHECK(world.regained == 1);
 }
 
-TEST_CASE("without a relay that is asked first the store's return is noticed within a second")
+TEST_CASE("without a preferred relay the recovery of the store is noticed within a second")
 {
     follower_world world;
     world.relayFirst = false;
@@ -127,7 +128,7 @@
     CHECK(world.regained == 1);
 }
 
-TEST_CASE("while the store is lost nothing is held there")
+TEST_CASE("calls are not held while the store is unavailable")
 {
     follower_world world;
     world.relayFirst = false;
@@ -144,7 +145,7 @@
     CHECK(world.store.lastWait == milliseconds(500));
 }
 
-TEST_CASE("an entry that is turned away learns from others and keeps its pace towards the store")
+TEST_CASE("a follower whose store calls fail reads the relay and keeps its retry delays")
 {
     follower_world world;
     world.relayFirst = false;
@@ -159,13 +160,14 @@
 
 namespace {
 
-/// A relay that answers when it is told to, as one that holds what has no news.
+/// A follower with a relay that holds each read until the test answers it, as a relay without
+/// changes does.
 struct holding_world : counted_events
 {
     manual_runtime runtime;
     plain_store store;
     std::vector<row_callback<row_news>> held;
-    bool outdated = false; ///< the relay answers at once that it is
+    bool outdated = false; ///< the relay answers at once that its rows are outdated
     bool isStandby = false;
     row_follower<plain_store, manual_runtime> follower{
             store, runtime, "table", {milliseconds(800), milliseconds(500)}, events(), relay()};
@@ -187,7 +189,7 @@
 
 } // namespace
 
-TEST_CASE("a process that starts leaves the store alone while a relay may still have the table")
+TEST_CASE("a starting process does not call the store while a relay may still deliver the table")
 {
     holding_world world;
     world.follower.start();
@@ -201,21 +203,21 @@
     CHECK(world.held.size() == 2);
 }
 
-TEST_CASE("a relay that is silent at the start costs less than half a second, and is read once")
+TEST_CASE("a relay that is silent at startup delays the table by under 0.5 s and is read once")
 {
     holding_world world;
     world.follower.start();
     world.runtime.advance(milliseconds(410));
     CHECK(world.store.calls == 1);
     CHECK(world.tables == 1);
-    // The late answer is taken or passed over, and starts no second chain of reads.
+    // The late answer may be used or ignored, but must not start a second sequence of reads.
     world.held[0](row_news{{{}, 9, {}}, true});
     world.runtime.advance(seconds(10));
     CHECK(world.held.size() == 2);
     CHECK(world.store.calls == 1);
 }
 
-TEST_CASE("a relay that fails at the start is asked again until the store's turn comes")
+TEST_CASE("a relay that fails at startup is read again until the store is read instead")
 {
     holding_world world;
     world.follower.start();
@@ -229,7 +231,7 @@
     CHECK(world.store.calls == 1);
 }
 
-TEST_CASE("while relays are outdated the store is left to a few, and asked when it takes long")
+TEST_CASE("while relays are outdated only standbys call the store at once, others after a delay")
 {
     for (const bool isStandby : {false, true}) {
         holding_world world;
@@ -237,12 +239,12 @@
         world.outdated = true;
         world.follower.start();
         world.runtime.advance(milliseconds(410));
-        const unsigned first = world.store.calls; // the start's own
+        const unsigned first = world.store.calls; // the call at startup
         world.runtime.advance(milliseconds(1000));
         CHECK((world.store.calls > first) == isStandby);
         world.runtime.advance(milliseconds(1500));
         CHECK(world.store.calls > first);
-        // While the store is away as well, it is asked ever more seldom.
+        // While the store is unavailable as well, the retry delay grows.
         world.store.away = true;
         world.runtime.advance(seconds(60));
         const unsigned before = world.store.calls;
@@ -256,7 +258,7 @@
     }
 }
 
-TEST_CASE("a process that stands by does not wait at its start, so that others find the rows here")
+TEST_CASE("a standby reads the store at startup without waiting for a relay")
 {
     for (const bool isStandby : {false, true}) {
         holding_world world;
