--- a/include/laurelcroft/Link/Stream.h
+++ b/include/laurelcroft/Link/Stream.h
@@ -1,7 +1,7 @@
 //===-- Link/Stream.h - message streams between processes --------*- C++ -*-===//
 //
-// Own processes speak over HTTP/2 (nghttp2): one connection for two processes,
-// a stream for each attempt or question, whole messages with a length prefix.
+// Processes of this system communicate over HTTP/2 (nghttp2): one connection to
+// each peer, one stream per attempt or query, and length-prefixed messages.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LINK_STREAM_H
@@ -20,53 +20,56 @@
 
 namespace laurelcroft {
 
-/// Bytes that frame a message on a stream.
+/// Size of the length prefix of a message.
 inline constexpr std::size_t linkFrameBytes = 4;
 
-/// Largest message that is accepted.
+/// Maximum size of a received message.
 inline constexpr std::size_t largestLinkMessage = 16U << 20;
 
-/// What proves to the other process that this one belongs to the same site.
+/// Credentials that prove to a peer that this process belongs to the same site.
 struct link_identity
 {
     std::string instance;
-    std::string key; ///< the site's shared key
+    std::string key; ///< shared secret of the site
 };
 
 class link_session;
 
-/// One stream of messages, in both directions.
+/// A bidirectional stream of messages.
 class link_stream : public std::enable_shared_from_this<link_stream>
 {
 public:
     struct events
     {
         std::function<void(std::string_view message)> onMessage;
-        std::function<void()> onEnd; ///< the peer will send no more
-        /// The stream is over. \c true: both sides ended it; \c false: it was cut or reset.
+        std::function<void()> onEnd; ///< the peer has sent its last message
+        /// The stream is closed. \c true: both sides ended it; \c false: it was reset or the
+        /// connection was lost.
         std::function<void(bool clean)> onClosed;
-        std::function<void()> onDrained; ///< everything queued has left
+        std::function<void()> onDrained; ///< all queued bytes were passed to the connection
     };
 
     link_stream(std::weak_ptr<link_session> session, std::int32_t id, std::string path,
                 std::string peer);
 
-    /// Queues a message; without effect once the stream is closed.
+    /// Queues a message. Has no effect after finish() or once the stream is closed.
     void send(std::string_view message);
 
-    /// Ends this side after what is queued.
+    /// Ends this side of the stream after the queued messages.
     void finish();
 
-    /// Closes the stream at once in both directions; onClosed does not follow.
+    /// Closes the stream at once in both directions, without calling onClosed.
     void reset();
 
-    /// With manual flow control: gives the peer leave to send \p bytes more.
+    /// With manual flow control: returns \p bytes of received data to the peer's flow-control
+    /// window.
     void consume(std::size_t bytes);
 
-    /// Takes whatever still comes without handing it on, so that the peer can end.
+    /// Discards all further input but keeps the flow-control window open, so that the peer can end
+    /// the stream.
     void dropInput();
 
-    /// Turns off automatic consumption: the slowest reader sets the pace.
+    /// Turns off automatic window updates, so that a slow reader slows down the sender.
     void useManualFlow() { m_manualFlow = true; }
 
     void setEvents(events handlers)
@@ -74,7 +77,7 @@
         m_events = std::make_shared<const events>(std::move(handlers));
     }
 
-    /// \returns the bytes that wait to be sent.
+    /// \returns the number of bytes queued for sending.
     std::size_t queued() const { return m_out.size() - m_outSent; }
 
     bool isOpen() const { return !m_closed; }
@@ -103,10 +106,10 @@
     bool m_closed = false;
     bool m_manualFlow = false;
     bool m_dropping = false;
-    std::size_t m_unconsumed = 0; ///< received under manual flow, not given back yet
+    std::size_t m_unconsumed = 0; ///< received under manual flow control, not consumed yet
 };
 
-/// A connection to one process, made on first use and made again after it broke.
+/// A connection to one process, opened on first use and reopened after it was lost.
 class link_client
 {
 public:
@@ -115,7 +118,8 @@
     link_client(const link_client &) = delete;
     link_client &operator=(const link_client &) = delete;
 
-    /// Opens a stream. Without a connection it is closed from the context, not clean.
+    /// Opens a stream. If there is no connection, the stream is closed from the context and
+    /// onClosed(false) is called.
     std::shared_ptr<link_stream> open(std::string_view path, link_stream::events handlers);
 
     const std::string &address() const;
@@ -125,22 +129,23 @@
     std::shared_ptr<state> m_state;
 };
 
-/// Opens a stream to nobody: it is closed from the context, not clean, never from
+/// Returns a stream without a peer. It is closed from the context with onClosed(false), never from
 /// within this call.
 std::shared_ptr<link_stream> openNowhere(asio::io_context &context, std::string_view path,
                                          link_stream::events handlers);
 
-/// Accepts connections of other processes.
+/// Accepts connections from other processes.
 class link_server
 {
 public:
     using handler = std::function<void(std::shared_ptr<link_stream>)>;
 
-    /// \param onStream gets each new stream and sets its events before it returns.
+    /// \param onStream is called with each new stream and must set its events before it returns.
     link_server(asio::io_context &context, link_identity identity, handler onStream);
     ~link_server();
 
-    /// Listens on \p host and \p port (0: a free one). \returns an empty string or what failed.
+    /// Listens on \p host and \p port (0: any free port).
+    /// \returns an empty string, or an error message.
     std::string listen(const std::string &host, std::uint16_t port);
     std::uint16_t port() const;
     void close();
--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -1,7 +1,8 @@
 //===-- Session.cpp - one HTTP/2 connection ---------------------------------===//
 //
-// nghttp2 keeps the protocol, asio the socket. Handlers of streams run inside
-// nghttp2's callbacks and may submit frames there; sending is always scheduled.
+// nghttp2 implements the protocol, asio the socket. Stream handlers run inside
+// nghttp2's callbacks and may submit frames there; writing to the socket is always
+// posted to the executor.
 //
 //===----------------------------------------------------------------------===//
 #include "Session.h"
@@ -23,7 +24,8 @@
 constexpr std::int32_t connectionWindow = 64 << 20;
 constexpr std::uint32_t mostStreams = 100000;
 constexpr std::size_t largestWrite = 256 << 10;
-/// A peer that answers no ping for this many periods is taken for cut off.
+/// Interval between pings. A peer that leaves mostUnansweredPings in a row unanswered is treated as
+/// unreachable, and the connection is closed.
 constexpr auto pingPeriod = std::chrono::seconds(1);
 constexpr int mostUnansweredPings = 4;
 constexpr std::string_view proofText = "laurelcroft link ";
@@ -200,7 +202,7 @@
     if (m_writing || m_writeScheduled || !m_open)
         return;
     m_writeScheduled = true;
-    // Posting gathers what one round of handlers submits into one write.
+    // Posting combines the frames that the current handlers submit into one write.
     asio::post(m_socket.get_executor(), [self = shared_from_this()] {
         self->m_writeScheduled = false;
         self->write();
@@ -245,7 +247,8 @@
     m_pingTimer.async_wait([self = shared_from_this()](const asio::error_code &error) {
         if (error || !self->m_open)
             return;
-        // Only the client pings; an idle connection needs no proof of life.
+        // Only the client pings, and only while streams are open: an idle connection need not be
+        // checked.
         const bool busy = self->m_side == side::client && !self->m_streams.empty();
         if (!busy) {
             self->m_unansweredPings = 0;
@@ -355,7 +358,8 @@
                          const std::uint8_t *data, std::size_t size, void *user)
 {
     auto &self = *static_cast<link_session *>(user);
-    // The connection's window is returned at once: one slow stream must not stop the rest.
+    // The connection-level window is updated at once, so that a slow stream does not block the
+    // others.
     nghttp2_session_consume_connection(session, size);
     const auto stream = self.find(id);
     if (!stream || !stream->m_manualFlow)
--- a/lib/Link/Session.h
+++ b/lib/Link/Session.h
@@ -1,6 +1,6 @@
 //===-- Session.h - one HTTP/2 connection ------------------------*- C++ -*-===//
 //
-// Private to Link: drives one nghttp2 session, client or server, over one socket.
+// Private to Link: runs one nghttp2 client or server session on a socket.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_LIB_LINK_SESSION_H
@@ -18,9 +18,11 @@
 
 namespace laurelcroft {
 
-/// The proof that a request comes from a process with the site's key.
+/// \returns the HMAC of the instance name under the site's key. It proves that a request comes from
+/// a process that has the key.
 std::string linkProof(const link_identity &identity);
 
+/// One HTTP/2 connection and its streams.
 class link_session : public std::enable_shared_from_this<link_session>
 {
 public:
@@ -30,13 +32,13 @@
                  link_server::handler onStream);
     ~link_session();
 
-    /// Sends the preface and begins to read.
+    /// Sends the connection preface, starts reading and starts the ping timer.
     void start();
 
     /// Opens a stream on a client session.
     std::shared_ptr<link_stream> open(std::string_view path, link_stream::events handlers);
 
-    /// Closes the socket and every stream, not clean.
+    /// Closes the socket, and every stream with onClosed(false).
     void shutDown();
 
     bool isOpen() const { return m_open; }
--- a/lib/Link/Stream.cpp
+++ b/lib/Link/Stream.cpp
@@ -1,6 +1,6 @@
 //===-- Stream.cpp - message streams between processes ----------------------===//
 //
-// Frames messages, and keeps the client's connection and the server's acceptor.
+// Message framing, the connection of the client and the acceptor of the server.
 //
 //===----------------------------------------------------------------------===//
 #include "Session.h"
@@ -95,8 +95,8 @@
         consume(m_unconsumed);
         return;
     }
-    // A handler may close the stream, drop its input or change its handlers: what is
-    // being read is held here, and the handlers by the copy that is called.
+    // A handler may close the stream, drop its input or replace the handlers. The locals keep
+    // the stream, the input and the called handlers alive meanwhile.
     const auto keep = shared_from_this();
     std::string input = std::move(m_in);
     m_in.clear();
@@ -105,7 +105,7 @@
     while (!m_closed && !m_dropping && rest.size() >= linkFrameBytes) {
         const std::size_t size = readLength(rest);
         if (size > largestLinkMessage) {
-            // A length out of bounds is no message of ours: the stream is cut.
+            // No peer sends a message of this size, so the stream is corrupt and is reset.
             const auto handlers = m_events;
             reset();
             if (handlers->onClosed)
@@ -180,8 +180,8 @@
         error = asio::error::invalid_argument;
     const auto ip = asio::ip::make_address(host.empty() ? "0.0.0.0" : host, error);
     asio::ip::tcp::socket socket(context);
-    // A connect on a data centre's network takes about a millisecond and on loopback
-    // nothing; it is bounded by the kernel's non-blocking connect below.
+    // The connect is non-blocking, so it does not delay the caller. It takes about a millisecond
+    // on the network of a data centre and next to no time on loopback.
     socket.open(asio::ip::tcp::v4(), error);
     socket.non_blocking(true, error);
     error.clear();
@@ -293,7 +293,7 @@
     asio::error_code error;
     const auto ip = asio::ip::make_address(host, error);
     if (error)
-        return "'" + host + "' is not an IP number";
+        return "'" + host + "' is not an IP address";
     const asio::ip::tcp::endpoint where(ip, port);
     m_state->acceptor.open(where.protocol(), error);
     m_state->acceptor.set_option(asio::socket_base::reuse_address(true), error);
