--- a/include/laurelcroft/Http/Client.h
+++ b/include/laurelcroft/Http/Client.h
@@ -1,7 +1,7 @@
 //===-- Http/Client.h - HTTP client ------------------------------*- C++ -*-===//
 //
-// libcurl's multi interface on one asio context. Use a client from its context's
-// thread only.
+// Runs libcurl's multi interface on one asio context. A client is not thread-safe and
+// must be used from the thread of its context.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_HTTP_CLIENT_H
@@ -23,42 +23,42 @@
 
 namespace laurelcroft {
 
-/// Why a call has no whole reply.
+/// Why a call did not return a complete reply.
 enum class http_error {
-    notSent, ///< no connection was made: the other side saw nothing
-    timeout, ///< the deadline passed; the other side may have acted
-    cut, ///< the connection broke; the other side may have acted
-    cancelled, ///< by this process
+    notSent, ///< no connection was made: the server received nothing
+    timeout, ///< the timeout expired: the server may have executed the request
+    cut, ///< the connection was lost: the server may have executed the request
+    cancelled, ///< cancelled by this process
 };
 
 std::string_view textOf(http_error error);
 
-/// A call to make.
+/// A request and the limits of its call.
 struct http_call
 {
     std::string method = "GET";
     std::string url;
     http_headers headers;
     std::string body;
-    std::chrono::milliseconds timeout{5000}; ///< whole call
+    std::chrono::milliseconds timeout{5000}; ///< for the whole call
     std::chrono::milliseconds connectTimeout{1000};
-    /// Uses a connection of its own. libcurl sends a request again when a kept
-    /// connection turns out dead; a call that must run at most once can't allow that.
+    /// Uses a new connection for this call. libcurl resends a request when a reused connection
+    /// turns out to be closed, which must not happen to a call that must run at most once.
     bool freshConnection = false;
 };
 
 using http_call_id = std::uint64_t;
 
-/// What a streamed call reports, in this order; each may be empty.
+/// Callbacks of a streamed call, in calling order. Each may be empty.
 struct http_call_events
 {
     std::function<void(int status, const http_headers &headers)> onBegin;
     std::function<void(std::string_view data)> onData;
-    /// Success carries the status alone.
+    /// Receives the status, or the error.
     std::function<void(outcome<int, http_error>)> onEnd;
 };
 
-/// Makes HTTP calls.
+/// Asynchronous HTTP client.
 class http_client
 {
 public:
@@ -67,18 +67,19 @@
     http_client(const http_client &) = delete;
     http_client &operator=(const http_client &) = delete;
 
-    /// Starts a call; its events come later, never from within this function.
+    /// Starts a call. Its callbacks are called later, never from within this function.
     http_call_id start(http_call call, http_call_events events);
 
-    /// Ends a call; its connection is closed and no event follows.
+    /// Cancels a call. Its connection is closed and no callback follows.
     void cancel(http_call_id id);
 
-    /// Stops and continues reading a call's reply.
+    /// Pause and resume the reading of a call's reply.
     void pause(http_call_id id);
     void resume(http_call_id id);
 
-    /// Makes a call and collects the whole reply, at most \p largestReply bytes.
-    /// \returns the call, so that it may be cancelled.
+    /// Makes a call and collects the whole reply. Data that would make the body larger than
+    /// \p largestReply bytes is dropped.
+    /// \returns the ID of the call, for cancel().
     http_call_id fetch(http_call call, std::function<void(outcome<http_reply, http_error>)> done,
                        std::size_t largestReply = 16U << 20);
 
--- a/include/laurelcroft/Http/EventSplitter.h
+++ b/include/laurelcroft/Http/EventSplitter.h
@@ -1,7 +1,7 @@
-//===-- Http/EventSplitter.h - whole events of a stream ----------*- C++ -*-===//
+//===-- Http/EventSplitter.h - splits an event stream ------------*- C++ -*-===//
 //
-// Cuts a text/event-stream into whole events. What stands after the last whole event
-// is kept back: an endpoint may break off in the middle of one.
+// Splits a text/event-stream into complete events. Bytes after the last complete event
+// are kept until the rest arrives, since an endpoint may fail in the middle of one.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_HTTP_EVENTSPLITTER_H
@@ -15,21 +15,21 @@
 
 namespace laurelcroft {
 
-/// One event as it came, with the empty line that ends it.
+/// One event as received, including the empty line that ends it.
 struct stream_event
 {
     std::string_view text;
-    std::optional<std::uint64_t> id; ///< if it has a numeric one
+    std::optional<std::uint64_t> id; ///< if the event has a numeric one
 };
 
-/// Splits the bytes of one stream.
+/// Splits one stream into events.
 class event_splitter
 {
 public:
-    /// \param onEvent is called for each whole event, in order.
+    /// \param onEvent is called for each complete event, in order.
     void feed(std::string_view bytes, const std::function<void(const stream_event &)> &onEvent);
 
-    /// \returns true when no part of an event is kept back.
+    /// \returns true if no incomplete event is buffered.
     bool atBoundary() const { return m_rest.empty(); }
 
 private:
--- a/include/laurelcroft/Http/Message.h
+++ b/include/laurelcroft/Http/Message.h
@@ -1,6 +1,6 @@
 //===-- Http/Message.h - typed HTTP requests and replies ---------*- C++ -*-===//
 //
-// Shared by the server and the client.
+// Types and helpers that the server and the client share.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_HTTP_MESSAGE_H
@@ -21,13 +21,13 @@
 
 using http_headers = std::vector<http_header>;
 
-/// Names of headers are the same whatever their case.
+/// Compares header names and the like, ignoring case.
 bool sameIgnoringCase(std::string_view left, std::string_view right);
 
-/// \returns the value of the first field called \p name, whatever its case; empty if none.
+/// \returns the value of the first field called \p name, ignoring case; empty if there is none.
 std::string_view findHeader(const http_headers &headers, std::string_view name);
 
-/// A request as the server read it.
+/// A complete request, as received by the server.
 struct http_request
 {
     std::string method;
@@ -37,13 +37,14 @@
     std::string body;
 };
 
-/// \returns the value of \p name in a query string; empty if none.
+/// \returns the value of \p name in a query string, without percent-decoding; empty if there is
+/// none.
 std::string queryValue(std::string_view query, std::string_view name);
 
-/// \returns \p text with everything but letters, digits and -._~ as %XX.
+/// \returns \p text with all bytes but letters, digits and -._~ encoded as %XX.
 std::string percentEncoded(std::string_view text);
 
-/// A whole reply.
+/// A complete reply.
 struct http_reply
 {
     int status = 0;
@@ -68,7 +69,7 @@
 inline constexpr int gatewayTimeout = 504;
 } // namespace http_status
 
-/// \returns true for the statuses of success.
+/// \returns true for the 2xx statuses.
 constexpr bool isSuccess(int status)
 {
     return status >= 200 && status < 300;
--- a/include/laurelcroft/Http/Parser.h
+++ b/include/laurelcroft/Http/Parser.h
@@ -1,8 +1,8 @@
 //===-- Http/Parser.h - incremental HTTP/1.1 parser --------------*- C++ -*-===//
 //
-// http_parser behind typed heads and three callbacks. Both sides of the direct path
-// use it: unlike a whole client or server library it shows every byte that belongs
-// to no message, and never sends anything by itself.
+// Wraps http_parser with typed message heads and callbacks. The proxy uses it towards
+// clients and endpoints: unlike a complete client or server library, it exposes bytes that
+// belong to no message, and never sends anything by itself.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_HTTP_PARSER_H
@@ -21,59 +21,59 @@
 /// Start line and header fields of a message.
 struct message_head
 {
-    std::string method; ///< of a request
-    std::string target; ///< of a request: path and query
-    int status = 0; ///< of an answer
+    std::string method; ///< requests only
+    std::string target; ///< requests only: path and query
+    int status = 0; ///< responses only
     http_headers headers;
-    bool keepAlive = true; ///< the connection may carry another message afterwards
-    bool endsWithConnection = false; ///< an answer without a length
-    bool oldProtocol = false; ///< HTTP/1.0: the peer knows no chunks
+    bool keepAlive = true; ///< the connection may be reused for another message
+    bool endsWithConnection = false; ///< the end of the connection delimits the body
+    bool oldProtocol = false; ///< HTTP/1.0: the peer does not support chunked encoding
 };
 
-/// How far a parser came with the bytes it was given.
+/// State of a parser after the bytes it was given.
 enum class parse_state {
-    open, ///< wants more bytes
-    complete, ///< a message ended; bytes after it were not read
-    failed ///< the bytes form no message
+    open, ///< more bytes are needed
+    complete, ///< a message ended; the bytes after it were not parsed
+    failed ///< the bytes are not a valid message
 };
 
-/// Called while bytes are parsed.
+/// Callbacks during parsing. Each may be empty.
 struct parser_events
 {
     std::function<void(message_head &&head)> onHead;
     std::function<void(std::string_view data)> onBody;
 };
 
-/// Parses one direction of one connection, one message after another.
+/// Parses the messages of one direction of a connection.
 class message_parser
 {
 public:
     enum class side { requests, answers };
 
-    /// \param maxHeaderBytes larger heads fail.
+    /// \param maxHeaderBytes maximum size of a message head; larger ones fail to parse.
     message_parser(side which, parser_events events, std::size_t maxHeaderBytes);
     ~message_parser();
     message_parser(const message_parser &) = delete;
     message_parser &operator=(const message_parser &) = delete;
 
     /// Parses up to the end of the current message.
-    /// \param used is set to the number of bytes taken.
+    /// \param used is set to the number of bytes parsed.
     parse_state feed(std::string_view bytes, std::size_t &used);
 
-    /// Tells that the connection ended in order.
-    /// \returns complete when that ended a message without a length, otherwise failed.
+    /// Must be called when the peer closed the connection regularly.
+    /// \returns \c complete if this ended a message without a length, otherwise \c failed.
     parse_state finish();
 
-    /// Begins the next message.
+    /// Prepares for the next message.
     void reset();
 
-    /// The next answer has no body, whatever its head says, as after HEAD.
+    /// Treats responses as having no body, whatever their heads say; for responses to HEAD.
     void expectNoBody();
 
-    /// \returns true when the current message has begun.
+    /// \returns true if bytes of the current message have been parsed.
     bool hasBegun() const;
 
-    /// \returns true when the head is too large, after a failure.
+    /// \returns true if parsing failed because the head was too large.
     bool headTooLarge() const;
 
 private:
--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -1,7 +1,7 @@
 //===-- Http/Server.h - HTTP server ------------------------------*- C++ -*-===//
 //
-// A small server interface. RESTinio stays behind it in one private unit, because
-// its headers are slow to compile.
+// A small server interface that hides RESTinio in one translation unit, because its
+// headers are slow to compile.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_HTTP_SERVER_H
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// One request and the way to answer it; use it on the server's duty only.
+/// One request and its response. Must be used only on the thread of the server's duty.
 class http_exchange
 {
 public:
@@ -27,24 +27,27 @@
 
     const http_request &request() const;
 
-    /// Answers at once and whole. \param flushed is called when the answer left the process
-    /// or can't any more.
+    /// Sends a complete response.
+    /// \param flushed is called when the response was sent or can no longer be sent.
     void reply(int status, const http_headers &headers, std::string body,
                std::function<void()> flushed = {});
 
-    /// Begins an answer whose length is not known yet.
+    /// Begins a chunked response, whose length is not known yet.
     void begin(int status, const http_headers &headers);
 
-    /// Sends a piece. \param flushed is called when the piece left the process.
+    /// Sends one chunk. Has no effect if the response was not begun or has ended.
+    /// \param flushed is called when the chunk was sent or sending it failed.
     void write(std::string piece, std::function<void()> flushed = {});
 
-    /// Ends an answer that was begun. \param flushed as for \c reply.
+    /// Ends a response that was begun.
+    /// \param flushed as for \c reply.
     void end(std::function<void()> flushed = {});
 
-    /// Closes the connection, so that a begun answer is never taken for a whole one.
+    /// Closes the connection, so that the peer does not take an incomplete response for a complete
+    /// one.
     void abort();
 
-    /// \param action is called once if the peer leaves before the answer ended.
+    /// \param action is called once if the peer closes the connection before the response ended.
     void onPeerLeft(std::function<void()> action);
 
 private:
@@ -53,30 +56,31 @@
 
 using http_handler = std::function<void(std::shared_ptr<http_exchange>)>;
 
-/// Limits and address of a server.
+/// Address and limits of a server.
 struct http_server_options
 {
     std::string host = "127.0.0.1";
-    std::uint16_t port = 0; ///< 0: a free one
-    std::size_t largestBody = 8 << 20; ///< bytes; above it the connection is closed
-    std::size_t largestHeader = 8192; ///< bytes a field
+    std::uint16_t port = 0; ///< 0: any free port
+    std::size_t largestBody = 8 << 20; ///< in bytes; the connection is closed if a body is larger
+    std::size_t largestHeader = 8192; ///< in bytes; for the URL and each header name and value
     std::size_t mostConnections = 4096;
 };
 
-/// Serves HTTP/1.1 on one duty.
+/// HTTP/1.1 server that runs on the thread of one duty.
 class http_server
 {
 public:
     http_server(duty_thread &duty, const http_server_options &options, http_handler handler);
     ~http_server();
 
-    /// Opens the port; the duty must be running. \returns an empty string or what failed.
+    /// Starts listening. The duty must be running.
+    /// \returns an empty string, or an error message.
     std::string open();
 
-    /// Stops listening; open connections go on.
+    /// Stops listening. Open connections are not closed.
     void close();
 
-    /// The port in use, after open().
+    /// \returns the port in use. Valid after open().
     std::uint16_t port() const;
 
 private:
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -1,7 +1,7 @@
 //===-- Client.cpp - HTTP client over libcurl -------------------------------===//
 //
-// libcurl tells which sockets to watch and when to wake; asio does both. Sockets
-// belong to libcurl: their asio descriptors are released, never closed here.
+// libcurl reports which sockets to watch and which timer to set; asio does both. The
+// sockets belong to libcurl, so their asio descriptors are released, never closed here.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Client.h"
@@ -21,8 +21,8 @@
 namespace {
 
 constexpr long keptConnections = 256;
-/// libcurl ends a call at its timeout by the steady clock, which doesn't count a suspension. A call
-/// that it leaves open so much longer is ended here.
+/// libcurl measures a call's timeout by the steady clock, which stops while the machine is
+/// suspended. A call that is still open this long after its timeout is ended here.
 constexpr milliseconds deadlineMargin{100};
 
 struct curl_start
@@ -100,7 +100,7 @@
     static int onTimer(CURLM *, long timeoutMs, void *user);
 };
 
-/// Tells the caller of the status before the first data.
+/// Reports the status and headers to the caller, before the first data.
 static void begin(active_call &call)
 {
     if (call.begun)
@@ -143,7 +143,7 @@
         return http_error::notSent;
     if (code != CURLE_OPERATION_TIMEDOUT)
         return http_error::cut;
-    // A timeout before the connection stood has sent nothing.
+    // Nothing was sent if the timeout expired before the connection was established.
     curl_off_t connected = 0;
     curl_easy_getinfo(easy, CURLINFO_CONNECT_TIME_T, &connected);
     return connected == 0 ? http_error::notSent : http_error::timeout;
@@ -237,7 +237,7 @@
     active_call *found = nullptr;
     curl_easy_getinfo(easy, CURLINFO_PRIVATE, &found);
     auto node = calls.extract(found->id);
-    // A call that was cancelled meanwhile is released by its own posted action.
+    // A call that was cancelled meanwhile is released by the handler that cancel() posted.
     if (node.empty())
         return;
     active_call &call = *node.mapped();
@@ -352,8 +352,8 @@
 {
     auto node = m_state->calls.extract(id);
     if (!node.empty()) {
-        // The call may be cancelled from within its own callback, where libcurl
-        // forbids the removal of its handle; it is removed just after.
+        // The call may be cancelled from within its own callback, where libcurl does not
+        // allow its handle to be removed. The posted handler removes it afterwards.
         const std::shared_ptr<active_call> call(std::move(node.mapped()));
         call->events = {};
         asio::post(m_state->context, [weak = std::weak_ptr<state>(m_state), call] {
--- a/lib/Http/EventSplitter.cpp
+++ b/lib/Http/EventSplitter.cpp
@@ -1,6 +1,6 @@
-//===-- EventSplitter.cpp - whole events of a stream ------------------------===//
+//===-- EventSplitter.cpp - splits an event stream --------------------------===//
 //
-// An event ends with an empty line; lines end with LF or CR LF.
+// An event ends with an empty line. Lines end with LF or CR LF.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/EventSplitter.h"
@@ -9,10 +9,12 @@
 
 using namespace laurelcroft;
 
-/// \returns the offset just after the empty line that ends the event starting at 0; npos if none.
+/// Finds the end of the event that starts at offset 0. The bytes before \p from were searched
+/// earlier.
+/// \returns the offset after the empty line that ends the event; npos if it is incomplete.
 static std::size_t endOfEvent(std::string_view text, std::size_t from)
 {
-    // The empty line may have begun just before what was scanned earlier.
+    // The line end before the empty line may lie within the bytes that were searched earlier.
     constexpr std::size_t overlap = 3;
     std::size_t at = from > overlap ? from - overlap : 0;
     while ((at = text.find('\n', at)) != std::string_view::npos) {
--- a/lib/Http/Message.cpp
+++ b/lib/Http/Message.cpp
@@ -1,6 +1,6 @@
 //===-- Message.cpp - typed HTTP requests and replies -----------------------===//
 //
-// Lookups only.
+// Header and query lookup, and percent-encoding.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Message.h"
--- a/lib/Http/Parser.cpp
+++ b/lib/Http/Parser.cpp
@@ -1,7 +1,7 @@
 //===-- Parser.cpp - incremental HTTP/1.1 parser ----------------------------===//
 //
-// The parser pauses at the end of each message, so that bytes of the next one, or
-// bytes that belong to none, stay with the caller.
+// The parser pauses at the end of each message, so that the caller keeps the bytes of
+// the next message and any bytes that belong to no message.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Parser.h"
@@ -94,7 +94,7 @@
     return self.countHeadBytes(size) ? 0 : 1;
 }
 
-/// \returns true when only the connection's end tells where the answer's body ends.
+/// \returns true if the body of a response is delimited only by the end of the connection.
 static bool endsWithConnection(const http_parser &parser)
 {
     constexpr unsigned noContent = 204;
@@ -120,7 +120,7 @@
     head.endsWithConnection
             = self.which == side::answers && !self.noBody && endsWithConnection(*parser);
     head.oldProtocol = parser->http_major == 1 && parser->http_minor == 0;
-    // An interim answer announces the real one and is not passed on.
+    // An interim (1xx) response precedes the final one and is not reported.
     const bool interim = head.status >= 100 && head.status < 200;
     if (!interim && self.events.onHead)
         self.events.onHead(std::move(head));
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -1,7 +1,7 @@
 //===-- Server.cpp - HTTP server over RESTinio ------------------------------===//
 //
-// The only unit that includes RESTinio. A listener for connection states tells an
-// exchange that its peer left, so that the work behind it can be cancelled.
+// The only translation unit that includes RESTinio. A connection state listener notifies
+// an exchange when its peer closes the connection, so that its work can be cancelled.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Server.h"
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Longest time a request may be worked on; rebuilds are slow.
+/// Maximum time to handle a request. It is this long because rebuilds are slow.
 constexpr auto longestHandling = std::chrono::hours(2);
 constexpr auto longestWrite = std::chrono::seconds(60);
 constexpr auto longestRead = std::chrono::seconds(120);
-/// Reading ahead is what lets the server notice that a peer left.
+/// Reading ahead lets the server notice that a peer has closed its connection.
 constexpr std::size_t pipelinedRequests = 4;
 constexpr std::size_t mostHeaderFields = 64;
 
-/// Who waits for the end of a connection. Only the server's duty touches it.
+/// Callbacks to call when a connection closes. Accessed only on the thread of the server's duty.
 struct connection_watch
 {
     using action = std::function<void()>;
@@ -47,7 +47,7 @@
         : watch(std::move(watch))
     {
     }
-    // RESTinio calls it by this name.
+    // RESTinio requires this name.
     void state_changed( // NOLINT(readability-identifier-naming)
             const restinio::connection_state::notice_t &notice) noexcept
     {
@@ -61,7 +61,7 @@
 {
     using connection_state_listener_t = connection_listener;
     using http_methods_mapper_t = restinio::default_http_methods_t;
-    // RESTinio looks for this name.
+    // RESTinio requires this name.
     static constexpr bool use_connection_count_limiter // NOLINT(readability-identifier-naming)
             = true;
 };
@@ -169,8 +169,8 @@
     m_state->peerLeft.reset();
     if (!m_state->chunked)
         return;
-    // Ending the response without the last chunk is an error to RESTinio, which then
-    // closes the connection: the caller sees a cut, never a short success.
+    // RESTinio treats a response that is destroyed without its last chunk as an error and closes
+    // the connection. The client then sees an aborted transfer, not a shorter complete response.
     m_state->chunked.reset();
     m_state->handle.reset();
 }
