--- a/unittests/Http/ClientSuspensionTests.cpp
+++ b/unittests/Http/ClientSuspensionTests.cpp
@@ -1,7 +1,8 @@
 //===-- ClientSuspensionTests.cpp - calls across a suspension ---------------===//
 //
-// A server that accepts and says nothing, and an instance that is suspended while it waits for it.
-// libcurl goes by the steady clock.
+// Guards against calls that outlive their timeout after the instance was suspended: libcurl
+// measures timeouts by the steady clock, which stops during a suspension. The server accepts the
+// connection but never answers.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Client.h"
@@ -16,7 +17,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("a call whose time ran out while the instance was suspended ends when it wakes")
+TEST_CASE("a call whose timeout expired during a suspension ends when the instance resumes")
 {
     asio::io_context context;
     asio::ip::tcp::acceptor silent(context, {asio::ip::make_address("127.0.0.1"), 0});
--- a/unittests/Http/ParserTests.cpp
+++ b/unittests/Http/ParserTests.cpp
@@ -1,6 +1,6 @@
-//===-- ParserTests.cpp - messages and events, byte by byte -----------------===//
+//===-- ParserTests.cpp - HTTP messages and event streams -------------------===//
 //
-// Every cut of the input must give the same result.
+// The result must not depend on how the input is split into pieces.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/EventSplitter.h"
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read alike however it is cut")
+TEST_CASE("a request is parsed identically however its bytes are split")
 {
     const std::string text = "POST /a?b HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET";
     for (std::size_t piece = 1; piece <= text.size(); ++piece) {
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("an interim answer is passed over")
+TEST_CASE("an interim response is skipped")
 {
     const std::string text
             = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
@@ -69,7 +69,7 @@
     CHECK(result.body == "ab");
 }
 
-TEST_CASE("only an answer without a length ends with its connection")
+TEST_CASE("only a response without a length is delimited by the end of its connection")
 {
     const auto ends = [](const std::string &text) {
         return parseIn(message_parser::side::answers, text, 512).heads.at(0).endsWithConnection;
@@ -80,7 +80,7 @@
     CHECK(!ends("HTTP/1.1 204 No Content\r\n\r\n"));
 }
 
-TEST_CASE("an orderly end completes an answer without a length and nothing else")
+TEST_CASE("a regular close completes a response without a length but no other")
 {
     for (const std::string &head : {std::string(), std::string("Content-Length: 9\r\n")}) {
         message_parser parser(message_parser::side::answers, {}, 4096);
@@ -90,13 +90,13 @@
     }
 }
 
-TEST_CASE("a head beyond the bound fails")
+TEST_CASE("a head above the size limit fails to parse")
 {
     const std::string text = "GET / HTTP/1.1\r\nX: " + std::string(5000, 'a') + "\r\n\r\n";
     CHECK(parseIn(message_parser::side::requests, text, 100).last == parse_state::failed);
 }
 
-TEST_CASE("events come out whole however the stream is cut")
+TEST_CASE("events are complete however the stream is split")
 {
     const std::string text
             = "id: 4\ndata: a\n\nversion: 2\nid: 5\r\ndata: b\r\n\r\n: note\n\nid: 6\nda";
--- a/unittests/Link/LinkTests.cpp
+++ b/unittests/Link/LinkTests.cpp
@@ -1,6 +1,6 @@
 //===-- LinkTests.cpp - streams over real sockets on loopback ---------------===//
 //
-// Both ends run on one context, which is run until a condition holds.
+// Client and server share one context, which runs until a condition holds.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Link/Stream.h"
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("messages of all sizes come back whole and in order, on many streams")
+TEST_CASE("messages of all sizes are echoed intact and in order")
 {
     link_bench bench;
     std::vector<std::string> back;
@@ -87,7 +87,7 @@
     CHECK(bench.accepted->peer() == "client");
 }
 
-TEST_CASE("a reader may turn away in the middle of what has arrived")
+TEST_CASE("a reader may drop the remaining input while it handles a message")
 {
     link_bench bench;
     int seen = 0;
@@ -107,7 +107,7 @@
     CHECK(seen == 1);
 }
 
-TEST_CASE("a stranger without the site's key gets no stream")
+TEST_CASE("a client without the site's key is refused")
 {
     link_bench bench("another key");
     bool closed = false;
@@ -119,7 +119,7 @@
     CHECK(bench.got.empty());
 }
 
-TEST_CASE("a reset at one end is heard at the other")
+TEST_CASE("a reset closes the stream at the peer")
 {
     link_bench bench;
     const auto stream = bench.client->open("/echo", {});
@@ -129,7 +129,7 @@
     bench.runUntil([&] { return bench.serverClosed; });
 }
 
-TEST_CASE("nobody listens: the stream closes, not clean")
+TEST_CASE("a stream to a closed port ends with onClosed(false)")
 {
     asio::io_context context;
     link_client client(context, "127.0.0.1:1", {"client", siteKey});
@@ -141,7 +141,7 @@
     CHECK(closed);
 }
 
-TEST_CASE("a stream to nobody closes later, never within the call that opens it")
+TEST_CASE("a stream without a peer is closed later, never within the call that opens it")
 {
     asio::io_context context;
     bool closed = false;
@@ -154,7 +154,7 @@
     CHECK_FALSE(stream->isOpen());
 }
 
-TEST_CASE("manual flow: a reader that takes nothing holds the sender back")
+TEST_CASE("with manual flow control a reader that consumes nothing blocks the sender")
 {
     link_bench bench;
     bench.echoes = false;
@@ -182,7 +182,7 @@
     });
 }
 
-TEST_CASE("noise on the port harms nobody")
+TEST_CASE("random input on the port does not affect other connections")
 {
     link_bench bench;
     std::mt19937 random(4);
