--- a/include/laurelcroft/Platform/Gate.h
+++ b/include/laurelcroft/Platform/Gate.h
@@ -14,12 +14,12 @@
 namespace laurelcroft {
 
 /// Token bucket and circuit breaker for the calls to one external service.
-class platform_gate
+class service_limiter
 {
 public:
     /// \param perSecond calls per second that this process may make.
     /// \param burst calls that may be made at once.
-    platform_gate(double perSecond, double burst);
+    service_limiter(double perSecond, double burst);
 
     /// Takes one token if the call may be made now.
     /// \returns true if it may.
--- a/include/laurelcroft/Platform/HttpClients.h
+++ b/include/laurelcroft/Platform/HttpClients.h
@@ -55,7 +55,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    platform_gate m_gate;
+    service_limiter m_gate;
 };
 
 static_assert(table_like<http_table>);
@@ -77,7 +77,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    platform_gate m_gate;
+    service_limiter m_gate;
 };
 
 /// An answer to be rated, with the request that it answers.
@@ -105,7 +105,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    platform_gate m_gate;
+    service_limiter m_gate;
 };
 
 /// One item of the platform's instance list, which may be out of date.
@@ -128,7 +128,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    platform_gate m_gate;
+    service_limiter m_gate;
 };
 
 } // namespace laurelcroft
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -15,13 +15,13 @@
 constexpr duration longestWait = seconds(8);
 } // namespace
 
-platform_gate::platform_gate(double perSecond, double burst)
+service_limiter::service_limiter(double perSecond, double burst)
     : m_calls(perSecond, burst)
     , m_breaker(failuresToOpen, firstWait, longestWait)
 {
 }
 
-bool platform_gate::pass(time_point now)
+bool service_limiter::pass(time_point now)
 {
     if (!m_calls.has(1, now) || !m_breaker.allows(now))
         return false;
@@ -29,17 +29,17 @@
     return true;
 }
 
-void platform_gate::succeeded()
+void service_limiter::succeeded()
 {
     m_breaker.succeeded();
 }
 
-void platform_gate::failed(time_point now)
+void service_limiter::failed(time_point now)
 {
     m_breaker.failed(now);
 }
 
-milliseconds platform_gate::retryAfter(time_point now) const
+milliseconds service_limiter::retryAfter(time_point now) const
 {
     const milliseconds open = m_breaker.retryAfter(now);
     if (open.count() > 0)
--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -44,7 +44,7 @@
 
 /// Sends a call if \p gate allows it. Otherwise \p done is called with notSent, not from within
 /// this function but from the runtime.
-static void sendGated(asio_runtime &runtime, http_client &client, platform_gate &gate,
+static void sendGated(asio_runtime &runtime, http_client &client, service_limiter &gate,
                       http_call call, std::function<void(outcome<http_reply, http_error>)> done)
 {
     if (!gate.pass(runtime.now())) {
--- a/unittests/Platform/PlatformTests.cpp
+++ b/unittests/Platform/PlatformTests.cpp
@@ -12,7 +12,7 @@
 TEST_CASE("calls above the rate limit are refused")
 {
     manual_runtime runtime;
-    platform_gate gate(10, 2);
+    service_limiter gate(10, 2);
     CHECK(gate.pass(runtime.now()));
     CHECK(gate.pass(runtime.now()));
     CHECK_FALSE(gate.pass(runtime.now()));
@@ -24,7 +24,7 @@
 TEST_CASE("the breaker opens after failures and allows one call in eight seconds during an outage")
 {
     manual_runtime runtime;
-    platform_gate gate(1000, 1000);
+    service_limiter gate(1000, 1000);
     int calls = 0;
     for (int second = 0; second < 120; ++second) {
         for (int i = 0; i < 10; ++i) {
