--- a/include/laurelcroft/Platform/HttpClients.h
+++ b/include/laurelcroft/Platform/HttpClients.h
@@ -9,7 +9,7 @@
 #define LAURELCROFT_PLATFORM_HTTPCLIENTS_H
 
 #include "laurelcroft/Http/Client.h"
-#include "laurelcroft/Platform/Gate.h"
+#include "laurelcroft/Platform/ServiceLimiter.h"
 #include "laurelcroft/Platform/Table.h"
 
 #include <nlohmann/json_fwd.hpp>
--- a/include/laurelcroft/Platform/Gate.h
+++ b/include/laurelcroft/Platform/ServiceLimiter.h
@@ -1,12 +1,12 @@
-//===-- Platform/Gate.h - rate limit and circuit breaker ---------*- C++ -*-===//
+//===-- Platform/ServiceLimiter.h - rate limit and circuit breaker -*- C++ -*-===//
 //
 // Limits the calls to one external service. External services have rate limits
 // and can be down for a long time, so a client checks before each call and fails
 // at once when the rate is exceeded or the circuit breaker is open.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_PLATFORM_GATE_H
-#define LAURELCROFT_PLATFORM_GATE_H
+#ifndef LAURELCROFT_PLATFORM_SERVICELIMITER_H
+#define LAURELCROFT_PLATFORM_SERVICELIMITER_H
 
 #include "laurelcroft/Support/Breaker.h"
 #include "laurelcroft/Support/TokenBucket.h"
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/ServiceLimiter.cpp
@@ -1,11 +1,11 @@
-//===-- Gate.cpp - rate limit and circuit breaker ---------------------------===//
+//===-- ServiceLimiter.cpp - rate limit and circuit breaker -----------------===//
 //
 // The circuit breaker opens after three consecutive failures and lets a call through
 // after one second, then two, up to eight: an outage of minutes costs one call in
 // eight seconds, and a recovery is noticed within eight seconds.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Platform/Gate.h"
+#include "laurelcroft/Platform/ServiceLimiter.h"
 
 using namespace laurelcroft;
 
--- a/unittests/Platform/PlatformTests.cpp
+++ b/unittests/Platform/PlatformTests.cpp
@@ -3,7 +3,7 @@
 // Rate limit and circuit breaker under a simulated clock.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Platform/Gate.h"
+#include "laurelcroft/Platform/ServiceLimiter.h"
 
 #include <doctest/doctest.h>
 
