--- a/include/laurelcroft/Platform/HttpClients.h
+++ b/include/laurelcroft/Platform/HttpClients.h
@@ -45,7 +45,7 @@
     void scan(const std::string &prefix, table_callback<std::vector<new_row>> done);
 
     /// \returns true while the circuit breaker refuses calls.
-    bool isShut() const { return m_gate.isShut(); }
+    bool isShut() const { return m_limiter.isShut(); }
 
 private:
     void transact(const nlohmann::json &operations,
@@ -55,7 +55,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    service_limiter m_gate;
+    service_limiter m_limiter;
 };
 
 static_assert(table_like<http_table>);
@@ -77,7 +77,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    service_limiter m_gate;
+    service_limiter m_limiter;
 };
 
 /// An answer to be rated, with the request that it answers.
@@ -105,7 +105,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    service_limiter m_gate;
+    service_limiter m_limiter;
 };
 
 /// One item of the platform's instance list, which may be out of date.
@@ -128,7 +128,7 @@
     asio_runtime &m_runtime;
     http_client &m_client;
     platform_options m_options;
-    service_limiter m_gate;
+    service_limiter m_limiter;
 };
 
 } // namespace laurelcroft
--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -67,7 +67,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -92,9 +92,9 @@
 {
     call.timeout = m_options.timeout;
     call.connectTimeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(call),
+    sendGated(m_runtime, m_client, m_limiter, std::move(call),
               [this, done = std::move(done)](outcome<http_reply, http_error> result) {
-                  done(readTableReply(result, m_gate.retryAfter(m_runtime.now())));
+                  done(readTableReply(result, m_limiter.retryAfter(m_runtime.now())));
               });
 }
 
@@ -220,7 +220,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -230,7 +230,7 @@
     http_call request;
     request.url = m_options.url + "/v1/objects/" + key;
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
+    sendGated(m_runtime, m_client, m_limiter, std::move(request),
               [done = std::move(done)](outcome<http_reply, http_error> result) {
                   if (!result) {
                       done(failure(object_error::unavailable));
@@ -254,7 +254,7 @@
     request.url = m_options.url + "/v1/objects/" + key;
     request.body = body;
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
+    sendGated(m_runtime, m_client, m_limiter, std::move(request),
               [done = std::move(done)](const outcome<http_reply, http_error> &result) {
                   if (result && result.value().status == http_status::ok)
                       done(success());
@@ -268,7 +268,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -283,7 +283,7 @@
                         {"version", sample.version},      {"group", sample.group},
                         {"prompt", sample.prompt},        {"answer", sample.answer}}
                            .dump(-1, ' ', false, json::error_handler_t::replace);
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
+    sendGated(m_runtime, m_client, m_limiter, std::move(request),
               [done = std::move(done)](const outcome<http_reply, http_error> &result) {
                   if (!result || result.value().status != http_status::ok) {
                       done(std::nullopt);
@@ -302,7 +302,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -311,7 +311,7 @@
     http_call request;
     request.url = m_options.url + "/v1/instances";
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
+    sendGated(m_runtime, m_client, m_limiter, std::move(request),
               [done = std::move(done)](const outcome<http_reply, http_error> &result) {
                   const json body = result ? parseBody(result.value().body) : json();
                   if (!body.is_object() || !body.contains("instances")) {
