--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -44,8 +44,8 @@
 
 /// Sends a call if \p gate allows it. Otherwise \p done is called with notSent, not from within
 /// this function but from the runtime.
-static void sendGated(asio_runtime &runtime, http_client &client, service_limiter &gate,
-                      http_call call, std::function<void(outcome<http_reply, http_error>)> done)
+static void sendLimited(asio_runtime &runtime, http_client &client, service_limiter &gate,
+                        http_call call, std::function<void(outcome<http_reply, http_error>)> done)
 {
     if (!gate.pass(runtime.now())) {
         runtime.after(duration(0),
@@ -92,10 +92,10 @@
 {
     call.timeout = m_options.timeout;
     call.connectTimeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_limiter, std::move(call),
-              [this, done = std::move(done)](outcome<http_reply, http_error> result) {
-                  done(readTableReply(result, m_limiter.retryAfter(m_runtime.now())));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(call),
+                [this, done = std::move(done)](outcome<http_reply, http_error> result) {
+                    done(readTableReply(result, m_limiter.retryAfter(m_runtime.now())));
+                });
 }
 
 void http_table::transact(const json &operations,
@@ -230,20 +230,20 @@
     http_call request;
     request.url = m_options.url + "/v1/objects/" + key;
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_limiter, std::move(request),
-              [done = std::move(done)](outcome<http_reply, http_error> result) {
-                  if (!result) {
-                      done(failure(object_error::unavailable));
-                      return;
-                  }
-                  http_reply &reply = result.value();
-                  if (reply.status == http_status::ok)
-                      done(std::move(reply.body));
-                  else if (reply.status == http_status::notFound)
-                      done(failure(object_error::missing));
-                  else
-                      done(failure(object_error::unavailable));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](outcome<http_reply, http_error> result) {
+                    if (!result) {
+                        done(failure(object_error::unavailable));
+                        return;
+                    }
+                    http_reply &reply = result.value();
+                    if (reply.status == http_status::ok)
+                        done(std::move(reply.body));
+                    else if (reply.status == http_status::notFound)
+                        done(failure(object_error::missing));
+                    else
+                        done(failure(object_error::unavailable));
+                });
 }
 
 void http_object_store::put(const std::string &key, const std::string &body,
@@ -254,13 +254,13 @@
     request.url = m_options.url + "/v1/objects/" + key;
     request.body = body;
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_limiter, std::move(request),
-              [done = std::move(done)](const outcome<http_reply, http_error> &result) {
-                  if (result && result.value().status == http_status::ok)
-                      done(success());
-                  else
-                      done(failure(object_error::unavailable));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](const outcome<http_reply, http_error> &result) {
+                    if (result && result.value().status == http_status::ok)
+                        done(success());
+                    else
+                        done(failure(object_error::unavailable));
+                });
 }
 
 http_rating_service::http_rating_service(asio_runtime &runtime, http_client &client,
@@ -283,18 +283,18 @@
                         {"version", sample.version},      {"group", sample.group},
                         {"prompt", sample.prompt},        {"answer", sample.answer}}
                            .dump(-1, ' ', false, json::error_handler_t::replace);
-    sendGated(m_runtime, m_client, m_limiter, std::move(request),
-              [done = std::move(done)](const outcome<http_reply, http_error> &result) {
-                  if (!result || result.value().status != http_status::ok) {
-                      done(std::nullopt);
-                      return;
-                  }
-                  const json body = parseBody(result.value().body);
-                  if (body.is_object() && body.contains("rating") && body["rating"].is_number())
-                      done(body["rating"].get<double>());
-                  else
-                      done(std::nullopt);
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](const outcome<http_reply, http_error> &result) {
+                    if (!result || result.value().status != http_status::ok) {
+                        done(std::nullopt);
+                        return;
+                    }
+                    const json body = parseBody(result.value().body);
+                    if (body.is_object() && body.contains("rating") && body["rating"].is_number())
+                        done(body["rating"].get<double>());
+                    else
+                        done(std::nullopt);
+                });
 }
 
 http_instance_list::http_instance_list(asio_runtime &runtime, http_client &client,
@@ -311,17 +311,17 @@
     http_call request;
     request.url = m_options.url + "/v1/instances";
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_limiter, std::move(request),
-              [done = std::move(done)](const outcome<http_reply, http_error> &result) {
-                  const json body = result ? parseBody(result.value().body) : json();
-                  if (!body.is_object() || !body.contains("instances")) {
-                      done(std::nullopt);
-                      return;
-                  }
-                  std::vector<listed_instance> items;
-                  for (const json &item : body["instances"])
-                      items.push_back({item.value("id", ""), item.value("gossip", ""),
-                                       item.value("state", "") == "leaving"});
-                  done(std::move(items));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](const outcome<http_reply, http_error> &result) {
+                    const json body = result ? parseBody(result.value().body) : json();
+                    if (!body.is_object() || !body.contains("instances")) {
+                        done(std::nullopt);
+                        return;
+                    }
+                    std::vector<listed_instance> items;
+                    for (const json &item : body["instances"])
+                        items.push_back({item.value("id", ""), item.value("gossip", ""),
+                                         item.value("state", "") == "leaving"});
+                    done(std::move(items));
+                });
 }
