--- a/include/laurelcroft/Platform/HttpClients.h
+++ b/include/laurelcroft/Platform/HttpClients.h
@@ -45,7 +45,7 @@
     void scan(const std::string &prefix, table_callback<std::vector<new_row>> done);
 
     /// \returns true while the circuit breaker refuses calls.
-    bool isShut() const { return m_limiter.isShut(); }
+    bool isBreakerOpen() const { return m_limiter.isBreakerOpen(); }
 
 private:
     void transact(const nlohmann::json &operations,
--- a/include/laurelcroft/Platform/ServiceLimiter.h
+++ b/include/laurelcroft/Platform/ServiceLimiter.h
@@ -29,7 +29,7 @@
     void failed(time_point now);
 
     /// \returns true while the circuit breaker is open after several consecutive failures.
-    bool isShut() const { return m_breaker.isOpen(); }
+    bool isBreakerOpen() const { return m_breaker.isOpen(); }
 
     /// \returns how long to wait before a refused call may be retried.
     milliseconds retryAfter(time_point now) const;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -65,7 +65,7 @@
     void note(const decision &made);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
     void spreadStop(const std::string &model, const std::string &version);
-    bool tableReachable() { return !ownNode().table().isShut(); }
+    bool tableReachable() { return !ownNode().table().isBreakerOpen(); }
 
 private:
     metric_registry &m_metrics;
--- a/unittests/Platform/PlatformTests.cpp
+++ b/unittests/Platform/PlatformTests.cpp
@@ -35,10 +35,10 @@
         }
         runtime.advance(seconds(1));
     }
-    CHECK(gate.isShut());
+    CHECK(gate.isBreakerOpen());
     CHECK(calls < 3 + 4 + 120 / 8 + 2);
     runtime.advance(seconds(9));
     CHECK(gate.pass(runtime.now()));
     gate.succeeded();
-    CHECK_FALSE(gate.isShut());
+    CHECK_FALSE(gate.isBreakerOpen());
 }
