--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -42,25 +42,26 @@
     return json::parse(body, nullptr, false);
 }
 
-/// Sends a call if \p gate allows it. Otherwise \p done is called with notSent, not from within
+/// Sends a call if \p limiter allows it. Otherwise \p done is called with notSent, not from within
 /// this function but from the runtime.
-static void sendLimited(asio_runtime &runtime, http_client &client, service_limiter &gate,
+static void sendLimited(asio_runtime &runtime, http_client &client, service_limiter &limiter,
                         http_call call, std::function<void(outcome<http_reply, http_error>)> done)
 {
-    if (!gate.pass(runtime.now())) {
+    if (!limiter.pass(runtime.now())) {
         runtime.after(duration(0),
                       [done = std::move(done)] { done(failure(http_error::notSent)); });
         return;
     }
-    client.fetch(std::move(call),
-                 [&runtime, &gate, done = std::move(done)](outcome<http_reply, http_error> result) {
-                     const bool failed = !result || result.value().status >= serverErrors;
-                     if (failed)
-                         gate.failed(runtime.now());
-                     else
-                         gate.succeeded();
-                     done(std::move(result));
-                 });
+    client.fetch(
+            std::move(call),
+            [&runtime, &limiter, done = std::move(done)](outcome<http_reply, http_error> result) {
+                const bool failed = !result || result.value().status >= serverErrors;
+                if (failed)
+                    limiter.failed(runtime.now());
+                else
+                    limiter.succeeded();
+                done(std::move(result));
+            });
 }
 
 http_table::http_table(asio_runtime &runtime, http_client &client, platform_options options)
