--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -53,7 +53,7 @@
 };
 
 /// Version of a table that has not been read yet.
-inline constexpr std::uint64_t nothingKnown = 0;
+inline constexpr std::uint64_t unknownVersion = 0;
 /// Version with which a process requests the whole table from other processes when it has read
 /// the table before but has missed changes. Versions of the store are always higher.
 inline constexpr std::uint64_t readAnew = 1;
@@ -67,7 +67,7 @@
     /// \returns true if this process reads the store without delay when its relays are outdated or
     /// have no table yet at startup, so that other processes can read the rows here. May be empty.
     std::function<bool()> isStandby;
-    /// Reads the changes since a version, or the whole table if the version is \c nothingKnown or
+    /// Reads the changes since a version, or the whole table if the version is \c unknownVersion or
     /// \c readAnew. May fail.
     std::function<void(const std::string &table, std::uint64_t since, row_callback<row_news> done)>
             read;
@@ -109,7 +109,7 @@
         m_startedAt = m_runtime.now();
         if (asksRelayFirst()) {
             m_runtime.after(m_pace.firstWait, [this, alive = m_alive] {
-                if (*alive && m_since == nothingKnown)
+                if (*alive && m_since == unknownVersion)
                     readStore();
             });
         }
@@ -177,7 +177,7 @@
         }
         if (!isCurrent)
             return;
-        const bool starting = m_since == nothingKnown
+        const bool starting = m_since == unknownVersion
                 && m_runtime.now() - m_startedAt < m_pace.firstWait && !m_lost;
         m_outdated = result.error() == row_failure::outdated;
         if (starting && !isStandby()) {
@@ -197,7 +197,7 @@
 
     std::uint64_t relayedSince() const
     {
-        const bool isAnew = m_since == nothingKnown && m_newest != nothingKnown;
+        const bool isAnew = m_since == unknownVersion && m_newest != unknownVersion;
         return isAnew ? readAnew : m_since;
     }
 
@@ -227,7 +227,7 @@
         // While the store is unavailable, its calls are not held: its recovery is noticed at once,
         // and a call that hangs times out sooner.
         const milliseconds held = m_lost ? milliseconds(0) : m_pace.held;
-        if (m_since == nothingKnown)
+        if (m_since == unknownVersion)
             m_store.list(m_table, std::move(done));
         else
             m_store.follow(m_table, m_since, held, std::move(done));
@@ -253,7 +253,7 @@
             m_steadySince = m_confirmedAt;
         noteRegained();
         row_batch batch = std::move(result.value());
-        const bool whole = m_since == nothingKnown;
+        const bool whole = m_since == unknownVersion;
         m_since = std::max(m_since, batch.version);
         m_newest = std::max(m_newest, m_since);
         m_newsRelayed = false;
@@ -277,7 +277,7 @@
     void onFailure(row_failure why)
     {
         if (why == row_failure::historyGone) {
-            m_since = nothingKnown;
+            m_since = unknownVersion;
             readAfter(milliseconds(0));
             return;
         }
@@ -327,8 +327,8 @@
     follow_events m_events;
     row_relay m_relay;
     std::shared_ptr<bool> m_alive;
-    std::uint64_t m_since = nothingKnown;
-    std::uint64_t m_newest = nothingKnown; ///< kept while the whole table is reread
+    std::uint64_t m_since = unknownVersion;
+    std::uint64_t m_newest = unknownVersion; ///< kept while the whole table is reread
     unsigned m_round = 0; ///< number of the read whose answer schedules the next read
     time_point m_startedAt{};
     milliseconds m_retry = firstRetry;
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -19,7 +19,7 @@
     }
     // Other entries may have reached the store all the time: requests to an endpoint that left
     // after the last confirmation of the rows must still stop in time.
-    const milliseconds age = m_mirror.stateOf(m_codec.endpointTable, nothingKnown, now).age;
+    const milliseconds age = m_mirror.stateOf(m_codec.endpointTable, unknownVersion, now).age;
     m_state.directory().deferRemovalsUntil(now - age + m_links.timings.removalGrace);
 }
 
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -327,7 +327,7 @@
         const auto it = tables.value().find(item.what.table);
         const bool isTold = it != tables.value().end();
         const bool isTaken = isTold
-                && (it->second.age <= mirror.freshness() || item.what.since == nothingKnown);
+                && (it->second.age <= mirror.freshness() || item.what.since == unknownVersion);
         (isTaken ? answered : pending).push_back(std::move(item));
     }
     for (const pending_read &item : answered)
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -117,18 +117,18 @@
 
 std::optional<aged_news> row_mirror::readForStart(const std::string &table, time_point now) const
 {
-    const news_state state = stateOf(table, nothingKnown, now);
+    const news_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
-    return newsSince(m_tables.at(table), nothingKnown, state);
+    return newsSince(m_tables.at(table), unknownVersion, state);
 }
 
 std::optional<aged_news> row_mirror::headForStart(const std::string &table, time_point now) const
 {
-    const news_state state = stateOf(table, nothingKnown, now);
+    const news_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
-    return headSince(m_tables.at(table), nothingKnown, state);
+    return headSince(m_tables.at(table), unknownVersion, state);
 }
 
 aged_news row_mirror::headSince(const table_copy &known, std::uint64_t since,
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -219,7 +219,7 @@
 std::optional<packed_news> row_server::state::newsFor(const table_since &asked)
 {
     const time_point now = bootNow();
-    if (asked.since != nothingKnown) {
+    if (asked.since != unknownVersion) {
         std::optional<aged_news> news = mirror.read(asked.table, asked.since, now);
         if (!news)
             return std::nullopt;
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -168,8 +168,8 @@
     }
     const auto newsOf = [&](const row_mirror &mirror) {
         const time_point now = all.runtime.now();
-        return since == nothingKnown ? mirror.readForStart(table, now)
-                                     : mirror.read(table, since, now);
+        return since == unknownVersion ? mirror.readForStart(table, now)
+                                       : mirror.read(table, since, now);
     };
     const auto news = peer ? newsOf(peer->mirror) : std::nullopt;
     const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -402,7 +402,7 @@
 {
     two_entries two;
     two.server.mirror.take("t", {{{"k", "v", 9, false}}, 9, {}}, true, bootNow() - seconds(10));
-    two.ask("t", nothingKnown);
+    two.ask("t", unknownVersion);
     two.runUntil(1);
     REQUIRE(two.results.at("t"));
     CHECK(two.results.at("t").value().batch.rows.at(0).value == "v");
