--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -56,7 +56,7 @@
 inline constexpr std::uint64_t unknownVersion = 0;
 /// Version with which a process requests the whole table from other processes when it has read
 /// the table before but has missed changes. Versions of the store are always higher.
-inline constexpr std::uint64_t readAnew = 1;
+inline constexpr std::uint64_t rereadVersion = 1;
 
 /// Alternative source of rows: other processes that read the store and pass the rows on.
 struct row_relay
@@ -68,7 +68,7 @@
     /// have no table yet at startup, so that other processes can read the rows here. May be empty.
     std::function<bool()> isStandby;
     /// Reads the changes since a version, or the whole table if the version is \c unknownVersion or
-    /// \c readAnew. May fail.
+    /// \c rereadVersion. May fail.
     std::function<void(const std::string &table, std::uint64_t since, row_callback<row_news> done)>
             read;
 };
@@ -198,7 +198,7 @@
     std::uint64_t relayedSince() const
     {
         const bool isAnew = m_since == unknownVersion && m_newest != unknownVersion;
-        return isAnew ? readAnew : m_since;
+        return isAnew ? rereadVersion : m_since;
     }
 
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -408,7 +408,7 @@
     CHECK(two.results.at("t").value().batch.rows.at(0).value == "v");
     two.results.clear();
     // The entry lost the history of changes but has newer rows.
-    two.ask("t", readAnew);
+    two.ask("t", rereadVersion);
     two.runUntil(1);
     CHECK(!two.results.at("t"));
 }
