--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -41,7 +41,7 @@
     std::function<void(row_failure why)> onLost; ///< first of several consecutive failures
     /// The relays had reported outdated rows, and now a call of this process to the store failed
     /// as well.
-    std::function<void()> onLostHere = [] {};
+    std::function<void()> onLostLocally = [] {};
     std::function<void(milliseconds away)> onRegained; ///< first success after failures
 };
 
@@ -294,7 +294,7 @@
     {
         const bool isWorse = m_lostWhy == row_failure::outdated && why != row_failure::outdated;
         if (m_lost && isWorse)
-            m_events.onLostHere();
+            m_events.onLostLocally();
         if (!m_lost || isWorse)
             m_lostWhy = why;
         if (m_lost)
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -91,7 +91,7 @@
             doubtRemovals(why);
     };
     if (listsEndpoints)
-        events.onLostHere = [this] { m_state.directory().storeLost(m_runtime.now()); };
+        events.onLostLocally = [this] { m_state.directory().storeLost(m_runtime.now()); };
     events.onRegained = [this, table, listsEndpoints](milliseconds away) {
         logInfo(log_part::platform, "store regained",
                 {{"table", table}, {"away_ms", std::int64_t(away.count())}});
