--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -42,7 +42,7 @@
     /// The relays had reported outdated rows, and now a call of this process to the store failed
     /// as well.
     std::function<void()> onLostLocally = [] {};
-    std::function<void(milliseconds away)> onRegained; ///< first success after failures
+    std::function<void(milliseconds away)> onRecovered; ///< first success after failures
 };
 
 /// Changes of a table, or the whole table.
@@ -271,7 +271,7 @@
             return;
         m_lost = false;
         const auto away = m_runtime.now() - m_lostAt;
-        m_events.onRegained(std::chrono::duration_cast<milliseconds>(away));
+        m_events.onRecovered(std::chrono::duration_cast<milliseconds>(away));
     }
 
     void onFailure(row_failure why)
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -92,7 +92,7 @@
     };
     if (listsEndpoints)
         events.onLostLocally = [this] { m_state.directory().storeLost(m_runtime.now()); };
-    events.onRegained = [this, table, listsEndpoints](milliseconds away) {
+    events.onRecovered = [this, table, listsEndpoints](milliseconds away) {
         logInfo(log_part::platform, "store regained",
                 {{"table", table}, {"away_ms", std::int64_t(away.count())}});
         if (listsEndpoints)
--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -51,7 +51,7 @@
         events.onTable = [this](row_batch &&) { ++tables; };
         events.onChanges = [](row_batch &&) {};
         events.onLost = [this](row_failure) { ++lost; };
-        events.onRegained = [this](milliseconds) { ++regained; };
+        events.onRecovered = [this](milliseconds) { ++regained; };
         return events;
     }
 };
