--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -129,7 +129,7 @@
 
     /// \returns since when the store has answered without a failure. Only meaningful after its
     /// first answer.
-    time_point steadySince() const { return m_steadySince; }
+    time_point availableSince() const { return m_steadySince; }
 
     /// \returns true if the last reported table or changes came from a relay. Callbacks may use it
     /// for what they are given.
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -52,7 +52,7 @@
     if (now - own.relayedAt() < evidenceSettleTime)
         return false;
     return now - own.confirmedAt() <= maxEvidenceAge
-            && now - own.steadySince() >= evidenceSettleTime;
+            && now - own.availableSince() >= evidenceSettleTime;
 }
 
 template <row_store_like Store, runtime_like Runtime>
