--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -129,7 +129,7 @@
 
     /// \returns since when the store has answered without a failure. Only meaningful after its
     /// first answer.
-    time_point availableSince() const { return m_steadySince; }
+    time_point availableSince() const { return m_availableSince; }
 
     /// \returns true if the last reported table or changes came from a relay. Callbacks may use it
     /// for what they are given.
@@ -249,8 +249,8 @@
             return;
         }
         m_confirmedAt = m_runtime.now();
-        if (m_lost || m_steadySince == time_point())
-            m_steadySince = m_confirmedAt;
+        if (m_lost || m_availableSince == time_point())
+            m_availableSince = m_confirmedAt;
         noteRegained();
         row_batch batch = std::move(result.value());
         const bool whole = m_since == unknownVersion;
@@ -339,7 +339,7 @@
     time_point m_storeDueAt{}; ///< next call to the store while it is unavailable
     time_point m_lostAt{};
     time_point m_confirmedAt{};
-    time_point m_steadySince{};
+    time_point m_availableSince{};
     time_point m_relayedAt{};
 };
 
