--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -136,7 +136,7 @@
     bool isNewsRelayed() const { return m_newsRelayed; }
 
     /// \returns when a relay last answered, or the epoch of the clock if none has.
-    time_point relayedAt() const { return m_relayedAt; }
+    time_point relayAnsweredAt() const { return m_relayedAt; }
 
 private:
     bool asksRelayFirst() const { return m_relay.read && m_relay.isPreferred(); }
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -49,7 +49,7 @@
 {
     const follower &own = *m_followers.at(std::string(internalTable));
     const time_point now = m_runtime.now();
-    if (now - own.relayedAt() < evidenceSettleTime)
+    if (now - own.relayAnsweredAt() < evidenceSettleTime)
         return false;
     return now - own.confirmedAt() <= maxEvidenceAge
             && now - own.availableSince() >= evidenceSettleTime;
