--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -136,7 +136,7 @@
     bool isNewsRelayed() const { return m_newsRelayed; }
 
     /// \returns when a relay last answered, or the epoch of the clock if none has.
-    time_point relayAnsweredAt() const { return m_relayedAt; }
+    time_point relayAnsweredAt() const { return m_relayAnsweredAt; }
 
 private:
     bool asksRelayFirst() const { return m_relay.read && m_relay.isPreferred(); }
@@ -167,7 +167,7 @@
     {
         if (result) {
             // A relay passes on only rows that the store has confirmed recently.
-            m_relayedAt = m_runtime.now();
+            m_relayAnsweredAt = m_runtime.now();
             noteRegained();
             takeNews(std::move(result.value()));
             const auto rest = relayPace - (m_runtime.now() - askedAt);
@@ -340,7 +340,7 @@
     time_point m_lostAt{};
     time_point m_confirmedAt{};
     time_point m_availableSince{};
-    time_point m_relayedAt{};
+    time_point m_relayAnsweredAt{};
 };
 
 } // namespace laurelcroft
