--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -119,7 +119,7 @@
     /// Minimum time between the starts of two reads of a relay. A relay is close and a read costs
     /// little. Together with the read interval of the store, the delay stays within the time that
     /// a leaving endpoint allows.
-    static constexpr milliseconds relayPace{300};
+    static constexpr milliseconds relayReadInterval{300};
     /// Minimum time from an answer of a relay to the next read. The relay holds a read while it has
     /// no changes.
     static constexpr milliseconds relayPause{50};
@@ -170,7 +170,7 @@
             m_relayAnsweredAt = m_runtime.now();
             noteRegained();
             takeNews(std::move(result.value()));
-            const auto rest = relayPace - (m_runtime.now() - askedAt);
+            const auto rest = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
                 readAfter(std::max<duration>(relayPause, rest));
             return;
@@ -192,7 +192,7 @@
         if (!m_lost || m_runtime.now() >= m_storeDueAt)
             readStore();
         else
-            readAfter(std::min<duration>(relayPace, m_storeDueAt - m_runtime.now()));
+            readAfter(std::min<duration>(relayReadInterval, m_storeDueAt - m_runtime.now()));
     }
 
     std::uint64_t relayedSince() const
@@ -284,7 +284,7 @@
         noteLost(why);
         m_storeDueAt = m_runtime.now() + m_retry;
         const bool relayFirst = asksRelayFirst();
-        readAfter(relayFirst ? relayPace : m_retry);
+        readAfter(relayFirst ? relayReadInterval : m_retry);
         m_retry = std::min(m_retry * 2, longestRetryNow(relayFirst));
         if (m_relay.read && !relayFirst)
             askElsewhere();
