--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -122,7 +122,7 @@
     static constexpr milliseconds relayReadInterval{300};
     /// Minimum time from an answer of a relay to the next read. The relay holds a read while it has
     /// no changes.
-    static constexpr milliseconds relayPause{50};
+    static constexpr milliseconds minRelayPause{50};
 
     /// \returns when the store last answered, or the epoch of the clock if it never has.
     time_point confirmedAt() const { return m_confirmedAt; }
@@ -172,7 +172,7 @@
             takeNews(std::move(result.value()));
             const auto rest = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
-                readAfter(std::max<duration>(relayPause, rest));
+                readAfter(std::max<duration>(minRelayPause, rest));
             return;
         }
         if (!isCurrent)
@@ -181,7 +181,7 @@
                 && m_runtime.now() - m_startedAt < m_pace.firstWait && !m_lost;
         m_outdated = result.error() == row_failure::outdated;
         if (starting && !isStandby()) {
-            readAfter(relayPause);
+            readAfter(minRelayPause);
             return;
         }
         if (m_outdated && !m_lost && !isStandby()) {
