--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -80,7 +80,7 @@
 public:
     /// Minimum and maximum retry delay after a failure. The maximum is well below the time within
     /// which a change must take effect after the store has recovered.
-    static constexpr milliseconds firstRetry{100};
+    static constexpr milliseconds minRetryDelay{100};
     static constexpr milliseconds longestRetry{800};
     /// Maximum retry delay when a relay is read first: the relay's answers show that the store has
     /// recovered.
@@ -266,7 +266,7 @@
 
     void noteRegained()
     {
-        m_retry = firstRetry;
+        m_retry = minRetryDelay;
         if (!m_lost)
             return;
         m_lost = false;
@@ -331,7 +331,7 @@
     std::uint64_t m_newest = unknownVersion; ///< kept while the whole table is reread
     unsigned m_round = 0; ///< number of the read whose answer schedules the next read
     time_point m_startedAt{};
-    milliseconds m_retry = firstRetry;
+    milliseconds m_retry = minRetryDelay;
     bool m_lost = false;
     row_failure m_lostWhy = row_failure::notDone;
     bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
