--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -285,7 +285,7 @@
         m_storeDueAt = m_runtime.now() + m_retry;
         const bool relayFirst = asksRelayFirst();
         readAfter(relayFirst ? relayReadInterval : m_retry);
-        m_retry = std::min(m_retry * 2, longestRetryNow(relayFirst));
+        m_retry = std::min(m_retry * 2, currentMaxRetryDelay(relayFirst));
         if (m_relay.read && !relayFirst)
             askElsewhere();
     }
@@ -304,7 +304,7 @@
         m_events.onLost(why);
     }
 
-    milliseconds longestRetryNow(bool relayFirst) const
+    milliseconds currentMaxRetryDelay(bool relayFirst) const
     {
         if (!relayFirst)
             return longestRetry;
