--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -81,7 +81,7 @@
     /// Minimum and maximum retry delay after a failure. The maximum is well below the time within
     /// which a change must take effect after the store has recovered.
     static constexpr milliseconds minRetryDelay{100};
-    static constexpr milliseconds longestRetry{800};
+    static constexpr milliseconds maxRetryDelay{800};
     /// Maximum retry delay when a relay is read first: the relay's answers show that the store has
     /// recovered.
     static constexpr milliseconds longestRetryBesideRelay{2400};
@@ -307,7 +307,7 @@
     milliseconds currentMaxRetryDelay(bool relayFirst) const
     {
         if (!relayFirst)
-            return longestRetry;
+            return maxRetryDelay;
         return m_outdated && !isStandby() ? longestRetryBesideOutdated : longestRetryBesideRelay;
     }
 
