--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -84,7 +84,7 @@
     static constexpr milliseconds maxRetryDelay{800};
     /// Maximum retry delay when a relay is read first: the relay's answers show that the store has
     /// recovered.
-    static constexpr milliseconds longestRetryBesideRelay{2400};
+    static constexpr milliseconds maxRetryDelayWithRelay{2400};
     /// Maximum retry delay when a relay answers that its rows are outdated, unless this process is
     /// a standby.
     static constexpr milliseconds longestRetryBesideOutdated{20'000};
@@ -308,7 +308,7 @@
     {
         if (!relayFirst)
             return maxRetryDelay;
-        return m_outdated && !isStandby() ? longestRetryBesideOutdated : longestRetryBesideRelay;
+        return m_outdated && !isStandby() ? longestRetryBesideOutdated : maxRetryDelayWithRelay;
     }
 
     void askElsewhere()
