--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -87,7 +87,7 @@
     static constexpr milliseconds maxRetryDelayWithRelay{2400};
     /// Maximum retry delay when a relay answers that its rows are outdated, unless this process is
     /// a standby.
-    static constexpr milliseconds longestRetryBesideOutdated{20'000};
+    static constexpr milliseconds maxRetryDelayWithOutdatedRelay{20'000};
 
     row_follower(Store &store, Runtime &runtime, std::string table, follow_pace pace,
                  follow_events events, row_relay relay = {})
@@ -308,7 +308,7 @@
     {
         if (!relayFirst)
             return maxRetryDelay;
-        return m_outdated && !isStandby() ? longestRetryBesideOutdated : maxRetryDelayWithRelay;
+        return m_outdated && !isStandby() ? maxRetryDelayWithOutdatedRelay : maxRetryDelayWithRelay;
     }
 
     void askElsewhere()
