--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -186,8 +186,8 @@
         }
         if (m_outdated && !m_lost && !isStandby()) {
             noteLost(row_failure::outdated);
-            m_retry = m_pace.staleWait;
-            m_storeDueAt = m_runtime.now() + m_retry;
+            m_retryDelay = m_pace.staleWait;
+            m_storeDueAt = m_runtime.now() + m_retryDelay;
         }
         if (!m_lost || m_runtime.now() >= m_storeDueAt)
             readStore();
@@ -266,7 +266,7 @@
 
     void noteRegained()
     {
-        m_retry = minRetryDelay;
+        m_retryDelay = minRetryDelay;
         if (!m_lost)
             return;
         m_lost = false;
@@ -282,10 +282,10 @@
             return;
         }
         noteLost(why);
-        m_storeDueAt = m_runtime.now() + m_retry;
+        m_storeDueAt = m_runtime.now() + m_retryDelay;
         const bool relayFirst = asksRelayFirst();
-        readAfter(relayFirst ? relayReadInterval : m_retry);
-        m_retry = std::min(m_retry * 2, currentMaxRetryDelay(relayFirst));
+        readAfter(relayFirst ? relayReadInterval : m_retryDelay);
+        m_retryDelay = std::min(m_retryDelay * 2, currentMaxRetryDelay(relayFirst));
         if (m_relay.read && !relayFirst)
             askElsewhere();
     }
@@ -331,7 +331,7 @@
     std::uint64_t m_newest = unknownVersion; ///< kept while the whole table is reread
     unsigned m_round = 0; ///< number of the read whose answer schedules the next read
     time_point m_startedAt{};
-    milliseconds m_retry = minRetryDelay;
+    milliseconds m_retryDelay = minRetryDelay;
     bool m_lost = false;
     row_failure m_lostWhy = row_failure::notDone;
     bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
