--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -157,13 +157,13 @@
                 m_table, relayedSince(),
                 [this, askedAt, round, alive = m_alive](outcome<row_news, row_failure> result) {
                     if (*alive)
-                        onRelayed(std::move(result), askedAt, round == m_round);
+                        onRelayAnswer(std::move(result), askedAt, round == m_round);
                 });
     }
 
     /// \param isCurrent false if a read of the store began meanwhile; that read then schedules the
     /// next one.
-    void onRelayed(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
+    void onRelayAnswer(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
     {
         if (result) {
             // A relay passes on only rows that the store has confirmed recently.
