--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -222,7 +222,7 @@
         ++m_round;
         auto done = [this, alive = m_alive](outcome<row_batch, row_failure> result) {
             if (*alive)
-                onAnswer(std::move(result));
+                onStoreAnswer(std::move(result));
         };
         // While the store is unavailable, its calls are not held: its recovery is noticed at once,
         // and a call that hangs times out sooner.
@@ -242,7 +242,7 @@
         });
     }
 
-    void onAnswer(outcome<row_batch, row_failure> result)
+    void onStoreAnswer(outcome<row_batch, row_failure> result)
     {
         if (!result) {
             onFailure(result.error());
