--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -245,7 +245,7 @@
     void onStoreAnswer(outcome<row_batch, row_failure> result)
     {
         if (!result) {
-            onFailure(result.error());
+            onStoreFailure(result.error());
             return;
         }
         m_confirmedAt = m_runtime.now();
@@ -274,7 +274,7 @@
         m_events.onRecovered(std::chrono::duration_cast<milliseconds>(away));
     }
 
-    void onFailure(row_failure why)
+    void onStoreFailure(row_failure why)
     {
         if (why == row_failure::historyGone) {
             m_since = unknownVersion;
