--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -287,7 +287,7 @@
         readAfter(relayFirst ? relayReadInterval : m_retryDelay);
         m_retryDelay = std::min(m_retryDelay * 2, currentMaxRetryDelay(relayFirst));
         if (m_relay.read && !relayFirst)
-            askElsewhere();
+            readRelayOnce();
     }
 
     void noteLost(row_failure why)
@@ -311,7 +311,7 @@
         return m_outdated && !isStandby() ? maxRetryDelayWithOutdatedRelay : maxRetryDelayWithRelay;
     }
 
-    void askElsewhere()
+    void readRelayOnce()
     {
         m_relay.read(m_table, relayedSince(),
                      [this, alive = m_alive](outcome<row_news, row_failure> result) {
