--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -185,7 +185,7 @@
             return;
         }
         if (m_outdated && !m_lost && !isStandby()) {
-            noteLost(row_failure::outdated);
+            reportLost(row_failure::outdated);
             m_retryDelay = m_pace.staleWait;
             m_storeDueAt = m_runtime.now() + m_retryDelay;
         }
@@ -281,7 +281,7 @@
             readAfter(milliseconds(0));
             return;
         }
-        noteLost(why);
+        reportLost(why);
         m_storeDueAt = m_runtime.now() + m_retryDelay;
         const bool relayFirst = asksRelayFirst();
         readAfter(relayFirst ? relayReadInterval : m_retryDelay);
@@ -290,7 +290,7 @@
             readRelayOnce();
     }
 
-    void noteLost(row_failure why)
+    void reportLost(row_failure why)
     {
         const bool isWorse = m_lostWhy == row_failure::outdated && why != row_failure::outdated;
         if (m_lost && isWorse)
