--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -168,7 +168,7 @@
         if (result) {
             // A relay passes on only rows that the store has confirmed recently.
             m_relayAnsweredAt = m_runtime.now();
-            noteRegained();
+            reportRecovered();
             takeNews(std::move(result.value()));
             const auto rest = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
@@ -251,7 +251,7 @@
         m_confirmedAt = m_runtime.now();
         if (m_lost || m_availableSince == time_point())
             m_availableSince = m_confirmedAt;
-        noteRegained();
+        reportRecovered();
         row_batch batch = std::move(result.value());
         const bool whole = m_since == unknownVersion;
         m_since = std::max(m_since, batch.version);
@@ -264,7 +264,7 @@
         readAfter(m_pace.between);
     }
 
-    void noteRegained()
+    void reportRecovered()
     {
         m_retryDelay = minRetryDelay;
         if (!m_lost)
