--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -172,7 +172,7 @@
             takeNews(std::move(result.value()));
             const auto rest = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
-                readAfter(std::max<duration>(minRelayPause, rest));
+                scheduleRead(std::max<duration>(minRelayPause, rest));
             return;
         }
         if (!isCurrent)
@@ -181,7 +181,7 @@
                 && m_runtime.now() - m_startedAt < m_pace.firstWait && !m_lost;
         m_outdated = result.error() == row_failure::outdated;
         if (starting && !isStandby()) {
-            readAfter(minRelayPause);
+            scheduleRead(minRelayPause);
             return;
         }
         if (m_outdated && !m_lost && !isStandby()) {
@@ -192,7 +192,7 @@
         if (!m_lost || m_runtime.now() >= m_storeDueAt)
             readStore();
         else
-            readAfter(std::min<duration>(relayReadInterval, m_storeDueAt - m_runtime.now()));
+            scheduleRead(std::min<duration>(relayReadInterval, m_storeDueAt - m_runtime.now()));
     }
 
     std::uint64_t relayedSince() const
@@ -233,7 +233,7 @@
             m_store.follow(m_table, m_since, held, std::move(done));
     }
 
-    void readAfter(duration wait)
+    void scheduleRead(duration wait)
     {
         // A read that began meanwhile schedules the next one itself.
         m_runtime.after(wait, [this, round = m_round, alive = m_alive] {
@@ -261,7 +261,7 @@
             m_events.onTable(std::move(batch));
         else
             m_events.onChanges(std::move(batch));
-        readAfter(m_pace.between);
+        scheduleRead(m_pace.between);
     }
 
     void reportRecovered()
@@ -278,13 +278,13 @@
     {
         if (why == row_failure::historyGone) {
             m_since = unknownVersion;
-            readAfter(milliseconds(0));
+            scheduleRead(milliseconds(0));
             return;
         }
         reportLost(why);
         m_storeDueAt = m_runtime.now() + m_retryDelay;
         const bool relayFirst = asksRelayFirst();
-        readAfter(relayFirst ? relayReadInterval : m_retryDelay);
+        scheduleRead(relayFirst ? relayReadInterval : m_retryDelay);
         m_retryDelay = std::min(m_retryDelay * 2, currentMaxRetryDelay(relayFirst));
         if (m_relay.read && !relayFirst)
             readRelayOnce();
