--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -152,12 +152,12 @@
     void readRelay()
     {
         const time_point askedAt = m_runtime.now();
-        const unsigned round = ++m_round;
+        const unsigned round = ++m_readNumber;
         m_relay.read(
                 m_table, relayedSince(),
                 [this, askedAt, round, alive = m_alive](outcome<row_news, row_failure> result) {
                     if (*alive)
-                        onRelayAnswer(std::move(result), askedAt, round == m_round);
+                        onRelayAnswer(std::move(result), askedAt, round == m_readNumber);
                 });
     }
 
@@ -219,7 +219,7 @@
 
     void readStore()
     {
-        ++m_round;
+        ++m_readNumber;
         auto done = [this, alive = m_alive](outcome<row_batch, row_failure> result) {
             if (*alive)
                 onStoreAnswer(std::move(result));
@@ -236,8 +236,8 @@
     void scheduleRead(duration wait)
     {
         // A read that began meanwhile schedules the next one itself.
-        m_runtime.after(wait, [this, round = m_round, alive = m_alive] {
-            if (*alive && round == m_round)
+        m_runtime.after(wait, [this, round = m_readNumber, alive = m_alive] {
+            if (*alive && round == m_readNumber)
                 read();
         });
     }
@@ -329,7 +329,7 @@
     std::shared_ptr<bool> m_alive;
     std::uint64_t m_since = unknownVersion;
     std::uint64_t m_newest = unknownVersion; ///< kept while the whole table is reread
-    unsigned m_round = 0; ///< number of the read whose answer schedules the next read
+    unsigned m_readNumber = 0; ///< number of the read whose answer schedules the next read
     time_point m_startedAt{};
     milliseconds m_retryDelay = minRetryDelay;
     bool m_lost = false;
