--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -107,7 +107,7 @@
     void start()
     {
         m_startedAt = m_runtime.now();
-        if (asksRelayFirst()) {
+        if (prefersRelay()) {
             m_runtime.after(m_pace.firstWait, [this, alive = m_alive] {
                 if (*alive && m_since == unknownVersion)
                     readStore();
@@ -139,11 +139,11 @@
     time_point relayAnsweredAt() const { return m_relayAnsweredAt; }
 
 private:
-    bool asksRelayFirst() const { return m_relay.read && m_relay.isPreferred(); }
+    bool prefersRelay() const { return m_relay.read && m_relay.isPreferred(); }
 
     void read()
     {
-        if (asksRelayFirst())
+        if (prefersRelay())
             readRelay();
         else
             readStore();
@@ -283,7 +283,7 @@
         }
         reportLost(why);
         m_storeDueAt = m_runtime.now() + m_retryDelay;
-        const bool relayFirst = asksRelayFirst();
+        const bool relayFirst = prefersRelay();
         scheduleRead(relayFirst ? relayReadInterval : m_retryDelay);
         m_retryDelay = std::min(m_retryDelay * 2, currentMaxRetryDelay(relayFirst));
         if (m_relay.read && !relayFirst)
