--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -154,7 +154,7 @@
         const time_point askedAt = m_runtime.now();
         const unsigned round = ++m_readNumber;
         m_relay.read(
-                m_table, relayedSince(),
+                m_table, relayVersion(),
                 [this, askedAt, round, alive = m_alive](outcome<row_news, row_failure> result) {
                     if (*alive)
                         onRelayAnswer(std::move(result), askedAt, round == m_readNumber);
@@ -195,7 +195,7 @@
             scheduleRead(std::min<duration>(relayReadInterval, m_storeDueAt - m_runtime.now()));
     }
 
-    std::uint64_t relayedSince() const
+    std::uint64_t relayVersion() const
     {
         const bool isAnew = m_since == unknownVersion && m_newest != unknownVersion;
         return isAnew ? rereadVersion : m_since;
@@ -313,7 +313,7 @@
 
     void readRelayOnce()
     {
-        m_relay.read(m_table, relayedSince(),
+        m_relay.read(m_table, relayVersion(),
                      [this, alive = m_alive](outcome<row_news, row_failure> result) {
                          if (*alive && m_lost && result)
                              takeNews(std::move(result.value()));
