--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -187,12 +187,13 @@
         if (m_outdated && !m_lost && !isStandby()) {
             reportLost(row_failure::outdated);
             m_retryDelay = m_pace.staleWait;
-            m_storeDueAt = m_runtime.now() + m_retryDelay;
+            m_nextStoreReadAt = m_runtime.now() + m_retryDelay;
         }
-        if (!m_lost || m_runtime.now() >= m_storeDueAt)
+        if (!m_lost || m_runtime.now() >= m_nextStoreReadAt)
             readStore();
         else
-            scheduleRead(std::min<duration>(relayReadInterval, m_storeDueAt - m_runtime.now()));
+            scheduleRead(
+                    std::min<duration>(relayReadInterval, m_nextStoreReadAt - m_runtime.now()));
     }
 
     std::uint64_t relayVersion() const
@@ -282,7 +283,7 @@
             return;
         }
         reportLost(why);
-        m_storeDueAt = m_runtime.now() + m_retryDelay;
+        m_nextStoreReadAt = m_runtime.now() + m_retryDelay;
         const bool relayFirst = prefersRelay();
         scheduleRead(relayFirst ? relayReadInterval : m_retryDelay);
         m_retryDelay = std::min(m_retryDelay * 2, currentMaxRetryDelay(relayFirst));
@@ -336,7 +337,7 @@
     row_failure m_lostWhy = row_failure::notDone;
     bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
     bool m_newsRelayed = false;
-    time_point m_storeDueAt{}; ///< next call to the store while it is unavailable
+    time_point m_nextStoreReadAt{}; ///< next call to the store while it is unavailable
     time_point m_lostAt{};
     time_point m_confirmedAt{};
     time_point m_availableSince{};
