--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// Row store that answers at once, or fails while it is \c away.
-struct plain_store
+struct simple_store
 {
     void list(const std::string &, row_callback<row_batch> done) { answer(std::move(done)); }
     void follow(const std::string &, std::uint64_t, milliseconds wait, row_callback<row_batch> done)
@@ -60,11 +60,11 @@
 struct follower_world : counted_events
 {
     manual_runtime runtime;
-    plain_store store;
+    simple_store store;
     bool relayFirst = true;
     bool relayAway = false;
     unsigned relayReads = 0;
-    row_follower<plain_store, manual_runtime> follower{
+    row_follower<simple_store, manual_runtime> follower{
             store, runtime, "table", {milliseconds(800), milliseconds(500)}, events(), relay()};
 
     row_relay relay()
@@ -165,11 +165,11 @@
 struct holding_world : counted_events
 {
     manual_runtime runtime;
-    plain_store store;
+    simple_store store;
     std::vector<row_callback<row_news>> held;
     bool outdated = false; ///< the relay answers at once that its rows are outdated
     bool isStandby = false;
-    row_follower<plain_store, manual_runtime> follower{
+    row_follower<simple_store, manual_runtime> follower{
             store, runtime, "table", {milliseconds(800), milliseconds(500)}, events(), relay()};
 
     row_relay relay()
