--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -39,7 +39,7 @@
 };
 
 /// Counts the callbacks of a follower.
-struct counted_events
+struct event_counter
 {
     unsigned tables = 0;
     unsigned lost = 0;
@@ -57,7 +57,7 @@
 };
 
 /// A follower with a relay that answers at once, or fails.
-struct follower_world : counted_events
+struct follower_world : event_counter
 {
     manual_runtime runtime;
     simple_store store;
@@ -162,7 +162,7 @@
 
 /// A follower with a relay that holds each read until the test answers it, as a relay without
 /// changes does.
-struct holding_world : counted_events
+struct holding_world : event_counter
 {
     manual_runtime runtime;
     simple_store store;
