--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -57,7 +57,7 @@
 };
 
 /// A follower with a relay that answers at once, or fails.
-struct follower_world : event_counter
+struct follower_fixture : event_counter
 {
     manual_runtime runtime;
     simple_store store;
@@ -86,7 +86,7 @@
 
 TEST_CASE("an answer of a relay reports the store as recovered")
 {
-    follower_world world;
+    follower_fixture world;
     world.relayAway = true;
     world.store.away = true;
     world.follower.start();
@@ -103,7 +103,7 @@
 
 TEST_CASE("while both are unavailable the relay is read often and the store rarely")
 {
-    follower_world world;
+    follower_fixture world;
     world.relayAway = true;
     world.store.away = true;
     world.follower.start();
@@ -117,7 +117,7 @@
 
 TEST_CASE("without a preferred relay the recovery of the store is noticed within a second")
 {
-    follower_world world;
+    follower_fixture world;
     world.relayFirst = false;
     world.relayAway = true;
     world.store.away = true;
@@ -130,7 +130,7 @@
 
 TEST_CASE("calls are not held while the store is unavailable")
 {
-    follower_world world;
+    follower_fixture world;
     world.relayFirst = false;
     world.relayAway = true;
     world.follower.start();
@@ -147,7 +147,7 @@
 
 TEST_CASE("a follower whose store calls fail reads the relay and keeps its retry delays")
 {
-    follower_world world;
+    follower_fixture world;
     world.relayFirst = false;
     world.store.away = true;
     world.follower.start();
