--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -162,7 +162,7 @@
 
 /// A follower with a relay that holds each read until the test answers it, as a relay without
 /// changes does.
-struct holding_world : event_counter
+struct held_relay_fixture : event_counter
 {
     manual_runtime runtime;
     simple_store store;
@@ -191,7 +191,7 @@
 
 TEST_CASE("a starting process does not call the store while a relay may still deliver the table")
 {
-    holding_world world;
+    held_relay_fixture world;
     world.follower.start();
     world.runtime.advance(milliseconds(390));
     CHECK(world.store.calls == 0);
@@ -205,7 +205,7 @@
 
 TEST_CASE("a relay that is silent at startup delays the table by under 0.5 s and is read once")
 {
-    holding_world world;
+    held_relay_fixture world;
     world.follower.start();
     world.runtime.advance(milliseconds(410));
     CHECK(world.store.calls == 1);
@@ -219,7 +219,7 @@
 
 TEST_CASE("a relay that fails at startup is read again until the store is read instead")
 {
-    holding_world world;
+    held_relay_fixture world;
     world.follower.start();
     for (unsigned i = 0; i < 7; ++i) {
         REQUIRE(world.held.size() == i + 1);
@@ -234,7 +234,7 @@
 TEST_CASE("while relays are outdated only standbys call the store at once, others after a delay")
 {
     for (const bool isStandby : {false, true}) {
-        holding_world world;
+        held_relay_fixture world;
         world.isStandby = isStandby;
         world.outdated = true;
         world.follower.start();
@@ -261,7 +261,7 @@
 TEST_CASE("a standby reads the store at startup without waiting for a relay")
 {
     for (const bool isStandby : {false, true}) {
-        holding_world world;
+        held_relay_fixture world;
         world.isStandby = isStandby;
         world.follower.start();
         REQUIRE(world.held.size() == 1);
