--- a/include/laurelcroft/Link/Stream.h
+++ b/include/laurelcroft/Link/Stream.h
@@ -131,8 +131,8 @@
 
 /// Returns a stream without a peer. It is closed from the context with onClosed(false), never from
 /// within this call.
-std::shared_ptr<link_stream> openNowhere(asio::io_context &context, std::string_view path,
-                                         link_stream::events handlers);
+std::shared_ptr<link_stream> openWithoutPeer(asio::io_context &context, std::string_view path,
+                                             link_stream::events handlers);
 
 /// Accepts connections from other processes.
 class link_server
--- a/lib/Link/Stream.cpp
+++ b/lib/Link/Stream.cpp
@@ -211,12 +211,12 @@
     m_state->ensureSession();
     if (m_state->session)
         return m_state->session->open(path, std::move(handlers));
-    return openNowhere(m_state->context, path, std::move(handlers));
+    return openWithoutPeer(m_state->context, path, std::move(handlers));
 }
 
-std::shared_ptr<link_stream> laurelcroft::openNowhere(asio::io_context &context,
-                                                      std::string_view path,
-                                                      link_stream::events handlers)
+std::shared_ptr<link_stream> laurelcroft::openWithoutPeer(asio::io_context &context,
+                                                          std::string_view path,
+                                                          link_stream::events handlers)
 {
     auto stream = std::make_shared<link_stream>(std::weak_ptr<link_session>(), -1,
                                                 std::string(path), "");
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -322,7 +322,7 @@
 {
     if (link_client *const link = m_state->linkTo(instance))
         return link->open(path, std::move(handlers));
-    return openNowhere(m_state->routing.context(), path, std::move(handlers));
+    return openWithoutPeer(m_state->routing.context(), path, std::move(handlers));
 }
 
 void node::ask(const std::string &instance, std::string_view path, const std::string &question,
--- a/unittests/Link/LinkTests.cpp
+++ b/unittests/Link/LinkTests.cpp
@@ -147,7 +147,7 @@
     bool closed = false;
     link_stream::events handlers;
     handlers.onClosed = [&](bool isClean) { closed = !isClean; };
-    const auto stream = openNowhere(context, "/echo", std::move(handlers));
+    const auto stream = openWithoutPeer(context, "/echo", std::move(handlers));
     CHECK_FALSE(closed);
     context.run();
     CHECK(closed);
