--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::int32_t streamWindow = 256 << 10;
 constexpr std::int32_t connectionWindow = 64 << 20;
-constexpr std::uint32_t mostStreams = 100000;
+constexpr std::uint32_t maxStreams = 100000;
 constexpr std::size_t largestWrite = 256 << 10;
 /// Interval between pings. A peer that leaves mostUnansweredPings in a row unanswered is treated as
 /// unreachable, and the connection is closed.
@@ -76,7 +76,7 @@
     nghttp2_option *option = nullptr;
     nghttp2_option_new(&option);
     nghttp2_option_set_no_auto_window_update(option, 1);
-    nghttp2_option_set_peer_max_concurrent_streams(option, mostStreams);
+    nghttp2_option_set_peer_max_concurrent_streams(option, maxStreams);
     if (m_side == side::server)
         nghttp2_session_server_new2(&m_session, callbacks, this, option);
     else
@@ -90,7 +90,7 @@
     asio::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     const std::array<nghttp2_settings_entry, 2> settings = {{
-            {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, mostStreams},
+            {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, maxStreams},
             {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow},
     }};
     nghttp2_submit_settings(m_session, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
