--- a/lib/Link/Stream.cpp
+++ b/lib/Link/Stream.cpp
@@ -16,7 +16,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr std::size_t mostSessions = 4096;
+constexpr std::size_t maxSessions = 4096;
 } // namespace
 
 link_stream::link_stream(std::weak_ptr<link_session> session, std::int32_t id, std::string path,
@@ -270,7 +270,7 @@
 {
     for (auto it = sessions.begin(); it != sessions.end();)
         it = it->expired() ? sessions.erase(it) : std::next(it);
-    if (sessions.size() >= mostSessions)
+    if (sessions.size() >= maxSessions)
         return;
     auto session = std::make_shared<link_session>(std::move(socket), link_session::side::server,
                                                   identity, onStream);
