--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -24,10 +24,10 @@
 constexpr std::int32_t connectionWindow = 64 << 20;
 constexpr std::uint32_t maxStreams = 100000;
 constexpr std::size_t largestWrite = 256 << 10;
-/// Interval between pings. A peer that leaves mostUnansweredPings in a row unanswered is treated as
+/// Interval between pings. A peer that leaves maxUnansweredPings in a row unanswered is treated as
 /// unreachable, and the connection is closed.
 constexpr auto pingPeriod = std::chrono::seconds(1);
-constexpr int mostUnansweredPings = 4;
+constexpr int maxUnansweredPings = 4;
 constexpr std::string_view proofText = "laurelcroft link ";
 
 } // namespace
@@ -252,7 +252,7 @@
         const bool busy = self->m_side == side::client && !self->m_streams.empty();
         if (!busy) {
             self->m_unansweredPings = 0;
-        } else if (self->m_unansweredPings >= mostUnansweredPings) {
+        } else if (self->m_unansweredPings >= maxUnansweredPings) {
             self->shutDown();
             return;
         } else {
