--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -23,7 +23,7 @@
 constexpr std::int32_t streamWindow = 256 << 10;
 constexpr std::int32_t connectionWindow = 64 << 20;
 constexpr std::uint32_t maxStreams = 100000;
-constexpr std::size_t largestWrite = 256 << 10;
+constexpr std::size_t maxWriteBytes = 256 << 10;
 /// Interval between pings. A peer that leaves maxUnansweredPings in a row unanswered is treated as
 /// unreachable, and the connection is closed.
 constexpr auto pingPeriod = std::chrono::seconds(1);
@@ -214,7 +214,7 @@
     if (m_writing || !m_open)
         return;
     m_output.clear();
-    while (m_output.size() < largestWrite) {
+    while (m_output.size() < maxWriteBytes) {
         const std::uint8_t *data = nullptr;
         const ssize_t size = nghttp2_session_mem_send(m_session, &data);
         if (size < 0) {
