--- a/include/laurelcroft/Link/Stream.h
+++ b/include/laurelcroft/Link/Stream.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t linkFrameBytes = 4;
 
 /// Maximum size of a received message.
-inline constexpr std::size_t largestLinkMessage = 16U << 20;
+inline constexpr std::size_t maxLinkMessageBytes = 16U << 20;
 
 /// Credentials that prove to a peer that this process belongs to the same site.
 struct link_identity
--- a/lib/Link/Stream.cpp
+++ b/lib/Link/Stream.cpp
@@ -104,7 +104,7 @@
     std::string_view rest = input;
     while (!m_closed && !m_dropping && rest.size() >= linkFrameBytes) {
         const std::size_t size = readLength(rest);
-        if (size > largestLinkMessage) {
+        if (size > maxLinkMessageBytes) {
             // No peer sends a message of this size, so the stream is corrupt and is reset.
             const auto handlers = m_events;
             reset();
