--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -28,13 +28,13 @@
 /// unreachable, and the connection is closed.
 constexpr auto pingPeriod = std::chrono::seconds(1);
 constexpr int maxUnansweredPings = 4;
-constexpr std::string_view proofText = "laurelcroft link ";
+constexpr std::string_view proofPrefix = "laurelcroft link ";
 
 } // namespace
 
 std::string laurelcroft::linkProof(const link_identity &identity)
 {
-    return toHex(hmacSha256(identity.key, std::string(proofText) + identity.instance));
+    return toHex(hmacSha256(identity.key, std::string(proofPrefix) + identity.instance));
 }
 
 static nghttp2_nv headerField(std::string_view name, std::string_view value)
