--- a/unittests/Link/LinkTests.cpp
+++ b/unittests/Link/LinkTests.cpp
@@ -18,9 +18,9 @@
 
 const std::string siteKey = "the site's key of the tests";
 
-struct link_bench
+struct link_fixture
 {
-    explicit link_bench(const std::string &clientKey = siteKey)
+    explicit link_fixture(const std::string &clientKey = siteKey)
         : server(context, {"server", siteKey},
                  [this](std::shared_ptr<link_stream> stream) { accept(std::move(stream)); })
     {
@@ -70,7 +70,7 @@
 
 TEST_CASE("messages of all sizes are echoed intact and in order")
 {
-    link_bench bench;
+    link_fixture bench;
     std::vector<std::string> back;
     bool clean = false;
     link_stream::events handlers;
@@ -89,7 +89,7 @@
 
 TEST_CASE("a reader may drop the remaining input while it handles a message")
 {
-    link_bench bench;
+    link_fixture bench;
     int seen = 0;
     std::shared_ptr<link_stream> stream;
     bool clean = false;
@@ -109,7 +109,7 @@
 
 TEST_CASE("a client without the site's key is refused")
 {
-    link_bench bench("another key");
+    link_fixture bench("another key");
     bool closed = false;
     link_stream::events handlers;
     handlers.onClosed = [&](bool isClean) { closed = !isClean; };
@@ -121,7 +121,7 @@
 
 TEST_CASE("a reset closes the stream at the peer")
 {
-    link_bench bench;
+    link_fixture bench;
     const auto stream = bench.client->open("/echo", {});
     stream->send("hello");
     bench.runUntil([&] { return !bench.got.empty(); });
@@ -156,7 +156,7 @@
 
 TEST_CASE("with manual flow control a reader that consumes nothing blocks the sender")
 {
-    link_bench bench;
+    link_fixture bench;
     bench.echoes = false;
     std::size_t received = 0;
     link_stream::events handlers;
@@ -184,7 +184,7 @@
 
 TEST_CASE("random input on the port does not affect other connections")
 {
-    link_bench bench;
+    link_fixture bench;
     std::mt19937 random(4);
     asio::ip::tcp::socket socket(bench.context);
     for (int i = 0; i < 50; ++i) {
