--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr long keptConnections = 256;
+constexpr long maxCachedConnections = 256;
 /// libcurl measures a call's timeout by the steady clock, which stops while the machine is
 /// suspended. A call that is still open this long after its timeout is ended here.
 constexpr milliseconds deadlineMargin{100};
@@ -286,7 +286,7 @@
     curl_multi_setopt(m_state->multi, CURLMOPT_SOCKETDATA, m_state.get());
     curl_multi_setopt(m_state->multi, CURLMOPT_TIMERFUNCTION, &state::onTimer);
     curl_multi_setopt(m_state->multi, CURLMOPT_TIMERDATA, m_state.get());
-    curl_multi_setopt(m_state->multi, CURLMOPT_MAXCONNECTS, keptConnections);
+    curl_multi_setopt(m_state->multi, CURLMOPT_MAXCONNECTS, maxCachedConnections);
 }
 
 http_client::~http_client()
