--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -21,7 +21,7 @@
 constexpr auto longestRead = std::chrono::seconds(120);
 /// Reading ahead lets the server notice that a peer has closed its connection.
 constexpr std::size_t pipelinedRequests = 4;
-constexpr std::size_t mostHeaderFields = 64;
+constexpr std::size_t maxHeaderFields = 64;
 
 /// Callbacks to call when a connection closes. Accessed only on the thread of the server's duty.
 struct connection_watch
@@ -240,7 +240,7 @@
                                             .max_body_size(m_state->options.largestBody)
                                             .max_field_value_size(m_state->options.largestHeader)
                                             .max_field_name_size(m_state->options.largestHeader)
-                                            .max_field_count(mostHeaderFields)
+                                            .max_field_count(maxHeaderFields)
                                             .max_url_size(m_state->options.largestHeader))
                             .connection_state_listener(
                                     std::make_shared<connection_listener>(m_state->watch))
