--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Maximum time to handle a request. It is this long because rebuilds are slow.
-constexpr auto longestHandling = std::chrono::hours(2);
+constexpr auto handlingTimeout = std::chrono::hours(2);
 constexpr auto longestWrite = std::chrono::seconds(60);
 constexpr auto longestRead = std::chrono::seconds(120);
 /// Reading ahead lets the server notice that a peer has closed its connection.
@@ -232,7 +232,7 @@
                             .buffer_size(4096)
                             .read_next_http_message_timelimit(longestRead)
                             .write_http_response_timelimit(longestWrite)
-                            .handle_request_timeout(longestHandling)
+                            .handle_request_timeout(handlingTimeout)
                             .max_pipelined_requests(pipelinedRequests)
                             .max_parallel_connections(m_state->options.mostConnections)
                             .incoming_http_msg_limits(
