--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -18,7 +18,7 @@
 /// Maximum time to handle a request. It is this long because rebuilds are slow.
 constexpr auto handlingTimeout = std::chrono::hours(2);
 constexpr auto writeTimeout = std::chrono::seconds(60);
-constexpr auto longestRead = std::chrono::seconds(120);
+constexpr auto readTimeout = std::chrono::seconds(120);
 /// Reading ahead lets the server notice that a peer has closed its connection.
 constexpr std::size_t pipelinedRequests = 4;
 constexpr std::size_t maxHeaderFields = 64;
@@ -230,7 +230,7 @@
                             .port(m_state->options.port)
                             .protocol(asio::ip::tcp::v4())
                             .buffer_size(4096)
-                            .read_next_http_message_timelimit(longestRead)
+                            .read_next_http_message_timelimit(readTimeout)
                             .write_http_response_timelimit(writeTimeout)
                             .handle_request_timeout(handlingTimeout)
                             .max_pipelined_requests(pipelinedRequests)
