--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -63,7 +63,7 @@
     std::uint16_t port = 0; ///< 0: any free port
     std::size_t largestBody = 8 << 20; ///< in bytes; the connection is closed if a body is larger
     std::size_t largestHeader = 8192; ///< in bytes; for the URL and each header name and value
-    std::size_t mostConnections = 4096;
+    std::size_t maxConnections = 4096;
 };
 
 /// HTTP/1.1 server that runs on the thread of one duty.
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -234,7 +234,7 @@
                             .write_http_response_timelimit(writeTimeout)
                             .handle_request_timeout(handlingTimeout)
                             .max_pipelined_requests(pipelinedRequests)
-                            .max_parallel_connections(m_state->options.mostConnections)
+                            .max_parallel_connections(m_state->options.maxConnections)
                             .incoming_http_msg_limits(
                                     restinio::incoming_http_msg_limits_t{}
                                             .max_body_size(m_state->options.largestBody)
