--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -238,10 +238,12 @@
                             .incoming_http_msg_limits(
                                     restinio::incoming_http_msg_limits_t{}
                                             .max_body_size(m_state->options.largestBody)
-                                            .max_field_value_size(m_state->options.largestHeader)
-                                            .max_field_name_size(m_state->options.largestHeader)
+                                            .max_field_value_size(
+                                                    m_state->options.maxHeaderFieldBytes)
+                                            .max_field_name_size(
+                                                    m_state->options.maxHeaderFieldBytes)
                                             .max_field_count(maxHeaderFields)
-                                            .max_url_size(m_state->options.largestHeader))
+                                            .max_url_size(m_state->options.maxHeaderFieldBytes))
                             .connection_state_listener(
                                     std::make_shared<connection_listener>(m_state->watch))
                             .socket_options_setter([](auto &options) {
