--- a/include/laurelcroft/Http/Client.h
+++ b/include/laurelcroft/Http/Client.h
@@ -78,10 +78,10 @@
     void resume(http_call_id id);
 
     /// Makes a call and collects the whole reply. Data that would make the body larger than
-    /// \p largestReply bytes is dropped.
+    /// \p maxReplyBytes bytes is dropped.
     /// \returns the ID of the call, for cancel().
     http_call_id fetch(http_call call, std::function<void(outcome<http_reply, http_error>)> done,
-                       std::size_t largestReply = 16U << 20);
+                       std::size_t maxReplyBytes = 16U << 20);
 
 private:
     struct state;
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -379,7 +379,7 @@
 
 http_call_id http_client::fetch(http_call call,
                                 std::function<void(outcome<http_reply, http_error>)> done,
-                                std::size_t largestReply)
+                                std::size_t maxReplyBytes)
 {
     const auto reply = std::make_shared<http_reply>();
     http_call_events events;
@@ -387,8 +387,8 @@
         reply->status = status;
         reply->headers = headers;
     };
-    events.onData = [reply, largestReply](std::string_view data) {
-        if (reply->body.size() + data.size() <= largestReply)
+    events.onData = [reply, maxReplyBytes](std::string_view data) {
+        if (reply->body.size() + data.size() <= maxReplyBytes)
             reply->body += data;
     };
     events.onEnd = [reply, done = std::move(done)](outcome<int, http_error> result) {
