--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -48,7 +48,7 @@
     void abort();
 
     /// \param action is called once if the peer closes the connection before the response ended.
-    void onPeerLeft(std::function<void()> action);
+    void onPeerClosed(std::function<void()> action);
 
 private:
     std::unique_ptr<state> m_state;
--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -99,7 +99,7 @@
         return;
     }
     m_open[id] = {exchange, true};
-    exchange->onPeerLeft([this, id] {
+    exchange->onPeerClosed([this, id] {
         if (m_open.erase(id) > 0)
             m_messages.push(caller_left{id});
     });
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -175,7 +175,7 @@
     m_state->handle.reset();
 }
 
-void http_exchange::onPeerLeft(std::function<void()> action)
+void http_exchange::onPeerClosed(std::function<void()> action)
 {
     m_state->peerLeft = std::make_shared<connection_watch::action>(std::move(action));
     m_state->watch->waiting[m_state->handle->connection_id()].push_back(m_state->peerLeft);
--- a/lib/Standin/Engine.cpp
+++ b/lib/Standin/Engine.cpp
@@ -128,7 +128,7 @@
             * m_options.prefillMsPerToken;
     drawQuality(item);
     m_base.log.add({{"kind", "started"}, {"request_id", item.requestId}, {"model", item.model}});
-    exchange->onPeerLeft([this, id = item.id] { cancel(id); });
+    exchange->onPeerClosed([this, id = item.id] { cancel(id); });
     const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const job &other) {
         return other.priority > item.priority;
     });
