--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -77,7 +77,7 @@
     std::shared_ptr<connection_watch> watch;
     http_request request;
     std::unique_ptr<chunked_response> chunked;
-    std::shared_ptr<connection_watch::action> peerLeft;
+    std::shared_ptr<connection_watch::action> peerClosed;
     bool ended = false;
 };
 
@@ -123,7 +123,7 @@
         return;
     }
     m_state->ended = true;
-    m_state->peerLeft.reset();
+    m_state->peerClosed.reset();
     auto response = m_state->handle->create_response(statusLine(status));
     appendHeaders(response, headers);
     response.set_body(std::move(body));
@@ -156,7 +156,7 @@
         return;
     }
     m_state->ended = true;
-    m_state->peerLeft.reset();
+    m_state->peerClosed.reset();
     m_state->chunked->done(notifier(std::move(flushed)));
     m_state->chunked.reset();
 }
@@ -166,7 +166,7 @@
     if (m_state->ended)
         return;
     m_state->ended = true;
-    m_state->peerLeft.reset();
+    m_state->peerClosed.reset();
     if (!m_state->chunked)
         return;
     // RESTinio treats a response that is destroyed without its last chunk as an error and closes
@@ -177,8 +177,8 @@
 
 void http_exchange::onPeerClosed(std::function<void()> action)
 {
-    m_state->peerLeft = std::make_shared<connection_watch::action>(std::move(action));
-    m_state->watch->waiting[m_state->handle->connection_id()].push_back(m_state->peerLeft);
+    m_state->peerClosed = std::make_shared<connection_watch::action>(std::move(action));
+    m_state->watch->waiting[m_state->handle->connection_id()].push_back(m_state->peerClosed);
 }
 
 struct http_server::state
