--- a/include/laurelcroft/Http/Parser.h
+++ b/include/laurelcroft/Http/Parser.h
@@ -27,7 +27,7 @@
     http_headers headers;
     bool keepAlive = true; ///< the connection may be reused for another message
     bool endsWithConnection = false; ///< the end of the connection delimits the body
-    bool oldProtocol = false; ///< HTTP/1.0: the peer does not support chunked encoding
+    bool isHttp10 = false; ///< HTTP/1.0: the peer does not support chunked encoding
 };
 
 /// State of a parser after the bytes it was given.
--- a/lib/Http/Parser.cpp
+++ b/lib/Http/Parser.cpp
@@ -119,7 +119,7 @@
     head.keepAlive = http_should_keep_alive(parser) != 0;
     head.endsWithConnection
             = self.which == side::answers && !self.noBody && endsWithConnection(*parser);
-    head.oldProtocol = parser->http_major == 1 && parser->http_minor == 0;
+    head.isHttp10 = parser->http_major == 1 && parser->http_minor == 0;
     // An interim (1xx) response precedes the final one and is not reported.
     const bool interim = head.status >= 100 && head.status < 200;
     if (!interim && self.events.onHead)
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -159,7 +159,7 @@
     answering = true;
     timer.cancel();
     closeAfter = !head.keepAlive;
-    chunked = !head.oldProtocol;
+    chunked = !head.isHttp10;
     std::string whole = std::move(body);
     body.clear();
     server->handler(std::move(head), std::move(whole), caller_exchange(shared_from_this()));
