--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -90,7 +90,7 @@
     http_call_id lastId = 0;
     bool collectPosted = false;
 
-    void act(int socket, int events);
+    void performSocketAction(int socket, int events);
     void watch(const std::shared_ptr<watched_socket> &item, int socket);
     void collect();
     void finish(CURL *easy, CURLcode code);
@@ -187,7 +187,7 @@
                                                 ? (item->wanted & CURL_POLL_IN)
                                                 : (item->wanted & CURL_POLL_OUT);
                                         if (wanted)
-                                            self->act(socket, event);
+                                            self->performSocketAction(socket, event);
                                         const auto it = self->sockets.find(socket);
                                         if (it != self->sockets.end() && it->second == item)
                                             self->watch(item, socket);
@@ -210,12 +210,12 @@
     self.timer.async_wait([weak = self.weak_from_this()](const asio::error_code &error) {
         const auto strong = weak.lock();
         if (strong && !error)
-            strong->act(CURL_SOCKET_TIMEOUT, 0);
+            strong->performSocketAction(CURL_SOCKET_TIMEOUT, 0);
     });
     return 0;
 }
 
-void http_client::state::act(int socket, int events)
+void http_client::state::performSocketAction(int socket, int events)
 {
     const auto keep = shared_from_this();
     int running = 0;
