--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -92,7 +92,7 @@
 
     void performSocketAction(int socket, int events);
     void watch(const std::shared_ptr<watched_socket> &item, int socket);
-    void collect();
+    void collectFinished();
     void finish(CURL *easy, CURLcode code);
     void release(active_call &call);
     void endAtDeadline(active_call &call);
@@ -220,10 +220,10 @@
     const auto keep = shared_from_this();
     int running = 0;
     curl_multi_socket_action(multi, socket, events, &running);
-    collect();
+    collectFinished();
 }
 
-void http_client::state::collect()
+void http_client::state::collectFinished()
 {
     int left = 0;
     while (CURLMsg *message = curl_multi_info_read(multi, &left)) {
