--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -25,9 +25,9 @@
 /// suspended. A call that is still open this long after its timeout is ended here.
 constexpr milliseconds deadlineMargin{100};
 
-struct curl_start
+struct curl_initializer
 {
-    curl_start() { curl_global_init(CURL_GLOBAL_DEFAULT); }
+    curl_initializer() { curl_global_init(CURL_GLOBAL_DEFAULT); }
 };
 
 struct active_call
@@ -280,7 +280,7 @@
 http_client::http_client(asio::io_context &context)
     : m_state(std::make_shared<state>(context))
 {
-    static const curl_start start;
+    static const curl_initializer start;
     m_state->multi = curl_multi_init();
     curl_multi_setopt(m_state->multi, CURLMOPT_SOCKETFUNCTION, &state::onSocket);
     curl_multi_setopt(m_state->multi, CURLMOPT_SOCKETDATA, m_state.get());
