--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -19,7 +19,7 @@
 /// Read intervals and timeouts of a follower.
 struct follow_pace
 {
-    milliseconds between{0}; ///< minimum time from an answer to the next call
+    milliseconds readInterval{0}; ///< minimum time from an answer to the next call
     milliseconds held{0}; ///< how long the store may hold a call while there are no changes
     /// How long a starting process waits for a relay before it reads the store itself. When all
     /// processes start at once, a relay has a table some tens of milliseconds later than the store
@@ -262,7 +262,7 @@
             m_events.onTable(std::move(batch));
         else
             m_events.onChanges(std::move(batch));
-        scheduleRead(m_pace.between);
+        scheduleRead(m_pace.readInterval);
     }
 
     void reportRecovered()
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -51,7 +51,7 @@
 follow_pace store_sync<Store, Runtime>::endpointPace() const
 {
     follow_pace pace;
-    pace.between = m_links.timings.endpointReadInterval;
+    pace.readInterval = m_links.timings.endpointReadInterval;
     pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
@@ -60,7 +60,7 @@
 follow_pace store_sync<Store, Runtime>::heldPace(milliseconds between) const
 {
     follow_pace pace;
-    pace.between = between;
+    pace.readInterval = between;
     pace.held = m_links.timings.maxStoreHold;
     pace.staleWait = m_links.timings.staleWait;
     return pace;
