--- a/unittests/Link/LinkTests.cpp
+++ b/unittests/Link/LinkTests.cpp
@@ -70,26 +70,26 @@
 
 TEST_CASE("messages of all sizes are echoed intact and in order")
 {
-    link_fixture bench;
+    link_fixture fixture;
     std::vector<std::string> back;
     bool clean = false;
     link_stream::events handlers;
     handlers.onMessage = [&](std::string_view message) { back.emplace_back(message); };
     handlers.onClosed = [&](bool isClean) { clean = isClean; };
-    const auto stream = bench.client->open("/echo", std::move(handlers));
+    const auto stream = fixture.client->open("/echo", std::move(handlers));
     const std::vector<std::string> sent
             = {"", "a", std::string(100, 'b'), std::string(1 << 20, 'c'), "end"};
     for (const std::string &message : sent)
         stream->send(message);
     stream->finish();
-    bench.runUntil([&] { return clean; });
+    fixture.runUntil([&] { return clean; });
     CHECK(back == sent);
-    CHECK(bench.accepted->peer() == "client");
+    CHECK(fixture.accepted->peer() == "client");
 }
 
 TEST_CASE("a reader may drop the remaining input while it handles a message")
 {
-    link_fixture bench;
+    link_fixture fixture;
     int seen = 0;
     std::shared_ptr<link_stream> stream;
     bool clean = false;
@@ -100,33 +100,33 @@
         stream->finish();
     };
     handlers.onClosed = [&](bool isClean) { clean = isClean; };
-    stream = bench.client->open("/echo", std::move(handlers));
+    stream = fixture.client->open("/echo", std::move(handlers));
     for (int i = 0; i < 10; ++i)
         stream->send("several messages in one piece");
-    bench.runUntil([&] { return clean; });
+    fixture.runUntil([&] { return clean; });
     CHECK(seen == 1);
 }
 
 TEST_CASE("a client without the site's key is refused")
 {
-    link_fixture bench("another key");
+    link_fixture fixture("another key");
     bool closed = false;
     link_stream::events handlers;
     handlers.onClosed = [&](bool isClean) { closed = !isClean; };
-    const auto stream = bench.client->open("/echo", std::move(handlers));
+    const auto stream = fixture.client->open("/echo", std::move(handlers));
     stream->send("hello");
-    bench.runUntil([&] { return closed; });
-    CHECK(bench.got.empty());
+    fixture.runUntil([&] { return closed; });
+    CHECK(fixture.got.empty());
 }
 
 TEST_CASE("a reset closes the stream at the peer")
 {
-    link_fixture bench;
-    const auto stream = bench.client->open("/echo", {});
+    link_fixture fixture;
+    const auto stream = fixture.client->open("/echo", {});
     stream->send("hello");
-    bench.runUntil([&] { return !bench.got.empty(); });
+    fixture.runUntil([&] { return !fixture.got.empty(); });
     stream->reset();
-    bench.runUntil([&] { return bench.serverClosed; });
+    fixture.runUntil([&] { return fixture.serverClosed; });
 }
 
 TEST_CASE("a stream to a closed port ends with onClosed(false)")
@@ -156,27 +156,27 @@
 
 TEST_CASE("with manual flow control a reader that consumes nothing blocks the sender")
 {
-    link_fixture bench;
-    bench.echoes = false;
+    link_fixture fixture;
+    fixture.echoes = false;
     std::size_t received = 0;
     link_stream::events handlers;
     handlers.onMessage = [&](std::string_view message) { received += message.size(); };
-    const auto stream = bench.client->open("/flow", std::move(handlers));
+    const auto stream = fixture.client->open("/flow", std::move(handlers));
     stream->useManualFlow();
     stream->send("go");
-    bench.runUntil([&] { return !bench.got.empty(); });
+    fixture.runUntil([&] { return !fixture.got.empty(); });
     constexpr std::size_t piece = 64 << 10;
     constexpr std::size_t pieces = 64;
     for (std::size_t i = 0; i < pieces; ++i)
-        bench.accepted->send(std::string(piece, 'x'));
-    bench.runUntil([&] { return received >= 3 * piece; });
+        fixture.accepted->send(std::string(piece, 'x'));
+    fixture.runUntil([&] { return received >= 3 * piece; });
     for (int i = 0; i < 20; ++i) {
-        bench.context.restart();
-        bench.context.run_one_for(std::chrono::milliseconds(5));
+        fixture.context.restart();
+        fixture.context.run_one_for(std::chrono::milliseconds(5));
     }
     CHECK(received < 8 * piece);
-    CHECK(bench.accepted->queued() > 0);
-    bench.runUntil([&] {
+    CHECK(fixture.accepted->queued() > 0);
+    fixture.runUntil([&] {
         stream->consume(piece);
         return received == pieces * piece;
     });
@@ -184,24 +184,24 @@
 
 TEST_CASE("random input on the port does not affect other connections")
 {
-    link_fixture bench;
+    link_fixture fixture;
     std::mt19937 random(4);
-    asio::ip::tcp::socket socket(bench.context);
+    asio::ip::tcp::socket socket(fixture.context);
     for (int i = 0; i < 50; ++i) {
-        socket = asio::ip::tcp::socket(bench.context);
-        socket.connect({asio::ip::make_address("127.0.0.1"), bench.server.port()});
+        socket = asio::ip::tcp::socket(fixture.context);
+        socket.connect({asio::ip::make_address("127.0.0.1"), fixture.server.port()});
         std::string noise = i % 2 == 0 ? "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" : "";
         for (int k = 0; k < 200; ++k)
             noise += static_cast<char>(random() % 256);
         asio::error_code ignored;
         asio::write(socket, asio::buffer(noise), ignored);
-        bench.context.restart();
-        bench.context.run_for(std::chrono::milliseconds(2));
+        fixture.context.restart();
+        fixture.context.run_for(std::chrono::milliseconds(2));
     }
     bool answered = false;
     link_stream::events handlers;
     handlers.onMessage = [&](std::string_view) { answered = true; };
-    const auto stream = bench.client->open("/echo", std::move(handlers));
+    const auto stream = fixture.client->open("/echo", std::move(handlers));
     stream->send("still there?");
-    bench.runUntil([&] { return answered; });
+    fixture.runUntil([&] { return answered; });
 }
--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -86,76 +86,76 @@
 
 TEST_CASE("an answer of a relay reports the store as recovered")
 {
-    follower_fixture world;
-    world.relayAway = true;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(1));
-    CHECK(world.lost == 1);
-    CHECK(world.regained == 0);
-    world.relayAway = false;
-    world.runtime.advance(seconds(1));
-    CHECK(world.regained == 1);
-    const unsigned calls = world.store.calls;
-    world.runtime.advance(seconds(10));
-    CHECK(world.store.calls == calls);
+    follower_fixture fixture;
+    fixture.relayAway = true;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.lost == 1);
+    CHECK(fixture.regained == 0);
+    fixture.relayAway = false;
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.regained == 1);
+    const unsigned calls = fixture.store.calls;
+    fixture.runtime.advance(seconds(10));
+    CHECK(fixture.store.calls == calls);
 }
 
 TEST_CASE("while both are unavailable the relay is read often and the store rarely")
 {
-    follower_fixture world;
-    world.relayAway = true;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(20));
-    CHECK(world.store.calls <= 13);
-    CHECK(world.relayReads >= 50);
-    world.store.away = false;
-    world.runtime.advance(milliseconds(2700));
-    CHECK(world.regained == 1);
+    follower_fixture fixture;
+    fixture.relayAway = true;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(20));
+    CHECK(fixture.store.calls <= 13);
+    CHECK(fixture.relayReads >= 50);
+    fixture.store.away = false;
+    fixture.runtime.advance(milliseconds(2700));
+    CHECK(fixture.regained == 1);
 }
 
 TEST_CASE("without a preferred relay the recovery of the store is noticed within a second")
 {
-    follower_fixture world;
-    world.relayFirst = false;
-    world.relayAway = true;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(20));
-    world.store.away = false;
-    world.runtime.advance(seconds(1));
-    CHECK(world.regained == 1);
+    follower_fixture fixture;
+    fixture.relayFirst = false;
+    fixture.relayAway = true;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(20));
+    fixture.store.away = false;
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.regained == 1);
 }
 
 TEST_CASE("calls are not held while the store is unavailable")
 {
-    follower_fixture world;
-    world.relayFirst = false;
-    world.relayAway = true;
-    world.follower.start();
-    world.runtime.advance(seconds(2));
-    CHECK(world.store.lastWait == milliseconds(500));
-    world.store.away = true;
-    world.runtime.advance(seconds(3));
-    CHECK(world.store.lastWait == milliseconds(0));
-    world.store.away = false;
-    world.runtime.advance(seconds(3));
-    CHECK(world.regained == 1);
-    CHECK(world.store.lastWait == milliseconds(500));
+    follower_fixture fixture;
+    fixture.relayFirst = false;
+    fixture.relayAway = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(2));
+    CHECK(fixture.store.lastWait == milliseconds(500));
+    fixture.store.away = true;
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.store.lastWait == milliseconds(0));
+    fixture.store.away = false;
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.regained == 1);
+    CHECK(fixture.store.lastWait == milliseconds(500));
 }
 
 TEST_CASE("a follower whose store calls fail reads the relay and keeps its retry delays")
 {
-    follower_fixture world;
-    world.relayFirst = false;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(20));
-    CHECK(world.relayReads >= 20);
-    CHECK(world.store.calls <= 30);
-    CHECK(world.lost == 1);
-    CHECK(world.regained == 0);
+    follower_fixture fixture;
+    fixture.relayFirst = false;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(20));
+    CHECK(fixture.relayReads >= 20);
+    CHECK(fixture.store.calls <= 30);
+    CHECK(fixture.lost == 1);
+    CHECK(fixture.regained == 0);
 }
 
 namespace {
@@ -191,81 +191,81 @@
 
 TEST_CASE("a starting process does not call the store while a relay may still deliver the table")
 {
-    held_relay_fixture world;
-    world.follower.start();
-    world.runtime.advance(milliseconds(390));
-    CHECK(world.store.calls == 0);
-    REQUIRE(world.held.size() == 1);
-    world.held[0](row_news{{{}, 5, {}}, true});
-    CHECK(world.tables == 1);
-    world.runtime.advance(seconds(1));
-    CHECK(world.store.calls == 0);
-    CHECK(world.held.size() == 2);
+    held_relay_fixture fixture;
+    fixture.follower.start();
+    fixture.runtime.advance(milliseconds(390));
+    CHECK(fixture.store.calls == 0);
+    REQUIRE(fixture.held.size() == 1);
+    fixture.held[0](row_news{{{}, 5, {}}, true});
+    CHECK(fixture.tables == 1);
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.store.calls == 0);
+    CHECK(fixture.held.size() == 2);
 }
 
 TEST_CASE("a relay that is silent at startup delays the table by under 0.5 s and is read once")
 {
-    held_relay_fixture world;
-    world.follower.start();
-    world.runtime.advance(milliseconds(410));
-    CHECK(world.store.calls == 1);
-    CHECK(world.tables == 1);
+    held_relay_fixture fixture;
+    fixture.follower.start();
+    fixture.runtime.advance(milliseconds(410));
+    CHECK(fixture.store.calls == 1);
+    CHECK(fixture.tables == 1);
     // The late answer may be used or ignored, but must not start a second sequence of reads.
-    world.held[0](row_news{{{}, 9, {}}, true});
-    world.runtime.advance(seconds(10));
-    CHECK(world.held.size() == 2);
-    CHECK(world.store.calls == 1);
+    fixture.held[0](row_news{{{}, 9, {}}, true});
+    fixture.runtime.advance(seconds(10));
+    CHECK(fixture.held.size() == 2);
+    CHECK(fixture.store.calls == 1);
 }
 
 TEST_CASE("a relay that fails at startup is read again until the store is read instead")
 {
-    held_relay_fixture world;
-    world.follower.start();
+    held_relay_fixture fixture;
+    fixture.follower.start();
     for (unsigned i = 0; i < 7; ++i) {
-        REQUIRE(world.held.size() == i + 1);
-        world.held[i](failure(row_failure::notDone));
-        world.runtime.advance(milliseconds(50));
+        REQUIRE(fixture.held.size() == i + 1);
+        fixture.held[i](failure(row_failure::notDone));
+        fixture.runtime.advance(milliseconds(50));
     }
-    CHECK(world.store.calls == 0);
-    world.runtime.advance(milliseconds(60));
-    CHECK(world.store.calls == 1);
+    CHECK(fixture.store.calls == 0);
+    fixture.runtime.advance(milliseconds(60));
+    CHECK(fixture.store.calls == 1);
 }
 
 TEST_CASE("while relays are outdated only standbys call the store at once, others after a delay")
 {
     for (const bool isStandby : {false, true}) {
-        held_relay_fixture world;
-        world.isStandby = isStandby;
-        world.outdated = true;
-        world.follower.start();
-        world.runtime.advance(milliseconds(410));
-        const unsigned first = world.store.calls; // the call at startup
-        world.runtime.advance(milliseconds(1000));
-        CHECK((world.store.calls > first) == isStandby);
-        world.runtime.advance(milliseconds(1500));
-        CHECK(world.store.calls > first);
+        held_relay_fixture fixture;
+        fixture.isStandby = isStandby;
+        fixture.outdated = true;
+        fixture.follower.start();
+        fixture.runtime.advance(milliseconds(410));
+        const unsigned first = fixture.store.calls; // the call at startup
+        fixture.runtime.advance(milliseconds(1000));
+        CHECK((fixture.store.calls > first) == isStandby);
+        fixture.runtime.advance(milliseconds(1500));
+        CHECK(fixture.store.calls > first);
         // While the store is unavailable as well, the retry delay grows.
-        world.store.away = true;
-        world.runtime.advance(seconds(60));
-        const unsigned before = world.store.calls;
-        world.runtime.advance(seconds(60));
-        CHECK(world.store.calls - before <= (isStandby ? 26 : 4));
-        world.outdated = false;
-        world.runtime.advance(milliseconds(400));
-        REQUIRE(!world.held.empty());
-        world.held.back()(row_news{{{}, 9, {}}, false});
-        CHECK(world.lost == world.regained);
+        fixture.store.away = true;
+        fixture.runtime.advance(seconds(60));
+        const unsigned before = fixture.store.calls;
+        fixture.runtime.advance(seconds(60));
+        CHECK(fixture.store.calls - before <= (isStandby ? 26 : 4));
+        fixture.outdated = false;
+        fixture.runtime.advance(milliseconds(400));
+        REQUIRE(!fixture.held.empty());
+        fixture.held.back()(row_news{{{}, 9, {}}, false});
+        CHECK(fixture.lost == fixture.regained);
     }
 }
 
 TEST_CASE("a standby reads the store at startup without waiting for a relay")
 {
     for (const bool isStandby : {false, true}) {
-        held_relay_fixture world;
-        world.isStandby = isStandby;
-        world.follower.start();
-        REQUIRE(world.held.size() == 1);
-        world.held[0](failure(row_failure::notDone));
-        CHECK((world.store.calls > 0) == isStandby);
+        held_relay_fixture fixture;
+        fixture.isStandby = isStandby;
+        fixture.follower.start();
+        REQUIRE(fixture.held.size() == 1);
+        fixture.held[0](failure(row_failure::notDone));
+        CHECK((fixture.store.calls > 0) == isStandby);
     }
 }
