--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -131,8 +131,8 @@
     /// first answer.
     time_point availableSince() const { return m_availableSince; }
 
-    /// \returns true if the last reported table or changes came from a relay. Callbacks may use it
-    /// for what they are given.
+    /// \returns true if the last reported table or changes came from a relay. Already valid in the
+    /// callbacks that receive them.
     bool isNewsRelayed() const { return m_newsRelayed; }
 
     /// \returns when a relay last answered, or the epoch of the clock if none has.
@@ -152,13 +152,13 @@
     void readRelay()
     {
         const time_point askedAt = m_runtime.now();
-        const unsigned round = ++m_readNumber;
-        m_relay.read(
-                m_table, relayVersion(),
-                [this, askedAt, round, alive = m_alive](outcome<row_news, row_failure> result) {
-                    if (*alive)
-                        onRelayAnswer(std::move(result), askedAt, round == m_readNumber);
-                });
+        const unsigned readNumber = ++m_readNumber;
+        m_relay.read(m_table, relayVersion(),
+                     [this, askedAt, readNumber,
+                      alive = m_alive](outcome<row_news, row_failure> result) {
+                         if (*alive)
+                             onRelayAnswer(std::move(result), askedAt, readNumber == m_readNumber);
+                     });
     }
 
     /// \param isCurrent false if a read of the store began meanwhile; that read then schedules the
@@ -166,13 +166,13 @@
     void onRelayAnswer(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
     {
         if (result) {
-            // A relay passes on only rows that the store has confirmed recently.
+            // A relay only passes on rows that the store has confirmed recently.
             m_relayAnsweredAt = m_runtime.now();
             reportRecovered();
             takeNews(std::move(result.value()));
-            const auto rest = relayReadInterval - (m_runtime.now() - askedAt);
+            const auto remaining = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
-                scheduleRead(std::max<duration>(minRelayPause, rest));
+                scheduleRead(std::max<duration>(minRelayPause, remaining));
             return;
         }
         if (!isCurrent)
@@ -198,8 +198,8 @@
 
     std::uint64_t relayVersion() const
     {
-        const bool isAnew = m_since == unknownVersion && m_newest != unknownVersion;
-        return isAnew ? rereadVersion : m_since;
+        const bool needsReread = m_since == unknownVersion && m_newest != unknownVersion;
+        return needsReread ? rereadVersion : m_since;
     }
 
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
@@ -227,18 +227,18 @@
         };
         // While the store is unavailable, its calls are not held: its recovery is noticed at once,
         // and a call that hangs times out sooner.
-        const milliseconds held = m_lost ? milliseconds(0) : m_pace.maxHold;
+        const milliseconds maxHold = m_lost ? milliseconds(0) : m_pace.maxHold;
         if (m_since == unknownVersion)
             m_store.list(m_table, std::move(done));
         else
-            m_store.follow(m_table, m_since, held, std::move(done));
+            m_store.follow(m_table, m_since, maxHold, std::move(done));
     }
 
     void scheduleRead(duration wait)
     {
         // A read that began meanwhile schedules the next one itself.
-        m_runtime.after(wait, [this, round = m_readNumber, alive = m_alive] {
-            if (*alive && round == m_readNumber)
+        m_runtime.after(wait, [this, readNumber = m_readNumber, alive = m_alive] {
+            if (*alive && readNumber == m_readNumber)
                 read();
         });
     }
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -179,9 +179,10 @@
                                      &armed](const asio::error_code &error) {
                                         armed = false;
                                         const auto self = weak.lock();
-                                        const bool gone = !self || self->sockets.count(socket) == 0
+                                        const bool isStale = !self
+                                                || self->sockets.count(socket) == 0
                                                 || self->sockets[socket] != item;
-                                        if (error || gone)
+                                        if (error || isStale)
                                             return;
                                         const bool wanted = event == CURL_CSELECT_IN
                                                 ? (item->wanted & CURL_POLL_IN)
--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -323,8 +323,8 @@
     if (node.empty())
         return;
     const pending_headers &headers = node.mapped();
-    const std::string wanted = linkProof({headers.peer, m_identity.key});
-    if (!constantTimeEqual(wanted, headers.proof)) {
+    const std::string expectedProof = linkProof({headers.peer, m_identity.key});
+    if (!constantTimeEqual(expectedProof, headers.proof)) {
         nghttp2_submit_rst_stream(m_session, NGHTTP2_FLAG_NONE, id, NGHTTP2_REFUSED_STREAM);
         return;
     }
@@ -345,8 +345,8 @@
         self.m_unansweredPings = 0;
     if (frame->hd.type == NGHTTP2_HEADERS && (frame->hd.flags & NGHTTP2_FLAG_END_HEADERS))
         self.onHeadersDone(id);
-    const bool carriesEnd = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
-    if (!carriesEnd || !(frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
+    const bool mayEndStream = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
+    if (!mayEndStream || !(frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
         return 0;
     const auto stream = self.find(id);
     if (stream)
--- a/lib/Link/Stream.cpp
+++ b/lib/Link/Stream.cpp
@@ -294,10 +294,10 @@
     const auto ip = asio::ip::make_address(host, error);
     if (error)
         return "'" + host + "' is not an IP address";
-    const asio::ip::tcp::endpoint where(ip, port);
-    m_state->acceptor.open(where.protocol(), error);
+    const asio::ip::tcp::endpoint localAddress(ip, port);
+    m_state->acceptor.open(localAddress.protocol(), error);
     m_state->acceptor.set_option(asio::socket_base::reuse_address(true), error);
-    m_state->acceptor.bind(where, error);
+    m_state->acceptor.bind(localAddress, error);
     if (!error)
         m_state->acceptor.listen(asio::socket_base::max_listen_connections, error);
     if (error)
