--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -1,8 +1,8 @@
-//===-- Platform/RowFollower.h - keeps up with one table ---------*- C++ -*-===//
+//===-- Platform/RowFollower.h - follows the changes of a table --*- C++ -*-===//
 //
-// Reads a table once, then follows its feed; begins anew when the history is gone or
-// the store was away. Reads are paced, because each call has its price. Where another process
-// gives the rows on, that one is asked, at the start as well.
+// Reads a table once, then follows its change feed. Reads the whole table again when the store no
+// longer has the history that the feed needs. Reads are spaced out because every call to the store
+// has a cost. Where another process relays the rows, the follower reads from it, also at startup.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PLATFORM_ROWFOLLOWER_H
@@ -16,74 +16,78 @@
 
 namespace laurelcroft {
 
-/// Pace of a follower.
+/// Read intervals and timeouts of a follower.
 struct follow_pace
 {
-    milliseconds between{0}; ///< least time from one answer to the next call
-    milliseconds held{0}; ///< how long the store may hold a call that has no news
-    /// How long a process that starts waits for a relay before it reads the store itself. When
-    /// all start at once, the relays need some tens of milliseconds more than the store to have a
-    /// table, and may start later. Where a hundred entries start together it saves nine of ten
-    /// calls to the store.
+    milliseconds readInterval{0}; ///< minimum time from an answer to the next call
+    milliseconds maxHold{0}; ///< how long the store may hold a call while there are no changes
+    /// How long a starting process waits for a relay before it reads the store itself. When all
+    /// processes start at once, a relay has a table some tens of milliseconds later than the store
+    /// could deliver it, and the relay may also start later. When a hundred entries start together,
+    /// the wait saves nine out of ten calls to the store.
     milliseconds firstWait{400};
-    /// How long a relay may say that its rows are outdated before the store is asked beside it.
-    /// The relays' own calls fail then, and so would most others: where a hundred entries asked
-    /// at once, a store that dropped its history for some seconds had 1,500 calls more.
+    /// How long a relay may report outdated rows before this process reads the store as well. A
+    /// relay reports them when its own calls to the store fail, and most other calls would fail
+    /// too: when a hundred entries read the store at once, a store that had lost its history for
+    /// some seconds received 1,500 additional calls.
     milliseconds staleWait{400};
 };
 
-/// What a follower tells its owner.
+/// Callbacks of a follower to its owner.
 struct follow_events
 {
-    std::function<void(row_batch &&batch)> onTable; ///< the whole table
+    std::function<void(row_batch &&batch)> onTable; ///< the whole table was read
     std::function<void(row_batch &&batch)> onChanges;
-    std::function<void(row_failure why)> onLost; ///< the first failure in a row
-    /// Other processes were outdated before, and now the store fails this process as well.
-    std::function<void()> onLostHere = [] {};
-    std::function<void(milliseconds away)> onRegained;
+    std::function<void(row_failure why)> onLost; ///< first of several consecutive failures
+    /// The relays had reported outdated rows, and now a call of this process to the store failed
+    /// as well.
+    std::function<void()> onLostLocally = [] {};
+    std::function<void(milliseconds away)> onRecovered; ///< first success after failures
 };
 
-/// What is new in a table.
+/// Changes of a table, or the whole table.
 struct row_news
 {
     row_batch batch;
-    bool whole = false; ///< the batch is the whole table, otherwise changes to it
+    bool whole = false; ///< true: the batch is the whole table; false: changes to it
 };
 
-/// Version of a table of which a process knows nothing yet.
-inline constexpr std::uint64_t nothingKnown = 0;
-/// Version to ask others from for a whole table that is known, but whose changes are lost. The
-/// store's versions are higher.
-inline constexpr std::uint64_t readAnew = 1;
+/// Version of a table that has not been read yet.
+inline constexpr std::uint64_t unknownVersion = 0;
+/// Version with which a process requests the whole table from other processes when it has read
+/// the table before but has missed changes. Versions of the store are always higher.
+inline constexpr std::uint64_t rereadVersion = 1;
 
-/// Another way to the rows: a process that reads the store gives them on.
+/// Alternative source of rows: other processes that read the store and pass the rows on.
 struct row_relay
 {
-    /// \returns true while the relay is asked first and the store only when it fails. Otherwise
-    /// it is the other way round.
+    /// \returns true if the relay is read first and the store only when the relay fails; false for
+    /// the opposite order.
     std::function<bool()> isPreferred;
-    /// \returns true when this process asks the store at once while its relays are outdated, or
-    /// have nothing yet at its start, so that others find the rows here. May be empty.
+    /// \returns true if this process reads the store without delay when its relays are outdated or
+    /// have no table yet at startup, so that other processes can read the rows here. May be empty.
     std::function<bool()> isStandby;
-    /// Reads what is new since a version, or the whole table since \c nothingKnown or \c readAnew.
-    /// May fail.
+    /// Reads the changes since a version, or the whole table if the version is \c unknownVersion or
+    /// \c rereadVersion. May fail.
     std::function<void(const std::string &table, std::uint64_t since, row_callback<row_news> done)>
             read;
 };
 
-/// Follows one table.
+/// Follows the changes of one table.
 template <row_store_like Store, runtime_like Runtime>
 class row_follower
 {
 public:
-    /// First and longest wait after a failure. The longest is well below the time within
-    /// which a change must be in force after the store's return.
-    static constexpr milliseconds firstRetry{100};
-    static constexpr milliseconds longestRetry{800};
-    /// The same where a relay is asked first: it tells of the store's return by itself.
-    static constexpr milliseconds longestRetryBesideRelay{2400};
-    /// The same where a relay answers, though with nothing new.
-    static constexpr milliseconds longestRetryBesideOutdated{20'000};
+    /// Minimum and maximum retry delay after a failure. The maximum is well below the time within
+    /// which a change must take effect after the store has recovered.
+    static constexpr milliseconds minRetryDelay{100};
+    static constexpr milliseconds maxRetryDelay{800};
+    /// Maximum retry delay when a relay is read first: the relay's answers show that the store has
+    /// recovered.
+    static constexpr milliseconds maxRetryDelayWithRelay{2400};
+    /// Maximum retry delay when a relay answers that its rows are outdated, unless this process is
+    /// a standby.
+    static constexpr milliseconds maxRetryDelayWithOutdatedRelay{20'000};
 
     row_follower(Store &store, Runtime &runtime, std::string table, follow_pace pace,
                  follow_events events, row_relay relay = {})
@@ -103,41 +107,43 @@
     void start()
     {
         m_startedAt = m_runtime.now();
-        if (asksRelayFirst()) {
+        if (prefersRelay()) {
             m_runtime.after(m_pace.firstWait, [this, alive = m_alive] {
-                if (*alive && m_since == nothingKnown)
+                if (*alive && m_since == unknownVersion)
                     readStore();
             });
         }
         read();
     }
 
-    /// Time from one read of a relay to the next when there is no news for longer. It is near
-    /// and costs little; with the store's own pace it stays within the time that a leaving
-    /// endpoint allows.
-    static constexpr milliseconds relayPace{300};
-    /// Time from an answer of a relay to the next read; the relay holds what has no news.
-    static constexpr milliseconds relayPause{50};
+    /// Minimum time between the starts of two reads of a relay. A relay is close and a read costs
+    /// little. Together with the read interval of the store, the delay stays within the time that
+    /// a leaving endpoint allows.
+    static constexpr milliseconds relayReadInterval{300};
+    /// Minimum time from an answer of a relay to the next read. The relay holds a read while it has
+    /// no changes.
+    static constexpr milliseconds minRelayPause{50};
 
-    /// \returns when the last answer came; the clock's beginning when none has.
+    /// \returns when the store last answered, or the epoch of the clock if it never has.
     time_point confirmedAt() const { return m_confirmedAt; }
 
-    /// \returns since when the store has answered without a failure; meaningless before its
+    /// \returns since when the store has answered without a failure. Only meaningful after its
     /// first answer.
-    time_point steadySince() const { return m_steadySince; }
+    time_point availableSince() const { return m_availableSince; }
 
-    /// \returns true when the news that are being told came from a relay.
+    /// \returns true if the last reported table or changes came from a relay. Already valid in the
+    /// callbacks that receive them.
     bool isNewsRelayed() const { return m_newsRelayed; }
 
-    /// \returns when a relay last answered; the clock's beginning when none has.
-    time_point relayedAt() const { return m_relayedAt; }
+    /// \returns when a relay last answered, or the epoch of the clock if none has.
+    time_point relayAnsweredAt() const { return m_relayAnsweredAt; }
 
 private:
-    bool asksRelayFirst() const { return m_relay.read && m_relay.isPreferred(); }
+    bool prefersRelay() const { return m_relay.read && m_relay.isPreferred(); }
 
     void read()
     {
-        if (asksRelayFirst())
+        if (prefersRelay())
             readRelay();
         else
             readStore();
@@ -146,57 +152,59 @@
     void readRelay()
     {
         const time_point askedAt = m_runtime.now();
-        const unsigned round = ++m_round;
-        m_relay.read(
-                m_table, relayedSince(),
-                [this, askedAt, round, alive = m_alive](outcome<row_news, row_failure> result) {
-                    if (*alive)
-                        onRelayed(std::move(result), askedAt, round == m_round);
-                });
+        const unsigned readNumber = ++m_readNumber;
+        m_relay.read(m_table, relayVersion(),
+                     [this, askedAt, readNumber,
+                      alive = m_alive](outcome<row_news, row_failure> result) {
+                         if (*alive)
+                             onRelayAnswer(std::move(result), askedAt, readNumber == m_readNumber);
+                     });
     }
 
-    /// \param isCurrent false when the store was asked meanwhile, whose answer goes on.
-    void onRelayed(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
+    /// \param isCurrent false if a read of the store began meanwhile; that read then schedules the
+    /// next one.
+    void onRelayAnswer(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
     {
         if (result) {
-            // It gives on only what the store has confirmed a moment ago.
-            m_relayedAt = m_runtime.now();
-            noteRegained();
+            // A relay only passes on rows that the store has confirmed recently.
+            m_relayAnsweredAt = m_runtime.now();
+            reportRecovered();
             takeNews(std::move(result.value()));
-            const auto rest = relayPace - (m_runtime.now() - askedAt);
+            const auto remaining = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
-                readAfter(std::max<duration>(relayPause, rest));
+                scheduleRead(std::max<duration>(minRelayPause, remaining));
             return;
         }
         if (!isCurrent)
             return;
-        const bool starting = m_since == nothingKnown
+        const bool starting = m_since == unknownVersion
                 && m_runtime.now() - m_startedAt < m_pace.firstWait && !m_lost;
         m_outdated = result.error() == row_failure::outdated;
         if (starting && !isStandby()) {
-            readAfter(relayPause);
+            scheduleRead(minRelayPause);
             return;
         }
         if (m_outdated && !m_lost && !isStandby()) {
-            noteLost(row_failure::outdated);
-            m_retry = m_pace.staleWait;
-            m_storeDueAt = m_runtime.now() + m_retry;
+            reportLost(row_failure::outdated);
+            m_retryDelay = m_pace.staleWait;
+            m_nextStoreReadAt = m_runtime.now() + m_retryDelay;
         }
-        if (!m_lost || m_runtime.now() >= m_storeDueAt)
+        if (!m_lost || m_runtime.now() >= m_nextStoreReadAt)
             readStore();
         else
-            readAfter(std::min<duration>(relayPace, m_storeDueAt - m_runtime.now()));
+            scheduleRead(
+                    std::min<duration>(relayReadInterval, m_nextStoreReadAt - m_runtime.now()));
     }
 
-    std::uint64_t relayedSince() const
+    std::uint64_t relayVersion() const
     {
-        const bool isAnew = m_since == nothingKnown && m_newest != nothingKnown;
-        return isAnew ? readAnew : m_since;
+        const bool needsReread = m_since == unknownVersion && m_newest != unknownVersion;
+        return needsReread ? rereadVersion : m_since;
     }
 
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
 
-    /// Takes what a relay said; what is known never grows older.
+    /// Reports rows from a relay unless they are no newer than the rows already known.
     void takeNews(row_news &&news)
     {
         if (news.batch.version <= m_newest)
@@ -212,41 +220,41 @@
 
     void readStore()
     {
-        ++m_round;
+        ++m_readNumber;
         auto done = [this, alive = m_alive](outcome<row_batch, row_failure> result) {
             if (*alive)
-                onAnswer(std::move(result));
+                onStoreAnswer(std::move(result));
         };
-        // While the store is lost nothing is held: its return shows at once, and a call that
-        // hangs is given up sooner.
-        const milliseconds held = m_lost ? milliseconds(0) : m_pace.held;
-        if (m_since == nothingKnown)
+        // While the store is unavailable, its calls are not held: its recovery is noticed at once,
+        // and a call that hangs times out sooner.
+        const milliseconds maxHold = m_lost ? milliseconds(0) : m_pace.maxHold;
+        if (m_since == unknownVersion)
             m_store.list(m_table, std::move(done));
         else
-            m_store.follow(m_table, m_since, held, std::move(done));
+            m_store.follow(m_table, m_since, maxHold, std::move(done));
     }
 
-    void readAfter(duration wait)
+    void scheduleRead(duration wait)
     {
-        // A read that began meanwhile goes on by itself.
-        m_runtime.after(wait, [this, round = m_round, alive = m_alive] {
-            if (*alive && round == m_round)
+        // A read that began meanwhile schedules the next one itself.
+        m_runtime.after(wait, [this, readNumber = m_readNumber, alive = m_alive] {
+            if (*alive && readNumber == m_readNumber)
                 read();
         });
     }
 
-    void onAnswer(outcome<row_batch, row_failure> result)
+    void onStoreAnswer(outcome<row_batch, row_failure> result)
     {
         if (!result) {
-            onFailure(result.error());
+            onStoreFailure(result.error());
             return;
         }
         m_confirmedAt = m_runtime.now();
-        if (m_lost || m_steadySince == time_point())
-            m_steadySince = m_confirmedAt;
-        noteRegained();
+        if (m_lost || m_availableSince == time_point())
+            m_availableSince = m_confirmedAt;
+        reportRecovered();
         row_batch batch = std::move(result.value());
-        const bool whole = m_since == nothingKnown;
+        const bool whole = m_since == unknownVersion;
         m_since = std::max(m_since, batch.version);
         m_newest = std::max(m_newest, m_since);
         m_newsRelayed = false;
@@ -254,40 +262,40 @@
             m_events.onTable(std::move(batch));
         else
             m_events.onChanges(std::move(batch));
-        readAfter(m_pace.between);
+        scheduleRead(m_pace.readInterval);
     }
 
-    void noteRegained()
+    void reportRecovered()
     {
-        m_retry = firstRetry;
+        m_retryDelay = minRetryDelay;
         if (!m_lost)
             return;
         m_lost = false;
         const auto away = m_runtime.now() - m_lostAt;
-        m_events.onRegained(std::chrono::duration_cast<milliseconds>(away));
+        m_events.onRecovered(std::chrono::duration_cast<milliseconds>(away));
     }
 
-    void onFailure(row_failure why)
+    void onStoreFailure(row_failure why)
     {
         if (why == row_failure::historyGone) {
-            m_since = nothingKnown;
-            readAfter(milliseconds(0));
+            m_since = unknownVersion;
+            scheduleRead(milliseconds(0));
             return;
         }
-        noteLost(why);
-        m_storeDueAt = m_runtime.now() + m_retry;
-        const bool relayFirst = asksRelayFirst();
-        readAfter(relayFirst ? relayPace : m_retry);
-        m_retry = std::min(m_retry * 2, longestRetryNow(relayFirst));
+        reportLost(why);
+        m_nextStoreReadAt = m_runtime.now() + m_retryDelay;
+        const bool relayFirst = prefersRelay();
+        scheduleRead(relayFirst ? relayReadInterval : m_retryDelay);
+        m_retryDelay = std::min(m_retryDelay * 2, currentMaxRetryDelay(relayFirst));
         if (m_relay.read && !relayFirst)
-            askElsewhere();
+            readRelayOnce();
     }
 
-    void noteLost(row_failure why)
+    void reportLost(row_failure why)
     {
         const bool isWorse = m_lostWhy == row_failure::outdated && why != row_failure::outdated;
         if (m_lost && isWorse)
-            m_events.onLostHere();
+            m_events.onLostLocally();
         if (!m_lost || isWorse)
             m_lostWhy = why;
         if (m_lost)
@@ -297,16 +305,16 @@
         m_events.onLost(why);
     }
 
-    milliseconds longestRetryNow(bool relayFirst) const
+    milliseconds currentMaxRetryDelay(bool relayFirst) const
     {
         if (!relayFirst)
-            return longestRetry;
-        return m_outdated && !isStandby() ? longestRetryBesideOutdated : longestRetryBesideRelay;
+            return maxRetryDelay;
+        return m_outdated && !isStandby() ? maxRetryDelayWithOutdatedRelay : maxRetryDelayWithRelay;
     }
 
-    void askElsewhere()
+    void readRelayOnce()
     {
-        m_relay.read(m_table, relayedSince(),
+        m_relay.read(m_table, relayVersion(),
                      [this, alive = m_alive](outcome<row_news, row_failure> result) {
                          if (*alive && m_lost && result)
                              takeNews(std::move(result.value()));
@@ -320,20 +328,20 @@
     follow_events m_events;
     row_relay m_relay;
     std::shared_ptr<bool> m_alive;
-    std::uint64_t m_since = nothingKnown;
-    std::uint64_t m_newest = nothingKnown; ///< stays when the history is gone and all is read anew
-    unsigned m_round = 0; ///< of the read whose answer goes on with the next one
+    std::uint64_t m_since = unknownVersion;
+    std::uint64_t m_newest = unknownVersion; ///< kept while the whole table is reread
+    unsigned m_readNumber = 0; ///< number of the read whose answer schedules the next read
     time_point m_startedAt{};
-    milliseconds m_retry = firstRetry;
+    milliseconds m_retryDelay = minRetryDelay;
     bool m_lost = false;
     row_failure m_lostWhy = row_failure::notDone;
-    bool m_outdated = false; ///< what the relay said last
+    bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
     bool m_newsRelayed = false;
-    time_point m_storeDueAt{}; ///< next call of the store while it is lost
+    time_point m_nextStoreReadAt{}; ///< next call to the store while it is unavailable
     time_point m_lostAt{};
     time_point m_confirmedAt{};
-    time_point m_steadySince{};
-    time_point m_relayedAt{};
+    time_point m_availableSince{};
+    time_point m_relayAnsweredAt{};
 };
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -51,7 +51,7 @@
 follow_pace store_sync<Store, Runtime>::endpointPace() const
 {
     follow_pace pace;
-    pace.between = m_links.timings.endpointReadInterval;
+    pace.readInterval = m_links.timings.endpointReadInterval;
     pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
@@ -60,8 +60,8 @@
 follow_pace store_sync<Store, Runtime>::heldPace(milliseconds between) const
 {
     follow_pace pace;
-    pace.between = between;
-    pace.held = m_links.timings.maxStoreHold;
+    pace.readInterval = between;
+    pace.maxHold = m_links.timings.maxStoreHold;
     pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
@@ -91,8 +91,8 @@
             doubtRemovals(why);
     };
     if (listsEndpoints)
-        events.onLostHere = [this] { m_state.directory().storeLost(m_runtime.now()); };
-    events.onRegained = [this, table, listsEndpoints](milliseconds away) {
+        events.onLostLocally = [this] { m_state.directory().storeLost(m_runtime.now()); };
+    events.onRecovered = [this, table, listsEndpoints](milliseconds away) {
         logInfo(log_part::platform, "store regained",
                 {{"table", table}, {"away_ms", std::int64_t(away.count())}});
         if (listsEndpoints)
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -49,10 +49,10 @@
 {
     const follower &own = *m_followers.at(std::string(internalTable));
     const time_point now = m_runtime.now();
-    if (now - own.relayedAt() < evidenceSettleTime)
+    if (now - own.relayAnsweredAt() < evidenceSettleTime)
         return false;
     return now - own.confirmedAt() <= maxEvidenceAge
-            && now - own.steadySince() >= evidenceSettleTime;
+            && now - own.availableSince() >= evidenceSettleTime;
 }
 
 template <row_store_like Store, runtime_like Runtime>
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -66,7 +66,7 @@
     void recordDecision(const decision &made);
     void rate(const rating_sample &sample, std::function<void(std::optional<double>)> done);
     void broadcastRolloutStop(const std::string &model, const std::string &version);
-    bool tableReachable() { return !ownNode().table().isShut(); }
+    bool tableReachable() { return !ownNode().table().isBreakerOpen(); }
 
 private:
     metric_registry &m_metrics;
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -1,7 +1,7 @@
 //===-- Client.cpp - HTTP client over libcurl -------------------------------===//
 //
-// libcurl tells which sockets to watch and when to wake; asio does both. Sockets
-// belong to libcurl: their asio descriptors are released, never closed here.
+// libcurl reports which sockets to watch and which timer to set; asio does both. The
+// sockets belong to libcurl, so their asio descriptors are released, never closed here.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Client.h"
@@ -20,14 +20,14 @@
 
 namespace {
 
-constexpr long keptConnections = 256;
-/// libcurl ends a call at its timeout by the steady clock, which doesn't count a suspension. A call
-/// that it leaves open so much longer is ended here.
+constexpr long maxCachedConnections = 256;
+/// libcurl measures a call's timeout by the steady clock, which stops while the machine is
+/// suspended. A call that is still open this long after its timeout is ended here.
 constexpr milliseconds deadlineMargin{100};
 
-struct curl_start
+struct curl_initializer
 {
-    curl_start() { curl_global_init(CURL_GLOBAL_DEFAULT); }
+    curl_initializer() { curl_global_init(CURL_GLOBAL_DEFAULT); }
 };
 
 struct active_call
@@ -90,9 +90,9 @@
     http_call_id lastId = 0;
     bool collectPosted = false;
 
-    void act(int socket, int events);
+    void performSocketAction(int socket, int events);
     void watch(const std::shared_ptr<watched_socket> &item, int socket);
-    void collect();
+    void collectFinished();
     void finish(CURL *easy, CURLcode code);
     void release(active_call &call);
     void endAtDeadline(active_call &call);
@@ -100,7 +100,7 @@
     static int onTimer(CURLM *, long timeoutMs, void *user);
 };
 
-/// Tells the caller of the status before the first data.
+/// Reports the status and headers to the caller, before the first data.
 static void begin(active_call &call)
 {
     if (call.begun)
@@ -143,7 +143,7 @@
         return http_error::notSent;
     if (code != CURLE_OPERATION_TIMEDOUT)
         return http_error::cut;
-    // A timeout before the connection stood has sent nothing.
+    // Nothing was sent if the timeout expired before the connection was established.
     curl_off_t connected = 0;
     curl_easy_getinfo(easy, CURLINFO_CONNECT_TIME_T, &connected);
     return connected == 0 ? http_error::notSent : http_error::timeout;
@@ -179,15 +179,16 @@
                                      &armed](const asio::error_code &error) {
                                         armed = false;
                                         const auto self = weak.lock();
-                                        const bool gone = !self || self->sockets.count(socket) == 0
+                                        const bool isStale = !self
+                                                || self->sockets.count(socket) == 0
                                                 || self->sockets[socket] != item;
-                                        if (error || gone)
+                                        if (error || isStale)
                                             return;
                                         const bool wanted = event == CURL_CSELECT_IN
                                                 ? (item->wanted & CURL_POLL_IN)
                                                 : (item->wanted & CURL_POLL_OUT);
                                         if (wanted)
-                                            self->act(socket, event);
+                                            self->performSocketAction(socket, event);
                                         const auto it = self->sockets.find(socket);
                                         if (it != self->sockets.end() && it->second == item)
                                             self->watch(item, socket);
@@ -210,20 +211,20 @@
     self.timer.async_wait([weak = self.weak_from_this()](const asio::error_code &error) {
         const auto strong = weak.lock();
         if (strong && !error)
-            strong->act(CURL_SOCKET_TIMEOUT, 0);
+            strong->performSocketAction(CURL_SOCKET_TIMEOUT, 0);
     });
     return 0;
 }
 
-void http_client::state::act(int socket, int events)
+void http_client::state::performSocketAction(int socket, int events)
 {
     const auto keep = shared_from_this();
     int running = 0;
     curl_multi_socket_action(multi, socket, events, &running);
-    collect();
+    collectFinished();
 }
 
-void http_client::state::collect()
+void http_client::state::collectFinished()
 {
     int left = 0;
     while (CURLMsg *message = curl_multi_info_read(multi, &left)) {
@@ -237,7 +238,7 @@
     active_call *found = nullptr;
     curl_easy_getinfo(easy, CURLINFO_PRIVATE, &found);
     auto node = calls.extract(found->id);
-    // A call that was cancelled meanwhile is released by its own posted action.
+    // A call that was cancelled meanwhile is released by the handler that cancel() posted.
     if (node.empty())
         return;
     active_call &call = *node.mapped();
@@ -280,13 +281,13 @@
 http_client::http_client(asio::io_context &context)
     : m_state(std::make_shared<state>(context))
 {
-    static const curl_start start;
+    static const curl_initializer start;
     m_state->multi = curl_multi_init();
     curl_multi_setopt(m_state->multi, CURLMOPT_SOCKETFUNCTION, &state::onSocket);
     curl_multi_setopt(m_state->multi, CURLMOPT_SOCKETDATA, m_state.get());
     curl_multi_setopt(m_state->multi, CURLMOPT_TIMERFUNCTION, &state::onTimer);
     curl_multi_setopt(m_state->multi, CURLMOPT_TIMERDATA, m_state.get());
-    curl_multi_setopt(m_state->multi, CURLMOPT_MAXCONNECTS, keptConnections);
+    curl_multi_setopt(m_state->multi, CURLMOPT_MAXCONNECTS, maxCachedConnections);
 }
 
 http_client::~http_client()
@@ -352,8 +353,8 @@
 {
     auto node = m_state->calls.extract(id);
     if (!node.empty()) {
-        // The call may be cancelled from within its own callback, where libcurl
-        // forbids the removal of its handle; it is removed just after.
+        // The call may be cancelled from within its own callback, where libcurl does not
+        // allow its handle to be removed. The posted handler removes it afterwards.
         const std::shared_ptr<active_call> call(std::move(node.mapped()));
         call->events = {};
         asio::post(m_state->context, [weak = std::weak_ptr<state>(m_state), call] {
@@ -379,7 +380,7 @@
 
 http_call_id http_client::fetch(http_call call,
                                 std::function<void(outcome<http_reply, http_error>)> done,
-                                std::size_t largestReply)
+                                std::size_t maxReplyBytes)
 {
     const auto reply = std::make_shared<http_reply>();
     http_call_events events;
@@ -387,8 +388,8 @@
         reply->status = status;
         reply->headers = headers;
     };
-    events.onData = [reply, largestReply](std::string_view data) {
-        if (reply->body.size() + data.size() <= largestReply)
+    events.onData = [reply, maxReplyBytes](std::string_view data) {
+        if (reply->body.size() + data.size() <= maxReplyBytes)
             reply->body += data;
     };
     events.onEnd = [reply, done = std::move(done)](outcome<int, http_error> result) {
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -1,7 +1,7 @@
 //===-- Server.cpp - HTTP server over RESTinio ------------------------------===//
 //
-// The only unit that includes RESTinio. A listener for connection states tells an
-// exchange that its peer left, so that the work behind it can be cancelled.
+// The only translation unit that includes RESTinio. A connection state listener notifies
+// an exchange when its peer closes the connection, so that its work can be cancelled.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Http/Server.h"
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Longest time a request may be worked on; rebuilds are slow.
-constexpr auto longestHandling = std::chrono::hours(2);
-constexpr auto longestWrite = std::chrono::seconds(60);
-constexpr auto longestRead = std::chrono::seconds(120);
-/// Reading ahead is what lets the server notice that a peer left.
+/// Maximum time to handle a request. It is this long because rebuilds are slow.
+constexpr auto handlingTimeout = std::chrono::hours(2);
+constexpr auto writeTimeout = std::chrono::seconds(60);
+constexpr auto readTimeout = std::chrono::seconds(120);
+/// Reading ahead lets the server notice that a peer has closed its connection.
 constexpr std::size_t pipelinedRequests = 4;
-constexpr std::size_t mostHeaderFields = 64;
+constexpr std::size_t maxHeaderFields = 64;
 
-/// Who waits for the end of a connection. Only the server's duty touches it.
+/// Callbacks to call when a connection closes. Accessed only on the thread of the server's duty.
 struct connection_watch
 {
     using action = std::function<void()>;
@@ -47,7 +47,7 @@
         : watch(std::move(watch))
     {
     }
-    // RESTinio calls it by this name.
+    // RESTinio requires this name.
     void state_changed( // NOLINT(readability-identifier-naming)
             const restinio::connection_state::notice_t &notice) noexcept
     {
@@ -61,7 +61,7 @@
 {
     using connection_state_listener_t = connection_listener;
     using http_methods_mapper_t = restinio::default_http_methods_t;
-    // RESTinio looks for this name.
+    // RESTinio requires this name.
     static constexpr bool use_connection_count_limiter // NOLINT(readability-identifier-naming)
             = true;
 };
@@ -77,7 +77,7 @@
     std::shared_ptr<connection_watch> watch;
     http_request request;
     std::unique_ptr<chunked_response> chunked;
-    std::shared_ptr<connection_watch::action> peerLeft;
+    std::shared_ptr<connection_watch::action> peerClosed;
     bool ended = false;
 };
 
@@ -123,7 +123,7 @@
         return;
     }
     m_state->ended = true;
-    m_state->peerLeft.reset();
+    m_state->peerClosed.reset();
     auto response = m_state->handle->create_response(statusLine(status));
     appendHeaders(response, headers);
     response.set_body(std::move(body));
@@ -156,7 +156,7 @@
         return;
     }
     m_state->ended = true;
-    m_state->peerLeft.reset();
+    m_state->peerClosed.reset();
     m_state->chunked->done(notifier(std::move(flushed)));
     m_state->chunked.reset();
 }
@@ -166,19 +166,19 @@
     if (m_state->ended)
         return;
     m_state->ended = true;
-    m_state->peerLeft.reset();
+    m_state->peerClosed.reset();
     if (!m_state->chunked)
         return;
-    // Ending the response without the last chunk is an error to RESTinio, which then
-    // closes the connection: the caller sees a cut, never a short success.
+    // RESTinio treats a response that is destroyed without its last chunk as an error and closes
+    // the connection. The client then sees an aborted transfer, not a shorter complete response.
     m_state->chunked.reset();
     m_state->handle.reset();
 }
 
-void http_exchange::onPeerLeft(std::function<void()> action)
+void http_exchange::onPeerClosed(std::function<void()> action)
 {
-    m_state->peerLeft = std::make_shared<connection_watch::action>(std::move(action));
-    m_state->watch->waiting[m_state->handle->connection_id()].push_back(m_state->peerLeft);
+    m_state->peerClosed = std::make_shared<connection_watch::action>(std::move(action));
+    m_state->watch->waiting[m_state->handle->connection_id()].push_back(m_state->peerClosed);
 }
 
 struct http_server::state
@@ -230,18 +230,20 @@
                             .port(m_state->options.port)
                             .protocol(asio::ip::tcp::v4())
                             .buffer_size(4096)
-                            .read_next_http_message_timelimit(longestRead)
-                            .write_http_response_timelimit(longestWrite)
-                            .handle_request_timeout(longestHandling)
+                            .read_next_http_message_timelimit(readTimeout)
+                            .write_http_response_timelimit(writeTimeout)
+                            .handle_request_timeout(handlingTimeout)
                             .max_pipelined_requests(pipelinedRequests)
-                            .max_parallel_connections(m_state->options.mostConnections)
+                            .max_parallel_connections(m_state->options.maxConnections)
                             .incoming_http_msg_limits(
                                     restinio::incoming_http_msg_limits_t{}
                                             .max_body_size(m_state->options.largestBody)
-                                            .max_field_value_size(m_state->options.largestHeader)
-                                            .max_field_name_size(m_state->options.largestHeader)
-                                            .max_field_count(mostHeaderFields)
-                                            .max_url_size(m_state->options.largestHeader))
+                                            .max_field_value_size(
+                                                    m_state->options.maxHeaderFieldBytes)
+                                            .max_field_name_size(
+                                                    m_state->options.maxHeaderFieldBytes)
+                                            .max_field_count(maxHeaderFields)
+                                            .max_url_size(m_state->options.maxHeaderFieldBytes))
                             .connection_state_listener(
                                     std::make_shared<connection_listener>(m_state->watch))
                             .socket_options_setter([](auto &options) {
--- a/lib/Link/Session.cpp
+++ b/lib/Link/Session.cpp
@@ -1,7 +1,8 @@
 //===-- Session.cpp - one HTTP/2 connection ---------------------------------===//
 //
-// nghttp2 keeps the protocol, asio the socket. Handlers of streams run inside
-// nghttp2's callbacks and may submit frames there; sending is always scheduled.
+// nghttp2 implements the protocol, asio the socket. Stream handlers run inside
+// nghttp2's callbacks and may submit frames there; writing to the socket is always
+// posted to the executor.
 //
 //===----------------------------------------------------------------------===//
 #include "Session.h"
@@ -21,18 +22,19 @@
 
 constexpr std::int32_t streamWindow = 256 << 10;
 constexpr std::int32_t connectionWindow = 64 << 20;
-constexpr std::uint32_t mostStreams = 100000;
-constexpr std::size_t largestWrite = 256 << 10;
-/// A peer that answers no ping for this many periods is taken for cut off.
+constexpr std::uint32_t maxStreams = 100000;
+constexpr std::size_t maxWriteBytes = 256 << 10;
+/// Interval between pings. A peer that leaves maxUnansweredPings in a row unanswered is treated as
+/// unreachable, and the connection is closed.
 constexpr auto pingPeriod = std::chrono::seconds(1);
-constexpr int mostUnansweredPings = 4;
-constexpr std::string_view proofText = "laurelcroft link ";
+constexpr int maxUnansweredPings = 4;
+constexpr std::string_view proofPrefix = "laurelcroft link ";
 
 } // namespace
 
 std::string laurelcroft::linkProof(const link_identity &identity)
 {
-    return toHex(hmacSha256(identity.key, std::string(proofText) + identity.instance));
+    return toHex(hmacSha256(identity.key, std::string(proofPrefix) + identity.instance));
 }
 
 static nghttp2_nv headerField(std::string_view name, std::string_view value)
@@ -74,7 +76,7 @@
     nghttp2_option *option = nullptr;
     nghttp2_option_new(&option);
     nghttp2_option_set_no_auto_window_update(option, 1);
-    nghttp2_option_set_peer_max_concurrent_streams(option, mostStreams);
+    nghttp2_option_set_peer_max_concurrent_streams(option, maxStreams);
     if (m_side == side::server)
         nghttp2_session_server_new2(&m_session, callbacks, this, option);
     else
@@ -88,7 +90,7 @@
     asio::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     const std::array<nghttp2_settings_entry, 2> settings = {{
-            {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, mostStreams},
+            {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, maxStreams},
             {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow},
     }};
     nghttp2_submit_settings(m_session, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
@@ -200,7 +202,7 @@
     if (m_writing || m_writeScheduled || !m_open)
         return;
     m_writeScheduled = true;
-    // Posting gathers what one round of handlers submits into one write.
+    // Posting combines the frames that the current handlers submit into one write.
     asio::post(m_socket.get_executor(), [self = shared_from_this()] {
         self->m_writeScheduled = false;
         self->write();
@@ -212,7 +214,7 @@
     if (m_writing || !m_open)
         return;
     m_output.clear();
-    while (m_output.size() < largestWrite) {
+    while (m_output.size() < maxWriteBytes) {
         const std::uint8_t *data = nullptr;
         const ssize_t size = nghttp2_session_mem_send(m_session, &data);
         if (size < 0) {
@@ -245,11 +247,12 @@
     m_pingTimer.async_wait([self = shared_from_this()](const asio::error_code &error) {
         if (error || !self->m_open)
             return;
-        // Only the client pings; an idle connection needs no proof of life.
+        // Only the client pings, and only while streams are open: an idle connection need not be
+        // checked.
         const bool busy = self->m_side == side::client && !self->m_streams.empty();
         if (!busy) {
             self->m_unansweredPings = 0;
-        } else if (self->m_unansweredPings >= mostUnansweredPings) {
+        } else if (self->m_unansweredPings >= maxUnansweredPings) {
             self->shutDown();
             return;
         } else {
@@ -320,8 +323,8 @@
     if (node.empty())
         return;
     const pending_headers &headers = node.mapped();
-    const std::string wanted = linkProof({headers.peer, m_identity.key});
-    if (!constantTimeEqual(wanted, headers.proof)) {
+    const std::string expectedProof = linkProof({headers.peer, m_identity.key});
+    if (!constantTimeEqual(expectedProof, headers.proof)) {
         nghttp2_submit_rst_stream(m_session, NGHTTP2_FLAG_NONE, id, NGHTTP2_REFUSED_STREAM);
         return;
     }
@@ -342,8 +345,8 @@
         self.m_unansweredPings = 0;
     if (frame->hd.type == NGHTTP2_HEADERS && (frame->hd.flags & NGHTTP2_FLAG_END_HEADERS))
         self.onHeadersDone(id);
-    const bool carriesEnd = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
-    if (!carriesEnd || !(frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
+    const bool mayEndStream = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
+    if (!mayEndStream || !(frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
         return 0;
     const auto stream = self.find(id);
     if (stream)
@@ -355,7 +358,8 @@
                          const std::uint8_t *data, std::size_t size, void *user)
 {
     auto &self = *static_cast<link_session *>(user);
-    // The connection's window is returned at once: one slow stream must not stop the rest.
+    // The connection-level window is updated at once, so that a slow stream does not block the
+    // others.
     nghttp2_session_consume_connection(session, size);
     const auto stream = self.find(id);
     if (!stream || !stream->m_manualFlow)
--- a/lib/Link/Stream.cpp
+++ b/lib/Link/Stream.cpp
@@ -1,6 +1,6 @@
 //===-- Stream.cpp - message streams between processes ----------------------===//
 //
-// Frames messages, and keeps the client's connection and the server's acceptor.
+// Message framing, the connection of the client and the acceptor of the server.
 //
 //===----------------------------------------------------------------------===//
 #include "Session.h"
@@ -16,7 +16,7 @@
 using namespace laurelcroft;
 
 namespace {
-constexpr std::size_t mostSessions = 4096;
+constexpr std::size_t maxSessions = 4096;
 } // namespace
 
 link_stream::link_stream(std::weak_ptr<link_session> session, std::int32_t id, std::string path,
@@ -95,8 +95,8 @@
         consume(m_unconsumed);
         return;
     }
-    // A handler may close the stream, drop its input or change its handlers: what is
-    // being read is held here, and the handlers by the copy that is called.
+    // A handler may close the stream, drop its input or replace the handlers. The locals keep
+    // the stream, the input and the called handlers alive meanwhile.
     const auto keep = shared_from_this();
     std::string input = std::move(m_in);
     m_in.clear();
@@ -104,8 +104,8 @@
     std::string_view rest = input;
     while (!m_closed && !m_dropping && rest.size() >= linkFrameBytes) {
         const std::size_t size = readLength(rest);
-        if (size > largestLinkMessage) {
-            // A length out of bounds is no message of ours: the stream is cut.
+        if (size > maxLinkMessageBytes) {
+            // No peer sends a message of this size, so the stream is corrupt and is reset.
             const auto handlers = m_events;
             reset();
             if (handlers->onClosed)
@@ -180,8 +180,8 @@
         error = asio::error::invalid_argument;
     const auto ip = asio::ip::make_address(host.empty() ? "0.0.0.0" : host, error);
     asio::ip::tcp::socket socket(context);
-    // A connect on a data centre's network takes about a millisecond and on loopback
-    // nothing; it is bounded by the kernel's non-blocking connect below.
+    // The connect is non-blocking, so it does not delay the caller. It takes about a millisecond
+    // on the network of a data centre and next to no time on loopback.
     socket.open(asio::ip::tcp::v4(), error);
     socket.non_blocking(true, error);
     error.clear();
@@ -211,12 +211,12 @@
     m_state->ensureSession();
     if (m_state->session)
         return m_state->session->open(path, std::move(handlers));
-    return openNowhere(m_state->context, path, std::move(handlers));
+    return openWithoutPeer(m_state->context, path, std::move(handlers));
 }
 
-std::shared_ptr<link_stream> laurelcroft::openNowhere(asio::io_context &context,
-                                                      std::string_view path,
-                                                      link_stream::events handlers)
+std::shared_ptr<link_stream> laurelcroft::openWithoutPeer(asio::io_context &context,
+                                                          std::string_view path,
+                                                          link_stream::events handlers)
 {
     auto stream = std::make_shared<link_stream>(std::weak_ptr<link_session>(), -1,
                                                 std::string(path), "");
@@ -270,7 +270,7 @@
 {
     for (auto it = sessions.begin(); it != sessions.end();)
         it = it->expired() ? sessions.erase(it) : std::next(it);
-    if (sessions.size() >= mostSessions)
+    if (sessions.size() >= maxSessions)
         return;
     auto session = std::make_shared<link_session>(std::move(socket), link_session::side::server,
                                                   identity, onStream);
@@ -293,11 +293,11 @@
     asio::error_code error;
     const auto ip = asio::ip::make_address(host, error);
     if (error)
-        return "'" + host + "' is not an IP number";
-    const asio::ip::tcp::endpoint where(ip, port);
-    m_state->acceptor.open(where.protocol(), error);
+        return "'" + host + "' is not an IP address";
+    const asio::ip::tcp::endpoint localAddress(ip, port);
+    m_state->acceptor.open(localAddress.protocol(), error);
     m_state->acceptor.set_option(asio::socket_base::reuse_address(true), error);
-    m_state->acceptor.bind(where, error);
+    m_state->acceptor.bind(localAddress, error);
     if (!error)
         m_state->acceptor.listen(asio::socket_base::max_listen_connections, error);
     if (error)
--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -1,6 +1,6 @@
 //===-- HttpClients.cpp - clients of the platform ---------------------------===//
 //
-// JSON over HTTP. Errors of the HTTP layer are turned into each service's own.
+// Sends JSON over HTTP and maps errors of the HTTP layer to the errors of each service.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/HttpClients.h"
@@ -21,7 +21,7 @@
     case table_failure::notSent:
         return "the table cannot be reached";
     case table_failure::rateLimited:
-        return "the table's rate is used up";
+        return "the rate limit of the table is exceeded";
     case table_failure::unknown:
         return "the table did not answer";
     }
@@ -36,37 +36,39 @@
     return milliseconds(static_cast<std::int64_t>(std::strtod(text.c_str(), nullptr) * 1000));
 }
 
-/// \returns the parsed body, or a discarded value that is no object.
+/// \returns the parsed body; a discarded value, which is not an object, if it is not valid JSON.
 static json parseBody(const std::string &body)
 {
     return json::parse(body, nullptr, false);
 }
 
-/// Sends through \p gate; a shut gate answers from the context as notSent.
-static void sendGated(asio_runtime &runtime, http_client &client, platform_gate &gate,
-                      http_call call, std::function<void(outcome<http_reply, http_error>)> done)
+/// Sends a call if \p limiter allows it. Otherwise \p done is called with notSent, not from within
+/// this function but from the runtime.
+static void sendLimited(asio_runtime &runtime, http_client &client, service_limiter &limiter,
+                        http_call call, std::function<void(outcome<http_reply, http_error>)> done)
 {
-    if (!gate.pass(runtime.now())) {
+    if (!limiter.pass(runtime.now())) {
         runtime.after(duration(0),
                       [done = std::move(done)] { done(failure(http_error::notSent)); });
         return;
     }
-    client.fetch(std::move(call),
-                 [&runtime, &gate, done = std::move(done)](outcome<http_reply, http_error> result) {
-                     const bool failed = !result || result.value().status >= serverErrors;
-                     if (failed)
-                         gate.failed(runtime.now());
-                     else
-                         gate.succeeded();
-                     done(std::move(result));
-                 });
+    client.fetch(
+            std::move(call),
+            [&runtime, &limiter, done = std::move(done)](outcome<http_reply, http_error> result) {
+                const bool failed = !result || result.value().status >= serverErrors;
+                if (failed)
+                    limiter.failed(runtime.now());
+                else
+                    limiter.succeeded();
+                done(std::move(result));
+            });
 }
 
 http_table::http_table(asio_runtime &runtime, http_client &client, platform_options options)
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -91,10 +93,10 @@
 {
     call.timeout = m_options.timeout;
     call.connectTimeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(call),
-              [this, done = std::move(done)](outcome<http_reply, http_error> result) {
-                  done(readTableReply(result, m_gate.retryAfter(m_runtime.now())));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(call),
+                [this, done = std::move(done)](outcome<http_reply, http_error> result) {
+                    done(readTableReply(result, m_limiter.retryAfter(m_runtime.now())));
+                });
 }
 
 void http_table::transact(const json &operations,
@@ -116,7 +118,7 @@
     return result;
 }
 
-/// Reads the results of a transaction of \p count operations.
+/// Extracts the results of a transaction of \p count operations.
 static outcome<std::vector<json>, table_error> readResults(const outcome<json, table_error> &reply,
                                                            std::size_t count)
 {
@@ -219,7 +221,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -229,20 +231,20 @@
     http_call request;
     request.url = m_options.url + "/v1/objects/" + key;
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
-              [done = std::move(done)](outcome<http_reply, http_error> result) {
-                  if (!result) {
-                      done(failure(object_error::unavailable));
-                      return;
-                  }
-                  http_reply &reply = result.value();
-                  if (reply.status == http_status::ok)
-                      done(std::move(reply.body));
-                  else if (reply.status == http_status::notFound)
-                      done(failure(object_error::missing));
-                  else
-                      done(failure(object_error::unavailable));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](outcome<http_reply, http_error> result) {
+                    if (!result) {
+                        done(failure(object_error::unavailable));
+                        return;
+                    }
+                    http_reply &reply = result.value();
+                    if (reply.status == http_status::ok)
+                        done(std::move(reply.body));
+                    else if (reply.status == http_status::notFound)
+                        done(failure(object_error::missing));
+                    else
+                        done(failure(object_error::unavailable));
+                });
 }
 
 void http_object_store::put(const std::string &key, const std::string &body,
@@ -253,13 +255,13 @@
     request.url = m_options.url + "/v1/objects/" + key;
     request.body = body;
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
-              [done = std::move(done)](const outcome<http_reply, http_error> &result) {
-                  if (result && result.value().status == http_status::ok)
-                      done(success());
-                  else
-                      done(failure(object_error::unavailable));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](const outcome<http_reply, http_error> &result) {
+                    if (result && result.value().status == http_status::ok)
+                        done(success());
+                    else
+                        done(failure(object_error::unavailable));
+                });
 }
 
 http_rating_service::http_rating_service(asio_runtime &runtime, http_client &client,
@@ -267,7 +269,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -282,18 +284,18 @@
                         {"version", sample.version},      {"group", sample.group},
                         {"prompt", sample.prompt},        {"answer", sample.answer}}
                            .dump(-1, ' ', false, json::error_handler_t::replace);
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
-              [done = std::move(done)](const outcome<http_reply, http_error> &result) {
-                  if (!result || result.value().status != http_status::ok) {
-                      done(std::nullopt);
-                      return;
-                  }
-                  const json body = parseBody(result.value().body);
-                  if (body.is_object() && body.contains("rating") && body["rating"].is_number())
-                      done(body["rating"].get<double>());
-                  else
-                      done(std::nullopt);
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](const outcome<http_reply, http_error> &result) {
+                    if (!result || result.value().status != http_status::ok) {
+                        done(std::nullopt);
+                        return;
+                    }
+                    const json body = parseBody(result.value().body);
+                    if (body.is_object() && body.contains("rating") && body["rating"].is_number())
+                        done(body["rating"].get<double>());
+                    else
+                        done(std::nullopt);
+                });
 }
 
 http_instance_list::http_instance_list(asio_runtime &runtime, http_client &client,
@@ -301,7 +303,7 @@
     : m_runtime(runtime)
     , m_client(client)
     , m_options(std::move(options))
-    , m_gate(m_options.callsPerSecond, m_options.burst)
+    , m_limiter(m_options.callsPerSecond, m_options.burst)
 {
 }
 
@@ -310,17 +312,17 @@
     http_call request;
     request.url = m_options.url + "/v1/instances";
     request.timeout = m_options.timeout;
-    sendGated(m_runtime, m_client, m_gate, std::move(request),
-              [done = std::move(done)](const outcome<http_reply, http_error> &result) {
-                  const json body = result ? parseBody(result.value().body) : json();
-                  if (!body.is_object() || !body.contains("instances")) {
-                      done(std::nullopt);
-                      return;
-                  }
-                  std::vector<listed_instance> items;
-                  for (const json &item : body["instances"])
-                      items.push_back({item.value("id", ""), item.value("gossip", ""),
-                                       item.value("state", "") == "leaving"});
-                  done(std::move(items));
-              });
+    sendLimited(m_runtime, m_client, m_limiter, std::move(request),
+                [done = std::move(done)](const outcome<http_reply, http_error> &result) {
+                    const json body = result ? parseBody(result.value().body) : json();
+                    if (!body.is_object() || !body.contains("instances")) {
+                        done(std::nullopt);
+                        return;
+                    }
+                    std::vector<listed_instance> items;
+                    for (const json &item : body["instances"])
+                        items.push_back({item.value("id", ""), item.value("gossip", ""),
+                                         item.value("state", "") == "leaving"});
+                    done(std::move(items));
+                });
 }
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/ServiceLimiter.cpp
@@ -1,11 +1,11 @@
-//===-- Gate.cpp - rate limit and breaker of a service ----------------------===//
+//===-- ServiceLimiter.cpp - rate limit and circuit breaker -----------------===//
 //
-// The breaker opens after three failures in a row and tries again after one
-// second, then two, up to eight: an outage of minutes costs a call in eight
-// seconds, and its end is seen within eight.
+// The circuit breaker opens after three consecutive failures and lets a call through
+// after one second, then two, up to eight: an outage of minutes costs one call in
+// eight seconds, and a recovery is noticed within eight seconds.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Platform/Gate.h"
+#include "laurelcroft/Platform/ServiceLimiter.h"
 
 using namespace laurelcroft;
 
@@ -15,13 +15,13 @@
 constexpr duration longestWait = seconds(8);
 } // namespace
 
-platform_gate::platform_gate(double perSecond, double burst)
+service_limiter::service_limiter(double perSecond, double burst)
     : m_calls(perSecond, burst)
     , m_breaker(failuresToOpen, firstWait, longestWait)
 {
 }
 
-bool platform_gate::pass(time_point now)
+bool service_limiter::pass(time_point now)
 {
     if (!m_calls.has(1, now) || !m_breaker.allows(now))
         return false;
@@ -29,17 +29,17 @@
     return true;
 }
 
-void platform_gate::succeeded()
+void service_limiter::succeeded()
 {
     m_breaker.succeeded();
 }
 
-void platform_gate::failed(time_point now)
+void service_limiter::failed(time_point now)
 {
     m_breaker.failed(now);
 }
 
-milliseconds platform_gate::retryAfter(time_point now) const
+milliseconds service_limiter::retryAfter(time_point now) const
 {
     const milliseconds open = m_breaker.retryAfter(now);
     if (open.count() > 0)
--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -1,6 +1,6 @@
-//===-- RowFollowerTests.cpp - keeps up with one table ----------------------===//
+//===-- RowFollowerTests.cpp - follows the changes of a table ---------------===//
 //
-// The store, a relay that is asked first, and what happens when either is away.
+// Reads from the store and from a relay, with either or both of them unavailable.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Platform/RowFollower.h"
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Answers at once, or fails.
-struct plain_store
+/// Row store that answers at once, or fails while it is \c away.
+struct simple_store
 {
     void list(const std::string &, row_callback<row_batch> done) { answer(std::move(done)); }
     void follow(const std::string &, std::uint64_t, milliseconds wait, row_callback<row_batch> done)
@@ -38,8 +38,8 @@
     milliseconds lastWait{-1};
 };
 
-/// Counts what a follower tells.
-struct counted_events
+/// Counts the callbacks of a follower.
+struct event_counter
 {
     unsigned tables = 0;
     unsigned lost = 0;
@@ -51,19 +51,20 @@
         events.onTable = [this](row_batch &&) { ++tables; };
         events.onChanges = [](row_batch &&) {};
         events.onLost = [this](row_failure) { ++lost; };
-        events.onRegained = [this](milliseconds) { ++regained; };
+        events.onRecovered = [this](milliseconds) { ++regained; };
         return events;
     }
 };
 
-struct follower_world : counted_events
+/// A follower with a relay that answers at once, or fails.
+struct follower_fixture : event_counter
 {
     manual_runtime runtime;
-    plain_store store;
+    simple_store store;
     bool relayFirst = true;
     bool relayAway = false;
     unsigned relayReads = 0;
-    row_follower<plain_store, manual_runtime> follower{
+    row_follower<simple_store, manual_runtime> follower{
             store, runtime, "table", {milliseconds(800), milliseconds(500)}, events(), relay()};
 
     row_relay relay()
@@ -83,91 +84,92 @@
 
 } // namespace
 
-TEST_CASE("a relay that answers again tells that the store is back")
+TEST_CASE("an answer of a relay reports the store as recovered")
 {
-    follower_world world;
-    world.relayAway = true;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(1));
-    CHECK(world.lost == 1);
-    CHECK(world.regained == 0);
-    world.relayAway = false;
-    world.runtime.advance(seconds(1));
-    CHECK(world.regained == 1);
-    const unsigned calls = world.store.calls;
-    world.runtime.advance(seconds(10));
-    CHECK(world.store.calls == calls);
+    follower_fixture fixture;
+    fixture.relayAway = true;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.lost == 1);
+    CHECK(fixture.regained == 0);
+    fixture.relayAway = false;
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.regained == 1);
+    const unsigned calls = fixture.store.calls;
+    fixture.runtime.advance(seconds(10));
+    CHECK(fixture.store.calls == calls);
 }
 
-TEST_CASE("while both are away the relay is asked often and the store seldom")
+TEST_CASE("while both are unavailable the relay is read often and the store rarely")
 {
-    follower_world world;
-    world.relayAway = true;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(20));
-    CHECK(world.store.calls <= 13);
-    CHECK(world.relayReads >= 50);
-    world.store.away = false;
-    world.runtime.advance(milliseconds(2700));
-    CHECK(world.regained == 1);
+    follower_fixture fixture;
+    fixture.relayAway = true;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(20));
+    CHECK(fixture.store.calls <= 13);
+    CHECK(fixture.relayReads >= 50);
+    fixture.store.away = false;
+    fixture.runtime.advance(milliseconds(2700));
+    CHECK(fixture.regained == 1);
 }
 
-TEST_CASE("without a relay that is asked first the store's return is noticed within a second")
+TEST_CASE("without a preferred relay the recovery of the store is noticed within a second")
 {
-    follower_world world;
-    world.relayFirst = false;
-    world.relayAway = true;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(20));
-    world.store.away = false;
-    world.runtime.advance(seconds(1));
-    CHECK(world.regained == 1);
+    follower_fixture fixture;
+    fixture.relayFirst = false;
+    fixture.relayAway = true;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(20));
+    fixture.store.away = false;
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.regained == 1);
 }
 
-TEST_CASE("while the store is lost nothing is held there")
+TEST_CASE("calls are not held while the store is unavailable")
 {
-    follower_world world;
-    world.relayFirst = false;
-    world.relayAway = true;
-    world.follower.start();
-    world.runtime.advance(seconds(2));
-    CHECK(world.store.lastWait == milliseconds(500));
-    world.store.away = true;
-    world.runtime.advance(seconds(3));
-    CHECK(world.store.lastWait == milliseconds(0));
-    world.store.away = false;
-    world.runtime.advance(seconds(3));
-    CHECK(world.regained == 1);
-    CHECK(world.store.lastWait == milliseconds(500));
+    follower_fixture fixture;
+    fixture.relayFirst = false;
+    fixture.relayAway = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(2));
+    CHECK(fixture.store.lastWait == milliseconds(500));
+    fixture.store.away = true;
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.store.lastWait == milliseconds(0));
+    fixture.store.away = false;
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.regained == 1);
+    CHECK(fixture.store.lastWait == milliseconds(500));
 }
 
-TEST_CASE("an entry that is turned away learns from others and keeps its pace towards the store")
+TEST_CASE("a follower whose store calls fail reads the relay and keeps its retry delays")
 {
-    follower_world world;
-    world.relayFirst = false;
-    world.store.away = true;
-    world.follower.start();
-    world.runtime.advance(seconds(20));
-    CHECK(world.relayReads >= 20);
-    CHECK(world.store.calls <= 30);
-    CHECK(world.lost == 1);
-    CHECK(world.regained == 0);
+    follower_fixture fixture;
+    fixture.relayFirst = false;
+    fixture.store.away = true;
+    fixture.follower.start();
+    fixture.runtime.advance(seconds(20));
+    CHECK(fixture.relayReads >= 20);
+    CHECK(fixture.store.calls <= 30);
+    CHECK(fixture.lost == 1);
+    CHECK(fixture.regained == 0);
 }
 
 namespace {
 
-/// A relay that answers when it is told to, as one that holds what has no news.
-struct holding_world : counted_events
+/// A follower with a relay that holds each read until the test answers it, as a relay without
+/// changes does.
+struct held_relay_fixture : event_counter
 {
     manual_runtime runtime;
-    plain_store store;
+    simple_store store;
     std::vector<row_callback<row_news>> held;
-    bool outdated = false; ///< the relay answers at once that it is
+    bool outdated = false; ///< the relay answers at once that its rows are outdated
     bool isStandby = false;
-    row_follower<plain_store, manual_runtime> follower{
+    row_follower<simple_store, manual_runtime> follower{
             store, runtime, "table", {milliseconds(800), milliseconds(500)}, events(), relay()};
 
     row_relay relay()
@@ -187,83 +189,83 @@
 
 } // namespace
 
-TEST_CASE("a process that starts leaves the store alone while a relay may still have the table")
+TEST_CASE("a starting process does not call the store while a relay may still deliver the table")
 {
-    holding_world world;
-    world.follower.start();
-    world.runtime.advance(milliseconds(390));
-    CHECK(world.store.calls == 0);
-    REQUIRE(world.held.size() == 1);
-    world.held[0](row_news{{{}, 5, {}}, true});
-    CHECK(world.tables == 1);
-    world.runtime.advance(seconds(1));
-    CHECK(world.store.calls == 0);
-    CHECK(world.held.size() == 2);
+    held_relay_fixture fixture;
+    fixture.follower.start();
+    fixture.runtime.advance(milliseconds(390));
+    CHECK(fixture.store.calls == 0);
+    REQUIRE(fixture.held.size() == 1);
+    fixture.held[0](row_news{{{}, 5, {}}, true});
+    CHECK(fixture.tables == 1);
+    fixture.runtime.advance(seconds(1));
+    CHECK(fixture.store.calls == 0);
+    CHECK(fixture.held.size() == 2);
 }
 
-TEST_CASE("a relay that is silent at the start costs less than half a second, and is read once")
+TEST_CASE("a relay that is silent at startup delays the table by under 0.5 s and is read once")
 {
-    holding_world world;
-    world.follower.start();
-    world.runtime.advance(milliseconds(410));
-    CHECK(world.store.calls == 1);
-    CHECK(world.tables == 1);
-    // The late answer is taken or passed over, and starts no second chain of reads.
-    world.held[0](row_news{{{}, 9, {}}, true});
-    world.runtime.advance(seconds(10));
-    CHECK(world.held.size() == 2);
-    CHECK(world.store.calls == 1);
+    held_relay_fixture fixture;
+    fixture.follower.start();
+    fixture.runtime.advance(milliseconds(410));
+    CHECK(fixture.store.calls == 1);
+    CHECK(fixture.tables == 1);
+    // The late answer may be used or ignored, but must not start a second sequence of reads.
+    fixture.held[0](row_news{{{}, 9, {}}, true});
+    fixture.runtime.advance(seconds(10));
+    CHECK(fixture.held.size() == 2);
+    CHECK(fixture.store.calls == 1);
 }
 
-TEST_CASE("a relay that fails at the start is asked again until the store's turn comes")
+TEST_CASE("a relay that fails at startup is read again until the store is read instead")
 {
-    holding_world world;
-    world.follower.start();
+    held_relay_fixture fixture;
+    fixture.follower.start();
     for (unsigned i = 0; i < 7; ++i) {
-        REQUIRE(world.held.size() == i + 1);
-        world.held[i](failure(row_failure::notDone));
-        world.runtime.advance(milliseconds(50));
+        REQUIRE(fixture.held.size() == i + 1);
+        fixture.held[i](failure(row_failure::notDone));
+        fixture.runtime.advance(milliseconds(50));
     }
-    CHECK(world.store.calls == 0);
-    world.runtime.advance(milliseconds(60));
-    CHECK(world.store.calls == 1);
+    CHECK(fixture.store.calls == 0);
+    fixture.runtime.advance(milliseconds(60));
+    CHECK(fixture.store.calls == 1);
 }
 
-TEST_CASE("while relays are outdated the store is left to a few, and asked when it takes long")
+TEST_CASE("while relays are outdated only standbys call the store at once, others after a delay")
 {
     for (const bool isStandby : {false, true}) {
-        holding_world world;
-        world.isStandby = isStandby;
-        world.outdated = true;
-        world.follower.start();
-        world.runtime.advance(milliseconds(410));
-        const unsigned first = world.store.calls; // the start's own
-        world.runtime.advance(milliseconds(1000));
-        CHECK((world.store.calls > first) == isStandby);
-        world.runtime.advance(milliseconds(1500));
-        CHECK(world.store.calls > first);
-        // While the store is away as well, it is asked ever more seldom.
-        world.store.away = true;
-        world.runtime.advance(seconds(60));
-        const unsigned before = world.store.calls;
-        world.runtime.advance(seconds(60));
-        CHECK(world.store.calls - before <= (isStandby ? 26 : 4));
-        world.outdated = false;
-        world.runtime.advance(milliseconds(400));
-        REQUIRE(!world.held.empty());
-        world.held.back()(row_news{{{}, 9, {}}, false});
-        CHECK(world.lost == world.regained);
+        held_relay_fixture fixture;
+        fixture.isStandby = isStandby;
+        fixture.outdated = true;
+        fixture.follower.start();
+        fixture.runtime.advance(milliseconds(410));
+        const unsigned first = fixture.store.calls; // the call at startup
+        fixture.runtime.advance(milliseconds(1000));
+        CHECK((fixture.store.calls > first) == isStandby);
+        fixture.runtime.advance(milliseconds(1500));
+        CHECK(fixture.store.calls > first);
+        // While the store is unavailable as well, the retry delay grows.
+        fixture.store.away = true;
+        fixture.runtime.advance(seconds(60));
+        const unsigned before = fixture.store.calls;
+        fixture.runtime.advance(seconds(60));
+        CHECK(fixture.store.calls - before <= (isStandby ? 26 : 4));
+        fixture.outdated = false;
+        fixture.runtime.advance(milliseconds(400));
+        REQUIRE(!fixture.held.empty());
+        fixture.held.back()(row_news{{{}, 9, {}}, false});
+        CHECK(fixture.lost == fixture.regained);
     }
 }
 
-TEST_CASE("a process that stands by does not wait at its start, so that others find the rows here")
+TEST_CASE("a standby reads the store at startup without waiting for a relay")
 {
     for (const bool isStandby : {false, true}) {
-        holding_world world;
-        world.isStandby = isStandby;
-        world.follower.start();
-        REQUIRE(world.held.size() == 1);
-        world.held[0](failure(row_failure::notDone));
-        CHECK((world.store.calls > 0) == isStandby);
+        held_relay_fixture fixture;
+        fixture.isStandby = isStandby;
+        fixture.follower.start();
+        REQUIRE(fixture.held.size() == 1);
+        fixture.held[0](failure(row_failure::notDone));
+        CHECK((fixture.store.calls > 0) == isStandby);
     }
 }
