--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -8,7 +8,7 @@
 #define LAURELCROFT_HTTP_SERVER_H
 
 #include "laurelcroft/Http/Message.h"
-#include "laurelcroft/Support/Duty.h"
+#include "laurelcroft/Support/EventLoopThread.h"
 
 #include <cstdint>
 #include <functional>
--- a/include/laurelcroft/Node/Drain.h
+++ b/include/laurelcroft/Node/Drain.h
@@ -7,7 +7,7 @@
 #ifndef LAURELCROFT_NODE_DRAIN_H
 #define LAURELCROFT_NODE_DRAIN_H
 
-#include "laurelcroft/Support/Duty.h"
+#include "laurelcroft/Support/EventLoopThread.h"
 #include "laurelcroft/Support/Runtime.h"
 
 #include <functional>
--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -12,7 +12,7 @@
 #include "laurelcroft/Fleet/Membership.h"
 #include "laurelcroft/Link/Stream.h"
 #include "laurelcroft/Platform/HttpClients.h"
-#include "laurelcroft/Support/Duty.h"
+#include "laurelcroft/Support/EventLoopThread.h"
 #include "laurelcroft/Support/Metrics.h"
 #include "laurelcroft/Support/Settings.h"
 
--- a/include/laurelcroft/Support/Duty.h
+++ b/include/laurelcroft/Support/EventLoopThread.h
@@ -1,11 +1,11 @@
-//===-- Support/Duty.h - a thread for each duty, bounded rings ---*- C++ -*-===//
+//===-- Support/EventLoopThread.h - a thread for each duty, bounded rings ---*- C++ -*-===//
 //
 // A duty is a thread with an asio context of its own. Duties share nothing and
 // speak through channels: a bounded single-producer ring that wakes its consumer.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_SUPPORT_DUTY_H
-#define LAURELCROFT_SUPPORT_DUTY_H
+#ifndef LAURELCROFT_SUPPORT_EVENTLOOPTHREAD_H
+#define LAURELCROFT_SUPPORT_EVENTLOOPTHREAD_H
 
 #include <boost/lockfree/spsc_queue.hpp>
 
--- a/lib/Node/FleetDuty.h
+++ b/lib/Node/FleetDuty.h
@@ -8,7 +8,7 @@
 #define LAURELCROFT_LIB_NODE_FLEETDUTY_H
 
 #include "laurelcroft/Fleet/Membership.h"
-#include "laurelcroft/Support/Duty.h"
+#include "laurelcroft/Support/EventLoopThread.h"
 
 #include <functional>
 #include <memory>
--- a/lib/Support/Duty.cpp
+++ b/lib/Support/EventLoopThread.cpp
@@ -1,9 +1,9 @@
-//===-- Duty.cpp - a thread for each duty -----------------------------------===//
+//===-- EventLoopThread.cpp - a thread for each duty -----------------------------------===//
 //
 // The work guard keeps the context alive while the duty has nothing to do.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Support/Duty.h"
+#include "laurelcroft/Support/EventLoopThread.h"
 
 #include <asio/executor_work_guard.hpp>
 #include <asio/io_context.hpp>
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -6,7 +6,7 @@
 #include "laurelcroft/Support/Breaker.h"
 #include "laurelcroft/Support/Compression.h"
 #include "laurelcroft/Support/Crypto.h"
-#include "laurelcroft/Support/Duty.h"
+#include "laurelcroft/Support/EventLoopThread.h"
 #include "laurelcroft/Support/Log.h"
 #include "laurelcroft/Support/LogLimiter.h"
 #include "laurelcroft/Support/Metrics.h"
