--- a/include/laurelcroft/Platform/Gate.h
+++ b/include/laurelcroft/Platform/Gate.h
@@ -7,7 +7,7 @@
 #ifndef LAURELCROFT_PLATFORM_GATE_H
 #define LAURELCROFT_PLATFORM_GATE_H
 
-#include "laurelcroft/Support/Breaker.h"
+#include "laurelcroft/Support/CircuitBreaker.h"
 #include "laurelcroft/Support/TokenBucket.h"
 
 namespace laurelcroft {
--- a/include/laurelcroft/Support/Breaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -1,10 +1,10 @@
-//===-- Support/Breaker.h - stays away from a failing service ----*- C++ -*-===//
+//===-- Support/CircuitBreaker.h - stays away from a failing service ----*- C++ -*-===//
 //
 // Driven by results alone; it reads no clock of its own.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_SUPPORT_BREAKER_H
-#define LAURELCROFT_SUPPORT_BREAKER_H
+#ifndef LAURELCROFT_SUPPORT_CIRCUITBREAKER_H
+#define LAURELCROFT_SUPPORT_CIRCUITBREAKER_H
 
 #include "laurelcroft/Support/Runtime.h"
 
--- a/lib/Support/Breaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -1,9 +1,9 @@
-//===-- Breaker.cpp - stays away from a failing service ---------------------===//
+//===-- CircuitBreaker.cpp - stays away from a failing service ---------------------===//
 //
 // Closed, open, and one trial call after each wait.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Support/Breaker.h"
+#include "laurelcroft/Support/CircuitBreaker.h"
 
 #include <algorithm>
 
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -3,7 +3,7 @@
 // What everything else stands on.
 //
 //===----------------------------------------------------------------------===//
-#include "laurelcroft/Support/Breaker.h"
+#include "laurelcroft/Support/CircuitBreaker.h"
 #include "laurelcroft/Support/Compression.h"
 #include "laurelcroft/Support/Crypto.h"
 #include "laurelcroft/Support/EventLoopThread.h"
