--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -67,7 +67,7 @@
 class http_server
 {
 public:
-    http_server(duty_thread &duty, const http_server_options &options, http_handler handler);
+    http_server(event_loop_thread &duty, const http_server_options &options, http_handler handler);
     ~http_server();
 
     /// Opens the port; the duty must be running. \returns an empty string or what failed.
--- a/include/laurelcroft/Node/Drain.h
+++ b/include/laurelcroft/Node/Drain.h
@@ -26,7 +26,7 @@
 
 /// Blocks until a signal came and the drain ended. \returns true when it ended idle.
 /// Call \c blockStopSignals first, before any thread starts.
-bool waitAndDrain(duty_thread &routing, const drain_steps &steps);
+bool waitAndDrain(event_loop_thread &routing, const drain_steps &steps);
 
 /// Keeps the stop signals for \c waitAndDrain in all threads.
 void blockStopSignals();
--- a/include/laurelcroft/Node/Node.h
+++ b/include/laurelcroft/Node/Node.h
@@ -69,7 +69,7 @@
 class node
 {
 public:
-    node(duty_thread &routing, node_options options);
+    node(event_loop_thread &routing, node_options options);
     ~node();
     node(const node &) = delete;
     node &operator=(const node &) = delete;
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -21,7 +21,7 @@
 class node_environment
 {
 public:
-    node_environment(duty_thread &routing, node_options options)
+    node_environment(event_loop_thread &routing, node_options options)
         : m_node(routing, std::move(options))
     {
     }
--- a/include/laurelcroft/Support/EventLoopThread.h
+++ b/include/laurelcroft/Support/EventLoopThread.h
@@ -24,13 +24,13 @@
 namespace laurelcroft {
 
 /// A named thread that runs one asio context.
-class duty_thread
+class event_loop_thread
 {
 public:
-    explicit duty_thread(std::string name);
-    ~duty_thread();
-    duty_thread(const duty_thread &) = delete;
-    duty_thread &operator=(const duty_thread &) = delete;
+    explicit event_loop_thread(std::string name);
+    ~event_loop_thread();
+    event_loop_thread(const event_loop_thread &) = delete;
+    event_loop_thread &operator=(const event_loop_thread &) = delete;
 
     asio::io_context &context();
 
@@ -55,7 +55,7 @@
 public:
     /// \param capacity the number of messages the ring holds.
     /// \param handler is called on the consumer's thread, once for each message, in order.
-    channel(duty_thread &producer, duty_thread &consumer, std::size_t capacity,
+    channel(event_loop_thread &producer, event_loop_thread &consumer, std::size_t capacity,
             std::function<void(T &&)> handler)
         : m_producer(producer)
         , m_consumer(consumer)
@@ -113,8 +113,8 @@
             m_handler(std::move(message));
     }
 
-    duty_thread &m_producer;
-    duty_thread &m_consumer;
+    event_loop_thread &m_producer;
+    event_loop_thread &m_consumer;
     boost::lockfree::spsc_queue<T> m_ring;
     std::function<void(T &&)> m_handler;
     std::deque<T> m_overflow;
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -30,7 +30,7 @@
 class agent_io : public node_environment
 {
 public:
-    agent_io(duty_thread &routing, node_options options, const std::string &endpointUrl,
+    agent_io(event_loop_thread &routing, node_options options, const std::string &endpointUrl,
              endpoint_events events)
         : node_environment(routing, std::move(options))
         , m_endpoint(ownNode().client(), endpointUrl, std::move(events))
@@ -81,7 +81,7 @@
 class agent_process
 {
 public:
-    agent_process(duty_thread &routing, node_options nodeOptions, agent_options options,
+    agent_process(event_loop_thread &routing, node_options nodeOptions, agent_options options,
                   const std::string &endpointUrl)
         : m_io(routing, std::move(nodeOptions), endpointUrl, endpointEvents())
         , m_node(m_io.ownNode())
@@ -329,7 +329,7 @@
 
     blockStopSignals();
     startLog(given.text("log-level"), given.flag("log-json"));
-    duty_thread routing("routing");
+    event_loop_thread routing("routing");
     agent_process process(routing, std::move(nodeOptions), std::move(options),
                           given.text("endpoint-url"));
     const std::string error = process.start();
--- a/lib/Entry/CallerServer.cpp
+++ b/lib/Entry/CallerServer.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t answerRing = 32768;
 } // namespace
 
-caller_server::caller_server(duty_thread &routing, const caller_server_options &options,
+caller_server::caller_server(event_loop_thread &routing, const caller_server_options &options,
                              metric_registry &metrics, std::function<bool()> isReady,
                              std::function<void(caller_message &&)> onMessage)
     : m_duty("callers")
--- a/lib/Entry/CallerServer.h
+++ b/lib/Entry/CallerServer.h
@@ -58,7 +58,7 @@
 {
 public:
     /// \param onMessage runs on \p routing. \param isReady is asked from any thread.
-    caller_server(duty_thread &routing, const caller_server_options &options,
+    caller_server(event_loop_thread &routing, const caller_server_options &options,
                   metric_registry &metrics, std::function<bool()> isReady,
                   std::function<void(caller_message &&)> onMessage);
 
@@ -95,7 +95,7 @@
     void onPiece(caller_id id, open_exchange &item, answer_piece &piece);
     void onEnd(open_exchange &item, answer_end &end);
 
-    duty_thread m_duty;
+    event_loop_thread m_duty;
     metric_registry &m_metrics;
     std::function<bool()> m_isReady;
     caller_limits m_limits;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -40,7 +40,7 @@
 class entry_io : public node_environment
 {
 public:
-    entry_io(duty_thread &routing, node_options options, metric_registry &metrics)
+    entry_io(event_loop_thread &routing, node_options options, metric_registry &metrics)
         : node_environment(routing, std::move(options))
         , m_metrics(metrics)
     {
@@ -80,7 +80,7 @@
 class entry_process
 {
 public:
-    entry_process(duty_thread &routing, node_options nodeOptions, entry_options options,
+    entry_process(event_loop_thread &routing, node_options nodeOptions, entry_options options,
                   const caller_server_options &callerOptions, session_mint mint)
         : m_random(std::random_device{}())
         , m_io(routing, std::move(nodeOptions), m_metrics)
@@ -435,7 +435,7 @@
     }
     blockStopSignals();
     startLog(given.text("log-level"), given.flag("log-json"));
-    duty_thread routing("routing");
+    event_loop_thread routing("routing");
     entry_process process(routing, std::move(nodeOptions), std::move(options), callers,
                           session_mint(keys));
     error = process.start();
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -183,7 +183,7 @@
 
 struct http_server::state
 {
-    duty_thread &duty;
+    event_loop_thread &duty;
     http_server_options options;
     http_handler handler;
     std::shared_ptr<connection_watch> watch = std::make_shared<connection_watch>();
@@ -204,7 +204,7 @@
     return request;
 }
 
-http_server::http_server(duty_thread &duty, const http_server_options &options,
+http_server::http_server(event_loop_thread &duty, const http_server_options &options,
                          http_handler handler)
     : m_state(new state{duty, options, std::move(handler)})
 {
--- a/lib/Node/Drain.cpp
+++ b/lib/Node/Drain.cpp
@@ -33,14 +33,14 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-static bool askIdle(duty_thread &routing, const std::function<bool()> &isIdle)
+static bool askIdle(event_loop_thread &routing, const std::function<bool()> &isIdle)
 {
     std::promise<bool> answer;
     routing.post([&] { answer.set_value(isIdle()); });
     return answer.get_future().get();
 }
 
-bool laurelcroft::waitAndDrain(duty_thread &routing, const drain_steps &steps)
+bool laurelcroft::waitAndDrain(event_loop_thread &routing, const drain_steps &steps)
 {
     const sigset_t signals = stopSignals();
     int received = 0;
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -38,8 +38,8 @@
 
 struct fleet_duty::state
 {
-    state(duty_thread &routing, wire::member self, std::string key, membership_options options,
-          std::function<void(fleet_news &&)> onNews)
+    state(event_loop_thread &routing, wire::member self, std::string key,
+          membership_options options, std::function<void(fleet_news &&)> onNews)
         : duty("fleet")
         , runtime(duty.context())
         , port{udp::socket(duty.context())}
@@ -51,7 +51,7 @@
     {
     }
 
-    duty_thread duty;
+    event_loop_thread duty;
     asio_runtime runtime;
     udp_port port;
     random_source random;
@@ -67,7 +67,7 @@
     void begin(const std::vector<std::string> &seeds);
 };
 
-fleet_duty::fleet_duty(duty_thread &routing, wire::member self, std::string key,
+fleet_duty::fleet_duty(event_loop_thread &routing, wire::member self, std::string key,
                        membership_options options, std::function<void(fleet_news &&)> onNews)
     : m_state(std::make_unique<state>(routing, std::move(self), std::move(key), options,
                                       std::move(onNews)))
--- a/lib/Node/FleetDuty.h
+++ b/lib/Node/FleetDuty.h
@@ -25,8 +25,8 @@
 {
 public:
     /// \param onNews runs on \p routing.
-    fleet_duty(duty_thread &routing, wire::member self, std::string key, membership_options options,
-               std::function<void(fleet_news &&)> onNews);
+    fleet_duty(event_loop_thread &routing, wire::member self, std::string key,
+               membership_options options, std::function<void(fleet_news &&)> onNews);
     ~fleet_duty();
 
     /// Binds the socket; \returns an empty string or what failed.
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -34,7 +34,7 @@
 
 struct node::state
 {
-    state(duty_thread &routing, node_options options)
+    state(event_loop_thread &routing, node_options options)
         : routing(routing)
         , options(std::move(options))
         , runtime(routing.context())
@@ -48,7 +48,7 @@
     {
     }
 
-    duty_thread &routing;
+    event_loop_thread &routing;
     node_options options;
     asio_runtime runtime;
     http_client client;
@@ -85,7 +85,7 @@
     }
 };
 
-node::node(duty_thread &routing, node_options options)
+node::node(event_loop_thread &routing, node_options options)
     : m_state(std::make_unique<state>(routing, std::move(options)))
 {
 }
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -135,7 +135,7 @@
         return 1;
     }
     blockStopSignals();
-    duty_thread duty("standin");
+    event_loop_thread duty("standin");
     asio_runtime runtime(duty.context());
     standin_base base(runtime, static_cast<std::uint64_t>(given.number("seed")));
     const std::unique_ptr<standin_role> role = makeRole(base, given);
--- a/lib/Support/EventLoopThread.cpp
+++ b/lib/Support/EventLoopThread.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t longestThreadName = 15;
 } // namespace
 
-struct duty_thread::state
+struct event_loop_thread::state
 {
     explicit state(std::string name)
         : name(std::move(name))
@@ -33,36 +33,36 @@
     std::thread thread;
 };
 
-duty_thread::duty_thread(std::string name)
+event_loop_thread::event_loop_thread(std::string name)
     : m_state(std::make_unique<state>(std::move(name)))
 {
 }
 
-duty_thread::~duty_thread()
+event_loop_thread::~event_loop_thread()
 {
     stop();
 }
 
-asio::io_context &duty_thread::context()
+asio::io_context &event_loop_thread::context()
 {
     return m_state->context;
 }
 
-void duty_thread::start()
+void event_loop_thread::start()
 {
     m_state->thread = std::thread([this] { m_state->context.run(); });
     const std::string name = m_state->name.substr(0, longestThreadName);
     pthread_setname_np(m_state->thread.native_handle(), name.c_str());
 }
 
-void duty_thread::stop()
+void event_loop_thread::stop()
 {
     m_state->context.stop();
     if (m_state->thread.joinable())
         m_state->thread.join();
 }
 
-void duty_thread::post(std::function<void()> action)
+void event_loop_thread::post(std::function<void()> action)
 {
     asio::post(m_state->context, std::move(action));
 }
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -112,8 +112,8 @@
 
 TEST_CASE("a channel hands on every message in order, also past its capacity")
 {
-    duty_thread producer("producer");
-    duty_thread consumer("consumer");
+    event_loop_thread producer("producer");
+    event_loop_thread consumer("consumer");
     std::promise<std::vector<int>> result;
     std::vector<int> seen;
     constexpr int count = 1000;
@@ -137,8 +137,8 @@
 
 TEST_CASE("a full channel refuses what may be refused")
 {
-    duty_thread producer("producer");
-    duty_thread consumer("consumer"); // never started
+    event_loop_thread producer("producer");
+    event_loop_thread consumer("consumer"); // never started
     channel<int> ring(producer, consumer, 2, [](int &&) {});
     CHECK(ring.tryPush(1));
     CHECK(ring.tryPush(2));
