--- a/include/laurelcroft/Platform/Gate.h
+++ b/include/laurelcroft/Platform/Gate.h
@@ -33,7 +33,7 @@
 
 private:
     token_bucket m_calls;
-    breaker m_breaker;
+    circuit_breaker m_breaker;
 };
 
 } // namespace laurelcroft
--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -11,10 +11,10 @@
 namespace laurelcroft {
 
 /// Opens after failures in a row and lets one call through after a wait that doubles.
-class breaker
+class circuit_breaker
 {
 public:
-    breaker(int failuresToOpen, duration firstWait, duration longestWait)
+    circuit_breaker(int failuresToOpen, duration firstWait, duration longestWait)
         : m_failuresToOpen(failuresToOpen)
         , m_firstWait(firstWait)
         , m_longestWait(longestWait)
--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -9,7 +9,7 @@
 
 using namespace laurelcroft;
 
-bool breaker::allows(time_point now)
+bool circuit_breaker::allows(time_point now)
 {
     if (!isOpen())
         return true;
@@ -19,14 +19,14 @@
     return true;
 }
 
-void breaker::succeeded()
+void circuit_breaker::succeeded()
 {
     m_failures = 0;
     m_trying = false;
     m_wait = m_firstWait;
 }
 
-void breaker::failed(time_point now)
+void circuit_breaker::failed(time_point now)
 {
     m_failures += 1;
     if (!isOpen())
@@ -38,7 +38,7 @@
     m_openUntil = now + m_wait;
 }
 
-milliseconds breaker::retryAfter(time_point now) const
+milliseconds circuit_breaker::retryAfter(time_point now) const
 {
     if (!isOpen())
         return milliseconds(0);
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -171,7 +171,7 @@
 TEST_CASE("a breaker opens after failures, tries once, and doubles its wait")
 {
     manual_runtime runtime;
-    breaker item(2, seconds(1), seconds(8));
+    circuit_breaker item(2, seconds(1), seconds(8));
     item.failed(runtime.now());
     CHECK(item.allows(runtime.now()));
     item.failed(runtime.now());
