--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -25,7 +25,7 @@
     /// \returns true when a call may be made at \p now.
     bool allows(time_point now);
 
-    void succeeded();
+    void recordSuccess();
     void failed(time_point now);
 
     bool isOpen() const { return m_failures >= m_failuresToOpen; }
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -31,7 +31,7 @@
 
 void platform_gate::succeeded()
 {
-    m_breaker.succeeded();
+    m_breaker.recordSuccess();
 }
 
 void platform_gate::failed(time_point now)
--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -19,7 +19,7 @@
     return true;
 }
 
-void circuit_breaker::succeeded()
+void circuit_breaker::recordSuccess()
 {
     m_failures = 0;
     m_trying = false;
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -183,7 +183,7 @@
     CHECK(item.retryAfter(runtime.now()) == seconds(2));
     runtime.advance(seconds(2));
     CHECK(item.allows(runtime.now()));
-    item.succeeded();
+    item.recordSuccess();
     CHECK_FALSE(item.isOpen());
 }
 
