--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -26,7 +26,7 @@
     bool allows(time_point now);
 
     void recordSuccess();
-    void failed(time_point now);
+    void recordFailure(time_point now);
 
     bool isOpen() const { return m_failures >= m_failuresToOpen; }
 
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -36,7 +36,7 @@
 
 void platform_gate::failed(time_point now)
 {
-    m_breaker.failed(now);
+    m_breaker.recordFailure(now);
 }
 
 milliseconds platform_gate::retryAfter(time_point now) const
--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -26,7 +26,7 @@
     m_wait = m_firstWait;
 }
 
-void circuit_breaker::failed(time_point now)
+void circuit_breaker::recordFailure(time_point now)
 {
     m_failures += 1;
     if (!isOpen())
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -172,14 +172,14 @@
 {
     manual_runtime runtime;
     circuit_breaker item(2, seconds(1), seconds(8));
-    item.failed(runtime.now());
+    item.recordFailure(runtime.now());
     CHECK(item.allows(runtime.now()));
-    item.failed(runtime.now());
+    item.recordFailure(runtime.now());
     CHECK_FALSE(item.allows(runtime.now()));
     runtime.advance(seconds(1));
     CHECK(item.allows(runtime.now()));
     CHECK_FALSE(item.allows(runtime.now())); // one trial at a time
-    item.failed(runtime.now());
+    item.recordFailure(runtime.now());
     CHECK(item.retryAfter(runtime.now()) == seconds(2));
     runtime.advance(seconds(2));
     CHECK(item.allows(runtime.now()));
