--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -40,7 +40,7 @@
     duration m_wait;
     int m_failures = 0;
     time_point m_openUntil{};
-    bool m_trying = false;
+    bool m_trialInProgress = false;
 };
 
 } // namespace laurelcroft
--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -13,16 +13,16 @@
 {
     if (!isOpen())
         return true;
-    if (m_trying || now < m_openUntil)
+    if (m_trialInProgress || now < m_openUntil)
         return false;
-    m_trying = true;
+    m_trialInProgress = true;
     return true;
 }
 
 void circuit_breaker::recordSuccess()
 {
     m_failures = 0;
-    m_trying = false;
+    m_trialInProgress = false;
     m_wait = m_firstWait;
 }
 
@@ -32,9 +32,9 @@
     if (!isOpen())
         return;
     // Only a failed trial doubles the wait: many calls may fail at the same time.
-    if (m_trying)
+    if (m_trialInProgress)
         m_wait = std::min(m_longestWait, m_wait * 2);
-    m_trying = false;
+    m_trialInProgress = false;
     m_openUntil = now + m_wait;
 }
 
