--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -16,7 +16,7 @@
 public:
     circuit_breaker(int failuresToOpen, duration firstWait, duration longestWait)
         : m_failuresToOpen(failuresToOpen)
-        , m_firstWait(firstWait)
+        , m_initialWait(firstWait)
         , m_longestWait(longestWait)
         , m_wait(firstWait)
     {
@@ -35,7 +35,7 @@
 
 private:
     int m_failuresToOpen;
-    duration m_firstWait;
+    duration m_initialWait;
     duration m_longestWait;
     duration m_wait;
     int m_failures = 0;
--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -23,7 +23,7 @@
 {
     m_failures = 0;
     m_trialInProgress = false;
-    m_wait = m_firstWait;
+    m_wait = m_initialWait;
 }
 
 void circuit_breaker::recordFailure(time_point now)
@@ -42,6 +42,6 @@
 {
     if (!isOpen())
         return milliseconds(0);
-    const duration left = std::max<duration>(m_openUntil - now, m_firstWait);
+    const duration left = std::max<duration>(m_openUntil - now, m_initialWait);
     return std::chrono::ceil<milliseconds>(left);
 }
