--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -17,7 +17,7 @@
     circuit_breaker(int failuresToOpen, duration firstWait, duration longestWait)
         : m_failuresToOpen(failuresToOpen)
         , m_initialWait(firstWait)
-        , m_longestWait(longestWait)
+        , m_maxWait(longestWait)
         , m_wait(firstWait)
     {
     }
@@ -36,7 +36,7 @@
 private:
     int m_failuresToOpen;
     duration m_initialWait;
-    duration m_longestWait;
+    duration m_maxWait;
     duration m_wait;
     int m_failures = 0;
     time_point m_openUntil{};
--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -33,7 +33,7 @@
         return;
     // Only a failed trial doubles the wait: many calls may fail at the same time.
     if (m_trialInProgress)
-        m_wait = std::min(m_longestWait, m_wait * 2);
+        m_wait = std::min(m_maxWait, m_wait * 2);
     m_trialInProgress = false;
     m_openUntil = now + m_wait;
 }
