--- a/include/laurelcroft/Support/Compression.h
+++ b/include/laurelcroft/Support/Compression.h
@@ -14,10 +14,10 @@
 namespace laurelcroft {
 
 /// \returns \p text in zlib's format; nothing when there is no memory for it.
-std::optional<std::string> deflated(std::string_view text);
+std::optional<std::string> zlibCompress(std::string_view text);
 
 /// \param largest bytes that the result may have; a longer one is refused.
-/// \returns the text that deflated() made \p bytes of; nothing when they are malformed.
+/// \returns the text that zlibCompress() made \p bytes of; nothing when they are malformed.
 std::optional<std::string> inflated(std::string_view bytes, std::size_t largest);
 
 } // namespace laurelcroft
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -50,7 +50,7 @@
     packed_rows result{packed(items), false};
     if (result.bytes.size() < minDeflatedSize)
         return result;
-    std::optional<std::string> smaller = deflated(result.bytes);
+    std::optional<std::string> smaller = zlibCompress(result.bytes);
     if (!smaller)
         return result;
     return {std::move(*smaller), true};
--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::optional<std::string> laurelcroft::deflated(std::string_view text)
+std::optional<std::string> laurelcroft::zlibCompress(std::string_view text)
 {
     uLongf size = compressBound(text.size());
     std::string bytes(size, '\0');
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -241,12 +241,12 @@
 TEST_CASE("a deflated text comes back, and other bytes or too long a text are refused")
 {
     const std::string text(100000, 'a');
-    const std::optional<std::string> bytes = deflated(text);
+    const std::optional<std::string> bytes = zlibCompress(text);
     REQUIRE(bytes);
     CHECK(bytes->size() < 1000);
     CHECK(inflated(*bytes, text.size()) == text);
     CHECK(!inflated(*bytes, text.size() - 1));
     CHECK(!inflated("no such bytes", 1000));
     CHECK(!inflated("", 1000));
-    CHECK(inflated(*deflated(""), 10) == "");
+    CHECK(inflated(*zlibCompress(""), 10) == "");
 }
