--- a/include/laurelcroft/Support/Compression.h
+++ b/include/laurelcroft/Support/Compression.h
@@ -18,7 +18,7 @@
 
 /// \param largest bytes that the result may have; a longer one is refused.
 /// \returns the text that zlibCompress() made \p bytes of; nothing when they are malformed.
-std::optional<std::string> inflated(std::string_view bytes, std::size_t largest);
+std::optional<std::string> zlibDecompress(std::string_view bytes, std::size_t largest);
 
 } // namespace laurelcroft
 
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -96,7 +96,7 @@
     const bool isDeflated = item.at(field++).get<bool>();
     std::optional<std::string> rows = toText(item.at(field));
     if (isDeflated)
-        rows = inflated(*rows, maxRowBytes);
+        rows = zlibDecompress(*rows, maxRowBytes);
     if (!rows)
         return std::nullopt;
     batch.rows = decodeRows(*rows);
--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -32,7 +32,7 @@
     return bytes;
 }
 
-std::optional<std::string> laurelcroft::inflated(std::string_view bytes, std::size_t largest)
+std::optional<std::string> laurelcroft::zlibDecompress(std::string_view bytes, std::size_t largest)
 {
     std::size_t room = std::min(largest, std::max<std::size_t>(1, bytes.size()) * firstGuess);
     while (true) {
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -244,9 +244,9 @@
     const std::optional<std::string> bytes = zlibCompress(text);
     REQUIRE(bytes);
     CHECK(bytes->size() < 1000);
-    CHECK(inflated(*bytes, text.size()) == text);
-    CHECK(!inflated(*bytes, text.size() - 1));
-    CHECK(!inflated("no such bytes", 1000));
-    CHECK(!inflated("", 1000));
-    CHECK(inflated(*zlibCompress(""), 10) == "");
+    CHECK(zlibDecompress(*bytes, text.size()) == text);
+    CHECK(!zlibDecompress(*bytes, text.size() - 1));
+    CHECK(!zlibDecompress("no such bytes", 1000));
+    CHECK(!zlibDecompress("", 1000));
+    CHECK(zlibDecompress(*zlibCompress(""), 10) == "");
 }
