--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -16,7 +16,7 @@
 /// Rows repeat their field names, so that the fastest level already leaves a tenth.
 constexpr int level = Z_BEST_SPEED;
 /// Room for a result before its size is known, as a multiple of the input.
-constexpr std::size_t firstGuess = 8;
+constexpr std::size_t initialSizeFactor = 8;
 
 } // namespace
 
@@ -34,7 +34,8 @@
 
 std::optional<std::string> laurelcroft::zlibDecompress(std::string_view bytes, std::size_t largest)
 {
-    std::size_t room = std::min(largest, std::max<std::size_t>(1, bytes.size()) * firstGuess);
+    std::size_t room
+            = std::min(largest, std::max<std::size_t>(1, bytes.size()) * initialSizeFactor);
     while (true) {
         std::string text(room, '\0');
         uLongf size = room;
@@ -47,6 +48,6 @@
         }
         if (result != Z_BUF_ERROR || room >= largest)
             return std::nullopt;
-        room = std::min(largest, room * firstGuess);
+        room = std::min(largest, room * initialSizeFactor);
     }
 }
