--- a/include/laurelcroft/Support/MessagePack.h
+++ b/include/laurelcroft/Support/MessagePack.h
@@ -15,7 +15,7 @@
 namespace laurelcroft {
 
 /// Names of entries, endpoints, services, routes and customers are shorter.
-inline constexpr std::size_t longestName = 200;
+inline constexpr std::size_t maxNameBytes = 200;
 
 /// \returns \p value in MessagePack.
 inline std::string packed(const nlohmann::json &value)
@@ -37,7 +37,7 @@
 /// \returns true for a text that may be a name; it may be empty.
 inline bool isName(const nlohmann::json &item)
 {
-    return item.is_string() && item.get_ref<const std::string &>().size() <= longestName;
+    return item.is_string() && item.get_ref<const std::string &>().size() <= maxNameBytes;
 }
 
 } // namespace laurelcroft
--- a/lib/Proxy/EntryAnnouncement.cpp
+++ b/lib/Proxy/EntryAnnouncement.cpp
@@ -35,7 +35,7 @@
     entry_announcement announcement{item[0].get<std::string>(),
                                     decodeEntry(item[2].get<std::string>()),
                                     milliseconds(item[1].get<std::int64_t>())};
-    const bool isNamed = !announcement.entry.empty() && announcement.entry.size() <= longestName;
+    const bool isNamed = !announcement.entry.empty() && announcement.entry.size() <= maxNameBytes;
     if (!isNamed || announcement.place.address.empty())
         return std::nullopt;
     return announcement;
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -81,7 +81,7 @@
     if (!prefixes)
         return std::nullopt;
     send_notice notice{item[0].get<std::string>(), milliseconds(prefillTime), *prefixes};
-    if (notice.endpoint.empty() || notice.endpoint.size() > longestName)
+    if (notice.endpoint.empty() || notice.endpoint.size() > maxNameBytes)
         return std::nullopt;
     return notice;
 }
