--- a/include/laurelcroft/Support/Runtime.h
+++ b/include/laurelcroft/Support/Runtime.h
@@ -50,7 +50,7 @@
 
 /// For tests: from now on bootNow() is \p asleep further on, as after a suspension of the instance,
 /// which the steady clock does not count.
-void pretendSuspension(duration asleep);
+void simulateSuspension(duration asleep);
 
 /// Milliseconds since the epoch, for records that people read and for what is accounted by time of
 /// day. It may jump: no timer uses it.
--- a/lib/Support/Runtime.cpp
+++ b/lib/Support/Runtime.cpp
@@ -27,7 +27,7 @@
     return time_point(seconds(reading.tv_sec) + duration(reading.tv_nsec) + pretended);
 }
 
-void laurelcroft::pretendSuspension(duration asleep)
+void laurelcroft::simulateSuspension(duration asleep)
 {
     pretendedAsleep += asleep.count();
 }
--- a/unittests/Http/ClientSuspensionTests.cpp
+++ b/unittests/Http/ClientSuspensionTests.cpp
@@ -28,7 +28,7 @@
     client.fetch(call, [&](outcome<http_reply, http_error> reply) { result = std::move(reply); });
     context.run_for(milliseconds(50));
     CHECK_FALSE(result);
-    pretendSuspension(seconds(31));
+    simulateSuspension(seconds(31));
     context.restart();
     context.run_for(milliseconds(400));
     REQUIRE(result);
--- a/unittests/Proxy/CallerServerTests.cpp
+++ b/unittests/Proxy/CallerServerTests.cpp
@@ -272,7 +272,7 @@
     fixture.reconnect();
     fixture.settle();
     CHECK(fixture.server.connections() == 1);
-    pretendSuspension(seconds(11));
+    simulateSuspension(seconds(11));
     fixture.context.restart();
     fixture.context.run_for(std::chrono::milliseconds(250));
     CHECK(fixture.server.connections() == 0);
--- a/unittests/Proxy/EndpointCallerTests.cpp
+++ b/unittests/Proxy/EndpointCallerTests.cpp
@@ -306,7 +306,7 @@
     fixture.send(socket, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n");
     fixture.settle();
     REQUIRE(first.end == call_end::complete);
-    pretendSuspension(seconds(10));
+    simulateSuspension(seconds(10));
     call_result second;
     fixture.start("b", second);
     fixture.settle();
--- a/unittests/Support/SuspensionTests.cpp
+++ b/unittests/Support/SuspensionTests.cpp
@@ -31,7 +31,7 @@
     runtime.after(2 * asleep, [&] { isEarly = true; });
     context.run_for(milliseconds(20));
     CHECK_FALSE(isDue);
-    pretendSuspension(asleep);
+    simulateSuspension(asleep);
     context.run_for(noticed);
     CHECK(isDue);
     CHECK_FALSE(isEarly);
@@ -41,7 +41,7 @@
 {
     asio::io_context context;
     asio_runtime runtime(context);
-    pretendSuspension(asleep);
+    simulateSuspension(asleep);
     const time_point began = bootNow();
     time_point fired{};
     runtime.after(milliseconds(150), [&] { fired = bootNow(); });
@@ -56,7 +56,7 @@
     asio_runtime runtime(context);
     bool isDue = false;
     const timer_id timer = runtime.after(asleep, [&] { isDue = true; });
-    pretendSuspension(asleep);
+    simulateSuspension(asleep);
     runtime.cancel(timer);
     context.run_for(milliseconds(150));
     CHECK_FALSE(isDue);
