--- a/lib/Support/Runtime.cpp
+++ b/lib/Support/Runtime.cpp
@@ -17,19 +17,19 @@
 using namespace laurelcroft;
 
 /// What pretended suspensions add, nanoseconds.
-static std::atomic<std::int64_t> pretendedAsleep{0};
+static std::atomic<std::int64_t> simulatedSuspension{0};
 
 time_point laurelcroft::bootNow()
 {
     timespec reading{};
     clock_gettime(CLOCK_BOOTTIME, &reading);
-    const duration pretended(pretendedAsleep.load(std::memory_order_relaxed));
+    const duration pretended(simulatedSuspension.load(std::memory_order_relaxed));
     return time_point(seconds(reading.tv_sec) + duration(reading.tv_nsec) + pretended);
 }
 
 void laurelcroft::simulateSuspension(duration asleep)
 {
-    pretendedAsleep += asleep.count();
+    simulatedSuspension += asleep.count();
 }
 
 std::int64_t laurelcroft::wallMilliseconds()
