--- a/include/laurelcroft/Support/UdpAddress.h
+++ b/include/laurelcroft/Support/UdpAddress.h
@@ -18,7 +18,7 @@
 namespace laurelcroft {
 
 /// \returns the endpoint of "ip:port"; nothing for any other text.
-inline std::optional<asio::ip::udp::endpoint> udpEndpointIn(std::string_view address)
+inline std::optional<asio::ip::udp::endpoint> parseUdpEndpoint(std::string_view address)
 {
     std::string host;
     std::uint16_t port = 0;
--- a/lib/Node/FleetDuty.cpp
+++ b/lib/Node/FleetDuty.cpp
@@ -29,7 +29,7 @@
     void send(const std::string &address, const std::string &bytes)
     {
         asio::error_code ignored;
-        if (const auto to = udpEndpointIn(address))
+        if (const auto to = parseUdpEndpoint(address))
             socket.send_to(asio::buffer(bytes), *to, 0, ignored);
     }
 };
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -292,7 +292,7 @@
     for (const auto &[dataCentre, others] : names) {
         // Each entry ranks the others differently, so that all entries are notified by some.
         for (const std::string &name : topRanked(others, own, maxRecipients)) {
-            if (const auto listener = udpEndpointIn(entries.at(name).address))
+            if (const auto listener = parseUdpEndpoint(entries.at(name).address))
                 m_state->recipients[dataCentre].push_back(*listener);
         }
     }
@@ -308,7 +308,7 @@
     m_state->others.clear();
     m_state->byName.clear();
     for (const std::string &name : topRanked(names, own, names.size())) {
-        if (const auto address = udpEndpointIn(entries.at(name).address)) {
+        if (const auto address = parseUdpEndpoint(entries.at(name).address)) {
             m_state->others.push_back(*address);
             m_state->byName[name] = *address;
         }
@@ -319,7 +319,7 @@
 {
     m_state->readers.clear();
     for (const std::string &name : storeReaders(entries)) {
-        const auto reader = udpEndpointIn(entries.at(name).address);
+        const auto reader = parseUdpEndpoint(entries.at(name).address);
         if (reader && name != own)
             m_state->readers.push_back(*reader);
     }
