--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -183,7 +183,7 @@
     if (m_runtime.now() < m_nextOmittedLineAt)
         return;
     m_nextOmittedLineAt = m_runtime.now() + seconds(1);
-    const std::uint64_t held = m_endpointLines.takeHeld();
+    const std::uint64_t held = m_endpointLines.takeSuppressedCount();
     if (held == 0)
         return;
     m_metrics.add("log_lines_held_total", held);
--- a/include/laurelcroft/Support/LogLimiter.h
+++ b/include/laurelcroft/Support/LogLimiter.h
@@ -33,7 +33,7 @@
     }
 
     /// \returns the lines that did not pass since the last call.
-    std::uint64_t takeHeld() { return std::exchange(m_held, 0); }
+    std::uint64_t takeSuppressedCount() { return std::exchange(m_held, 0); }
 
 private:
     token_bucket m_lines;
--- a/lib/Proxy/ProxyServer.cpp
+++ b/lib/Proxy/ProxyServer.cpp
@@ -258,8 +258,8 @@
 
 void proxy_server::state::logSuppressedLines()
 {
-    const std::uint64_t ordinarySuppressed = ordinary.takeHeld();
-    const std::uint64_t unusualSuppressed = unusual.takeHeld();
+    const std::uint64_t ordinarySuppressed = ordinary.takeSuppressedCount();
+    const std::uint64_t unusualSuppressed = unusual.takeSuppressedCount();
     const std::uint64_t lost = takeDroppedLines();
     metrics.add("log_lines_held_total", ordinarySuppressed + unusualSuppressed);
     metrics.add("log_lines_lost_total", lost);
--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -195,8 +195,8 @@
     for (int i = 0; i < 25; ++i)
         passed += limiter.allows(now) ? 1 : 0;
     CHECK(passed == 10);
-    CHECK(limiter.takeHeld() == 15);
-    CHECK(limiter.takeHeld() == 0);
+    CHECK(limiter.takeSuppressedCount() == 15);
+    CHECK(limiter.takeSuppressedCount() == 0);
     now += milliseconds(500);
     passed = 0;
     for (int i = 0; i < 25; ++i)
