--- a/include/laurelcroft/Support/LogLimiter.h
+++ b/include/laurelcroft/Support/LogLimiter.h
@@ -28,16 +28,16 @@
     bool allows(time_point now)
     {
         const bool allowed = m_lines.take(1, now);
-        m_held += allowed ? 0 : 1;
+        m_suppressedCount += allowed ? 0 : 1;
         return allowed;
     }
 
     /// \returns the lines that did not pass since the last call.
-    std::uint64_t takeSuppressedCount() { return std::exchange(m_held, 0); }
+    std::uint64_t takeSuppressedCount() { return std::exchange(m_suppressedCount, 0); }
 
 private:
     token_bucket m_lines;
-    std::uint64_t m_held = 0;
+    std::uint64_t m_suppressedCount = 0;
 };
 
 } // namespace laurelcroft
