--- a/include/laurelcroft/Support/BootTimer.h
+++ b/include/laurelcroft/Support/BootTimer.h
@@ -34,13 +34,13 @@
 struct boot_wait_traits
 {
     /// Noticed this much late after a suspension at most: short against any deadline.
-    static constexpr milliseconds longestPiece{100};
+    static constexpr milliseconds maxClockPollInterval{100};
 
     // Asio gives the names.
     // NOLINTBEGIN(readability-identifier-naming)
     static duration to_wait_duration(const duration &left)
     {
-        return std::min<duration>(left, longestPiece);
+        return std::min<duration>(left, maxClockPollInterval);
     }
     static duration to_wait_duration(const time_point &end)
     {
