--- a/lib/Support/EventLoopThread.cpp
+++ b/lib/Support/EventLoopThread.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 /// Linux cuts a thread's name at 15 characters.
-constexpr std::size_t longestThreadName = 15;
+constexpr std::size_t maxThreadNameLength = 15;
 } // namespace
 
 struct event_loop_thread::state
@@ -51,7 +51,7 @@
 void event_loop_thread::start()
 {
     m_state->thread = std::thread([this] { m_state->context.run(); });
-    const std::string name = m_state->name.substr(0, longestThreadName);
+    const std::string name = m_state->name.substr(0, maxThreadNameLength);
     pthread_setname_np(m_state->thread.native_handle(), name.c_str());
 }
 
