--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -34,7 +34,7 @@
 
 /// Overflow strategy of the queue: a line that finds it full is dropped and counted. The names
 /// of its functions are Boost.Log's.
-class counting_drop
+class drop_and_count_on_overflow
 {
 public:
     static std::atomic<std::uint64_t> &dropped()
@@ -56,8 +56,9 @@
     // NOLINTEND(readability-identifier-naming)
 };
 
-using sink_type = sinks::asynchronous_sink<sinks::text_ostream_backend,
-                                           sinks::bounded_fifo_queue<queuedLines, counting_drop>>;
+using sink_type = sinks::asynchronous_sink<
+        sinks::text_ostream_backend,
+        sinks::bounded_fifo_queue<queuedLines, drop_and_count_on_overflow>>;
 
 constexpr std::array<std::string_view, 12> partNames
         = {"start", "caller", "routing",  "agent",  "placement", "bundle",
@@ -120,7 +121,7 @@
 
 std::uint64_t laurelcroft::takeDroppedLines()
 {
-    return counting_drop::dropped().exchange(0);
+    return drop_and_count_on_overflow::dropped().exchange(0);
 }
 
 bool laurelcroft::logEnabled(log_level level)
