--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -30,7 +30,7 @@
 
 namespace {
 
-constexpr std::size_t queuedLines = 8192;
+constexpr std::size_t maxQueuedLines = 8192;
 
 /// Overflow strategy of the queue: a line that finds it full is dropped and counted. The names
 /// of its functions are Boost.Log's.
@@ -58,7 +58,7 @@
 
 using sink_type = sinks::asynchronous_sink<
         sinks::text_ostream_backend,
-        sinks::bounded_fifo_queue<queuedLines, drop_and_count_on_overflow>>;
+        sinks::bounded_fifo_queue<maxQueuedLines, drop_and_count_on_overflow>>;
 
 constexpr std::array<std::string_view, 12> partNames
         = {"start", "caller", "routing",  "agent",  "placement", "bundle",
