--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -68,7 +68,7 @@
 struct log_state
 {
     boost::shared_ptr<sink_type> sink;
-    std::atomic<int> least{static_cast<int>(log_level::info)};
+    std::atomic<int> minLevel{static_cast<int>(log_level::info)};
     bool json = false;
 };
 
@@ -99,7 +99,7 @@
 {
     for (std::size_t i = 0; i < levelNames.size(); ++i) {
         if (levelNames[i] == level)
-            state().least = static_cast<int>(i);
+            state().minLevel = static_cast<int>(i);
     }
     state().json = json;
     auto backend = boost::make_shared<sinks::text_ostream_backend>();
@@ -126,7 +126,7 @@
 
 bool laurelcroft::logEnabled(log_level level)
 {
-    return state().sink && static_cast<int>(level) >= state().least;
+    return state().sink && static_cast<int>(level) >= state().minLevel;
 }
 
 void laurelcroft::logLine(log_level level, log_part part, std::string_view sentence,
