--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -80,7 +80,7 @@
     return instance;
 }
 
-static std::string timeText()
+static std::string formatUtcTime()
 {
     const auto now = std::chrono::system_clock::now();
     const std::time_t whole = std::chrono::system_clock::to_time_t(now);
@@ -139,7 +139,7 @@
     std::string line;
     if (state().json) {
         nlohmann::ordered_json object;
-        object["time"] = timeText();
+        object["time"] = formatUtcTime();
         object["level"] = levelName;
         object["part"] = partName;
         object["message"] = sentence;
@@ -147,7 +147,7 @@
             object[std::string(field.name)] = field.value;
         line = object.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     } else {
-        line = timeText() + " " + std::string(levelName) + " " + std::string(partName) + ": "
+        line = formatUtcTime() + " " + std::string(levelName) + " " + std::string(partName) + ": "
                 + std::string(sentence);
         for (const log_field &field : fields)
             line += " " + std::string(field.name) + "=" + field.value;
