--- a/lib/Support/Metrics.cpp
+++ b/lib/Support/Metrics.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr double lowestSeconds = 1e-5;
+constexpr double minSeconds = 1e-5;
 constexpr double highestSeconds = 1e3;
 constexpr unsigned binsPerDecade = 48;
 constexpr unsigned decades = 8;
@@ -33,7 +33,7 @@
 struct latency_histogram::state
 {
     histogram_type bins
-            = bh::make_histogram(log_axis(binsPerDecade * decades, lowestSeconds, highestSeconds));
+            = bh::make_histogram(log_axis(binsPerDecade * decades, minSeconds, highestSeconds));
     std::uint64_t count = 0;
     std::chrono::nanoseconds sum{0};
 };
