--- a/lib/Support/Metrics.cpp
+++ b/lib/Support/Metrics.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr double minSeconds = 1e-5;
-constexpr double highestSeconds = 1e3;
+constexpr double maxSeconds = 1e3;
 constexpr unsigned binsPerDecade = 48;
 constexpr unsigned decades = 8;
 
@@ -33,7 +33,7 @@
 struct latency_histogram::state
 {
     histogram_type bins
-            = bh::make_histogram(log_axis(binsPerDecade * decades, minSeconds, highestSeconds));
+            = bh::make_histogram(log_axis(binsPerDecade * decades, minSeconds, maxSeconds));
     std::uint64_t count = 0;
     std::chrono::nanoseconds sum{0};
 };
@@ -63,11 +63,11 @@
         seen += static_cast<double>(*bin);
         if (seen < wanted || seen == 0)
             continue;
-        const double edge = std::min(bin.bin(0).upper(), highestSeconds);
+        const double edge = std::min(bin.bin(0).upper(), maxSeconds);
         return std::chrono::duration_cast<std::chrono::nanoseconds>(
                 std::chrono::duration<double>(edge));
     }
-    return std::chrono::seconds(static_cast<std::int64_t>(highestSeconds));
+    return std::chrono::seconds(static_cast<std::int64_t>(maxSeconds));
 }
 
 std::uint64_t latency_histogram::count() const
