--- a/lib/Support/Crypto.cpp
+++ b/lib/Support/Crypto.cpp
@@ -157,9 +157,9 @@
 
 static std::optional<std::string> decodeSixBits(std::string_view text, std::string_view digits)
 {
-    constexpr int notADigit = -1;
+    constexpr int invalidDigit = -1;
     std::array<int, 256> values{};
-    values.fill(notADigit);
+    values.fill(invalidDigit);
     for (std::size_t i = 0; i < digits.size(); ++i)
         values[static_cast<unsigned char>(digits[i])] = static_cast<int>(i);
     std::string bytes;
@@ -168,7 +168,7 @@
     int bits = 0;
     for (const char c : text) {
         const int value = values[static_cast<unsigned char>(c)];
-        if (value == notADigit)
+        if (value == invalidDigit)
             return std::nullopt;
         buffer = (buffer << 6) | static_cast<std::uint32_t>(value);
         bits += 6;
