--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -29,7 +29,7 @@
     return variable;
 }
 
-static bool readNumber(std::string_view text, std::int64_t &value)
+static bool parseInteger(std::string_view text, std::int64_t &value)
 {
     const char *end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, value);
@@ -44,7 +44,7 @@
     if (item.kind != setting_kind::number)
         return {};
     std::int64_t number = 0;
-    if (!readNumber(value, number))
+    if (!parseInteger(value, number))
         return "--" + item.name + ": '" + std::string(value) + "' is not a whole number";
     if (number >= item.least && number <= item.most)
         return {};
@@ -173,7 +173,7 @@
 std::int64_t settings::number(std::string_view name) const
 {
     std::int64_t value = 0;
-    readNumber(text(name), value);
+    parseInteger(text(name), value);
     return value;
 }
 
@@ -206,7 +206,7 @@
     if (colon == std::string_view::npos || colon == 0)
         return false;
     std::int64_t number = 0;
-    if (!readNumber(text.substr(colon + 1), number) || number < 0 || number > UINT16_MAX)
+    if (!parseInteger(text.substr(colon + 1), number) || number < 0 || number > UINT16_MAX)
         return false;
     host = text.substr(0, colon);
     port = static_cast<std::uint16_t>(number);
