--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -21,7 +21,7 @@
 #define LAURELCROFT_VERSION "0.1.0"
 #endif
 
-static std::string variableName(std::string_view name)
+static std::string environmentVariableName(std::string_view name)
 {
     std::string variable = "LAURELCROFT_";
     for (const char c : name)
@@ -40,7 +40,7 @@
 static std::string checkValue(const setting &item, std::string_view value)
 {
     if (item.required && value.empty())
-        return "--" + item.name + " (or " + variableName(item.name) + ") is required";
+        return "--" + item.name + " (or " + environmentVariableName(item.name) + ") is required";
     if (item.kind != setting_kind::number)
         return {};
     std::int64_t number = 0;
@@ -130,7 +130,7 @@
         errors.push_back("unexpected word '" + m_words.front() + "'");
     for (const setting &item : m_settings) {
         std::string value = item.defaultText;
-        if (const char *variable = std::getenv(variableName(item.name).c_str()))
+        if (const char *variable = std::getenv(environmentVariableName(item.name).c_str()))
             value = variable;
         if (item.kind == setting_kind::flag) {
             if (given[item.name].as<bool>())
@@ -187,7 +187,8 @@
     std::ostringstream out;
     out << m_program << " - " << m_summary << "\n\nSettings (flag, environment variable):\n";
     for (const setting &item : m_settings) {
-        out << "  --" << item.name << "  " << variableName(item.name) << "\n      " << item.help;
+        out << "  --" << item.name << "  " << environmentVariableName(item.name) << "\n      "
+            << item.help;
         if (item.kind == setting_kind::number)
             out << " (" << item.least << ".." << item.most
                 << (item.unit.empty() ? "" : " " + item.unit) << ")";
