--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -87,7 +87,7 @@
             {std::move(name), setting_kind::flag, "false", "", 0, 0, false, std::move(help)});
 }
 
-static po::options_description describe(const std::vector<setting> &items)
+static po::options_description makeOptionsDescription(const std::vector<setting> &items)
 {
     po::options_description description;
     auto add = description.add_options();
@@ -105,7 +105,7 @@
 
 std::vector<std::string> settings::check(const std::vector<std::string> &arguments)
 {
-    const po::options_description description = describe(m_settings);
+    const po::options_description description = makeOptionsDescription(m_settings);
     po::positional_options_description positional;
     positional.add("words", -1);
     po::variables_map given;
