--- a/include/laurelcroft/Support/Settings.h
+++ b/include/laurelcroft/Support/Settings.h
@@ -25,7 +25,7 @@
     setting_kind kind;
     std::string defaultText; ///< empty and `required`: must be given
     std::string unit; ///< "ms", "bytes"; empty for none
-    std::int64_t least;
+    std::int64_t minimum;
     std::int64_t most;
     bool required;
     std::string help;
