--- a/include/laurelcroft/Support/Settings.h
+++ b/include/laurelcroft/Support/Settings.h
@@ -26,7 +26,7 @@
     std::string defaultText; ///< empty and `required`: must be given
     std::string unit; ///< "ms", "bytes"; empty for none
     std::int64_t minimum;
-    std::int64_t most;
+    std::int64_t maximum;
     bool required;
     std::string help;
 };
--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -46,11 +46,11 @@
     std::int64_t number = 0;
     if (!parseInteger(value, number))
         return "--" + item.name + ": '" + std::string(value) + "' is not a whole number";
-    if (number >= item.minimum && number <= item.most)
+    if (number >= item.minimum && number <= item.maximum)
         return {};
     std::ostringstream out;
     out << "--" << item.name << ": " << number << " is outside " << item.minimum << ".."
-        << item.most;
+        << item.maximum;
     if (!item.unit.empty())
         out << " " << item.unit;
     return out.str();
@@ -191,7 +191,7 @@
         out << "  --" << item.name << "  " << environmentVariableName(item.name) << "\n      "
             << item.help;
         if (item.kind == setting_kind::number)
-            out << " (" << item.minimum << ".." << item.most
+            out << " (" << item.minimum << ".." << item.maximum
                 << (item.unit.empty() ? "" : " " + item.unit) << ")";
         if (item.required)
             out << " [required]\n";
