--- a/include/laurelcroft/Support/Settings.h
+++ b/include/laurelcroft/Support/Settings.h
@@ -61,7 +61,7 @@
     const std::vector<std::string> &words() const { return m_words; }
 
     /// Lets words stand beside the flags; by default they are errors.
-    void allowWords() { m_wordsAllowed = true; }
+    void allowWords() { m_positionalArgumentsAllowed = true; }
 
     std::string helpText() const;
 
@@ -71,7 +71,7 @@
     std::vector<setting> m_settings;
     std::map<std::string, std::string, std::less<>> m_values;
     std::vector<std::string> m_words;
-    bool m_wordsAllowed = false;
+    bool m_positionalArgumentsAllowed = false;
 };
 
 /// Parts of "host:port". \returns false when \p text is not of that form.
--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -127,7 +127,7 @@
         m_words = given["words"].as<std::vector<std::string>>();
 
     std::vector<std::string> errors;
-    if (!m_words.empty() && !m_wordsAllowed)
+    if (!m_words.empty() && !m_positionalArgumentsAllowed)
         errors.push_back("unexpected word '" + m_words.front() + "'");
     for (const setting &item : m_settings) {
         std::string value = item.defaultText;
