--- a/include/laurelcroft/Support/Settings.h
+++ b/include/laurelcroft/Support/Settings.h
@@ -58,7 +58,7 @@
     bool flag(std::string_view name) const;
 
     /// Words that are no flags, in order.
-    const std::vector<std::string> &words() const { return m_words; }
+    const std::vector<std::string> &words() const { return m_positionalArguments; }
 
     /// Lets words stand beside the flags; by default they are errors.
     void allowWords() { m_positionalArgumentsAllowed = true; }
@@ -70,7 +70,7 @@
     std::string m_summary;
     std::vector<setting> m_settings;
     std::map<std::string, std::string, std::less<>> m_values;
-    std::vector<std::string> m_words;
+    std::vector<std::string> m_positionalArguments;
     bool m_positionalArgumentsAllowed = false;
 };
 
--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -124,11 +124,11 @@
     m_values["help"] = given.count("help") ? "true" : "false";
     m_values["version"] = given.count("version") ? "true" : "false";
     if (given.count("words"))
-        m_words = given["words"].as<std::vector<std::string>>();
+        m_positionalArguments = given["words"].as<std::vector<std::string>>();
 
     std::vector<std::string> errors;
-    if (!m_words.empty() && !m_positionalArgumentsAllowed)
-        errors.push_back("unexpected word '" + m_words.front() + "'");
+    if (!m_positionalArguments.empty() && !m_positionalArgumentsAllowed)
+        errors.push_back("unexpected word '" + m_positionalArguments.front() + "'");
     for (const setting &item : m_settings) {
         std::string value = item.defaultText;
         if (const char *variable = std::getenv(environmentVariableName(item.name).c_str()))
