--- a/include/laurelcroft/Support/Settings.h
+++ b/include/laurelcroft/Support/Settings.h
@@ -61,7 +61,7 @@
     const std::vector<std::string> &words() const { return m_positionalArguments; }
 
     /// Lets words stand beside the flags; by default they are errors.
-    void allowWords() { m_positionalArgumentsAllowed = true; }
+    void allowPositionalArguments() { m_positionalArgumentsAllowed = true; }
 
     std::string helpText() const;
 
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -137,7 +137,7 @@
 
 void laurelcroft::addLoadSettings(settings &declared)
 {
-    declared.allowWords();
+    declared.allowPositionalArguments();
     declared.addText("html", "", "file for a page with plots (run)");
     declared.addFlag("json", "print JSON lines instead of a table (run)");
     declared.addText("urls", "", "base URLs, separated by commas");
--- a/lib/Operator/Operator.cpp
+++ b/lib/Operator/Operator.cpp
@@ -46,7 +46,7 @@
     summary += "\nExit codes: 0 done, 1 failed, 2 wrong usage, 3 invalid bundle, 4 another "
                "operator was faster,\n5 the platform cannot be reached, 6 more operators must sign";
     settings declared("laurelcroft", summary);
-    declared.allowWords();
+    declared.allowPositionalArguments();
     declared.addText("table-url", "", "table service");
     declared.addText("objects-url", "", "object store");
     declared.addText("admin-url", "", "admin address of an entry, for status and explain");
