--- a/include/laurelcroft/Support/Settings.h
+++ b/include/laurelcroft/Support/Settings.h
@@ -58,7 +58,7 @@
     bool flag(std::string_view name) const;
 
     /// Words that are no flags, in order.
-    const std::vector<std::string> &words() const { return m_positionalArguments; }
+    const std::vector<std::string> &positionalArguments() const { return m_positionalArguments; }
 
     /// Lets words stand beside the flags; by default they are errors.
     void allowPositionalArguments() { m_positionalArgumentsAllowed = true; }
--- a/lib/Load/LoadTool.cpp
+++ b/lib/Load/LoadTool.cpp
@@ -111,11 +111,11 @@
 
 static int runExperiments(const settings &given)
 {
-    if (given.words().size() != 2) {
+    if (given.positionalArguments().size() != 2) {
         std::cerr << "laurelcroft-load: error: run takes one file\n";
         return 2;
     }
-    std::ifstream in(given.words()[1]);
+    std::ifstream in(given.positionalArguments()[1]);
     const std::string source{std::istreambuf_iterator<char>(in), {}};
     std::vector<trial_row> rows;
     try {
@@ -125,8 +125,8 @@
                 return 1;
         }
     } catch (const YAML::Exception &error) {
-        std::cerr << "laurelcroft-load: error: " << given.words()[1] << ": " << error.what()
-                  << "\n";
+        std::cerr << "laurelcroft-load: error: " << given.positionalArguments()[1] << ": "
+                  << error.what() << "\n";
         return 1;
     }
     std::cout << (given.flag("json") ? jsonLines(rows) : textTable(rows));
@@ -155,7 +155,8 @@
 
 int laurelcroft::runLoadTool(const settings &given)
 {
-    const std::string word = given.words().empty() ? "" : given.words().front();
+    const std::string word
+            = given.positionalArguments().empty() ? "" : given.positionalArguments().front();
     if (word == "http")
         return runHttp(given);
     if (word == "run")
--- a/lib/Operator/Operator.cpp
+++ b/lib/Operator/Operator.cpp
@@ -81,12 +81,16 @@
     default:
         return 0;
     }
-    const std::string name = given.words().empty() ? "" : given.words().front();
+    const std::string name
+            = given.positionalArguments().empty() ? "" : given.positionalArguments().front();
     for (const command &item : commands) {
         if (item.name != name)
             continue;
         operator_platform platform(given.text("table-url"), given.text("objects-url"));
-        command_context context{given, {given.words().begin() + 1, given.words().end()}, platform};
+        command_context context{
+                given,
+                {given.positionalArguments().begin() + 1, given.positionalArguments().end()},
+                platform};
         const report result = item.run(context);
         print(result, given.text("output") == "json");
         return static_cast<int>(result.exit);
