--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -19,7 +19,7 @@
     /// \param perSecond tokens that come in a second; \param most that it holds.
     token_bucket(double perSecond, double most)
         : m_perSecond(perSecond)
-        , m_most(most)
+        , m_capacity(most)
         , m_tokens(most)
     {
     }
@@ -29,7 +29,7 @@
     {
         const std::chrono::duration<double> since = now - m_filledAt;
         m_filledAt = now;
-        m_tokens = std::min(m_most, m_tokens + std::max(0.0, since.count()) * m_perSecond);
+        m_tokens = std::min(m_capacity, m_tokens + std::max(0.0, since.count()) * m_perSecond);
         return m_tokens >= amount;
     }
 
@@ -53,7 +53,7 @@
 
 private:
     double m_perSecond;
-    double m_most;
+    double m_capacity;
     double m_tokens;
     time_point m_filledAt{};
 };
