--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -27,8 +27,8 @@
     /// \returns true when \p amount could be taken at \p now.
     bool has(double amount, time_point now)
     {
-        const std::chrono::duration<double> since = now - m_filledAt;
-        m_filledAt = now;
+        const std::chrono::duration<double> since = now - m_refilledAt;
+        m_refilledAt = now;
         m_tokens = std::min(m_capacity, m_tokens + std::max(0.0, since.count()) * m_perSecond);
         return m_tokens >= amount;
     }
@@ -55,7 +55,7 @@
     double m_perSecond;
     double m_capacity;
     double m_tokens;
-    time_point m_filledAt{};
+    time_point m_refilledAt{};
 };
 
 } // namespace laurelcroft
