--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -18,7 +18,7 @@
 public:
     /// \param perSecond tokens that come in a second; \param most that it holds.
     token_bucket(double perSecond, double most)
-        : m_perSecond(perSecond)
+        : m_tokensPerSecond(perSecond)
         , m_capacity(most)
         , m_tokens(most)
     {
@@ -29,7 +29,8 @@
     {
         const std::chrono::duration<double> since = now - m_refilledAt;
         m_refilledAt = now;
-        m_tokens = std::min(m_capacity, m_tokens + std::max(0.0, since.count()) * m_perSecond);
+        m_tokens
+                = std::min(m_capacity, m_tokens + std::max(0.0, since.count()) * m_tokensPerSecond);
         return m_tokens >= amount;
     }
 
@@ -48,11 +49,11 @@
     /// \returns how long after it was last asked it has \p amount.
     std::chrono::duration<double> until(double amount) const
     {
-        return std::chrono::duration<double>(std::max(0.0, amount - m_tokens) / m_perSecond);
+        return std::chrono::duration<double>(std::max(0.0, amount - m_tokens) / m_tokensPerSecond);
     }
 
 private:
-    double m_perSecond;
+    double m_tokensPerSecond;
     double m_capacity;
     double m_tokens;
     time_point m_refilledAt{};
