--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -25,7 +25,7 @@
     }
 
     /// \returns true when \p amount could be taken at \p now.
-    bool has(double amount, time_point now)
+    bool refillAndCheck(double amount, time_point now)
     {
         const std::chrono::duration<double> since = now - m_refilledAt;
         m_refilledAt = now;
@@ -40,7 +40,7 @@
     /// \returns true and takes \p amount when it has it at \p now.
     bool take(double amount, time_point now)
     {
-        if (!has(amount, now))
+        if (!refillAndCheck(amount, now))
             return false;
         spend(amount);
         return true;
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -23,7 +23,7 @@
 
 bool platform_gate::pass(time_point now)
 {
-    if (!m_calls.has(1, now) || !m_breaker.allows(now))
+    if (!m_calls.refillAndCheck(1, now) || !m_breaker.allows(now))
         return false;
     m_calls.spend(1);
     return true;
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -218,7 +218,7 @@
     const double reserve = isUrgent ? 0 : findingBurstBytes / 2;
     const time_point now = bootNow();
     for (std::size_t i = 0; i < std::min(maxRecipients, others.size()); ++i) {
-        if (!findingBytes.has(cost + reserve, now)) {
+        if (!findingBytes.refillAndCheck(cost + reserve, now)) {
             metrics.add("finding_notices_total{way=\"held\"}");
             return;
         }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -132,7 +132,7 @@
                 others.push_back(&entry);
         }
         for (std::size_t i = 0; i < notice_channel::maxRecipients && !others.empty(); ++i) {
-            if (!bytes.has(cost + reserve, entries.runtime.now()))
+            if (!bytes.refillAndCheck(cost + reserve, entries.runtime.now()))
                 return;
             bytes.spend(cost);
             const std::size_t index = random.index(others.size());
