--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -35,14 +35,14 @@
     }
 
     /// Takes \p amount, which it has.
-    void spend(double amount) { m_tokens -= amount; }
+    void consume(double amount) { m_tokens -= amount; }
 
     /// \returns true and takes \p amount when it has it at \p now.
     bool take(double amount, time_point now)
     {
         if (!refillAndCheck(amount, now))
             return false;
-        spend(amount);
+        consume(amount);
         return true;
     }
 
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -25,7 +25,7 @@
 {
     if (!m_calls.refillAndCheck(1, now) || !m_breaker.allows(now))
         return false;
-    m_calls.spend(1);
+    m_calls.consume(1);
     return true;
 }
 
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -222,8 +222,8 @@
             metrics.add("finding_notices_total{way=\"held\"}");
             return;
         }
-        findingBytes.spend(cost);
-        this->bytes.spend(cost);
+        findingBytes.consume(cost);
+        this->bytes.consume(cost);
         nextRecipient = (nextRecipient + 1) % others.size();
         asio::error_code error;
         socket.send_to(asio::buffer(bytes), others[nextRecipient], 0, error);
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -134,7 +134,7 @@
         for (std::size_t i = 0; i < notice_channel::maxRecipients && !others.empty(); ++i) {
             if (!bytes.refillAndCheck(cost + reserve, entries.runtime.now()))
                 return;
-            bytes.spend(cost);
+            bytes.consume(cost);
             const std::size_t index = random.index(others.size());
             fleet_entry *to = others[index];
             others.erase(others.begin() + std::ptrdiff_t(index));
