--- a/include/laurelcroft/Support/LogLimiter.h
+++ b/include/laurelcroft/Support/LogLimiter.h
@@ -27,7 +27,7 @@
     /// \returns true when a line may be written at \p now; otherwise it is counted.
     bool allows(time_point now)
     {
-        const bool allowed = m_lines.take(1, now);
+        const bool allowed = m_lines.tryConsume(1, now);
         m_suppressedCount += allowed ? 0 : 1;
         return allowed;
     }
--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -38,7 +38,7 @@
     void consume(double amount) { m_tokens -= amount; }
 
     /// \returns true and takes \p amount when it has it at \p now.
-    bool take(double amount, time_point now)
+    bool tryConsume(double amount, time_point now)
     {
         if (!refillAndCheck(amount, now))
             return false;
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -332,7 +332,7 @@
     bool isSentToAll = true;
     for (const udp::endpoint &reader : m_state->readers) {
         asio::error_code error;
-        if (m_state->bytes.take(cost, bootNow()))
+        if (m_state->bytes.tryConsume(cost, bootNow()))
             m_state->socket.send_to(asio::buffer(bytes), reader, 0, error);
         else
             error = asio::error::no_buffer_space;
@@ -354,7 +354,7 @@
             {notice.endpoint, std::min(notice.prefillTime, maxPrefillTime), notice.prefixes});
     const double cost = static_cast<double>(bytes.size()) + headerBytes;
     for (const udp::endpoint &listener : it->second) {
-        if (!m_state->bytes.take(cost, bootNow())) {
+        if (!m_state->bytes.tryConsume(cost, bootNow())) {
             m_state->metrics.add("send_notices_total{way=\"held\"}");
             return;
         }
