--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -47,7 +47,7 @@
     }
 
     /// \returns how long after it was last asked it has \p amount.
-    std::chrono::duration<double> until(double amount) const
+    std::chrono::duration<double> timeUntil(double amount) const
     {
         return std::chrono::duration<double>(std::max(0.0, amount - m_tokens) / m_tokensPerSecond);
     }
--- a/lib/Platform/Gate.cpp
+++ b/lib/Platform/Gate.cpp
@@ -44,5 +44,5 @@
     const milliseconds open = m_breaker.retryAfter(now);
     if (open.count() > 0)
         return open;
-    return std::chrono::duration_cast<milliseconds>(m_calls.until(1)) + milliseconds(1);
+    return std::chrono::duration_cast<milliseconds>(m_calls.timeUntil(1)) + milliseconds(1);
 }
