--- a/include/laurelcroft/Support/BootTimer.h
+++ b/include/laurelcroft/Support/BootTimer.h
@@ -1,12 +1,13 @@
-//===-- Support/BootTimer.h - timers that count suspensions ------*- C++ -*-===//
+//===-- Support/BootTimer.h - timers on CLOCK_BOOTTIME ----------*- C++ -*-===//
 //
-// Asio's timers count the steady clock, which stands still while an instance is suspended, so that
-// a deadline would end late by all that time. These go by the clock that decisions go by.
+// Asio's timers use std::chrono::steady_clock, which does not advance while an instance is
+// suspended: a deadline would expire late by the length of the suspension. The timers declared here
+// use bootNow(), the clock that all other code compares deadlines with.
 //
-// A wait is cut into pieces, after each of which the clock is read again. A timerfd on
-// CLOCK_BOOTTIME would wake without pieces; it would need a queue of its own in each context, for
-// 0.1 s once after each suspension. The pieces cost ten wake-ups a second where nothing else
-// happens, 0.0004 of a core.
+// A long wait is split into intervals of at most maxClockPollInterval, and the clock is read again
+// after each. A timerfd on CLOCK_BOOTTIME would not need polling, but would need its own timer
+// queue in each io_context, only to save a delay of up to 0.1 s after each suspension. In an idle
+// process polling costs ten wake-ups per second, 0.0004 of a core.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_BOOTTIMER_H
@@ -20,7 +21,7 @@
 
 namespace laurelcroft {
 
-/// The clock of \c bootNow, for Asio.
+/// Adapts \c bootNow to the clock type that Asio's timers require.
 struct boot_clock
 {
     using duration = laurelcroft::duration;
@@ -30,17 +31,17 @@
     static time_point now() { return bootNow(); }
 };
 
-/// How long Asio waits before it reads the clock again.
+/// Limits how long Asio waits before it reads the clock again.
 struct boot_wait_traits
 {
-    /// Noticed this much late after a suspension at most: short against any deadline.
+    /// Upper bound of a timer's extra delay after a suspension; short compared with any deadline.
     static constexpr milliseconds maxClockPollInterval{100};
 
-    // Asio gives the names.
+    // Asio requires these names.
     // NOLINTBEGIN(readability-identifier-naming)
-    static duration to_wait_duration(const duration &left)
+    static duration to_wait_duration(const duration &remaining)
     {
-        return std::min<duration>(left, maxClockPollInterval);
+        return std::min<duration>(remaining, maxClockPollInterval);
     }
     static duration to_wait_duration(const time_point &end)
     {
