--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -1,6 +1,7 @@
-//===-- Support/CircuitBreaker.h - stays away from a failing service ----*- C++ -*-===//
+//===-- Support/CircuitBreaker.h - circuit breaker --------------*- C++ -*-===//
 //
-// Driven by results alone; it reads no clock of its own.
+// Stops calls to a service that keeps failing. The caller reports the result of each call and
+// passes in the time; the class reads no clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_CIRCUITBREAKER_H
@@ -10,19 +11,21 @@
 
 namespace laurelcroft {
 
-/// Opens after failures in a row and lets one call through after a wait that doubles.
+/// Opens after a number of consecutive failures, then allows one trial call after each wait. The
+/// wait doubles with every failed trial, up to a maximum.
 class circuit_breaker
 {
 public:
-    circuit_breaker(int failuresToOpen, duration firstWait, duration longestWait)
+    circuit_breaker(int failuresToOpen, duration initialWait, duration maxWait)
         : m_failuresToOpen(failuresToOpen)
-        , m_initialWait(firstWait)
-        , m_maxWait(longestWait)
-        , m_wait(firstWait)
+        , m_initialWait(initialWait)
+        , m_maxWait(maxWait)
+        , m_wait(initialWait)
     {
     }
 
-    /// \returns true when a call may be made at \p now.
+    /// \returns true if a call may be made at \p now. When open, this starts the trial call, whose
+    /// result must be reported.
     bool allows(time_point now);
 
     void recordSuccess();
@@ -30,7 +33,7 @@
 
     bool isOpen() const { return m_failures >= m_failuresToOpen; }
 
-    /// \returns how long callers should stay away; 0 when it is closed.
+    /// \returns how long callers should wait before they retry; 0 when the breaker is closed.
     milliseconds retryAfter(time_point now) const;
 
 private:
