--- a/include/laurelcroft/Support/Compression.h
+++ b/include/laurelcroft/Support/Compression.h
@@ -1,6 +1,6 @@
-//===-- Support/Compression.h - smaller texts --------------------*- C++ -*-===//
+//===-- Support/Compression.h - zlib compression ----------------*- C++ -*-===//
 //
-// zlib's format, for what entries send to each other.
+// Compresses the data that entries send to each other, in the zlib format.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_COMPRESSION_H
@@ -13,12 +13,15 @@
 
 namespace laurelcroft {
 
-/// \returns \p text in zlib's format; nothing when there is no memory for it.
+/// \returns \p text compressed in the zlib format, or std::nullopt if zlib fails to allocate
+/// memory.
 std::optional<std::string> zlibCompress(std::string_view text);
 
-/// \param largest bytes that the result may have; a longer one is refused.
-/// \returns the text that zlibCompress() made \p bytes of; nothing when they are malformed.
-std::optional<std::string> zlibDecompress(std::string_view bytes, std::size_t largest);
+/// Reverses zlibCompress().
+/// \param maxSize largest accepted size of the decompressed text in bytes.
+/// \returns the decompressed text, or std::nullopt if \p bytes is malformed or the text is too
+/// long.
+std::optional<std::string> zlibDecompress(std::string_view bytes, std::size_t maxSize);
 
 } // namespace laurelcroft
 
