--- a/include/laurelcroft/Support/Crypto.h
+++ b/include/laurelcroft/Support/Crypto.h
@@ -1,7 +1,7 @@
-//===-- Support/Crypto.h - digests, keys and signatures ----------*- C++ -*-===//
+//===-- Support/Crypto.h - digests, keys and signatures ---------*- C++ -*-===//
 //
-// Thin typed wrappers over OpenSSL: SHA-256, HMAC, Ed25519, random bytes and the
-// text encodings that carry them.
+// Thin wrappers over OpenSSL for SHA-256, HMAC, Ed25519 and random bytes; hexadecimal and base64
+// encodings; and a non-cryptographic hash.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_CRYPTO_H
@@ -24,52 +24,56 @@
 /// \returns the 32 raw bytes of the HMAC-SHA-256 of \p data under \p key.
 std::string hmacSha256(std::string_view key, std::string_view data);
 
-/// Compares in a time that does not depend on where the first difference is.
+/// Compares two strings in a time that does not depend on the position of the first difference.
 bool constantTimeEqual(std::string_view left, std::string_view right);
 
-/// \returns \p size bytes from the system's generator, as hexadecimal digits.
+/// \returns \p size bytes from OpenSSL's random generator, as hexadecimal digits.
 std::string randomHex(std::size_t size);
 
 std::string toHex(std::string_view bytes);
 
-/// \returns the bytes, or nothing when \p text is not hexadecimal.
+/// \returns the decoded bytes, or std::nullopt if \p text is not hexadecimal.
 std::optional<std::string> fromHex(std::string_view text);
 
+/// Encodes without padding.
 std::string toBase64Url(std::string_view bytes);
 
-/// \returns the bytes, or nothing when \p text is not unpadded base64url.
+/// \returns the decoded bytes, or std::nullopt if \p text is not unpadded base64url.
 std::optional<std::string> fromBase64Url(std::string_view text);
 
-/// The padded alphabet that stores and mail use.
+/// Encodes in standard base64 (RFC 4648) with padding.
 std::string toBase64(std::string_view bytes);
 
-/// \returns the bytes, or nothing when \p text is not padded base64.
+/// Decodes standard base64; padding is optional.
+/// \returns the decoded bytes, or std::nullopt if \p text contains any other character.
 std::optional<std::string> fromBase64(std::string_view text);
 
-/// Spreads the bits of \p value over all of a number, by the finaliser of splitmix64. Cheap where
-/// names were hashed before.
+/// Mixes \p value with the finalizer of splitmix64, so that each input bit affects all output bits.
+/// Cheaper than stableHash() where the hash of a name is already known.
 std::uint64_t mixedBits(std::uint64_t value);
 
-/// A stable 64-bit hash for rendezvous ranking; not for security.
+/// \returns a 64-bit hash that is the same in every process, for rendezvous hashing. Not
+/// cryptographically secure.
 std::uint64_t stableHash(std::string_view data, std::uint64_t seed = 0);
 
-/// An Ed25519 key pair as hexadecimal digits.
+/// An Ed25519 key pair in hexadecimal.
 struct signing_key
 {
     std::string secretHex;
     std::string publicHex;
 };
 
-/// Makes a new key pair from the system's generator.
+/// Generates a new random key pair.
 signing_key makeSigningKey();
 
-/// \returns the public half of \p secretHex, or nothing when it is no Ed25519 key.
+/// \returns the public key that belongs to \p secretHex, or std::nullopt if that is not a valid
+/// Ed25519 secret key.
 std::optional<std::string> publicKeyOf(std::string_view secretHex);
 
-/// \returns the signature as hexadecimal digits, or nothing for a bad key.
+/// \returns the signature in hexadecimal, or std::nullopt if the key is invalid.
 std::optional<std::string> signEd25519(std::string_view secretHex, std::string_view data);
 
-/// \returns true when \p signatureHex is \p publicHex's signature of \p data.
+/// \returns true if \p signatureHex is a valid signature of \p data by the key \p publicHex.
 bool verifyEd25519(std::string_view publicHex, std::string_view data,
                    std::string_view signatureHex);
 
