--- a/include/laurelcroft/Support/EventLoopThread.h
+++ b/include/laurelcroft/Support/EventLoopThread.h
@@ -1,7 +1,8 @@
-//===-- Support/EventLoopThread.h - a thread for each duty, bounded rings ---*- C++ -*-===//
+//===-- Support/EventLoopThread.h - event loops and channels ----*- C++ -*-===//
 //
-// A duty is a thread with an asio context of its own. Duties share nothing and
-// speak through channels: a bounded single-producer ring that wakes its consumer.
+// An event loop thread owns an asio::io_context and runs it. Such threads share no state; they
+// exchange messages through channels, which are bounded single-producer, single-consumer queues.
+// A push wakes the consumer.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_EVENTLOOPTHREAD_H
@@ -23,7 +24,7 @@
 
 namespace laurelcroft {
 
-/// A named thread that runs one asio context.
+/// A named thread that runs its own asio::io_context.
 class event_loop_thread
 {
 public:
@@ -34,13 +35,13 @@
 
     asio::io_context &context();
 
-    /// Starts the thread; what was posted before runs first.
+    /// Starts the thread. Actions that were posted earlier run first.
     void start();
 
-    /// Stops the context and joins the thread; safe to call twice.
+    /// Stops the io_context and joins the thread. May be called more than once.
     void stop();
 
-    /// Runs \p action on this duty's thread.
+    /// Queues \p action to run on this thread.
     void post(std::function<void()> action);
 
 private:
@@ -48,13 +49,13 @@
     std::unique_ptr<state> m_state;
 };
 
-/// A bounded ring from one duty to another. Only the producer's thread pushes.
+/// A bounded queue from one event loop thread to another. Only the producer's thread may push.
 template <class T>
 class channel
 {
 public:
-    /// \param capacity the number of messages the ring holds.
-    /// \param handler is called on the consumer's thread, once for each message, in order.
+    /// \param capacity number of messages that the queue holds.
+    /// \param handler called on the consumer's thread for each message, in order.
     channel(event_loop_thread &producer, event_loop_thread &consumer, std::size_t capacity,
             std::function<void(T &&)> handler)
         : m_producer(producer)
@@ -64,8 +65,8 @@
     {
     }
 
-    /// Pushes a message that the producer may refuse instead.
-    /// \returns false when the ring is full; \p message is then untouched.
+    /// Pushes a message unless the queue is full.
+    /// \returns false if the queue is full; \p message is then unchanged.
     bool tryPush(T &&message)
     {
         if (!m_overflow.empty() || !m_ring.push(std::move(message)))
@@ -74,9 +75,9 @@
         return true;
     }
 
-    /// Pushes a message that must not be lost. What finds the ring full waits on the
-    /// producer's side, in order; the number of such messages is bounded by the
-    /// requests in flight.
+    /// Pushes a message that must not be lost. While the queue is full, messages wait in order in
+    /// an overflow list on the producer's side, whose length is bounded by the number of requests
+    /// in flight.
     void push(T message)
     {
         m_overflow.push_back(std::move(message));
@@ -106,7 +107,7 @@
 
     void drain()
     {
-        // The flag is cleared first: a push during the drain posts another one.
+        // Clear the flag before popping, so that a concurrent push posts another drain.
         m_wakePosted.store(false);
         T message;
         while (m_ring.pop(message))
