--- a/include/laurelcroft/Support/MessagePack.h
+++ b/include/laurelcroft/Support/MessagePack.h
@@ -18,7 +18,7 @@
 inline constexpr std::size_t maxNameBytes = 200;
 
 /// \returns \p value in MessagePack.
-inline std::string packed(const nlohmann::json &value)
+inline std::string encodeMessagePack(const nlohmann::json &value)
 {
     std::string bytes;
     nlohmann::json::to_msgpack(value, bytes);
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -55,7 +55,7 @@
         item.push_back(request.ends);
         item.push_back(request.earlier);
     }
-    return packed(item);
+    return encodeMessagePack(item);
 }
 
 static bool isHashList(const json &list)
@@ -106,8 +106,8 @@
 
 std::string laurelcroft::encodeWithheldNotice(const withheld_notice &notice)
 {
-    return packed(json::array({withheldKind, notice.key, notice.service, notice.versions,
-                               notice.ended, notice.remaining.count()}));
+    return encodeMessagePack(json::array({withheldKind, notice.key, notice.service, notice.versions,
+                                          notice.ended, notice.remaining.count()}));
 }
 
 /// Reads the lists of versions and endpoint hashes into \p notice.
@@ -143,7 +143,7 @@
 
 std::string laurelcroft::encodeClearedNotice(const cleared_notice &notice)
 {
-    return packed(json::array({clearedKind, notice.key, notice.version}));
+    return encodeMessagePack(json::array({clearedKind, notice.key, notice.version}));
 }
 
 std::optional<cleared_notice> laurelcroft::decodeClearedNotice(std::string_view bytes)
--- a/lib/Proxy/EntryAnnouncement.cpp
+++ b/lib/Proxy/EntryAnnouncement.cpp
@@ -20,7 +20,7 @@
 
 std::string laurelcroft::encodeAnnouncement(const entry_announcement &announcement)
 {
-    return toBase64(packed(json::array(
+    return toBase64(encodeMessagePack(json::array(
             {announcement.entry, announcement.wallTime.count(), encodeEntry(announcement.place)})));
 }
 
--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -39,7 +39,7 @@
         item.push_back(seen.failed);
         item.push_back(seen.slow);
     }
-    return packed(item);
+    return encodeMessagePack(item);
 }
 
 static bool isNamed(const json &item)
--- a/lib/Proxy/LeavingNotice.cpp
+++ b/lib/Proxy/LeavingNotice.cpp
@@ -19,7 +19,7 @@
 
 std::string laurelcroft::encodeLeavingNotice(const leaving_notice &notice)
 {
-    return packed(json::array({kind, notice.endpoint, notice.startedAt, notice.hops}));
+    return encodeMessagePack(json::array({kind, notice.endpoint, notice.startedAt, notice.hops}));
 }
 
 std::optional<leaving_notice> laurelcroft::decodeLeavingNotice(std::string_view bytes)
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -45,7 +45,7 @@
         item.push_back(notice.prefixes[i].hash);
         item.push_back(notice.prefixes[i].tokens);
     }
-    return packed(item);
+    return encodeMessagePack(item);
 }
 
 /// \returns the prefixes in \p item, or nothing if one is malformed.
--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -25,7 +25,8 @@
 {
     const json limit = notice.perSecond ? json(*notice.perSecond) : json();
     const auto age = static_cast<std::uint64_t>(std::max<std::int64_t>(0, notice.age.count()));
-    return packed(json::array({kind, notice.endpoint, notice.startedAt, limit, age, notice.hops}));
+    return encodeMessagePack(
+            json::array({kind, notice.endpoint, notice.startedAt, limit, age, notice.hops}));
 }
 
 /// \returns true for a finite rate of at least 0, or nil.
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -47,7 +47,7 @@
             item.push_back(toBinary(row.value));
         items.push_back(std::move(item));
     }
-    packed_rows result{packed(items), false};
+    packed_rows result{encodeMessagePack(items), false};
     if (result.bytes.size() < minDeflatedSize)
         return result;
     std::optional<std::string> smaller = zlibCompress(result.bytes);
@@ -65,7 +65,7 @@
                                      batch.storeTime.count(), news.about.age.count(),
                                      news.rows.isDeflated, toBinary(news.rows.bytes)}));
     }
-    return packed(items);
+    return encodeMessagePack(items);
 }
 
 static std::vector<store_row> decodeRows(const std::string &bytes)
--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -121,7 +121,7 @@
 
 std::string laurelcroft::encodeUsageMessage(const usage_message &message)
 {
-    return packed(std::visit([](const auto &item) { return encoded(item); }, message));
+    return encodeMessagePack(std::visit([](const auto &item) { return encoded(item); }, message));
 }
 
 std::optional<usage_message> laurelcroft::decodeUsageMessage(std::string_view bytes)
--- a/unittests/Proxy/LeavingNoticeTests.cpp
+++ b/unittests/Proxy/LeavingNoticeTests.cpp
@@ -53,16 +53,16 @@
 TEST_CASE("bytes that are not a leaving notice are rejected")
 {
     const json valid = json::array({"leaving", "e1", 7U, 1U});
-    REQUIRE(decodeLeavingNotice(packed(valid)));
+    REQUIRE(decodeLeavingNotice(encodeMessagePack(valid)));
     const std::vector<json> invalid = {"rate_limit", "", -7, 3U};
     for (std::size_t i = 0; i < invalid.size(); ++i) {
         CAPTURE(i);
         json item = valid;
         item[i] = invalid[i];
-        CHECK_FALSE(decodeLeavingNotice(packed(item)));
+        CHECK_FALSE(decodeLeavingNotice(encodeMessagePack(item)));
     }
     CHECK_FALSE(decodeLeavingNotice("x"));
-    CHECK_FALSE(decodeLeavingNotice(packed(json::array({"leaving"}))));
+    CHECK_FALSE(decodeLeavingNotice(encodeMessagePack(json::array({"leaving"}))));
 }
 
 TEST_CASE("a leaving notice is applied, and forwarded a bounded number of times")
--- a/unittests/Proxy/RateLimitNoticeTests.cpp
+++ b/unittests/Proxy/RateLimitNoticeTests.cpp
@@ -53,22 +53,22 @@
 TEST_CASE("bytes that are not a rate limit notice are rejected")
 {
     const json valid = json::array({"rate_limit", "e1", 7U, 1.5, 20U, 1U});
-    REQUIRE(decodeRateLimitNotice(packed(valid)));
+    REQUIRE(decodeRateLimitNotice(encodeMessagePack(valid)));
     const std::vector<json> invalid = {"withheld", "", -7, -1.5, 6000U, 3U};
     for (std::size_t i = 0; i < invalid.size(); ++i) {
         CAPTURE(i);
         json item = valid;
         item[i] = invalid[i];
-        CHECK_FALSE(decodeRateLimitNotice(packed(item)));
+        CHECK_FALSE(decodeRateLimitNotice(encodeMessagePack(item)));
     }
     for (const double limit :
          {std::numeric_limits<double>::infinity(), std::numeric_limits<double>::quiet_NaN()}) {
         json item = valid;
         item[3] = limit;
-        CHECK_FALSE(decodeRateLimitNotice(packed(item)));
+        CHECK_FALSE(decodeRateLimitNotice(encodeMessagePack(item)));
     }
     CHECK_FALSE(decodeRateLimitNotice("x"));
-    CHECK_FALSE(decodeRateLimitNotice(packed(json::array({"rate_limit"}))));
+    CHECK_FALSE(decodeRateLimitNotice(encodeMessagePack(json::array({"rate_limit"}))));
 }
 
 TEST_CASE("a rate limit notice that is older than the known limit is ignored")
