--- a/include/laurelcroft/Support/MessagePack.h
+++ b/include/laurelcroft/Support/MessagePack.h
@@ -27,7 +27,7 @@
 
 /// \returns what \p bytes say in MessagePack; a discarded value, which is of no type, when they are
 /// none or more follows.
-inline nlohmann::json unpacked(std::string_view bytes)
+inline nlohmann::json decodeMessagePack(std::string_view bytes)
 {
     constexpr bool strict = true;
     constexpr bool throws = false;
--- a/lib/Proxy/CrashNotices.cpp
+++ b/lib/Proxy/CrashNotices.cpp
@@ -84,7 +84,7 @@
 
 std::optional<crash_notice> laurelcroft::decodeCrashNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     const bool isWellFormed = item.is_array() && item.size() >= crashNoticeFields
             && isKind(item[0], crashKind) && item[1].is_number_unsigned() && isName(item[2])
             && isName(item[3]) && (item.size() - crashNoticeFields) % requestFields == 0
@@ -125,7 +125,7 @@
 
 std::optional<withheld_notice> laurelcroft::decodeWithheldNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     const bool isWellFormed = item.is_array() && item.size() == withheldNoticeFields
             && isKind(item[0], withheldKind) && item[1].is_number_unsigned() && isName(item[2])
             && item[5].is_number_unsigned();
@@ -148,7 +148,7 @@
 
 std::optional<cleared_notice> laurelcroft::decodeClearedNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     const bool isWellFormed = item.is_array() && item.size() == clearedNoticeFields
             && isKind(item[0], clearedKind) && item[1].is_number_unsigned() && isName(item[2]);
     if (!isWellFormed)
--- a/lib/Proxy/EntryAnnouncement.cpp
+++ b/lib/Proxy/EntryAnnouncement.cpp
@@ -27,7 +27,7 @@
 std::optional<entry_announcement> laurelcroft::decodeAnnouncement(std::string_view bytes)
 {
     const std::optional<std::string> text = fromBase64(std::string(bytes));
-    const json item = text ? unpacked(*text) : json();
+    const json item = text ? decodeMessagePack(*text) : json();
     const bool isWellFormed = item.is_array() && item.size() == fields && isName(item[0])
             && item[1].is_number_integer() && item[2].is_string();
     if (!isWellFormed)
--- a/lib/Proxy/EvidenceNotice.cpp
+++ b/lib/Proxy/EvidenceNotice.cpp
@@ -64,7 +64,7 @@
 
 std::optional<evidence_notice> laurelcroft::decodeEvidenceNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     if (!isWellFormed(item))
         return std::nullopt;
     evidence_notice notice;
--- a/lib/Proxy/LeavingNotice.cpp
+++ b/lib/Proxy/LeavingNotice.cpp
@@ -24,7 +24,7 @@
 
 std::optional<leaving_notice> laurelcroft::decodeLeavingNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     const bool isWellFormed = item.is_array() && item.size() == fields && item[0] == json(kind)
             && isName(item[1]) && item[2].is_number_unsigned() && item[3].is_number_unsigned();
     if (!isWellFormed || item[1].get_ref<const std::string &>().empty())
--- a/lib/Proxy/NoticeChannel.cpp
+++ b/lib/Proxy/NoticeChannel.cpp
@@ -69,7 +69,7 @@
 
 std::optional<send_notice> laurelcroft::decodeSendNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     const bool isWellFormed = item.is_array() && item.size() >= fieldsBeforePrefixes
             && item[0].is_string() && item[1].is_number_unsigned();
     if (!isWellFormed)
--- a/lib/Proxy/RateLimitNotice.cpp
+++ b/lib/Proxy/RateLimitNotice.cpp
@@ -46,7 +46,7 @@
 
 std::optional<rate_limit_notice> laurelcroft::decodeRateLimitNotice(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     if (!isWellFormed(item))
         return std::nullopt;
     const auto age = item[4].get<std::uint64_t>();
--- a/lib/Usage/UsageNotice.cpp
+++ b/lib/Usage/UsageNotice.cpp
@@ -126,7 +126,7 @@
 
 std::optional<usage_message> laurelcroft::decodeUsageMessage(std::string_view bytes)
 {
-    const json item = unpacked(bytes);
+    const json item = decodeMessagePack(bytes);
     const bool isMessage = item.is_array() && !item.empty() && item[0].is_string()
             && item[0].get_ref<const std::string &>().starts_with(noticeKind);
     if (!isMessage)
