--- a/include/laurelcroft/Support/Log.h
+++ b/include/laurelcroft/Support/Log.h
@@ -1,8 +1,7 @@
-//===-- Support/Log.h - structured log lines ---------------------*- C++ -*-===//
+//===-- Support/Log.h - structured logging ----------------------*- C++ -*-===//
 //
-// Short sentences with a fixed prefix for each part, as text or as JSON lines, on standard
-// output.
-// Boost.Log stays behind this header, in one private unit.
+// Writes log lines as text or JSON to standard output. Each line names the component that wrote it.
+// Only Log.cpp includes Boost.Log.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_LOG_H
@@ -15,7 +14,7 @@
 
 namespace laurelcroft {
 
-/// The part of the system that speaks; each has its fixed prefix.
+/// The component that writes a log line; its name is written with the line.
 enum class log_part {
     start,
     caller,
@@ -33,7 +32,7 @@
 
 enum class log_level { debug, info, warning, error };
 
-/// One named value of a log line.
+/// A name and a value in a log line.
 struct log_field
 {
     log_field(std::string_view name, std::string_view value)
@@ -55,39 +54,42 @@
     std::string value;
 };
 
-/// Sets up the process's log once, before threads start.
-/// \param level "debug", "info", "warning" or "error"; \param json one JSON object a line.
+/// Starts logging. Call it once per process, before any other thread starts.
+/// \param level lowest level that is written: "debug", "info", "warning" or "error".
+/// \param json whether to write one JSON object per line instead of text.
 void startLog(std::string_view level, bool json);
 
-/// Writes what is still queued and ends the log.
+/// Writes the queued lines and stops logging.
 void stopLog();
 
-/// Writes one line; lost rather than waited for when the bounded queue is full.
-void logLine(log_level level, log_part part, std::string_view sentence,
+/// Queues one line for writing. When the queue is full the line is dropped, so that the caller
+/// never blocks.
+void logLine(log_level level, log_part part, std::string_view message,
              std::initializer_list<log_field> fields = {});
 
-/// \returns the lines that were lost since the last call because their reader was too slow.
+/// \returns the number of lines dropped since the last call because the reader of the log was too
+/// slow.
 std::uint64_t takeDroppedLines();
 
 bool logEnabled(log_level level);
 
-inline void logInfo(log_part part, std::string_view sentence,
+inline void logInfo(log_part part, std::string_view message,
                     std::initializer_list<log_field> fields = {})
 {
-    logLine(log_level::info, part, sentence, fields);
+    logLine(log_level::info, part, message, fields);
 }
 
-inline void logWarning(log_part part, std::string_view sentence,
+inline void logWarning(log_part part, std::string_view message,
                        std::initializer_list<log_field> fields = {})
 {
-    logLine(log_level::warning, part, sentence, fields);
+    logLine(log_level::warning, part, message, fields);
 }
 
-inline void logDebug(log_part part, std::string_view sentence,
+inline void logDebug(log_part part, std::string_view message,
                      std::initializer_list<log_field> fields = {})
 {
     if (logEnabled(log_level::debug))
-        logLine(log_level::debug, part, sentence, fields);
+        logLine(log_level::debug, part, message, fields);
 }
 
 } // namespace laurelcroft
