--- a/include/laurelcroft/Support/LogLimiter.h
+++ b/include/laurelcroft/Support/LogLimiter.h
@@ -1,7 +1,7 @@
-//===-- Support/LogLimiter.h - bounds ordinary log lines ---------*- C++ -*-===//
+//===-- Support/LogLimiter.h - rate limit for log lines ---------*- C++ -*-===//
 //
-// Lets a bounded number of lines a second pass and counts the rest, so that the volume of
-// a log does not grow with the load.
+// Limits the number of log lines per second and counts the suppressed ones, so that the log volume
+// does not grow with the load.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_LOGLIMITER_H
@@ -14,17 +14,17 @@
 
 namespace laurelcroft {
 
-/// Holds one second's lines.
+/// A token bucket of log lines that allows bursts of up to one second's worth.
 class log_limiter
 {
 public:
-    /// \param perSecond lines that pass.
+    /// \param perSecond number of lines allowed per second.
     explicit log_limiter(double perSecond)
         : m_lines(perSecond, perSecond)
     {
     }
 
-    /// \returns true when a line may be written at \p now; otherwise it is counted.
+    /// \returns true if a line may be written at \p now; otherwise counts it as suppressed.
     bool allows(time_point now)
     {
         const bool allowed = m_lines.tryConsume(1, now);
@@ -32,7 +32,7 @@
         return allowed;
     }
 
-    /// \returns the lines that did not pass since the last call.
+    /// \returns the number of lines suppressed since the last call.
     std::uint64_t takeSuppressedCount() { return std::exchange(m_suppressedCount, 0); }
 
 private:
