--- a/include/laurelcroft/Support/MessagePack.h
+++ b/include/laurelcroft/Support/MessagePack.h
@@ -1,6 +1,6 @@
-//===-- Support/MessagePack.h - bytes that entries send each other -*- C++ -*-===//
+//===-- Support/MessagePack.h - MessagePack encoding ------------*- C++ -*-===//
 //
-// Between a JSON value and its MessagePack.
+// Converts between JSON values and MessagePack, the encoding of messages between entries.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_MESSAGEPACK_H
@@ -14,10 +14,10 @@
 
 namespace laurelcroft {
 
-/// Names of entries, endpoints, services, routes and customers are shorter.
+/// Longest accepted name of an entry, endpoint, service, route or customer, in bytes.
 inline constexpr std::size_t maxNameBytes = 200;
 
-/// \returns \p value in MessagePack.
+/// Encodes \p value as MessagePack.
 inline std::string encodeMessagePack(const nlohmann::json &value)
 {
     std::string bytes;
@@ -25,8 +25,9 @@
     return bytes;
 }
 
-/// \returns what \p bytes say in MessagePack; a discarded value, which is of no type, when they are
-/// none or more follows.
+/// Decodes a MessagePack value.
+/// \returns the value, or a discarded JSON value, for which every type check fails, if \p bytes is
+/// malformed or has trailing data.
 inline nlohmann::json decodeMessagePack(std::string_view bytes)
 {
     constexpr bool strict = true;
@@ -34,7 +35,7 @@
     return nlohmann::json::from_msgpack(bytes.begin(), bytes.end(), strict, throws);
 }
 
-/// \returns true for a text that may be a name; it may be empty.
+/// \returns true if \p item is a string short enough to be a name. The string may be empty.
 inline bool isName(const nlohmann::json &item)
 {
     return item.is_string() && item.get_ref<const std::string &>().size() <= maxNameBytes;
