--- a/include/laurelcroft/Support/Metrics.h
+++ b/include/laurelcroft/Support/Metrics.h
@@ -1,7 +1,6 @@
-//===-- Support/Metrics.h - counters and latency histograms ------*- C++ -*-===//
+//===-- Support/Metrics.h - counters, gauges and histograms -----*- C++ -*-===//
 //
-// Counters and Boost.Histogram latencies of one process, printed in the
-// Prometheus text form.
+// The metrics of one process, exported in the Prometheus text format.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_METRICS_H
@@ -15,7 +14,7 @@
 
 namespace laurelcroft {
 
-/// Log-spaced histogram of durations from 10 microseconds to 1000 seconds.
+/// Histogram of durations with logarithmic bins from 10 microseconds to 1000 seconds.
 class latency_histogram
 {
 public:
@@ -26,7 +25,8 @@
 
     void record(std::chrono::nanoseconds value);
 
-    /// \param share in [0, 1]. \returns the upper edge of the bin that holds it; 0 when empty.
+    /// \param share the quantile to estimate, in [0, 1].
+    /// \returns the upper edge of the bin that contains the quantile; 0 for an empty histogram.
     std::chrono::nanoseconds quantile(double share) const;
     std::uint64_t count() const;
     std::chrono::nanoseconds sum() const;
@@ -37,22 +37,24 @@
     std::unique_ptr<state> m_state;
 };
 
-/// All metrics of a process; safe from any thread.
+/// All metrics of a process. Thread-safe.
 class metric_registry
 {
 public:
     metric_registry();
     ~metric_registry();
 
-    /// Adds to a counter. \param series name with its labels, `requests_total{code="200"}`.
+    /// Adds \p amount to a counter.
+    /// \param series metric name with its labels, such as `requests_total{code="200"}`.
     void add(std::string_view series, std::uint64_t amount = 1);
 
-    /// Sets a gauge.
+    /// Sets a gauge to \p value.
     void set(std::string_view series, double value);
 
-    /// Records into the histogram of that name.
+    /// Records \p value in the histogram \p name.
     void record(std::string_view name, std::chrono::nanoseconds value);
 
+    /// \returns all metrics in the Prometheus text format.
     std::string prometheusText() const;
 
 private:
@@ -60,7 +62,7 @@
     std::unique_ptr<state> m_state;
 };
 
-/// \returns the resident memory of this process in bytes.
+/// \returns the resident set size of this process in bytes.
 std::uint64_t residentBytes();
 
 } // namespace laurelcroft
