--- a/include/laurelcroft/Support/Outcome.h
+++ b/include/laurelcroft/Support/Outcome.h
@@ -1,7 +1,7 @@
 //===-- Support/Outcome.h - value-or-error results ---------------*- C++ -*-===//
 //
-// One alias over Boost.Outcome, so that every layer returns its own typed error
-// and no layer throws across its border.
+// An alias for Boost.Outcome's result type. Each component returns errors of its own type and
+// throws no exceptions to its callers.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_OUTCOME_H
@@ -13,7 +13,8 @@
 
 namespace laurelcroft {
 
-/// A value of type \p T or a layer's own error \p E; reading the wrong side terminates.
+/// Either a value of type \p T or an error of type \p E. Accessing the one that is absent
+/// terminates the process.
 template <class T, class E>
 using outcome = boost::outcome_v2::basic_result<T, E, boost::outcome_v2::policy::terminate>;
 
