--- a/include/laurelcroft/Support/Random.h
+++ b/include/laurelcroft/Support/Random.h
@@ -1,7 +1,7 @@
-//===-- Support/Random.h - seeded random source ------------------*- C++ -*-===//
+//===-- Support/Random.h - seeded random number generator -------*- C++ -*-===//
 //
-// Every random choice draws from a source that the caller seeds, so that a test
-// or an experiment can be run again draw by draw.
+// Random decisions use a generator that the caller seeds, so that tests and experiments can be
+// reproduced exactly.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_RANDOM_H
@@ -13,7 +13,8 @@
 
 namespace laurelcroft {
 
-/// A seeded source of random draws; not for keys.
+/// A seeded pseudorandom number generator. Not cryptographically secure; do not generate keys with
+/// it.
 class random_source
 {
 public:
@@ -22,22 +23,22 @@
     {
     }
 
-    /// \returns a draw in [0, 1).
+    /// \returns a uniformly distributed number in [0, 1).
     double uniform() { return std::uniform_real_distribution<double>(0.0, 1.0)(m_engine); }
 
-    /// \returns an index below \p size, which must not be 0.
+    /// \returns a uniformly distributed index less than \p size, which must not be 0.
     std::size_t index(std::size_t size)
     {
         return std::uniform_int_distribution<std::size_t>(0, size - 1)(m_engine);
     }
 
-    /// \returns true with the given probability.
+    /// \returns true with the given probability, in [0, 1].
     bool chance(double probability) { return uniform() < probability; }
 
     /// \returns 64 random bits.
     std::uint64_t bits() { return m_engine(); }
 
-    /// The engine, for the standard library's distributions.
+    /// \returns the underlying engine, for use with standard library distributions.
     std::mt19937_64 &engine() { return m_engine; }
 
 private:
