--- a/include/laurelcroft/Support/Runtime.h
+++ b/include/laurelcroft/Support/Runtime.h
@@ -1,7 +1,7 @@
 //===-- Support/Runtime.h - clock and timers ---------------------*- C++ -*-===//
 //
-// Decision code never reads a clock of its own. It is given a runtime: the asio
-// one in the binaries, the manual one in tests, which pause and advance it.
+// Code that makes time-dependent decisions reads the clock and sets timers through a runtime
+// object: asio_runtime in production, manual_runtime in tests, where the test advances the clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_RUNTIME_H
@@ -26,10 +26,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Handle of a pending timer; 0 is never a timer.
+/// Identifies a pending timer; 0 is never assigned.
 using timer_id = std::uint64_t;
 
-/// What every runtime offers: a clock reading and one-shot timers.
+/// Requirements of a runtime: a clock and one-shot timers.
 template <class R>
 concept runtime_like
         = requires(R runtime, duration delay, std::function<void()> action, timer_id timer)
@@ -43,20 +43,19 @@
     runtime.cancel(timer);
 };
 
-/// The clock of production. It reads CLOCK_BOOTTIME, which also counts the time
-/// in which the machine slept, so that a lease is never thought to be younger
-/// than it is.
+/// \returns the time of CLOCK_BOOTTIME. Unlike CLOCK_MONOTONIC it advances while the machine is
+/// suspended, so that the age of a lease is never underestimated.
 time_point bootNow();
 
-/// For tests: from now on bootNow() is \p asleep further on, as after a suspension of the instance,
-/// which the steady clock does not count.
+/// For tests: advances bootNow() by \p asleep, as a suspension of the instance would. The steady
+/// clock is not affected.
 void simulateSuspension(duration asleep);
 
-/// Milliseconds since the epoch, for records that people read and for what is accounted by time of
-/// day. It may jump: no timer uses it.
+/// \returns milliseconds since the Unix epoch, for records that people read and for accounting by
+/// time of day. The value may jump, so timers must not use it.
 std::int64_t wallMilliseconds();
 
-/// Runtime over an asio context; use it from the context's own thread only.
+/// Runtime based on an asio::io_context. Use it only from the thread that runs the io_context.
 class asio_runtime
 {
 public:
@@ -74,7 +73,7 @@
     std::shared_ptr<state> m_state;
 };
 
-/// Runtime of the tests: time stands still until it is advanced.
+/// Runtime for tests, whose clock moves only when the test advances it.
 class manual_runtime
 {
 public:
@@ -82,14 +81,15 @@
     timer_id after(duration delay, std::function<void()> action);
     void cancel(timer_id timer);
 
-    /// Runs all timers that fall due within \p step, in order of time, then of creation.
+    /// Advances the clock by \p step and runs the timers that expire on the way, in order of
+    /// expiry, then of creation.
     void advance(duration step);
 
-    /// Moves the clock without running timers, as a frozen process sees it on waking.
+    /// Advances the clock without running timers, as happens to a process that was suspended.
     void jump(duration step) { m_now += step; }
 
-    /// Runs the next timer, moving the clock to it.
-    /// \returns false when no timer is pending.
+    /// Advances the clock to the next timer's expiry and runs the timer.
+    /// \returns false if no timer is pending.
     bool runNext();
 
     /// \returns the number of pending timers.
