--- a/include/laurelcroft/Support/TokenBucket.h
+++ b/include/laurelcroft/Support/TokenBucket.h
@@ -1,6 +1,6 @@
-//===-- Support/TokenBucket.h - a bounded rate -------------------*- C++ -*-===//
+//===-- Support/TokenBucket.h - token bucket rate limiter -------*- C++ -*-===//
 //
-// Driven by its caller's clock readings; it reads none of its own.
+// The caller passes in the current time; the class reads no clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_TOKENBUCKET_H
@@ -12,32 +12,35 @@
 
 namespace laurelcroft {
 
-/// Fills at a rate up to what it holds; it begins full.
+/// A token bucket that refills at a constant rate up to its capacity. It is full at first.
 class token_bucket
 {
 public:
-    /// \param perSecond tokens that come in a second; \param most that it holds.
-    token_bucket(double perSecond, double most)
-        : m_tokensPerSecond(perSecond)
-        , m_capacity(most)
-        , m_tokens(most)
+    /// \param tokensPerSecond refill rate.
+    /// \param capacity largest number of tokens that the bucket holds.
+    token_bucket(double tokensPerSecond, double capacity)
+        : m_tokensPerSecond(tokensPerSecond)
+        , m_capacity(capacity)
+        , m_tokens(capacity)
     {
     }
 
-    /// \returns true when \p amount could be taken at \p now.
+    /// Refills the bucket for the time up to \p now.
+    /// \returns true if it then holds at least \p amount tokens.
     bool refillAndCheck(double amount, time_point now)
     {
-        const std::chrono::duration<double> since = now - m_refilledAt;
+        const std::chrono::duration<double> elapsed = now - m_refilledAt;
         m_refilledAt = now;
-        m_tokens
-                = std::min(m_capacity, m_tokens + std::max(0.0, since.count()) * m_tokensPerSecond);
+        m_tokens = std::min(m_capacity,
+                            m_tokens + std::max(0.0, elapsed.count()) * m_tokensPerSecond);
         return m_tokens >= amount;
     }
 
-    /// Takes \p amount, which it has.
+    /// Removes \p amount tokens without checking that the bucket holds them; it may go negative.
     void consume(double amount) { m_tokens -= amount; }
 
-    /// \returns true and takes \p amount when it has it at \p now.
+    /// Removes \p amount tokens if the bucket holds that many at \p now.
+    /// \returns true if the tokens were removed.
     bool tryConsume(double amount, time_point now)
     {
         if (!refillAndCheck(amount, now))
@@ -46,7 +49,7 @@
         return true;
     }
 
-    /// \returns how long after it was last asked it has \p amount.
+    /// \returns the time from the last refill until the bucket holds \p amount tokens.
     std::chrono::duration<double> timeUntil(double amount) const
     {
         return std::chrono::duration<double>(std::max(0.0, amount - m_tokens) / m_tokensPerSecond);
