--- a/include/laurelcroft/Support/UdpAddress.h
+++ b/include/laurelcroft/Support/UdpAddress.h
@@ -1,6 +1,6 @@
-//===-- Support/UdpAddress.h - where datagrams go ----------------*- C++ -*-===//
+//===-- Support/UdpAddress.h - parsing of UDP addresses ---------*- C++ -*-===//
 //
-// Addresses as instances tell them to each other.
+// Parses the textual UDP addresses that instances send to each other.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_SUPPORT_UDPADDRESS_H
@@ -17,7 +17,8 @@
 
 namespace laurelcroft {
 
-/// \returns the endpoint of "ip:port"; nothing for any other text.
+/// Parses "ip:port".
+/// \returns the endpoint, or std::nullopt if \p address does not have that form.
 inline std::optional<asio::ip::udp::endpoint> parseUdpEndpoint(std::string_view address)
 {
     std::string host;
