--- a/lib/Support/CircuitBreaker.cpp
+++ b/lib/Support/CircuitBreaker.cpp
@@ -1,6 +1,6 @@
-//===-- CircuitBreaker.cpp - stays away from a failing service ---------------------===//
+//===-- CircuitBreaker.cpp - circuit breaker --------------------------------===//
 //
-// Closed, open, and one trial call after each wait.
+// The states are closed, open, and open with a trial call in progress.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/CircuitBreaker.h"
@@ -31,7 +31,8 @@
     m_failures += 1;
     if (!isOpen())
         return;
-    // Only a failed trial doubles the wait: many calls may fail at the same time.
+    // Calls that were already in progress when the breaker opened may fail together, so only a
+    // failed trial call doubles the wait.
     if (m_trialInProgress)
         m_wait = std::min(m_maxWait, m_wait * 2);
     m_trialInProgress = false;
@@ -42,6 +43,6 @@
 {
     if (!isOpen())
         return milliseconds(0);
-    const duration left = std::max<duration>(m_openUntil - now, m_initialWait);
-    return std::chrono::ceil<milliseconds>(left);
+    const duration remaining = std::max<duration>(m_openUntil - now, m_initialWait);
+    return std::chrono::ceil<milliseconds>(remaining);
 }
