--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -1,6 +1,6 @@
-//===-- Compression.cpp - smaller texts -------------------------------------===//
+//===-- Compression.cpp - zlib compression ----------------------------------===//
 //
-// Whole texts at a time: none is longer than a table of rows.
+// Compresses a whole text in one call instead of a stream: the longest text is a table of rows.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Compression.h"
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// Rows repeat their field names, so that the fastest level already leaves a tenth.
+/// Rows repeat their field names, so that the fastest level already reduces them to a tenth.
 constexpr int level = Z_BEST_SPEED;
-/// Room for a result before its size is known, as a multiple of the input.
+/// Initial size of the output buffer as a multiple of the input size; also the growth factor.
 constexpr std::size_t initialSizeFactor = 8;
 
 } // namespace
@@ -32,13 +32,13 @@
     return bytes;
 }
 
-std::optional<std::string> laurelcroft::zlibDecompress(std::string_view bytes, std::size_t largest)
+std::optional<std::string> laurelcroft::zlibDecompress(std::string_view bytes, std::size_t maxSize)
 {
-    std::size_t room
-            = std::min(largest, std::max<std::size_t>(1, bytes.size()) * initialSizeFactor);
+    std::size_t capacity
+            = std::min(maxSize, std::max<std::size_t>(1, bytes.size()) * initialSizeFactor);
     while (true) {
-        std::string text(room, '\0');
-        uLongf size = room;
+        std::string text(capacity, '\0');
+        uLongf size = capacity;
         const auto *from = reinterpret_cast<const Bytef *>(bytes.data());
         auto *to = reinterpret_cast<Bytef *>(text.data());
         const int result = uncompress(to, &size, from, bytes.size());
@@ -46,8 +46,8 @@
             text.resize(size);
             return text;
         }
-        if (result != Z_BUF_ERROR || room >= largest)
+        if (result != Z_BUF_ERROR || capacity >= maxSize)
             return std::nullopt;
-        room = std::min(largest, room * initialSizeFactor);
+        capacity = std::min(maxSize, capacity * initialSizeFactor);
     }
 }
