--- a/lib/Support/Crypto.cpp
+++ b/lib/Support/Crypto.cpp
@@ -1,6 +1,6 @@
 //===-- Crypto.cpp - digests, keys and signatures ---------------------------===//
 //
-// All calls go through OpenSSL's EVP interface.
+// Digests and signatures use OpenSSL's EVP interface.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Crypto.h"
@@ -85,9 +85,9 @@
 std::string laurelcroft::randomHex(std::size_t size)
 {
     std::string bytes(size, '\0');
-    const int done = RAND_bytes(bytesOf(bytes), static_cast<int>(size));
-    assert(done == 1 && "the system's random generator must work");
-    (void)done;
+    const int result = RAND_bytes(bytesOf(bytes), static_cast<int>(size));
+    assert(result == 1 && "OpenSSL's random generator failed");
+    (void)result;
     return toHex(bytes);
 }
 
@@ -215,7 +215,7 @@
 
 std::uint64_t laurelcroft::stableHash(std::string_view data, std::uint64_t seed)
 {
-    // FNV-1a, then mixed: FNV alone ranks similar names alike.
+    // FNV-1a followed by a finalizer: FNV-1a alone gives similar names similar ranks.
     std::uint64_t hash = 14695981039346656037ULL ^ seed;
     for (const char c : data) {
         hash ^= static_cast<unsigned char>(c);
