--- a/lib/Support/EventLoopThread.cpp
+++ b/lib/Support/EventLoopThread.cpp
@@ -1,6 +1,6 @@
-//===-- EventLoopThread.cpp - a thread for each duty -----------------------------------===//
+//===-- EventLoopThread.cpp - thread that runs an io_context ----------------===//
 //
-// The work guard keeps the context alive while the duty has nothing to do.
+// The work guard keeps io_context::run() from returning while no work is queued.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/EventLoopThread.h"
@@ -16,7 +16,7 @@
 using namespace laurelcroft;
 
 namespace {
-/// Linux cuts a thread's name at 15 characters.
+/// pthread_setname_np() rejects names of more than 15 characters on Linux.
 constexpr std::size_t maxThreadNameLength = 15;
 } // namespace
 
