--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -1,8 +1,8 @@
-//===-- Log.cpp - structured log lines over Boost.Log -----------------------===//
+//===-- Log.cpp - structured logging with Boost.Log -------------------------===//
 //
-// The only unit that includes Boost.Log: its headers are slow to compile. The
-// sink writes on a thread of its own behind a bounded queue that drops when full,
-// so that a slow reader of the log never slows a request.
+// Boost.Log's headers are slow to compile, so only this file includes them. The sink writes on a
+// thread of its own. Its queue is bounded and drops lines when full, so that a slow reader of the
+// log never delays a request.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Log.h"
@@ -32,8 +32,8 @@
 
 constexpr std::size_t maxQueuedLines = 8192;
 
-/// Overflow strategy of the queue: a line that finds it full is dropped and counted. The names
-/// of its functions are Boost.Log's.
+/// Overflow strategy of the sink's queue: drops and counts the lines that arrive while it is full.
+/// Boost.Log requires the names of the functions.
 class drop_and_count_on_overflow
 {
 public:
@@ -129,7 +129,7 @@
     return state().sink && static_cast<int>(level) >= state().minLevel;
 }
 
-void laurelcroft::logLine(log_level level, log_part part, std::string_view sentence,
+void laurelcroft::logLine(log_level level, log_part part, std::string_view message,
                           std::initializer_list<log_field> fields)
 {
     if (!logEnabled(level))
@@ -142,13 +142,13 @@
         object["time"] = formatUtcTime();
         object["level"] = levelName;
         object["part"] = partName;
-        object["message"] = sentence;
+        object["message"] = message;
         for (const log_field &field : fields)
             object[std::string(field.name)] = field.value;
         line = object.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     } else {
         line = formatUtcTime() + " " + std::string(levelName) + " " + std::string(partName) + ": "
-                + std::string(sentence);
+                + std::string(message);
         for (const log_field &field : fields)
             line += " " + std::string(field.name) + "=" + field.value;
     }
