--- a/lib/Support/Metrics.cpp
+++ b/lib/Support/Metrics.cpp
@@ -1,7 +1,7 @@
 //===-- Metrics.cpp - counters and latency histograms -----------------------===//
 //
-// Bins are a forty-eighth of a decade wide, about 5%: a quantile that is read off
-// is at most that much too high.
+// A decade has 48 histogram bins, each about 5% wide, so that an estimated quantile is at most 5%
+// too high.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Metrics.h"
@@ -57,11 +57,11 @@
 {
     if (m_state->count == 0)
         return std::chrono::nanoseconds(0);
-    const double wanted = share * static_cast<double>(m_state->count);
+    const double rank = share * static_cast<double>(m_state->count);
     double seen = 0;
     for (auto &&bin : bh::indexed(m_state->bins, bh::coverage::all)) {
         seen += static_cast<double>(*bin);
-        if (seen < wanted || seen == 0)
+        if (seen < rank || seen == 0)
             continue;
         const double edge = std::min(bin.bin(0).upper(), maxSeconds);
         return std::chrono::duration_cast<std::chrono::nanoseconds>(
