--- a/lib/Support/Runtime.cpp
+++ b/lib/Support/Runtime.cpp
@@ -1,7 +1,7 @@
 //===-- Runtime.cpp - clock and timers --------------------------------------===//
 //
-// The asio runtime keeps its timers in a map, so that a timer can be cancelled by
-// its number alone and dies with the runtime.
+// asio_runtime owns its timers in a map, so that a timer can be cancelled by its identifier and is
+// destroyed with the runtime.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Runtime.h"
@@ -16,15 +16,15 @@
 
 using namespace laurelcroft;
 
-/// What pretended suspensions add, nanoseconds.
+/// Total length of all simulated suspensions, in nanoseconds.
 static std::atomic<std::int64_t> simulatedSuspension{0};
 
 time_point laurelcroft::bootNow()
 {
     timespec reading{};
     clock_gettime(CLOCK_BOOTTIME, &reading);
-    const duration pretended(simulatedSuspension.load(std::memory_order_relaxed));
-    return time_point(seconds(reading.tv_sec) + duration(reading.tv_nsec) + pretended);
+    const duration suspended(simulatedSuspension.load(std::memory_order_relaxed));
+    return time_point(seconds(reading.tv_sec) + duration(reading.tv_nsec) + suspended);
 }
 
 void laurelcroft::simulateSuspension(duration asleep)
@@ -61,7 +61,7 @@
     const timer_id id = ++m_state->lastTimer;
     auto [it, inserted] = m_state->timers.try_emplace(id, m_state->context);
     it->second.expires_after(delay);
-    // The weak pointer lets the runtime be destroyed while handlers are queued.
+    // A handler may still be queued when the runtime is destroyed; the weak pointer detects that.
     it->second.async_wait([weak = std::weak_ptr<state>(m_state), id,
                            action = std::move(action)](const asio::error_code &error) {
         const auto strong = weak.lock();
