--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -1,7 +1,7 @@
-//===-- Settings.cpp - checked settings -------------------------------------===//
+//===-- Settings.cpp - validated settings -----------------------------------===//
 //
-// Boost.Program_options reads the flags as text; kind and range are checked here,
-// so that flag, variable and default obey the same rules.
+// Boost.Program_options reads flag values as text. Their type and range are checked here, so that
+// the same rules apply to flags, environment variables and defaults.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Settings.h"
@@ -36,7 +36,7 @@
     return error == std::errc() && stop == end;
 }
 
-/// \returns an empty string when \p value is right for \p item.
+/// \returns an error message, or an empty string if \p value is valid for \p item.
 static std::string checkValue(const setting &item, std::string_view value)
 {
     if (item.required && value.empty())
