--- a/unittests/Support/SupportTests.cpp
+++ b/unittests/Support/SupportTests.cpp
@@ -1,6 +1,7 @@
-//===-- SupportTests.cpp - clock, settings, keys, rings, metrics ------------===//
+//===-- SupportTests.cpp - tests of the Support library ---------------------===//
 //
-// What everything else stands on.
+// Covers the manual clock, settings, cryptography, channels, metrics, the circuit breaker, logging
+// and compression.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/CircuitBreaker.h"
@@ -24,7 +25,7 @@
 
 using namespace laurelcroft;
 
-TEST_CASE("the manual clock runs timers in order and only when advanced")
+TEST_CASE("manual_runtime runs timers in order and only when advanced")
 {
     manual_runtime runtime;
     std::string order;
@@ -49,7 +50,7 @@
     return declared;
 }
 
-TEST_CASE("settings come from flag, then variable, then default")
+TEST_CASE("a flag overrides an environment variable, which overrides the default")
 {
     settings given = exampleSettings();
     CHECK(given.check({"--name", "n"}).empty());
@@ -63,7 +64,7 @@
     unsetenv("LAURELCROFT_WAIT");
 }
 
-TEST_CASE("every wrong setting is named, all at once")
+TEST_CASE("all invalid settings are reported at once, by name")
 {
     settings given = exampleSettings();
     const auto errors = given.check({"--wait", "500"});
@@ -101,7 +102,7 @@
     CHECK_FALSE(signEd25519("not hex", "text"));
 }
 
-TEST_CASE("encodings go there and back, and refuse what is malformed")
+TEST_CASE("text encodings round-trip and reject malformed input")
 {
     const std::string bytes("\x00\xff\x10 z", 5);
     CHECK(fromHex(toHex(bytes)) == bytes);
@@ -110,7 +111,7 @@
     CHECK_FALSE(fromBase64Url("a+b"));
 }
 
-TEST_CASE("a channel hands on every message in order, also past its capacity")
+TEST_CASE("a channel delivers all messages in order, even beyond its capacity")
 {
     event_loop_thread producer("producer");
     event_loop_thread consumer("consumer");
@@ -135,7 +136,7 @@
     consumer.stop();
 }
 
-TEST_CASE("a full channel refuses what may be refused")
+TEST_CASE("tryPush fails when the channel is full")
 {
     event_loop_thread producer("producer");
     event_loop_thread consumer("consumer"); // never started
@@ -145,7 +146,7 @@
     CHECK_FALSE(ring.tryPush(3));
 }
 
-TEST_CASE("quantiles are within a bin of the truth")
+TEST_CASE("an estimated quantile is at most one bin too high")
 {
     latency_histogram values;
     CHECK(values.quantile(0.5).count() == 0);
@@ -156,7 +157,7 @@
     CHECK(median <= 500 * 1.06);
 }
 
-TEST_CASE("metrics are printed in the Prometheus form")
+TEST_CASE("metrics are exported in the Prometheus text format")
 {
     metric_registry metrics;
     metrics.add("requests_total{code=\"200\"}", 2);
@@ -168,7 +169,7 @@
     CHECK(text.find("laurelcroft_wait_seconds_count 1\n") != std::string::npos);
 }
 
-TEST_CASE("a breaker opens after failures, tries once, and doubles its wait")
+TEST_CASE("a circuit breaker opens after failures, allows one trial call and doubles its wait")
 {
     manual_runtime runtime;
     circuit_breaker item(2, seconds(1), seconds(8));
@@ -178,7 +179,7 @@
     CHECK_FALSE(item.allows(runtime.now()));
     runtime.advance(seconds(1));
     CHECK(item.allows(runtime.now()));
-    CHECK_FALSE(item.allows(runtime.now())); // one trial at a time
+    CHECK_FALSE(item.allows(runtime.now())); // only one trial call at a time
     item.recordFailure(runtime.now());
     CHECK(item.retryAfter(runtime.now()) == seconds(2));
     runtime.advance(seconds(2));
@@ -187,7 +188,7 @@
     CHECK_FALSE(item.isOpen());
 }
 
-TEST_CASE("a limiter lets a second's lines pass and counts the rest")
+TEST_CASE("log_limiter allows one second's worth of lines and counts the rest")
 {
     log_limiter limiter(10);
     time_point now{seconds(100)};
@@ -204,7 +205,7 @@
     CHECK(passed == 5);
 }
 
-TEST_CASE("a reader that stops reading costs lines, never the writer's time")
+TEST_CASE("a log reader that stops reading causes dropped lines but never blocks the writer")
 {
     int ends[2];
     REQUIRE(pipe(ends) == 0);
@@ -213,13 +214,13 @@
     dup2(ends[1], STDOUT_FILENO);
     startLog("info", false);
     const std::string filler(200, 'x');
-    constexpr int lines = 20000; // far more than the pipe and the queue hold
+    constexpr int lines = 20000; // far more than the pipe and the queue can hold
     const auto began = std::chrono::steady_clock::now();
     for (int i = 0; i < lines; ++i)
         logInfo(log_part::load, "line", {{"filler", filler}});
     const auto took = std::chrono::steady_clock::now() - began;
     const std::uint64_t lost = takeDroppedLines();
-    // The reader comes back, so that the log can end.
+    // Resume reading, so that stopLog() can write the queued lines.
     std::thread reader([&] {
         char buffer[65536];
         ssize_t got = 1;
@@ -234,11 +235,12 @@
     close(before);
     CHECK(lost > 0);
     CHECK(lost < lines);
-    // A blocked writer would never have come here; this bounds its cost, too.
+    // A writer that blocks would never reach this point. The bound also limits the cost of
+    // dropping.
     CHECK(took < std::chrono::seconds(20));
 }
 
-TEST_CASE("a deflated text comes back, and other bytes or too long a text are refused")
+TEST_CASE("compression round-trips, and malformed or too long input is rejected")
 {
     const std::string text(100000, 'a');
     const std::optional<std::string> bytes = zlibCompress(text);
