--- a/unittests/Support/SuspensionTests.cpp
+++ b/unittests/Support/SuspensionTests.cpp
@@ -1,8 +1,9 @@
-//===-- SuspensionTests.cpp - an instance that was suspended ----------------===//
+//===-- SuspensionTests.cpp - timers across a suspension --------------------===//
 //
-// What users saw: an instance is suspended for seconds. Its steady clock does not count that time,
-// and a timer on that clock fires later by as much, while whatever compares times sees it pass: a
-// deadline is over, and nobody ends its request.
+// Guards against timers that fire late after an instance was suspended. The steady clock does not
+// advance during a suspension, so a timer on it expires late by the length of the suspension, while
+// code that compares bootNow() with a deadline sees it expired: requests ran past their deadline
+// because nothing ended them.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Support/Runtime.h"
@@ -16,12 +17,12 @@
 namespace {
 
 constexpr milliseconds asleep{20000};
-/// An instance that has woken notices within this, in the wall's time.
+/// Real time within which timers must fire after the instance resumes.
 constexpr milliseconds noticed{300};
 
 } // namespace
 
-TEST_CASE("a timer that fell due while the instance was suspended fires when it wakes")
+TEST_CASE("a timer that expires during a suspension fires on resume")
 {
     asio::io_context context;
     asio_runtime runtime(context);
@@ -37,7 +38,7 @@
     CHECK_FALSE(isEarly);
 }
 
-TEST_CASE("a timer that was set after a suspension waits its time")
+TEST_CASE("a timer set after a suspension waits its full delay")
 {
     asio::io_context context;
     asio_runtime runtime(context);
@@ -50,7 +51,7 @@
     CHECK(fired - began < milliseconds(200));
 }
 
-TEST_CASE("a timer that was cancelled while the instance was suspended does not fire")
+TEST_CASE("a timer that expires during a suspension can still be cancelled on resume")
 {
     asio::io_context context;
     asio_runtime runtime(context);
