--- a/unittests/Support/SuspensionTests.cpp
+++ b/unittests/Support/SuspensionTests.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr milliseconds asleep{20000};
+constexpr milliseconds suspensionLength{20000};
 /// Real time within which timers must fire after the instance resumes.
 constexpr milliseconds noticed{300};
 
@@ -28,11 +28,11 @@
     asio_runtime runtime(context);
     bool isDue = false;
     bool isEarly = false;
-    runtime.after(asleep, [&] { isDue = true; });
-    runtime.after(2 * asleep, [&] { isEarly = true; });
+    runtime.after(suspensionLength, [&] { isDue = true; });
+    runtime.after(2 * suspensionLength, [&] { isEarly = true; });
     context.run_for(milliseconds(20));
     CHECK_FALSE(isDue);
-    simulateSuspension(asleep);
+    simulateSuspension(suspensionLength);
     context.run_for(noticed);
     CHECK(isDue);
     CHECK_FALSE(isEarly);
@@ -42,7 +42,7 @@
 {
     asio::io_context context;
     asio_runtime runtime(context);
-    simulateSuspension(asleep);
+    simulateSuspension(suspensionLength);
     const time_point began = bootNow();
     time_point fired{};
     runtime.after(milliseconds(150), [&] { fired = bootNow(); });
@@ -56,8 +56,8 @@
     asio::io_context context;
     asio_runtime runtime(context);
     bool isDue = false;
-    const timer_id timer = runtime.after(asleep, [&] { isDue = true; });
-    simulateSuspension(asleep);
+    const timer_id timer = runtime.after(suspensionLength, [&] { isDue = true; });
+    simulateSuspension(suspensionLength);
     runtime.cancel(timer);
     context.run_for(milliseconds(150));
     CHECK_FALSE(isDue);
