--- a/unittests/Support/SuspensionTests.cpp
+++ b/unittests/Support/SuspensionTests.cpp
@@ -18,7 +18,7 @@
 
 constexpr milliseconds suspensionLength{20000};
 /// Real time within which timers must fire after the instance resumes.
-constexpr milliseconds noticed{300};
+constexpr milliseconds maxResumeDelay{300};
 
 } // namespace
 
@@ -33,7 +33,7 @@
     context.run_for(milliseconds(20));
     CHECK_FALSE(isDue);
     simulateSuspension(suspensionLength);
-    context.run_for(noticed);
+    context.run_for(maxResumeDelay);
     CHECK(isDue);
     CHECK_FALSE(isEarly);
 }
