--- a/include/laurelcroft/Support/Crypto.h
+++ b/include/laurelcroft/Support/Crypto.h
@@ -50,7 +50,7 @@
 
 /// Mixes \p value with the finalizer of splitmix64, so that each input bit affects all output bits.
 /// Cheaper than stableHash() where the hash of a name is already known.
-std::uint64_t mixedBits(std::uint64_t value);
+std::uint64_t mixBits(std::uint64_t value);
 
 /// \returns a 64-bit hash that is the same in every process, for rendezvous hashing. Not
 /// cryptographically secure.
--- a/lib/Policy/CandidateSample.cpp
+++ b/lib/Policy/CandidateSample.cpp
@@ -45,7 +45,7 @@
 
 std::uint64_t laurelcroft::homeRank(std::uint64_t idHash, std::uint64_t prompt)
 {
-    return mixedBits(idHash ^ prompt);
+    return mixBits(idHash ^ prompt);
 }
 
 static void addHomes(std::span<const sampled_endpoint> endpoints, std::uint64_t prompt,
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -115,7 +115,7 @@
         if (!isEligible(candidates[i]))
             continue;
         const double cost = costOf(candidates[i]);
-        const std::uint64_t tie = mixedBits(candidates[i].idHash ^ tieBreaker);
+        const std::uint64_t tie = mixBits(candidates[i].idHash ^ tieBreaker);
         if (best && (cost > best->cost || (cost == best->cost && tie < bestTie)))
             continue;
         best = {i, cost, candidates[i].waitMs,
--- a/lib/Support/Crypto.cpp
+++ b/lib/Support/Crypto.cpp
@@ -206,7 +206,7 @@
     return decodeSixBits(text, base64Digits);
 }
 
-std::uint64_t laurelcroft::mixedBits(std::uint64_t value)
+std::uint64_t laurelcroft::mixBits(std::uint64_t value)
 {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
     value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
@@ -221,7 +221,7 @@
         hash ^= static_cast<unsigned char>(c);
         hash *= 1099511628211ULL;
     }
-    return mixedBits(hash);
+    return mixBits(hash);
 }
 
 signing_key laurelcroft::makeSigningKey()
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -91,7 +91,7 @@
         std::string version = "v1";
         if (!rollouts.mayUseAll(entry.routing.directory().commonVersion("pool"))) {
             const auto endpoints
-                    = rollouts.eligible(usable, {mixedBits(session * 0x9E3779B97F4A7C15), now, now})
+                    = rollouts.eligible(usable, {mixBits(session * 0x9E3779B97F4A7C15), now, now})
                               .endpoints;
             if (endpoints.empty())
                 return;
