--- a/include/laurelcroft/Support/Runtime.h
+++ b/include/laurelcroft/Support/Runtime.h
@@ -86,7 +86,7 @@
     void advance(duration step);
 
     /// Advances the clock without running timers, as happens to a process that was suspended.
-    void jump(duration step) { m_now += step; }
+    void advanceWithoutTimers(duration step) { m_now += step; }
 
     /// Advances the clock to the next timer's expiry and runs the timer.
     /// \returns false if no timer is pending.
