--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -128,7 +128,7 @@
 
     std::vector<std::string> errors;
     if (!m_positionalArguments.empty() && !m_positionalArgumentsAllowed)
-        errors.push_back("unexpected word '" + m_positionalArguments.front() + "'");
+        errors.push_back("unexpected positional argument '" + m_positionalArguments.front() + "'");
     for (const setting &item : m_settings) {
         std::string value = item.defaultText;
         if (const char *variable = std::getenv(environmentVariableName(item.name).c_str()))
