--- a/include/laurelcroft/Support/Runtime.h
+++ b/include/laurelcroft/Support/Runtime.h
@@ -47,9 +47,9 @@
 /// suspended, so that the age of a lease is never underestimated.
 time_point bootNow();
 
-/// For tests: advances bootNow() by \p asleep, as a suspension of the instance would. The steady
+/// For tests: advances bootNow() by \p length, as a suspension of the instance would. The steady
 /// clock is not affected.
-void simulateSuspension(duration asleep);
+void simulateSuspension(duration length);
 
 /// \returns milliseconds since the Unix epoch, for records that people read and for accounting by
 /// time of day. The value may jump, so timers must not use it.
--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -83,12 +83,12 @@
 static std::string formatUtcTime()
 {
     const auto now = std::chrono::system_clock::now();
-    const std::time_t whole = std::chrono::system_clock::to_time_t(now);
+    const std::time_t seconds = std::chrono::system_clock::to_time_t(now);
     const auto micros
             = std::chrono::duration_cast<std::chrono::microseconds>(now.time_since_epoch()).count()
             % 1000000;
     std::tm parts{};
-    gmtime_r(&whole, &parts);
+    gmtime_r(&seconds, &parts);
     std::array<char, 40> text{};
     const std::size_t size = std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &parts);
     std::snprintf(text.data() + size, text.size() - size, ".%06dZ", static_cast<int>(micros));
--- a/lib/Support/Runtime.cpp
+++ b/lib/Support/Runtime.cpp
@@ -27,9 +27,9 @@
     return time_point(seconds(reading.tv_sec) + duration(reading.tv_nsec) + suspended);
 }
 
-void laurelcroft::simulateSuspension(duration asleep)
+void laurelcroft::simulateSuspension(duration length)
 {
-    simulatedSuspension += asleep.count();
+    simulatedSuspension += length.count();
 }
 
 std::int64_t laurelcroft::wallMilliseconds()
