--- a/lib/Support/Settings.cpp
+++ b/lib/Support/Settings.cpp
@@ -74,12 +74,12 @@
             {std::move(name), setting_kind::text, "", "", 0, 0, true, std::move(help)});
 }
 
-void settings::addNumber(std::string name, std::int64_t value, std::int64_t least,
-                         std::int64_t most, std::string unit, std::string help)
+void settings::addNumber(std::string name, std::int64_t value, std::int64_t minimum,
+                         std::int64_t maximum, std::string unit, std::string help)
 {
-    assert(value >= least && value <= most && "the default must lie in the range");
+    assert(value >= minimum && value <= maximum && "the default must lie in the range");
     m_settings.push_back({std::move(name), setting_kind::number, std::to_string(value),
-                          std::move(unit), least, most, false, std::move(help)});
+                          std::move(unit), minimum, maximum, false, std::move(help)});
 }
 
 void settings::addFlag(std::string name, std::string help)
