--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -9,7 +9,7 @@
 #include <array>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::string_view laurelcroft::bench::textOf(promise which)
+std::string_view laurelcroft::testing::textOf(promise which)
 {
     static constexpr std::array<std::string_view, 11> names
             = {"allowed",      "withdrawn",       "session",      "billed-once",
@@ -261,7 +261,7 @@
     }
 }
 
-std::vector<violation> laurelcroft::bench::audit(world &all)
+std::vector<violation> laurelcroft::testing::audit(world &all)
 {
     violations found;
     checkVersions(all, found);
--- a/test/FaultMatrix/Auditor.h
+++ b/test/FaultMatrix/Auditor.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace laurelcroft::bench {
+namespace laurelcroft::testing {
 
 /// The promises of the brief, in its order.
 enum class promise {
@@ -40,6 +40,6 @@
 /// \returns what does not hold at the end of a run.
 std::vector<violation> audit(world &all);
 
-} // namespace laurelcroft::bench
+} // namespace laurelcroft::testing
 
 #endif
--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -7,7 +7,7 @@
 #include "World.h"
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 constexpr duration clientDeadline = seconds(1);
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 constexpr int pieces = 4;
--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -17,13 +17,13 @@
 #include <thread>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 static std::string describeViolations(const std::vector<violation> &list)
 {
     std::string text;
     for (const violation &item : list)
-        text += "\n    " + std::string(bench::textOf(item.which)) + ": " + item.detail;
+        text += "\n    " + std::string(testing::textOf(item.which)) + ": " + item.detail;
     return text;
 }
 
@@ -132,7 +132,7 @@
         const bool reported
                 = std::any_of(result.violations.begin(), result.violations.end(),
                               [&](const violation &v) { return v.which == item.expected; });
-        CHECK_MESSAGE(reported, "not reported: ", std::string(bench::textOf(item.expected)),
+        CHECK_MESSAGE(reported, "not reported: ", std::string(testing::textOf(item.expected)),
                       describeViolations(result.violations));
     }
 }
@@ -147,7 +147,7 @@
         fault_point fault{parts[at], std::atoi(parts[at + 1].c_str()), parts[at + 2] == "after",
                           fault_kind::none};
         for (int kind = 0; kind <= lastFaultKind; ++kind) {
-            if (bench::textOf(static_cast<fault_kind>(kind)) == parts[at + 3])
+            if (testing::textOf(static_cast<fault_kind>(kind)) == parts[at + 3])
                 fault.kind = static_cast<fault_kind>(kind);
         }
         faults.push_back(fault);
--- a/test/FaultMatrix/Process.h
+++ b/test/FaultMatrix/Process.h
@@ -14,7 +14,7 @@
 #include <memory>
 #include <unordered_map>
 
-namespace laurelcroft::bench {
+namespace laurelcroft::testing {
 
 /// The runtime of one simulated process.
 class process_runtime
@@ -95,6 +95,6 @@
 
 static_assert(runtime_like<process_runtime>);
 
-} // namespace laurelcroft::bench
+} // namespace laurelcroft::testing
 
 #endif
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -9,7 +9,7 @@
 #include "laurelcroft/Support/Crypto.h"
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
@@ -57,7 +57,7 @@
 
 } // namespace
 
-bundle laurelcroft::bench::benchBundle()
+bundle laurelcroft::testing::benchBundle()
 {
     bundle rules;
     rules.site = "bench";
@@ -82,7 +82,7 @@
     return rules;
 }
 
-const std::vector<std::string> &laurelcroft::bench::scenarioNames()
+const std::vector<std::string> &laurelcroft::testing::scenarioNames()
 {
     static const std::vector<std::string> names
             = {"whole", "stream", "cascade", "rebuild", "service", "session-token", "session-name"};
@@ -206,9 +206,9 @@
     return drive(item);
 }
 
-cell_result laurelcroft::bench::runCell(const std::string &scenario,
-                                        const std::vector<fault_point> &faults, std::uint64_t seed,
-                                        sabotage broken)
+cell_result laurelcroft::testing::runCell(const std::string &scenario,
+                                          const std::vector<fault_point> &faults,
+                                          std::uint64_t seed, sabotage broken)
 {
     world all(seed, faults, broken);
     all.startSite(benchBundle());
@@ -252,7 +252,7 @@
     }
 }
 
-std::vector<cell> laurelcroft::bench::allCells()
+std::vector<cell> laurelcroft::testing::allCells()
 {
     std::vector<cell> cells;
     for (const std::string &scenario : scenarioNames()) {
@@ -271,8 +271,8 @@
     return all;
 }
 
-std::vector<cell> laurelcroft::bench::samplePairs(const std::vector<cell> &cells, std::size_t count,
-                                                  std::uint64_t seed)
+std::vector<cell> laurelcroft::testing::samplePairs(const std::vector<cell> &cells,
+                                                    std::size_t count, std::uint64_t seed)
 {
     random_source random(seed);
     std::vector<cell> pairs;
--- a/test/FaultMatrix/Scenarios.h
+++ b/test/FaultMatrix/Scenarios.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace laurelcroft::bench {
+namespace laurelcroft::testing {
 
 /// The bundle that all scenarios use.
 bundle benchBundle();
@@ -53,6 +53,6 @@
 std::vector<cell> samplePairs(const std::vector<cell> &cells, std::size_t count,
                               std::uint64_t seed);
 
-} // namespace laurelcroft::bench
+} // namespace laurelcroft::testing
 
 #endif
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -9,7 +9,7 @@
 #include <array>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
@@ -26,14 +26,14 @@
 
 } // namespace
 
-std::string_view laurelcroft::bench::textOf(fault_kind kind)
+std::string_view laurelcroft::testing::textOf(fault_kind kind)
 {
     return faultNames[static_cast<std::size_t>(kind)];
 }
 
 std::string fault_point::text() const
 {
-    return std::string(bench::textOf(kind)) + (after ? " after " : " before ") + step + " #"
+    return std::string(testing::textOf(kind)) + (after ? " after " : " before ") + step + " #"
             + std::to_string(occurrence);
 }
 
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-namespace laurelcroft::bench {
+namespace laurelcroft::testing {
 
 class world;
 struct bench_entry_core;
@@ -356,6 +356,6 @@
     signing_key m_key;
 };
 
-} // namespace laurelcroft::bench
+} // namespace laurelcroft::testing
 
 #endif
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -6,7 +6,7 @@
 #include "World.h"
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -15,7 +15,7 @@
 #include <sstream>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
@@ -90,7 +90,7 @@
             m_text << "\n";
         }
         for (const violation &item : audit(m_world))
-            m_text << "VIOLATION " << bench::textOf(item.which) << ": " << item.detail << "\n";
+            m_text << "VIOLATION " << testing::textOf(item.which) << ": " << item.detail << "\n";
         return m_text.str();
     }
 
--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -14,7 +14,7 @@
 #include <set>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 using nlohmann::json;
 
 namespace {
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -19,7 +19,7 @@
 #include <unistd.h>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 using nlohmann::json;
 
 extern char **environ;
@@ -381,7 +381,7 @@
     return pending->body.substr(at + marker.size(), end - at - marker.size());
 }
 
-std::string laurelcroft::bench::siteBundle(const std::string &small2)
+std::string laurelcroft::testing::siteBundle(const std::string &small2)
 {
     const std::string digest = sha256Hex("key-school");
     return R"(laurelcroft: 1
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -20,7 +20,7 @@
 #include <string>
 #include <vector>
 
-namespace laurelcroft::bench {
+namespace laurelcroft::testing {
 
 /// One child process; its output goes to a file.
 class child
@@ -131,6 +131,6 @@
 /// The bundle that the process tests use; \p small2 is the state of small@2.
 std::string siteBundle(const std::string &small2);
 
-} // namespace laurelcroft::bench
+} // namespace laurelcroft::testing
 
 #endif
