--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -31,7 +31,7 @@
 }
 
 /// \returns the bundles that may have been in force for a start at \p at.
-static std::vector<const bundle *> bundlesAt(const world &all, time_point at)
+static std::vector<const bundle *> bundlesAt(const simulated_site &all, time_point at)
 {
     std::vector<const bundle *> list;
     // A bundle that nobody can read yet is in force nowhere: while the table is away the
@@ -48,7 +48,7 @@
     return list;
 }
 
-static void checkVersions(const world &all, violations &found)
+static void checkVersions(const simulated_site &all, violations &found)
 {
     for (const engine_start &start : all.starts) {
         bool allowed = false;
@@ -72,7 +72,7 @@
     }
 }
 
-static void checkSessions(const world &all, violations &found)
+static void checkSessions(const simulated_site &all, violations &found)
 {
     std::map<std::string, std::string> groups;
     for (const auto &[id, record] : all.callers) {
@@ -93,7 +93,7 @@
     }
 }
 
-static std::map<std::string, int> countStarts(const world &all)
+static std::map<std::string, int> countStarts(const simulated_site &all)
 {
     std::map<std::string, int> counts;
     for (const engine_start &start : all.starts)
@@ -104,7 +104,7 @@
 /// \returns true when every process that knew of a start of \p requestId, or held its
 /// bill, is dead, and at least two of them without a planned stop: two instances lost
 /// before the table had the bill are beyond what two copies can keep.
-static bool allWitnessesDead(const world &all, const std::string &requestId)
+static bool allWitnessesDead(const simulated_site &all, const std::string &requestId)
 {
     std::set<std::string> witnesses;
     for (const engine_start &start : all.starts) {
@@ -123,7 +123,7 @@
     return lost >= 2;
 }
 
-static void checkBills(const world &all, violations &found)
+static void checkBills(const simulated_site &all, violations &found)
 {
     const auto starts = countStarts(all);
     std::map<std::string, int> bills;
@@ -152,7 +152,7 @@
     }
 }
 
-static void checkAnswers(const world &all, violations &found)
+static void checkAnswers(const simulated_site &all, violations &found)
 {
     for (const auto &[id, record] : all.callers) {
         if (!record.complete() || record.requestId.empty())
@@ -175,7 +175,7 @@
 
 /// A start is laid to the calls that may have caused it: same request, same entry,
 /// sent before. If all of those were told "not run", one of them was told wrong.
-static void checkNotRun(const world &all, violations &found)
+static void checkNotRun(const simulated_site &all, violations &found)
 {
     for (const engine_start &start : all.starts) {
         bool anyCause = false;
@@ -195,7 +195,7 @@
     }
 }
 
-static void checkAtMostOnce(const world &all, violations &found)
+static void checkAtMostOnce(const simulated_site &all, violations &found)
 {
     std::map<std::string, int> counts;
     for (const engine_start &start : all.starts) {
@@ -208,7 +208,7 @@
     }
 }
 
-static void checkLeaving(const world &all, violations &found)
+static void checkLeaving(const simulated_site &all, violations &found)
 {
     for (const engine_start &start : all.starts) {
         const auto stopped = all.stoppedAt.find(start.agent);
@@ -217,7 +217,7 @@
     }
 }
 
-static void checkPlannedStop(const world &all, violations &found)
+static void checkPlannedStop(const simulated_site &all, violations &found)
 {
     const auto isPlanned = [](fault_kind kind) {
         return kind == fault_kind::stopEntry || kind == fault_kind::stopAgent
@@ -239,7 +239,7 @@
     }
 }
 
-static void checkBundle(world &all, violations &found)
+static void checkBundle(simulated_site &all, violations &found)
 {
     for (const std::string &problem : all.problems)
         found.push_back({promise::bundle, problem});
@@ -252,7 +252,7 @@
     }
 }
 
-static void checkAnswered(const world &all, violations &found)
+static void checkAnswered(const simulated_site &all, violations &found)
 {
     for (const auto &[id, record] : all.callers) {
         if (!record.ended)
@@ -261,7 +261,7 @@
     }
 }
 
-std::vector<violation> laurelcroft::testing::audit(world &all)
+std::vector<violation> laurelcroft::testing::audit(simulated_site &all)
 {
     violations found;
     checkVersions(all, found);
--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -27,7 +27,7 @@
 template <class T>
 void fake_table::call(const std::string &kind, std::function<T()> effect, table_callback<T> done)
 {
-    world *const all = &m_world;
+    simulated_site *const all = &m_world;
     const std::string owner = m_owner;
     const auto passed = [all, owner](const std::string &name, bool after) {
         all->step(name, after, all->findEntry(owner), all->findAgent(owner));
@@ -44,12 +44,12 @@
                   });
               };
     m_runtime.run([=] {
-        all->clock.after(world::latency, [=] {
+        all->clock.after(simulated_site::latency, [=] {
             table_store &store = all->store;
             const time_point now = all->clock.now();
             const bool isRead = kind.find(".read") != std::string::npos;
             if (now < store.downUntil) {
-                answer(world::latency, failure(errorOf(table_failure::notSent)));
+                answer(simulated_site::latency, failure(errorOf(table_failure::notSent)));
                 return;
             }
             if (!isRead && std::exchange(store.loseNextRequest, false)) {
@@ -67,7 +67,7 @@
             if (!isRead && std::exchange(store.loseNextAnswer, false))
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
             else
-                answer(world::latency, result);
+                answer(simulated_site::latency, result);
         });
     });
 }
@@ -85,7 +85,7 @@
             std::move(done));
 }
 
-static write_result insertRow(world &all, const std::string &key, const std::string &value)
+static write_result insertRow(simulated_site &all, const std::string &key, const std::string &value)
 {
     const bool isBill = kindOf(key) == "bill";
     if (isBill && all.broken == sabotage::dropBills)
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -15,7 +15,7 @@
 constexpr int pieces = 4;
 } // namespace
 
-fake_instance::fake_instance(world &all, std::string id, std::string dataCentre)
+fake_instance::fake_instance(simulated_site &all, std::string id, std::string dataCentre)
     : all(all)
     , id(std::move(id))
     , dataCentre(std::move(dataCentre))
@@ -54,7 +54,7 @@
     all.clock.after(milliseconds(300), [finish] { finish(false); });
     if (!runtime.isRunning() || all.isCut(id, holder))
         return;
-    all.clock.after(world::latency, [this, holder, copy, finish, passed] {
+    all.clock.after(simulated_site::latency, [this, holder, copy, finish, passed] {
         fake_instance *const other = all.find(holder);
         if (other == nullptr) {
             finish(false);
@@ -68,7 +68,7 @@
                     all.billWitnesses[item.request_id()].insert(other->id);
             }
             passed("billcopy.held", true);
-            all.clock.after(world::latency, [finish, held] { finish(held); });
+            all.clock.after(simulated_site::latency, [finish, held] { finish(held); });
         });
     });
 }
@@ -87,13 +87,13 @@
     std::optional<std::string> text;
     if (it != all.objects.end())
         text = it->second;
-    runtime.after(world::latency, [done, text] { done(text); });
+    runtime.after(simulated_site::latency, [done, text] { done(text); });
 }
 
 void fake_instance::fetchFromPeer(const std::string &peer,
                                   std::function<void(std::optional<fetched_bundle>)> done)
 {
-    runtime.after(2 * world::latency, [this, peer, done] {
+    runtime.after(2 * simulated_site::latency, [this, peer, done] {
         fake_instance *const other = all.find(peer);
         const bool reachable
                 = other != nullptr && other->runtime.isRunning() && !all.isCut(id, peer);
@@ -105,7 +105,7 @@
     });
 }
 
-fake_entry::fake_entry(world &all, std::string id, std::string dataCentre)
+fake_entry::fake_entry(simulated_site &all, std::string id, std::string dataCentre)
     : fake_instance(all, std::move(id), std::move(dataCentre))
 {
 }
@@ -186,7 +186,7 @@
     all.clock.after(milliseconds(500), [finish] { finish(std::nullopt); });
     if (!runtime.isRunning() || all.isCut(id, instance))
         return;
-    all.clock.after(world::latency, [this, instance, message, finish] {
+    all.clock.after(simulated_site::latency, [this, instance, message, finish] {
         fake_agent *const agent = all.findAgent(instance);
         if (agent == nullptr) {
             finish(std::nullopt);
@@ -194,7 +194,7 @@
         }
         agent->runtime.run([this, agent, message, finish] {
             const wire::revoked answer = agent->core->onRevoke(message);
-            all.clock.after(world::latency, [finish, answer] { finish(answer); });
+            all.clock.after(simulated_site::latency, [finish, answer] { finish(answer); });
         });
     });
 }
@@ -262,7 +262,7 @@
         }
     }
     runtime.run([this, caller, event] {
-        all.clock.after(world::latency, [this, caller, event] {
+        all.clock.after(simulated_site::latency, [this, caller, event] {
             const auto it = all.callers.find(caller);
             if (it != all.callers.end())
                 takeEvent(it->second, event, all.clock.now());
@@ -315,7 +315,8 @@
     core->outbox().peerGone(peer);
 }
 
-fake_agent::fake_agent(world &all, std::string id, std::string dataCentre, std::string pool)
+fake_agent::fake_agent(simulated_site &all, std::string id, std::string dataCentre,
+                       std::string pool)
     : fake_instance(all, std::move(id), std::move(dataCentre))
     , pool(std::move(pool))
 {
@@ -417,7 +418,7 @@
             all.outputs[offer.request_id()].insert(*text);
         });
     }
-    all.clock.after(all.workTime + world::latency, [this, work, fails, offer] {
+    all.clock.after(all.workTime + simulated_site::latency, [this, work, fails, offer] {
         if (works.erase(work) == 0)
             return;
         all.step("engine.done", false, all.findEntry(offer.entry()), all.findAgent(id));
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -34,7 +34,7 @@
 class scenario_run
 {
 public:
-    scenario_run(const std::string &name, world &all)
+    scenario_run(const std::string &name, simulated_site &all)
         : m_name(name)
         , m_world(all)
     {
@@ -51,7 +51,7 @@
     bool runSession(const std::string &name);
 
     std::string m_name;
-    world &m_world;
+    simulated_site &m_world;
     bool m_repeated = false;
 };
 
@@ -210,7 +210,7 @@
                                           const std::vector<fault_point> &faults,
                                           std::uint64_t seed, sabotage broken)
 {
-    world all(seed, faults, broken);
+    simulated_site all(seed, faults, broken);
     all.startSite(benchBundle());
     // Only what the scenario passes counts, not the start of the site.
     all.stepCounts.clear();
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -37,7 +37,7 @@
             + std::to_string(occurrence);
 }
 
-world::world(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken)
+simulated_site::simulated_site(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken)
     : random(seed)
     , faults(std::move(faults))
     , broken(broken)
@@ -45,9 +45,9 @@
 {
 }
 
-world::~world() = default;
+simulated_site::~simulated_site() = default;
 
-std::vector<fake_instance *> world::instances()
+std::vector<fake_instance *> simulated_site::instances()
 {
     std::vector<fake_instance *> list;
     for (const auto &[id, item] : m_entries)
@@ -57,26 +57,26 @@
     return list;
 }
 
-fake_entry *world::findEntry(const std::string &id)
+fake_entry *simulated_site::findEntry(const std::string &id)
 {
     const auto it = m_entries.find(id);
     return it == m_entries.end() ? nullptr : it->second.get();
 }
 
-fake_agent *world::findAgent(const std::string &id)
+fake_agent *simulated_site::findAgent(const std::string &id)
 {
     const auto it = m_agents.find(id);
     return it == m_agents.end() ? nullptr : it->second.get();
 }
 
-fake_instance *world::find(const std::string &id)
+fake_instance *simulated_site::find(const std::string &id)
 {
     if (fake_entry *const entry = findEntry(id))
         return entry;
     return findAgent(id);
 }
 
-fake_entry *world::addEntry(const std::string &id, const std::string &dataCentre)
+fake_entry *simulated_site::addEntry(const std::string &id, const std::string &dataCentre)
 {
     auto item = std::make_unique<fake_entry>(*this, id, dataCentre);
     entry_options options;
@@ -98,8 +98,8 @@
     return raw;
 }
 
-fake_agent *world::addAgent(const std::string &id, const std::string &dataCentre,
-                            const std::string &pool)
+fake_agent *simulated_site::addAgent(const std::string &id, const std::string &dataCentre,
+                                     const std::string &pool)
 {
     auto item = std::make_unique<fake_agent>(*this, id, dataCentre, pool);
     agent_options options;
@@ -115,7 +115,7 @@
     return raw;
 }
 
-wire::member world::memberOf(const fake_instance &item, wire::member_state state)
+wire::member simulated_site::memberOf(const fake_instance &item, wire::member_state state)
 {
     wire::member member;
     member.set_id(item.id);
@@ -128,7 +128,8 @@
     return member;
 }
 
-void world::announceMember(const fake_instance &item, wire::member_state state, duration delay)
+void simulated_site::announceMember(const fake_instance &item, wire::member_state state,
+                                    duration delay)
 {
     const wire::member member = memberOf(item, state);
     clock.after(delay, [this, member] {
@@ -150,7 +151,7 @@
     });
 }
 
-void world::startSite(const bundle &rules)
+void simulated_site::startSite(const bundle &rules)
 {
     acceptBundle(rules);
     addEntry("e1", "dc1");
@@ -167,7 +168,7 @@
     clock.advance(seconds(3));
 }
 
-void world::acceptBundle(const bundle &rules)
+void simulated_site::acceptBundle(const bundle &rules)
 {
     acceptance next;
     next.epoch = accepted.size() + 1;
@@ -182,7 +183,7 @@
     acceptedAt.push_back(clock.now());
 }
 
-void world::gossipTick()
+void simulated_site::gossipTick()
 {
     m_rounds += 1;
     const auto list = instances();
@@ -204,7 +205,7 @@
     clock.after(gossipPeriod, [this] { gossipTick(); });
 }
 
-void world::loadTick()
+void simulated_site::loadTick()
 {
     for (auto &[entryId, entry] : m_entries) {
         for (auto &[agentId, agent] : m_agents) {
@@ -221,7 +222,7 @@
     clock.after(loadPeriod, [this] { loadTick(); });
 }
 
-void world::deliver(std::uint64_t streamId, bool, std::function<void()> action)
+void simulated_site::deliver(std::uint64_t streamId, bool, std::function<void()> action)
 {
     clock.after(latency, [this, streamId, action = std::move(action)] {
         const auto it = streams.find(streamId);
@@ -234,7 +235,7 @@
     });
 }
 
-void world::breakStream(std::uint64_t id)
+void simulated_site::breakStream(std::uint64_t id)
 {
     const auto node = streams.extract(id);
     if (node.empty())
@@ -248,7 +249,7 @@
     });
 }
 
-caller_id world::send(const std::string &entry, caller_request request)
+caller_id simulated_site::send(const std::string &entry, caller_request request)
 {
     const caller_id id = ++m_lastCaller;
     request.id = id;
@@ -271,7 +272,7 @@
     return id;
 }
 
-void world::leave(caller_id caller)
+void simulated_site::leave(caller_id caller)
 {
     caller_record &record = callers.at(caller);
     record.ended = true;
@@ -280,7 +281,7 @@
         entry->runtime.run([entry, caller] { entry->core->callerLeft(caller); });
 }
 
-void world::runUntil(const std::function<bool()> &done, duration longest)
+void simulated_site::runUntil(const std::function<bool()> &done, duration longest)
 {
     const time_point end = clock.now() + longest;
     while (clock.now() < end && !done())
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -20,7 +20,7 @@
 
 namespace laurelcroft::testing {
 
-class world;
+class simulated_site;
 struct bench_entry_core;
 struct bench_agent_core;
 
@@ -130,7 +130,7 @@
 class fake_table
 {
 public:
-    fake_table(world &all, process_runtime &runtime, std::string owner)
+    fake_table(simulated_site &all, process_runtime &runtime, std::string owner)
         : m_world(all)
         , m_runtime(runtime)
         , m_owner(std::move(owner))
@@ -148,7 +148,7 @@
     template <class T>
     void call(const std::string &kind, std::function<T()> effect, table_callback<T> done);
 
-    world &m_world;
+    simulated_site &m_world;
     process_runtime &m_runtime;
     std::string m_owner;
 };
@@ -167,7 +167,7 @@
 class fake_instance
 {
 public:
-    fake_instance(world &all, std::string id, std::string dataCentre);
+    fake_instance(simulated_site &all, std::string id, std::string dataCentre);
     virtual ~fake_instance() = default;
 
     std::vector<std::string> billHolders();
@@ -187,7 +187,7 @@
     virtual void adoptOld() = 0;
     virtual bool isIdle() const = 0;
 
-    world &all;
+    simulated_site &all;
     std::string id;
     std::string dataCentre;
     process_runtime runtime;
@@ -200,7 +200,7 @@
 class fake_entry : public fake_instance
 {
 public:
-    fake_entry(world &all, std::string id, std::string dataCentre);
+    fake_entry(simulated_site &all, std::string id, std::string dataCentre);
     ~fake_entry() override;
 
     // The environment of the core.
@@ -230,7 +230,7 @@
 class fake_agent : public fake_instance
 {
 public:
-    fake_agent(world &all, std::string id, std::string dataCentre, std::string pool);
+    fake_agent(simulated_site &all, std::string id, std::string dataCentre, std::string pool);
     ~fake_agent() override;
 
     // The environment of the core.
@@ -267,11 +267,11 @@
 };
 
 /// Everything together.
-class world
+class simulated_site
 {
 public:
-    world(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken);
-    ~world();
+    simulated_site(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken);
+    ~simulated_site();
 
     /// Starts entries and agents and waits until the first bundle is in force.
     void startSite(const bundle &rules);
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void world::planStop(fake_instance &victim)
+void simulated_site::planStop(fake_instance &victim)
 {
     if (victim.leaving || !victim.runtime.isRunning())
         return;
@@ -43,7 +43,7 @@
 }
 
 /// Ends stopped processes once they are idle, as the binaries do.
-void world::stopTick()
+void simulated_site::stopTick()
 {
     for (fake_instance *item : instances()) {
         const bool waited = clock.now() - item->leftAt >= leastStop;
@@ -54,7 +54,7 @@
     clock.after(stopPeriod, [this] { stopTick(); });
 }
 
-void world::kill(fake_instance &victim, bool asPlanned)
+void simulated_site::kill(fake_instance &victim, bool asPlanned)
 {
     if (victim.runtime.isDead())
         return;
@@ -89,7 +89,7 @@
         breakStream(stream);
 }
 
-void world::freeze(fake_instance &victim, duration length)
+void simulated_site::freeze(fake_instance &victim, duration length)
 {
     if (!victim.runtime.isRunning())
         return;
@@ -117,12 +117,12 @@
     });
 }
 
-bool world::isCut(const std::string &a, const std::string &b) const
+bool simulated_site::isCut(const std::string &a, const std::string &b) const
 {
     return cuts.count({a, b}) != 0 || cuts.count({b, a}) != 0;
 }
 
-void world::cutPair(const std::string &a, const std::string &b, duration length)
+void simulated_site::cutPair(const std::string &a, const std::string &b, duration length)
 {
     cuts.insert({a, b});
     clock.after(pingTimeout, [this, a, b] {
@@ -150,7 +150,7 @@
         }
     });
 }
-void world::step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent)
+void simulated_site::step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent)
 {
     auto &counts = after ? afterCounts : stepCounts;
     const int passed = ++counts[name];
@@ -165,12 +165,12 @@
     }
 }
 
-bool world::hasStruck(fault_kind kind) const
+bool simulated_site::hasStruck(fault_kind kind) const
 {
     return std::find(struck.begin(), struck.end(), kind) != struck.end();
 }
 
-void world::strike(fault_kind kind, fake_entry *entry, fake_agent *agent)
+void simulated_site::strike(fault_kind kind, fake_entry *entry, fake_agent *agent)
 {
     const time_point now = clock.now();
     switch (kind) {
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -33,7 +33,7 @@
         m_began = m_world.clock.now();
     }
 
-    world &site() { return m_world; }
+    simulated_site &site() { return m_world; }
 
     void say(const std::string &line) { m_text << clockText() << line << "\n"; }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    world m_world;
+    simulated_site m_world;
     time_point m_began{};
     std::ostringstream m_text;
     std::size_t m_written = 0;
