--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -27,7 +27,7 @@
 template <class T>
 void fake_table::call(const std::string &kind, std::function<T()> effect, table_callback<T> done)
 {
-    simulated_site *const all = &m_world;
+    simulated_site *const all = &m_site;
     const std::string owner = m_owner;
     const auto passed = [all, owner](const std::string &name, bool after) {
         all->step(name, after, all->findEntry(owner), all->findAgent(owner));
@@ -77,8 +77,8 @@
     call<std::optional<table_row>>(
             kindOf(key) + ".read",
             [this, key]() -> std::optional<table_row> {
-                const auto it = m_world.store.rows.find(key);
-                if (it == m_world.store.rows.end())
+                const auto it = m_site.store.rows.find(key);
+                if (it == m_site.store.rows.end())
                     return std::nullopt;
                 return it->second;
             },
@@ -100,7 +100,7 @@
                         table_callback<write_result> done)
 {
     call<write_result>(
-            kindOf(key), [this, key, value] { return insertRow(m_world, key, value); },
+            kindOf(key), [this, key, value] { return insertRow(m_site, key, value); },
             std::move(done));
 }
 
@@ -110,7 +110,7 @@
     call<write_result>(
             kindOf(key) + ".set",
             [this, key, version, value]() -> write_result {
-                table_row &row = m_world.store.rows[key];
+                table_row &row = m_site.store.rows[key];
                 if (row.version != version)
                     return {false, row};
                 row = {value, version + 1};
@@ -127,7 +127,7 @@
             [this, rows] {
                 std::vector<write_result> results;
                 for (const new_row &row : rows)
-                    results.push_back(insertRow(m_world, row.key, row.value));
+                    results.push_back(insertRow(m_site, row.key, row.value));
                 return results;
             },
             std::move(done));
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -36,7 +36,7 @@
 public:
     scenario_run(const std::string &name, simulated_site &all)
         : m_name(name)
-        , m_world(all)
+        , m_site(all)
     {
     }
 
@@ -51,7 +51,7 @@
     bool runSession(const std::string &name);
 
     std::string m_name;
-    simulated_site &m_world;
+    simulated_site &m_site;
     bool m_repeated = false;
 };
 
@@ -104,8 +104,8 @@
 std::string scenario_run::liveEntry(int turn)
 {
     std::vector<std::string> ids;
-    for (const fake_instance *item : m_world.instances()) {
-        const bool takesWork = m_world.findEntry(item->id) != nullptr && !item->leaving;
+    for (const fake_instance *item : m_site.instances()) {
+        const bool takesWork = m_site.findEntry(item->id) != nullptr && !item->leaving;
         if (takesWork && !item->runtime.isDead())
             ids.push_back(item->id);
     }
@@ -114,9 +114,9 @@
 
 void scenario_run::send(logical_request &item)
 {
-    item.last = m_world.send(liveEntry(item.tries), item.request);
+    item.last = m_site.send(liveEntry(item.tries), item.request);
     item.tries += 1;
-    caller_record &record = m_world.caller(item.last);
+    caller_record &record = m_site.caller(item.last);
     record.group = item.group;
     if (!item.request.idempotencyKey.empty())
         record.requestId = keyedRequestId("school", item.request.idempotencyKey);
@@ -125,7 +125,7 @@
 /// The caller loses patience and sends the same key to the other entry at once.
 void scenario_run::considerRepeat(const logical_request &item)
 {
-    if (m_repeated || !m_world.hasStruck(fault_kind::callerRepeats))
+    if (m_repeated || !m_site.hasStruck(fault_kind::callerRepeats))
         return;
     m_repeated = true;
     logical_request twin = item;
@@ -137,13 +137,13 @@
 {
     send(item);
     while (item.tries < mostTries) {
-        m_world.runUntil(
+        m_site.runUntil(
                 [&] {
                     considerRepeat(item);
-                    return m_world.caller(item.last).ended;
+                    return m_site.caller(item.last).ended;
                 },
                 longestScenario);
-        const caller_record record = m_world.caller(item.last);
+        const caller_record record = m_site.caller(item.last);
         if (record.complete())
             return true;
         const bool mayAskAgain = !item.request.idempotencyKey.empty()
@@ -151,7 +151,7 @@
                 && record.code != "version_withdrawn";
         if (!record.ended || !mayAskAgain)
             return false;
-        m_world.clock.advance(retryWait);
+        m_site.clock.advance(retryWait);
         send(item);
     }
     return false;
@@ -170,18 +170,18 @@
         // try is another one.
         item.group = session.empty() ? "" : group;
         const bool served = drive(item);
-        const bool isWithdrawn = m_world.caller(item.last).code == "version_withdrawn";
+        const bool isWithdrawn = m_site.caller(item.last).code == "version_withdrawn";
         if (!served && !isWithdrawn)
             return false;
         if (name.empty() && served)
-            session = m_world.caller(item.last).header("X-Laurelcroft-Session");
+            session = m_site.caller(item.last).header("X-Laurelcroft-Session");
         if (isWithdrawn) {
             // The answer says to begin a new session.
             begun += 1;
             session = name.empty() ? "" : name + std::to_string(begun);
             group = "draft-" + std::to_string(begun);
         }
-        m_world.clock.advance(turnPause);
+        m_site.clock.advance(turnPause);
     }
     return true;
 }
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -131,7 +131,7 @@
 {
 public:
     fake_table(simulated_site &all, process_runtime &runtime, std::string owner)
-        : m_world(all)
+        : m_site(all)
         , m_runtime(runtime)
         , m_owner(std::move(owner))
     {
@@ -148,7 +148,7 @@
     template <class T>
     void call(const std::string &kind, std::function<T()> effect, table_callback<T> done);
 
-    simulated_site &m_world;
+    simulated_site &m_site;
     process_runtime &m_runtime;
     std::string m_owner;
 };
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -27,13 +27,13 @@
 {
 public:
     explicit golden_session(const bundle &rules)
-        : m_world(1, {}, sabotage::none)
+        : m_site(1, {}, sabotage::none)
     {
-        m_world.startSite(rules);
-        m_began = m_world.clock.now();
+        m_site.startSite(rules);
+        m_began = m_site.clock.now();
     }
 
-    simulated_site &site() { return m_world; }
+    simulated_site &site() { return m_site; }
 
     void say(const std::string &line) { m_text << clockText() << line << "\n"; }
 
@@ -50,15 +50,15 @@
             request.kind = wire::work_service;
         say("request to " + entry + ": " + target + (key.empty() ? "" : ", key " + key)
             + (session.empty() ? "" : ", in its session"));
-        return m_world.send(entry, request);
+        return m_site.send(entry, request);
     }
 
     /// Waits for the answer and writes it with the decisions that led to it.
     caller_record finish(caller_id id)
     {
-        m_world.runUntil([&] { return m_world.caller(id).ended; }, longestAnswer);
+        m_site.runUntil([&] { return m_site.caller(id).ended; }, longestAnswer);
         writeDecisions();
-        const caller_record record = m_world.caller(id);
+        const caller_record record = m_site.caller(id);
         std::string line = "answer " + std::to_string(record.status);
         for (const char *name : {"X-Laurelcroft-Model", "X-Laurelcroft-Version",
                                  "X-Laurelcroft-Bundle", "X-Laurelcroft-Replayed", "Retry-After"}) {
@@ -73,13 +73,13 @@
         return record;
     }
 
-    void wait(duration time) { m_world.clock.advance(time); }
+    void wait(duration time) { m_site.clock.advance(time); }
 
     std::string text()
     {
         wait(quiet);
         writeDecisions();
-        for (const auto &[key, row] : m_world.store.rows) {
+        for (const auto &[key, row] : m_site.store.rows) {
             const auto bill = decodeBill(row.value);
             if (key.rfind("bill/", 0) != 0 || !bill)
                 continue;
@@ -89,7 +89,7 @@
                        << step.endpoint();
             m_text << "\n";
         }
-        for (const violation &item : audit(m_world))
+        for (const violation &item : audit(m_site))
             m_text << "VIOLATION " << testing::textOf(item.which) << ": " << item.detail << "\n";
         return m_text.str();
     }
@@ -97,21 +97,21 @@
 private:
     std::string clockText() const
     {
-        const auto ms = std::chrono::duration_cast<milliseconds>(m_world.clock.now() - m_began);
+        const auto ms = std::chrono::duration_cast<milliseconds>(m_site.clock.now() - m_began);
         return "[" + std::to_string(ms.count()) + " ms] ";
     }
 
     void writeDecisions()
     {
-        for (; m_written < m_world.decisions.size(); ++m_written) {
-            const decision &made = m_world.decisions[m_written];
+        for (; m_written < m_site.decisions.size(); ++m_written) {
+            const decision &made = m_site.decisions[m_written];
             m_text << "    " << textOf(made.kind) << ": " << made.chosen << " of "
                    << made.considered << (made.reason.empty() ? "" : ", " + made.reason)
                    << ", epoch " << made.epoch << "\n";
         }
     }
 
-    simulated_site m_world;
+    simulated_site m_site;
     time_point m_began{};
     std::ostringstream m_text;
     std::size_t m_written = 0;
