--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -31,29 +31,29 @@
 }
 
 /// \returns the bundles that may have been in force for a start at \p at.
-static std::vector<const bundle *> bundlesAt(const simulated_site &all, time_point at)
+static std::vector<const bundle *> bundlesAt(const simulated_site &site, time_point at)
 {
     std::vector<const bundle *> list;
     // A bundle that nobody can read yet is in force nowhere: while the table is away the
     // one before goes on. docs/PROMISES.md names this exposure.
-    const time_point readable = std::max(all.store.downUntil, all.store.slowUntil);
-    for (std::size_t i = 0; i < all.accepted.size(); ++i) {
-        const bool replaced = i + 1 < all.accepted.size();
-        if (all.acceptedAt[i] > at)
+    const time_point readable = std::max(site.store.downUntil, site.store.slowUntil);
+    for (std::size_t i = 0; i < site.accepted.size(); ++i) {
+        const bool replaced = i + 1 < site.accepted.size();
+        if (site.acceptedAt[i] > at)
             continue;
-        if (replaced && std::max(all.acceptedAt[i + 1], readable) + inForceWithin < at)
+        if (replaced && std::max(site.acceptedAt[i + 1], readable) + inForceWithin < at)
             continue;
-        list.push_back(&all.accepted[i]);
+        list.push_back(&site.accepted[i]);
     }
     return list;
 }
 
-static void checkVersions(const simulated_site &all, violations &found)
+static void checkVersions(const simulated_site &site, violations &found)
 {
-    for (const engine_start &start : all.starts) {
+    for (const engine_start &start : site.starts) {
         bool allowed = false;
         bool withdrawnEverywhere = true;
-        for (const bundle *rules : bundlesAt(all, start.at)) {
+        for (const bundle *rules : bundlesAt(site, start.at)) {
             const customer *who = rules->findCustomer(start.customer);
             allowed = allowed
                     || (who != nullptr && mayUse(*rules, *who, start.target, start.version));
@@ -72,15 +72,15 @@
     }
 }
 
-static void checkSessions(const simulated_site &all, violations &found)
+static void checkSessions(const simulated_site &site, violations &found)
 {
     std::map<std::string, std::string> groups;
-    for (const auto &[id, record] : all.callers) {
+    for (const auto &[id, record] : site.callers) {
         if (!record.group.empty() && !record.requestId.empty())
             groups[record.requestId] = record.group;
     }
     std::map<std::string, std::string> versions;
-    for (const engine_start &start : all.starts) {
+    for (const engine_start &start : site.starts) {
         const auto group = groups.find(start.requestId);
         if (group == groups.end())
             continue;
@@ -93,10 +93,10 @@
     }
 }
 
-static std::map<std::string, int> countStarts(const simulated_site &all)
+static std::map<std::string, int> countStarts(const simulated_site &site)
 {
     std::map<std::string, int> counts;
-    for (const engine_start &start : all.starts)
+    for (const engine_start &start : site.starts)
         counts[start.requestId] += 1;
     return counts;
 }
@@ -104,30 +104,30 @@
 /// \returns true when every process that knew of a start of \p requestId, or held its
 /// bill, is dead, and at least two of them without a planned stop: two instances lost
 /// before the table had the bill are beyond what two copies can keep.
-static bool allWitnessesDead(const simulated_site &all, const std::string &requestId)
+static bool allWitnessesDead(const simulated_site &site, const std::string &requestId)
 {
     std::set<std::string> witnesses;
-    for (const engine_start &start : all.starts) {
+    for (const engine_start &start : site.starts) {
         if (start.requestId == requestId)
             witnesses.insert({start.agent, start.entry});
     }
-    const auto holders = all.billWitnesses.find(requestId);
-    if (holders != all.billWitnesses.end())
+    const auto holders = site.billWitnesses.find(requestId);
+    if (holders != site.billWitnesses.end())
         witnesses.insert(holders->second.begin(), holders->second.end());
     std::size_t lost = 0;
     for (const std::string &id : witnesses) {
-        if (!all.isDead(id))
+        if (!site.isDead(id))
             return false;
-        lost += all.killed.count(id);
+        lost += site.killed.count(id);
     }
     return lost >= 2;
 }
 
-static void checkBills(const simulated_site &all, violations &found)
+static void checkBills(const simulated_site &site, violations &found)
 {
-    const auto starts = countStarts(all);
+    const auto starts = countStarts(site);
     std::map<std::string, int> bills;
-    for (const auto &[key, row] : all.store.rows) {
+    for (const auto &[key, row] : site.store.rows) {
         if (key.rfind("bill/", 0) != 0)
             continue;
         const auto bill = decodeBill(row.value);
@@ -140,7 +140,7 @@
     }
     for (const auto &[id, count] : starts) {
         const int billed = bills.count(id) ? bills.at(id) : 0;
-        const bool excused = billed == 0 && allWitnessesDead(all, id);
+        const bool excused = billed == 0 && allWitnessesDead(site, id);
         if (billed != 1 && !excused)
             found.push_back({promise::billedOnce,
                              id + " has " + std::to_string(billed) + " bills for "
@@ -152,9 +152,9 @@
     }
 }
 
-static void checkAnswers(const simulated_site &all, violations &found)
+static void checkAnswers(const simulated_site &site, violations &found)
 {
-    for (const auto &[id, record] : all.callers) {
+    for (const auto &[id, record] : site.callers) {
         if (!record.complete() || record.requestId.empty())
             continue;
         std::string text = record.body;
@@ -162,8 +162,8 @@
                 && text.compare(text.size() - streamEnd.size(), streamEnd.size(), streamEnd) == 0;
         if (streamed)
             text.resize(text.size() - streamEnd.size());
-        const auto made = all.outputs.find(record.requestId);
-        if (made == all.outputs.end() || made->second.count(text) == 0)
+        const auto made = site.outputs.find(record.requestId);
+        if (made == site.outputs.end() || made->second.count(text) == 0)
             found.push_back({promise::ownAnswer, record.requestId + " got '" + text + "'"});
     }
 }
@@ -175,12 +175,12 @@
 
 /// A start is laid to the calls that may have caused it: same request, same entry,
 /// sent before. If all of those were told "not run", one of them was told wrong.
-static void checkNotRun(const simulated_site &all, violations &found)
+static void checkNotRun(const simulated_site &site, violations &found)
 {
-    for (const engine_start &start : all.starts) {
+    for (const engine_start &start : site.starts) {
         bool anyCause = false;
         bool allToldNo = true;
-        for (const auto &[id, record] : all.callers) {
+        for (const auto &[id, record] : site.callers) {
             const bool isCause = record.requestId == start.requestId && record.entry == start.entry
                     && record.sentAt <= start.at;
             if (!isCause)
@@ -195,10 +195,10 @@
     }
 }
 
-static void checkAtMostOnce(const simulated_site &all, violations &found)
+static void checkAtMostOnce(const simulated_site &site, violations &found)
 {
     std::map<std::string, int> counts;
-    for (const engine_start &start : all.starts) {
+    for (const engine_start &start : site.starts) {
         if (!start.repeatable)
             counts[start.requestId] += 1;
     }
@@ -208,30 +208,30 @@
     }
 }
 
-static void checkLeaving(const simulated_site &all, violations &found)
+static void checkLeaving(const simulated_site &site, violations &found)
 {
-    for (const engine_start &start : all.starts) {
-        const auto stopped = all.stoppedAt.find(start.agent);
-        if (stopped != all.stoppedAt.end() && start.at > stopped->second + leavingWithin)
+    for (const engine_start &start : site.starts) {
+        const auto stopped = site.stoppedAt.find(start.agent);
+        if (stopped != site.stoppedAt.end() && start.at > stopped->second + leavingWithin)
             found.push_back({promise::leaving, start.agent + " got " + start.requestId});
     }
 }
 
-static void checkPlannedStop(const simulated_site &all, violations &found)
+static void checkPlannedStop(const simulated_site &site, violations &found)
 {
     const auto isPlanned = [](fault_kind kind) {
         return kind == fault_kind::stopEntry || kind == fault_kind::stopAgent
                 || kind == fault_kind::replaceAll;
     };
-    if (all.struck.empty() || !std::all_of(all.struck.begin(), all.struck.end(), isPlanned))
+    if (site.struck.empty() || !std::all_of(site.struck.begin(), site.struck.end(), isPlanned))
         return;
-    for (const auto &[id, record] : all.callers) {
+    for (const auto &[id, record] : site.callers) {
         const bool refused = record.ended && !record.cut && record.executed == "no";
         // Nobody was left to send it to, or the instance had left: the balancer's part.
         if (record.entry == "none")
             continue;
-        const auto stopped = all.stoppedAt.find(record.entry);
-        const bool wasGone = stopped != all.stoppedAt.end() && record.sentAt > stopped->second;
+        const auto stopped = site.stoppedAt.find(record.entry);
+        const bool wasGone = stopped != site.stoppedAt.end() && record.sentAt > stopped->second;
         if (!record.complete() && !refused && !wasGone)
             found.push_back({promise::plannedStop,
                              "caller " + std::to_string(id) + " of " + record.entry + " got status "
@@ -239,40 +239,40 @@
     }
 }
 
-static void checkBundle(simulated_site &all, violations &found)
+static void checkBundle(simulated_site &site, violations &found)
 {
-    for (const std::string &problem : all.problems)
+    for (const std::string &problem : site.problems)
         found.push_back({promise::bundle, problem});
-    for (const fake_instance *item : all.instances()) {
+    for (const fake_instance *item : site.instances()) {
         const auto held = item->current();
         const bundle_epoch epoch = held ? held->accepted.epoch : 0;
-        if (epoch != all.accepted.size())
+        if (epoch != site.accepted.size())
             found.push_back(
                     {promise::bundle, item->id + " stands at epoch " + std::to_string(epoch)});
     }
 }
 
-static void checkAnswered(const simulated_site &all, violations &found)
+static void checkAnswered(const simulated_site &site, violations &found)
 {
-    for (const auto &[id, record] : all.callers) {
+    for (const auto &[id, record] : site.callers) {
         if (!record.ended)
             found.push_back(
                     {promise::answered, "caller " + std::to_string(id) + " has no final answer"});
     }
 }
 
-std::vector<violation> laurelcroft::testing::audit(simulated_site &all)
+std::vector<violation> laurelcroft::testing::audit(simulated_site &site)
 {
     violations found;
-    checkVersions(all, found);
-    checkSessions(all, found);
-    checkBills(all, found);
-    checkAnswers(all, found);
-    checkNotRun(all, found);
-    checkAtMostOnce(all, found);
-    checkLeaving(all, found);
-    checkPlannedStop(all, found);
-    checkBundle(all, found);
-    checkAnswered(all, found);
+    checkVersions(site, found);
+    checkSessions(site, found);
+    checkBills(site, found);
+    checkAnswers(site, found);
+    checkNotRun(site, found);
+    checkAtMostOnce(site, found);
+    checkLeaving(site, found);
+    checkPlannedStop(site, found);
+    checkBundle(site, found);
+    checkAnswered(site, found);
     return found;
 }
--- a/test/FaultMatrix/Auditor.h
+++ b/test/FaultMatrix/Auditor.h
@@ -38,7 +38,7 @@
 };
 
 /// \returns what does not hold at the end of a run.
-std::vector<violation> audit(simulated_site &all);
+std::vector<violation> audit(simulated_site &site);
 
 } // namespace laurelcroft::testing
 
--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -27,26 +27,26 @@
 template <class T>
 void fake_table::call(const std::string &kind, std::function<T()> effect, table_callback<T> done)
 {
-    simulated_site *const all = &m_site;
+    simulated_site *const site = &m_site;
     const std::string owner = m_owner;
-    const auto passed = [all, owner](const std::string &name, bool after) {
-        all->step(name, after, all->findEntry(owner), all->findAgent(owner));
+    const auto passed = [site, owner](const std::string &name, bool after) {
+        site->step(name, after, site->findEntry(owner), site->findAgent(owner));
     };
     passed(kind + ".sent", false);
     if (m_runtime.isDead())
         return;
     const auto answer
-            = [all, this, done, passed, kind](duration when, outcome<T, table_error> result) {
-                  all->clock.after(when, [this, done, passed, kind, result] {
+            = [site, this, done, passed, kind](duration when, outcome<T, table_error> result) {
+                  site->clock.after(when, [this, done, passed, kind, result] {
                       passed(kind + ".answered", false);
                       m_runtime.run([done, result] { done(result); });
                       passed(kind + ".answered", true);
                   });
               };
     m_runtime.run([=] {
-        all->clock.after(simulated_site::latency, [=] {
-            table_store &store = all->store;
-            const time_point now = all->clock.now();
+        site->clock.after(simulated_site::latency, [=] {
+            table_store &store = site->store;
+            const time_point now = site->clock.now();
             const bool isRead = kind.find(".read") != std::string::npos;
             if (now < store.downUntil) {
                 answer(simulated_site::latency, failure(errorOf(table_failure::notSent)));
@@ -57,7 +57,7 @@
                 return;
             }
             if (now < store.slowUntil) {
-                all->clock.after(slowEffect, [effect] { effect(); });
+                site->clock.after(slowEffect, [effect] { effect(); });
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
                 return;
             }
@@ -85,14 +85,15 @@
             std::move(done));
 }
 
-static write_result insertRow(simulated_site &all, const std::string &key, const std::string &value)
+static write_result insertRow(simulated_site &site, const std::string &key,
+                              const std::string &value)
 {
     const bool isBill = kindOf(key) == "bill";
-    if (isBill && all.broken == sabotage::dropBills)
+    if (isBill && site.broken == sabotage::dropBills)
         return {true, {value, 1}};
-    if (isBill && all.broken == sabotage::doubleBills)
-        all.store.rows[key + "-again"] = {value, 1};
-    const auto [it, fresh] = all.store.rows.try_emplace(key, table_row{value, 1});
+    if (isBill && site.broken == sabotage::doubleBills)
+        site.store.rows[key + "-again"] = {value, 1};
+    const auto [it, fresh] = site.store.rows.try_emplace(key, table_row{value, 1});
     return {fresh, it->second};
 }
 
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -15,12 +15,12 @@
 constexpr int pieces = 4;
 } // namespace
 
-fake_instance::fake_instance(simulated_site &all, std::string id, std::string dataCentre)
-    : all(all)
+fake_instance::fake_instance(simulated_site &site, std::string id, std::string dataCentre)
+    : site(site)
     , id(std::move(id))
     , dataCentre(std::move(dataCentre))
-    , runtime(all.clock)
-    , table(all, runtime, this->id)
+    , runtime(site.clock)
+    , table(site, runtime, this->id)
 {
 }
 
@@ -28,8 +28,8 @@
 {
     std::vector<std::string> far;
     std::vector<std::string> near;
-    for (const fake_instance *other : all.instances()) {
-        if (other->id == id || other->leaving || all.isDead(other->id))
+    for (const fake_instance *other : site.instances()) {
+        if (other->id == id || other->leaving || site.isDead(other->id))
             continue;
         (other->dataCentre == dataCentre ? near : far).push_back(other->id);
     }
@@ -41,7 +41,7 @@
                               std::function<void(bool)> done)
 {
     const auto passed = [this](const char *name, bool after) {
-        all.step(name, after, all.findEntry(id), all.findAgent(id));
+        site.step(name, after, site.findEntry(id), site.findAgent(id));
     };
     passed("billcopy.sent", false);
     const auto answered = std::make_shared<bool>(false);
@@ -51,11 +51,11 @@
                 done(held);
         });
     };
-    all.clock.after(milliseconds(300), [finish] { finish(false); });
-    if (!runtime.isRunning() || all.isCut(id, holder))
+    site.clock.after(milliseconds(300), [finish] { finish(false); });
+    if (!runtime.isRunning() || site.isCut(id, holder))
         return;
-    all.clock.after(simulated_site::latency, [this, holder, copy, finish, passed] {
-        fake_instance *const other = all.find(holder);
+    site.clock.after(simulated_site::latency, [this, holder, copy, finish, passed] {
+        fake_instance *const other = site.find(holder);
         if (other == nullptr) {
             finish(false);
             return;
@@ -63,12 +63,12 @@
         other->runtime.run([this, other, copy, finish, passed] {
             const bool held = other->holdBills(copy);
             for (const wire::bill &item : copy.bills()) {
-                all.billWitnesses[item.request_id()].insert(id);
+                site.billWitnesses[item.request_id()].insert(id);
                 if (held)
-                    all.billWitnesses[item.request_id()].insert(other->id);
+                    site.billWitnesses[item.request_id()].insert(other->id);
             }
             passed("billcopy.held", true);
-            all.clock.after(simulated_site::latency, [finish, held] { finish(held); });
+            site.clock.after(simulated_site::latency, [finish, held] { finish(held); });
         });
     });
 }
@@ -83,9 +83,9 @@
 void fake_instance::readBundleText(const std::string &hash,
                                    std::function<void(std::optional<std::string>)> done)
 {
-    const auto it = all.objects.find(hash);
+    const auto it = site.objects.find(hash);
     std::optional<std::string> text;
-    if (it != all.objects.end())
+    if (it != site.objects.end())
         text = it->second;
     runtime.after(simulated_site::latency, [done, text] { done(text); });
 }
@@ -94,9 +94,9 @@
                                   std::function<void(std::optional<fetched_bundle>)> done)
 {
     runtime.after(2 * simulated_site::latency, [this, peer, done] {
-        fake_instance *const other = all.find(peer);
+        fake_instance *const other = site.find(peer);
         const bool reachable
-                = other != nullptr && other->runtime.isRunning() && !all.isCut(id, peer);
+                = other != nullptr && other->runtime.isRunning() && !site.isCut(id, peer);
         const auto held = reachable ? other->current() : nullptr;
         if (held)
             done(fetched_bundle{held->accepted, held->text});
@@ -105,8 +105,8 @@
     });
 }
 
-fake_entry::fake_entry(simulated_site &all, std::string id, std::string dataCentre)
-    : fake_instance(all, std::move(id), std::move(dataCentre))
+fake_entry::fake_entry(simulated_site &site, std::string id, std::string dataCentre)
+    : fake_instance(site, std::move(id), std::move(dataCentre))
 {
 }
 
@@ -124,8 +124,8 @@
 
 attempt_handle fake_entry::openAttempt(const std::string &instance, const wire::from_entry &first)
 {
-    const std::uint64_t stream = ++all.lastStream;
-    all.streams[stream] = {stream, id, instance, true, {}};
+    const std::uint64_t stream = ++site.lastStream;
+    site.streams[stream] = {stream, id, instance, true, {}};
     sendAttempt(stream, first);
     return stream;
 }
@@ -136,37 +136,37 @@
             : message.has_settled()              ? "settled"
             : message.has_cancel()               ? "cancel"
                                                  : "resume";
-    const auto it = all.streams.find(handle);
-    if (it == all.streams.end())
+    const auto it = site.streams.find(handle);
+    if (it == site.streams.end())
         return;
     const std::string agentId = it->second.agent;
-    all.step(name + ".sent", false, this, all.findAgent(agentId));
+    site.step(name + ".sent", false, this, site.findAgent(agentId));
     runtime.run([this, handle, message, name, agentId] {
-        all.deliver(handle, true, [this, handle, message, name, agentId] {
-            fake_agent *const agent = all.findAgent(agentId);
+        site.deliver(handle, true, [this, handle, message, name, agentId] {
+            fake_agent *const agent = site.findAgent(agentId);
             if (agent == nullptr) {
-                all.breakStream(handle);
+                site.breakStream(handle);
                 return;
             }
-            all.step(name + ".received", false, this, agent);
+            site.step(name + ".received", false, this, agent);
             agent->runtime.run(
                     [agent, handle, message] { agent->core->onEntryMessage(handle, message); });
-            all.step(name + ".received", true, this, all.findAgent(agentId));
+            site.step(name + ".received", true, this, site.findAgent(agentId));
         });
     });
 }
 
 void fake_entry::closeAttempt(attempt_handle handle)
 {
-    const auto it = all.streams.find(handle);
-    if (it == all.streams.end())
+    const auto it = site.streams.find(handle);
+    if (it == site.streams.end())
         return;
     const std::string agentId = it->second.agent;
     // The end of the stream comes behind what was sent on it.
     runtime.run([this, handle, agentId] {
-        all.deliver(handle, true, [this, handle, agentId] {
-            all.streams.erase(handle);
-            if (fake_agent *const agent = all.findAgent(agentId))
+        site.deliver(handle, true, [this, handle, agentId] {
+            site.streams.erase(handle);
+            if (fake_agent *const agent = site.findAgent(agentId))
                 agent->runtime.run([agent, handle] { agent->core->onStreamClosed(handle); });
         });
     });
@@ -175,7 +175,7 @@
 void fake_entry::revoke(const std::string &instance, const wire::revoke &message,
                         std::function<void(std::optional<wire::revoked>)> done)
 {
-    all.step("revoke.sent", false, this, all.findAgent(instance));
+    site.step("revoke.sent", false, this, site.findAgent(instance));
     const auto answered = std::make_shared<bool>(false);
     const auto finish = [this, done, answered](std::optional<wire::revoked> answer) {
         runtime.run([done, answered, answer] {
@@ -183,25 +183,25 @@
                 done(answer);
         });
     };
-    all.clock.after(milliseconds(500), [finish] { finish(std::nullopt); });
-    if (!runtime.isRunning() || all.isCut(id, instance))
+    site.clock.after(milliseconds(500), [finish] { finish(std::nullopt); });
+    if (!runtime.isRunning() || site.isCut(id, instance))
         return;
-    all.clock.after(simulated_site::latency, [this, instance, message, finish] {
-        fake_agent *const agent = all.findAgent(instance);
+    site.clock.after(simulated_site::latency, [this, instance, message, finish] {
+        fake_agent *const agent = site.findAgent(instance);
         if (agent == nullptr) {
             finish(std::nullopt);
             return;
         }
         agent->runtime.run([this, agent, message, finish] {
             const wire::revoked answer = agent->core->onRevoke(message);
-            all.clock.after(simulated_site::latency, [finish, answer] { finish(answer); });
+            site.clock.after(simulated_site::latency, [finish, answer] { finish(answer); });
         });
     });
 }
 
 void fake_entry::note(const decision &made)
 {
-    all.decisions.push_back(made);
+    site.decisions.push_back(made);
 }
 
 static void takeHead(caller_record &record, int status, const http_headers &headers)
@@ -250,11 +250,11 @@
     const bool isEnd = !std::holds_alternative<answer_begin>(event)
             && !std::holds_alternative<answer_piece>(event);
     const std::string name = isEnd ? "answer.end" : "answer.part";
-    all.step(name, false, this, nullptr);
+    site.step(name, false, this, nullptr);
     if (auto *whole = std::get_if<whole_answer>(&event)) {
-        if (all.broken == sabotage::mixAnswers && whole->status < http_status::badRequest)
+        if (site.broken == sabotage::mixAnswers && whole->status < http_status::badRequest)
             whole->body = "the answer of another request";
-        if (all.broken == sabotage::lieNotRun && whole->status >= http_status::internalError) {
+        if (site.broken == sabotage::lieNotRun && whole->status >= http_status::internalError) {
             const std::size_t at = whole->body.find("\"executed\":\"");
             if (at != std::string::npos)
                 whole->body.replace(at, whole->body.find('"', at + 12) - at + 1,
@@ -262,24 +262,24 @@
         }
     }
     runtime.run([this, caller, event] {
-        all.clock.after(simulated_site::latency, [this, caller, event] {
-            const auto it = all.callers.find(caller);
-            if (it != all.callers.end())
-                takeEvent(it->second, event, all.clock.now());
+        site.clock.after(simulated_site::latency, [this, caller, event] {
+            const auto it = site.callers.find(caller);
+            if (it != site.callers.end())
+                takeEvent(it->second, event, site.clock.now());
         });
     });
-    all.step(name, true, this, nullptr);
+    site.step(name, true, this, nullptr);
 }
 
 void fake_entry::rate(const rating_sample &, std::function<void(std::optional<double>)> done)
 {
-    all.step("rating.sent", false, this, nullptr);
+    site.step("rating.sent", false, this, nullptr);
     runtime.after(milliseconds(50), [done] { done(0.9); });
 }
 
 bool fake_entry::tableReachable() const
 {
-    return all.clock.now() >= all.store.downUntil;
+    return site.clock.now() >= site.store.downUntil;
 }
 
 bool fake_entry::holdBills(const wire::bill_copy &copy)
@@ -315,9 +315,9 @@
     core->outbox().peerGone(peer);
 }
 
-fake_agent::fake_agent(simulated_site &all, std::string id, std::string dataCentre,
+fake_agent::fake_agent(simulated_site &site, std::string id, std::string dataCentre,
                        std::string pool)
-    : fake_instance(all, std::move(id), std::move(dataCentre))
+    : fake_instance(site, std::move(id), std::move(dataCentre))
     , pool(std::move(pool))
 {
 }
@@ -345,35 +345,35 @@
 
 void fake_agent::sendToEntry(link_stream_id stream, const wire::from_agent &message)
 {
-    const auto it = all.streams.find(stream);
-    if (it == all.streams.end())
+    const auto it = site.streams.find(stream);
+    if (it == site.streams.end())
         return;
     const std::string entryId = it->second.entry;
     const std::string name = nameOf(message);
-    all.step(name + ".sent", false, all.findEntry(entryId), this);
+    site.step(name + ".sent", false, site.findEntry(entryId), this);
     runtime.run([this, stream, sent = message, name, entryId] {
-        all.deliver(stream, false, [this, stream, sent, name, entryId] {
-            fake_entry *const entry = all.findEntry(entryId);
+        site.deliver(stream, false, [this, stream, sent, name, entryId] {
+            fake_entry *const entry = site.findEntry(entryId);
             if (entry == nullptr)
                 return;
-            all.step(name + ".received", false, entry, all.findAgent(id));
+            site.step(name + ".received", false, entry, site.findAgent(id));
             entry->runtime.run(
                     [entry, stream, sent] { entry->core->runner().onMessage(stream, sent, 0); });
-            all.step(name + ".received", true, all.findEntry(entryId), all.findAgent(id));
+            site.step(name + ".received", true, site.findEntry(entryId), site.findAgent(id));
         });
     });
 }
 
 void fake_agent::closeStream(link_stream_id stream)
 {
-    const auto it = all.streams.find(stream);
-    if (it == all.streams.end())
+    const auto it = site.streams.find(stream);
+    if (it == site.streams.end())
         return;
     const std::string entryId = it->second.entry;
     runtime.run([this, stream, entryId] {
-        all.deliver(stream, false, [this, stream, entryId] {
-            all.streams.erase(stream);
-            if (fake_entry *const entry = all.findEntry(entryId))
+        site.deliver(stream, false, [this, stream, entryId] {
+            site.streams.erase(stream);
+            if (fake_entry *const entry = site.findEntry(entryId))
                 entry->runtime.run([entry, stream] { entry->core->runner().onCut(stream); });
         });
     });
@@ -381,9 +381,9 @@
 
 void fake_agent::startWork(work_id work, const wire::offer &offer)
 {
-    all.step("engine.start", false, all.findEntry(offer.entry()), this);
+    site.step("engine.start", false, site.findEntry(offer.entry()), this);
     // A process that freezes here starts it when it wakes: the work was given before.
-    runtime.run([this, work, offer, at = all.clock.now()] { startEngine(work, offer, at); });
+    runtime.run([this, work, offer, at = site.clock.now()] { startEngine(work, offer, at); });
 }
 
 void fake_agent::startEngine(work_id work, const wire::offer &offer, time_point givenAt)
@@ -391,37 +391,37 @@
     engine_start start{givenAt,         offer.request_id(), id,
                        offer.entry(),   offer.customer(),   offer.target(),
                        offer.version(), offer.repeatable()};
-    if (all.broken == sabotage::otherVersion && all.random.chance(0.5))
+    if (site.broken == sabotage::otherVersion && site.random.chance(0.5))
         start.version = "1";
-    if (all.broken == sabotage::withdrawnWork)
+    if (site.broken == sabotage::withdrawnWork)
         start.version = "2";
-    if (all.broken == sabotage::forbiddenWork)
+    if (site.broken == sabotage::forbiddenWork)
         start.target = "secret";
-    all.starts.push_back(start);
-    if (all.broken == sabotage::runTwice)
-        all.starts.push_back(start);
+    site.starts.push_back(start);
+    if (site.broken == sabotage::runTwice)
+        site.starts.push_back(start);
     works.insert(work);
-    all.step("engine.start", true, all.findEntry(offer.entry()), all.findAgent(id));
+    site.step("engine.start", true, site.findEntry(offer.entry()), site.findAgent(id));
 
-    const bool fails = std::exchange(all.failNextWork, false);
+    const bool fails = std::exchange(site.failNextWork, false);
     const auto text = std::make_shared<std::string>();
     for (int i = 1; i <= pieces; ++i) {
         const std::string part = "part " + std::to_string(i) + " for " + offer.request_id() + " by "
                 + id + " on " + offer.version() + ";";
-        all.clock.after(all.workTime * i / pieces, [this, work, part, text, fails, i, offer] {
+        site.clock.after(site.workTime * i / pieces, [this, work, part, text, fails, i, offer] {
             if (works.count(work) == 0 || (fails && i > 1))
                 return;
             *text += part;
             runtime.run([this, work, part] { core->onWorkData(work, part); });
             if (i < pieces)
                 return;
-            all.outputs[offer.request_id()].insert(*text);
+            site.outputs[offer.request_id()].insert(*text);
         });
     }
-    all.clock.after(all.workTime + simulated_site::latency, [this, work, fails, offer] {
+    site.clock.after(site.workTime + simulated_site::latency, [this, work, fails, offer] {
         if (works.erase(work) == 0)
             return;
-        all.step("engine.done", false, all.findEntry(offer.entry()), all.findAgent(id));
+        site.step("engine.done", false, site.findEntry(offer.entry()), site.findAgent(id));
         work_result result;
         result.failed = fails;
         result.message = "engine fault";
@@ -429,7 +429,7 @@
         result.contentType = "text/event-stream";
         result.usage.set_prompt_tokens(10);
         result.usage.set_generated_tokens(pieces);
-        result.score = offer.target() == "small" ? all.smallScore : 0.95;
+        result.score = offer.target() == "small" ? site.smallScore : 0.95;
         runtime.run([this, work, result] { core->onWorkEnd(work, result); });
     });
 }
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -34,9 +34,9 @@
 class scenario_run
 {
 public:
-    scenario_run(const std::string &name, simulated_site &all)
+    scenario_run(const std::string &name, simulated_site &site)
         : m_name(name)
-        , m_site(all)
+        , m_site(site)
     {
     }
 
@@ -210,22 +210,22 @@
                                           const std::vector<fault_point> &faults,
                                           std::uint64_t seed, sabotage broken)
 {
-    simulated_site all(seed, faults, broken);
-    all.startSite(benchBundle());
+    simulated_site site(seed, faults, broken);
+    site.startSite(benchBundle());
     // Only what the scenario passes counts, not the start of the site.
-    all.stepCounts.clear();
-    all.afterCounts.clear();
+    site.stepCounts.clear();
+    site.afterCounts.clear();
     cell_result result;
-    scenario_run run(scenario, all);
+    scenario_run run(scenario, site);
     result.served = run.run();
-    const time_point end = all.clock.now() + settleTime;
-    all.runUntil([&] { return all.clock.now() >= end; }, settleTime);
-    result.violations = audit(all);
-    result.struck = all.struck.size() == faults.size();
-    result.steps = all.stepCounts;
-    result.afterSteps = all.afterCounts;
-    result.decisions = all.decisions;
-    for (const auto &[id, record] : all.callers)
+    const time_point end = site.clock.now() + settleTime;
+    site.runUntil([&] { return site.clock.now() >= end; }, settleTime);
+    result.violations = audit(site);
+    result.struck = site.struck.size() == faults.size();
+    result.steps = site.stepCounts;
+    result.afterSteps = site.afterCounts;
+    result.decisions = site.decisions;
+    for (const auto &[id, record] : site.callers)
         result.callers.push_back(record);
     return result;
 }
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -130,8 +130,8 @@
 class fake_table
 {
 public:
-    fake_table(simulated_site &all, process_runtime &runtime, std::string owner)
-        : m_site(all)
+    fake_table(simulated_site &site, process_runtime &runtime, std::string owner)
+        : m_site(site)
         , m_runtime(runtime)
         , m_owner(std::move(owner))
     {
@@ -167,7 +167,7 @@
 class fake_instance
 {
 public:
-    fake_instance(simulated_site &all, std::string id, std::string dataCentre);
+    fake_instance(simulated_site &site, std::string id, std::string dataCentre);
     virtual ~fake_instance() = default;
 
     std::vector<std::string> billHolders();
@@ -187,7 +187,7 @@
     virtual void adoptOld() = 0;
     virtual bool isIdle() const = 0;
 
-    simulated_site &all;
+    simulated_site &site;
     std::string id;
     std::string dataCentre;
     process_runtime runtime;
@@ -200,7 +200,7 @@
 class fake_entry : public fake_instance
 {
 public:
-    fake_entry(simulated_site &all, std::string id, std::string dataCentre);
+    fake_entry(simulated_site &site, std::string id, std::string dataCentre);
     ~fake_entry() override;
 
     // The environment of the core.
@@ -230,7 +230,7 @@
 class fake_agent : public fake_instance
 {
 public:
-    fake_agent(simulated_site &all, std::string id, std::string dataCentre, std::string pool);
+    fake_agent(simulated_site &site, std::string id, std::string dataCentre, std::string pool);
     ~fake_agent() override;
 
     // The environment of the core.
