--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -84,9 +84,9 @@
     options.dataCentre = dataCentre;
     options.ratedShare = 0.5;
     options.defaultTimeout = seconds(60);
-    item->core = std::make_unique<bench_entry_core>(item->runtime, item->table, *item, random,
-                                                    signoff_rule{{m_key.publicHex}, 1},
-                                                    session_mint({tokenKey}), options);
+    item->core = std::make_unique<simulated_entry_core>(item->runtime, item->table, *item, random,
+                                                        signoff_rule{{m_key.publicHex}, 1},
+                                                        session_mint({tokenKey}), options);
     fake_entry *const raw = item.get();
     m_entries[id] = std::move(item);
     for (fake_instance *other : instances()) {
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -21,7 +21,7 @@
 namespace laurelcroft::testing {
 
 class simulated_site;
-struct bench_entry_core;
+struct simulated_entry_core;
 struct bench_agent_core;
 
 /// What can go wrong.
@@ -224,7 +224,7 @@
     void adoptOld() override;
     bool isIdle() const override;
 
-    std::unique_ptr<bench_entry_core> core;
+    std::unique_ptr<simulated_entry_core> core;
 };
 
 class fake_agent : public fake_instance
@@ -256,7 +256,7 @@
 };
 
 /// The real cores; named here because an environment is complete only now.
-struct bench_entry_core : entry_core<process_runtime, fake_table, fake_entry>
+struct simulated_entry_core : entry_core<process_runtime, fake_table, fake_entry>
 {
     using entry_core::entry_core;
 };
