--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -106,8 +106,8 @@
     options.instance = id;
     options.pool = pool;
     options.firstIncarnation = static_cast<std::uint64_t>(clock.now().time_since_epoch().count());
-    item->core = std::make_unique<bench_agent_core>(item->runtime, item->table, *item,
-                                                    signoff_rule{{m_key.publicHex}, 1}, options);
+    item->core = std::make_unique<simulated_agent_core>(
+            item->runtime, item->table, *item, signoff_rule{{m_key.publicHex}, 1}, options);
     item->core->start();
     fake_agent *const raw = item.get();
     m_agents[id] = std::move(item);
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -22,7 +22,7 @@
 
 class simulated_site;
 struct simulated_entry_core;
-struct bench_agent_core;
+struct simulated_agent_core;
 
 /// What can go wrong.
 enum class fault_kind {
@@ -252,7 +252,7 @@
 
     std::string pool;
     std::set<work_id> works; ///< that the engine runs
-    std::unique_ptr<bench_agent_core> core;
+    std::unique_ptr<simulated_agent_core> core;
 };
 
 /// The real cores; named here because an environment is complete only now.
@@ -261,7 +261,7 @@
     using entry_core::entry_core;
 };
 
-struct bench_agent_core : agent_core<process_runtime, fake_table, fake_agent>
+struct simulated_agent_core : agent_core<process_runtime, fake_table, fake_agent>
 {
     using agent_core::agent_core;
 };
