--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-bundle laurelcroft::testing::benchBundle()
+bundle laurelcroft::testing::testBundle()
 {
     bundle rules;
     rules.site = "bench";
@@ -211,7 +211,7 @@
                                           std::uint64_t seed, sabotage broken)
 {
     simulated_site site(seed, faults, broken);
-    site.startSite(benchBundle());
+    site.startSite(testBundle());
     // Only what the scenario passes counts, not the start of the site.
     site.stepCounts.clear();
     site.afterCounts.clear();
--- a/test/FaultMatrix/Scenarios.h
+++ b/test/FaultMatrix/Scenarios.h
@@ -15,7 +15,7 @@
 namespace laurelcroft::testing {
 
 /// The bundle that all scenarios use.
-bundle benchBundle();
+bundle testBundle();
 
 /// Names of the scenarios.
 const std::vector<std::string> &scenarioNames();
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -131,7 +131,7 @@
 
 static bundle rollingBundle(std::uint32_t share)
 {
-    bundle rules = benchBundle();
+    bundle rules = testBundle();
     rules.models[1].versions[1].state = version_state::rollout;
     rules.rollouts = {{"large", "1", "2", share, {0.1, 0.001, 30}}};
     return rules;
@@ -155,11 +155,11 @@
 
 TEST_CASE("golden: a traveller follows one route while its version is withdrawn")
 {
-    golden_session session(benchBundle());
+    golden_session session(testBundle());
     session.site().smallScore = 0.9;
     session.finish(session.send("e1", "plan", "route-7", ""));
     session.finish(session.send("e2", "plan", "route-7", ""));
-    bundle withdrawn = benchBundle();
+    bundle withdrawn = testBundle();
     withdrawn.models[0].versions[1].state = version_state::withdrawn;
     session.say("small@2 is withdrawn");
     session.site().acceptBundle(withdrawn);
@@ -171,7 +171,7 @@
 
 TEST_CASE("golden: a rebuild whose answer is lost is not run again")
 {
-    golden_session session(benchBundle());
+    golden_session session(testBundle());
     const caller_id lost = session.send("e1", "rebuild", "", "term-rebuild");
     session.site().runUntil([&] { return !session.site().starts.empty(); }, longestAnswer);
     session.say("the caller's connection breaks");
@@ -184,7 +184,7 @@
 
 TEST_CASE("golden: substitutions and a rebuild during an outage of the table")
 {
-    golden_session session(benchBundle());
+    golden_session session(testBundle());
     session.say("the table is down for a minute");
     session.site().store.downUntil = session.site().clock.now() + seconds(60);
     session.finish(session.send("e1", "plan", "", ""));
