--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -89,9 +89,9 @@
                               const std::string &value)
 {
     const bool isBill = kindOf(key) == "bill";
-    if (isBill && site.broken == sabotage::dropBills)
+    if (isBill && site.activeSabotage == sabotage::dropBills)
         return {true, {value, 1}};
-    if (isBill && site.broken == sabotage::doubleBills)
+    if (isBill && site.activeSabotage == sabotage::doubleBills)
         site.store.rows[key + "-again"] = {value, 1};
     const auto [it, fresh] = site.store.rows.try_emplace(key, table_row{value, 1});
     return {fresh, it->second};
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -252,9 +252,10 @@
     const std::string name = isEnd ? "answer.end" : "answer.part";
     site.step(name, false, this, nullptr);
     if (auto *whole = std::get_if<whole_answer>(&event)) {
-        if (site.broken == sabotage::mixAnswers && whole->status < http_status::badRequest)
+        if (site.activeSabotage == sabotage::mixAnswers && whole->status < http_status::badRequest)
             whole->body = "the answer of another request";
-        if (site.broken == sabotage::lieNotRun && whole->status >= http_status::internalError) {
+        if (site.activeSabotage == sabotage::lieNotRun
+            && whole->status >= http_status::internalError) {
             const std::size_t at = whole->body.find("\"executed\":\"");
             if (at != std::string::npos)
                 whole->body.replace(at, whole->body.find('"', at + 12) - at + 1,
@@ -391,14 +392,14 @@
     engine_start start{givenAt,         offer.request_id(), id,
                        offer.entry(),   offer.customer(),   offer.target(),
                        offer.version(), offer.repeatable()};
-    if (site.broken == sabotage::otherVersion && site.random.chance(0.5))
+    if (site.activeSabotage == sabotage::otherVersion && site.random.chance(0.5))
         start.version = "1";
-    if (site.broken == sabotage::withdrawnWork)
+    if (site.activeSabotage == sabotage::withdrawnWork)
         start.version = "2";
-    if (site.broken == sabotage::forbiddenWork)
+    if (site.activeSabotage == sabotage::forbiddenWork)
         start.target = "secret";
     site.starts.push_back(start);
-    if (site.broken == sabotage::runTwice)
+    if (site.activeSabotage == sabotage::runTwice)
         site.starts.push_back(start);
     works.insert(work);
     site.step("engine.start", true, site.findEntry(offer.entry()), site.findAgent(id));
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -208,9 +208,9 @@
 
 cell_result laurelcroft::testing::runCell(const std::string &scenario,
                                           const std::vector<fault_point> &faults,
-                                          std::uint64_t seed, sabotage broken)
+                                          std::uint64_t seed, sabotage activeSabotage)
 {
-    simulated_site site(seed, faults, broken);
+    simulated_site site(seed, faults, activeSabotage);
     site.startSite(testBundle());
     // Only what the scenario passes counts, not the start of the site.
     site.stepCounts.clear();
--- a/test/FaultMatrix/Scenarios.h
+++ b/test/FaultMatrix/Scenarios.h
@@ -34,7 +34,7 @@
 
 /// Runs one cell from start to quiescence and audits it.
 cell_result runCell(const std::string &scenario, const std::vector<fault_point> &faults,
-                    std::uint64_t seed, sabotage broken = sabotage::none);
+                    std::uint64_t seed, sabotage activeSabotage = sabotage::none);
 
 /// One cell's address.
 struct cell
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -37,10 +37,11 @@
             + std::to_string(occurrence);
 }
 
-simulated_site::simulated_site(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken)
+simulated_site::simulated_site(std::uint64_t seed, std::vector<fault_point> faults,
+                               sabotage activeSabotage)
     : random(seed)
     , faults(std::move(faults))
-    , broken(broken)
+    , activeSabotage(activeSabotage)
     , m_key(makeSigningKey())
 {
 }
@@ -197,7 +198,7 @@
         if (peer != item && peer->runtime.isRunning() && !isCut(item->id, peer->id))
             item->hearPeer(*peer);
         const bundle_epoch epoch = item->current() ? item->current()->accepted.epoch : 0;
-        const bool reverts = broken == sabotage::revertEpoch && item->id == "e1";
+        const bool reverts = activeSabotage == sabotage::revertEpoch && item->id == "e1";
         if (epoch + (reverts ? 0 : 1) <= item->highestTaken)
             problems.push_back(item->id + " took an older bundle");
         item->highestTaken = std::max(item->highestTaken, epoch);
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -270,7 +270,7 @@
 class simulated_site
 {
 public:
-    simulated_site(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken);
+    simulated_site(std::uint64_t seed, std::vector<fault_point> faults, sabotage activeSabotage);
     ~simulated_site();
 
     /// Starts entries and agents and waits until the first bundle is in force.
@@ -313,7 +313,7 @@
     manual_runtime clock;
     random_source random;
     std::vector<fault_point> faults; ///< each strikes once
-    sabotage broken;
+    sabotage activeSabotage;
     std::vector<fault_kind> struck; ///< so far
     table_store store;
     std::map<std::string, std::string> objects;
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -25,7 +25,7 @@
 {
     if (victim.leaving || !victim.runtime.isRunning())
         return;
-    if (broken == sabotage::cutOnStop) {
+    if (activeSabotage == sabotage::cutOnStop) {
         stoppedAt[victim.id] = clock.now();
         kill(victim);
         return;
@@ -36,9 +36,9 @@
     if (fake_entry *const entry = findEntry(victim.id))
         entry->core->drain();
     fake_agent *const agent = findAgent(victim.id);
-    if (agent != nullptr && broken != sabotage::leavingWork)
+    if (agent != nullptr && activeSabotage != sabotage::leavingWork)
         agent->core->drain();
-    if (broken != sabotage::leavingWork)
+    if (activeSabotage != sabotage::leavingWork)
         announceMember(victim, wire::member_leaving, milliseconds(300));
 }
 
@@ -47,7 +47,7 @@
 {
     for (fake_instance *item : instances()) {
         const bool waited = clock.now() - item->leftAt >= leastStop;
-        const bool stays = broken == sabotage::leavingWork;
+        const bool stays = activeSabotage == sabotage::leavingWork;
         if (item->leaving && waited && !stays && item->runtime.isRunning() && item->isIdle())
             kill(*item, true);
     }
