--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -102,7 +102,7 @@
 
 struct broken_case
 {
-    sabotage broken;
+    sabotage injected;
     promise expected;
     const char *scenario;
     fault_kind fault;
@@ -124,11 +124,11 @@
             {sabotage::forbiddenWork, promise::allowed, "whole", fault_kind::none},
     };
     for (const broken_case &item : cases) {
-        CAPTURE(static_cast<int>(item.broken));
+        CAPTURE(static_cast<int>(item.injected));
         fault_point fault;
         fault.kind = item.fault;
         fault.step = item.fault == fault_kind::withdraw ? "request.received" : "offer.received";
-        const cell_result result = runCell(item.scenario, {fault}, 1, item.broken);
+        const cell_result result = runCell(item.scenario, {fault}, 1, item.injected);
         const bool reported
                 = std::any_of(result.violations.begin(), result.violations.end(),
                               [&](const violation &v) { return v.which == item.expected; });
