--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -100,7 +100,7 @@
     CHECK(sum.struck * 2 > count);
 }
 
-struct broken_case
+struct sabotage_case
 {
     sabotage injected;
     promise expected;
@@ -110,7 +110,7 @@
 
 TEST_CASE("the auditor reports each promise that is broken on purpose")
 {
-    const broken_case cases[] = {
+    const sabotage_case cases[] = {
             {sabotage::runTwice, promise::atMostOnce, "rebuild", fault_kind::none},
             {sabotage::dropBills, promise::billedOnce, "whole", fault_kind::none},
             {sabotage::doubleBills, promise::billedOnce, "whole", fault_kind::none},
@@ -123,7 +123,7 @@
             {sabotage::revertEpoch, promise::bundle, "whole", fault_kind::none},
             {sabotage::forbiddenWork, promise::allowed, "whole", fault_kind::none},
     };
-    for (const broken_case &item : cases) {
+    for (const sabotage_case &item : cases) {
         CAPTURE(static_cast<int>(item.injected));
         fault_point fault;
         fault.kind = item.fault;
