--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -235,7 +235,7 @@
         takeError(record);
     } else if (const auto *begin = std::get_if<answer_begin>(&event)) {
         takeHead(record, begin->status, begin->headers);
-        record.begun = true;
+        record.headersReceived = true;
     } else if (const auto *piece = std::get_if<answer_piece>(&event)) {
         record.body += piece->data;
     } else {
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -99,7 +99,7 @@
     caller_request request;
     time_point sentAt{};
     time_point answeredAt{};
-    bool begun = false;
+    bool headersReceived = false;
     bool ended = false; ///< has its final answer
     bool cut = false; ///< the connection broke
     int status = 0;
