--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -170,7 +170,7 @@
 
 static bool saysNotRun(const caller_record &record)
 {
-    return record.ended && !record.cut && record.executed == "no";
+    return record.ended && !record.connectionLost && record.executed == "no";
 }
 
 /// A start is laid to the calls that may have caused it: same request, same entry,
@@ -226,7 +226,7 @@
     if (site.struck.empty() || !std::all_of(site.struck.begin(), site.struck.end(), isPlanned))
         return;
     for (const auto &[id, record] : site.callers) {
-        const bool refused = record.ended && !record.cut && record.executed == "no";
+        const bool refused = record.ended && !record.connectionLost && record.executed == "no";
         // Nobody was left to send it to, or the instance had left: the balancer's part.
         if (record.entry == "none")
             continue;
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -240,7 +240,7 @@
         record.body += piece->data;
     } else {
         record.ended = true;
-        record.cut = !std::get<answer_end>(event).complete;
+        record.connectionLost = !std::get<answer_end>(event).complete;
     }
     record.answeredAt = now;
 }
--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -161,6 +161,6 @@
     for (const caller_record &record : result.callers)
         std::cout << "caller " << record.id << " at " << record.entry << " status " << record.status
                   << " " << record.code << " executed " << record.executed
-                  << (record.cut ? " cut" : "") << "\n";
+                  << (record.connectionLost ? " cut" : "") << "\n";
     CHECK_MESSAGE(result.violations.empty(), describeViolations(result.violations));
 }
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -147,7 +147,8 @@
         if (record.complete())
             return true;
         const bool mayAskAgain = !item.request.idempotencyKey.empty()
-                && (record.cut || record.executed == "no" || record.code == "already_running")
+                && (record.connectionLost || record.executed == "no"
+                    || record.code == "already_running")
                 && record.code != "version_withdrawn";
         if (!record.ended || !mayAskAgain)
             return false;
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -263,7 +263,7 @@
         fake_entry *const found = findEntry(entry);
         if (found == nullptr) {
             callers[id].ended = true;
-            callers[id].cut = true;
+            callers[id].connectionLost = true;
             return;
         }
         step("request.received", false, found, nullptr);
@@ -277,7 +277,7 @@
 {
     caller_record &record = callers.at(caller);
     record.ended = true;
-    record.cut = true;
+    record.connectionLost = true;
     if (fake_entry *const entry = findEntry(record.entry))
         entry->runtime.run([entry, caller] { entry->core->callerLeft(caller); });
 }
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -101,7 +101,7 @@
     time_point answeredAt{};
     bool headersReceived = false;
     bool ended = false; ///< has its final answer
-    bool cut = false; ///< the connection broke
+    bool connectionLost = false; ///< the connection broke
     int status = 0;
     std::string body;
     http_headers headers;
@@ -109,7 +109,7 @@
     std::string code; ///< of an error
     std::string group; ///< requests of one session share it
     std::string requestId; ///< as the headers or the key tell
-    bool complete() const { return ended && !cut && status < 400; }
+    bool complete() const { return ended && !connectionLost && status < 400; }
     std::string header(std::string_view name) const
     {
         return std::string(findHeader(headers, name));
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -82,7 +82,7 @@
         if (record.entry != id || record.ended)
             continue;
         record.ended = true;
-        record.cut = true;
+        record.connectionLost = true;
         record.answeredAt = clock.now();
     }
     for (const std::uint64_t stream : broken)
