--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -50,7 +50,7 @@
 
 static void checkVersions(const simulated_site &site, violations &found)
 {
-    for (const engine_start &start : site.starts) {
+    for (const engine_start &start : site.engineStarts) {
         bool allowed = false;
         bool withdrawnEverywhere = true;
         for (const bundle *rules : bundlesAt(site, start.at)) {
@@ -80,7 +80,7 @@
             groups[record.requestId] = record.group;
     }
     std::map<std::string, std::string> versions;
-    for (const engine_start &start : site.starts) {
+    for (const engine_start &start : site.engineStarts) {
         const auto group = groups.find(start.requestId);
         if (group == groups.end())
             continue;
@@ -96,7 +96,7 @@
 static std::map<std::string, int> countStarts(const simulated_site &site)
 {
     std::map<std::string, int> counts;
-    for (const engine_start &start : site.starts)
+    for (const engine_start &start : site.engineStarts)
         counts[start.requestId] += 1;
     return counts;
 }
@@ -107,7 +107,7 @@
 static bool allWitnessesDead(const simulated_site &site, const std::string &requestId)
 {
     std::set<std::string> witnesses;
-    for (const engine_start &start : site.starts) {
+    for (const engine_start &start : site.engineStarts) {
         if (start.requestId == requestId)
             witnesses.insert({start.agent, start.entry});
     }
@@ -177,7 +177,7 @@
 /// sent before. If all of those were told "not run", one of them was told wrong.
 static void checkNotRun(const simulated_site &site, violations &found)
 {
-    for (const engine_start &start : site.starts) {
+    for (const engine_start &start : site.engineStarts) {
         bool anyCause = false;
         bool allToldNo = true;
         for (const auto &[id, record] : site.callers) {
@@ -198,7 +198,7 @@
 static void checkAtMostOnce(const simulated_site &site, violations &found)
 {
     std::map<std::string, int> counts;
-    for (const engine_start &start : site.starts) {
+    for (const engine_start &start : site.engineStarts) {
         if (!start.repeatable)
             counts[start.requestId] += 1;
     }
@@ -210,7 +210,7 @@
 
 static void checkLeaving(const simulated_site &site, violations &found)
 {
-    for (const engine_start &start : site.starts) {
+    for (const engine_start &start : site.engineStarts) {
         const auto stopped = site.stoppedAt.find(start.agent);
         if (stopped != site.stoppedAt.end() && start.at > stopped->second + leavingWithin)
             found.push_back({promise::leaving, start.agent + " got " + start.requestId});
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -398,9 +398,9 @@
         start.version = "2";
     if (site.activeSabotage == sabotage::forbiddenWork)
         start.target = "secret";
-    site.starts.push_back(start);
+    site.engineStarts.push_back(start);
     if (site.activeSabotage == sabotage::runTwice)
-        site.starts.push_back(start);
+        site.engineStarts.push_back(start);
     works.insert(work);
     site.step("engine.start", true, site.findEntry(offer.entry()), site.findAgent(id));
 
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -318,7 +318,7 @@
     table_store store;
     std::map<std::string, std::string> objects;
     std::map<caller_id, caller_record> callers;
-    std::vector<engine_start> starts;
+    std::vector<engine_start> engineStarts;
     std::map<std::string, std::set<std::string>> billWitnesses; ///< who held a request's bill
     std::set<std::string> killed; ///< dead without a planned stop
     std::map<std::string, std::set<std::string>> outputs; ///< texts engines made for a request
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -173,7 +173,7 @@
 {
     golden_session session(testBundle());
     const caller_id lost = session.send("e1", "rebuild", "", "term-rebuild");
-    session.site().runUntil([&] { return !session.site().starts.empty(); }, longestAnswer);
+    session.site().runUntil([&] { return !session.site().engineStarts.empty(); }, longestAnswer);
     session.say("the caller's connection breaks");
     session.site().leave(lost);
     session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
