--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -48,7 +48,7 @@
         return runUntil([&] { return askAndWait(options).complete(); });
     }
 
-    std::size_t starts(const std::string &requestId, const std::string &pool)
+    std::size_t countStarts(const std::string &requestId, const std::string &pool)
     {
         return countJournal(pool + "1-engine", "started", requestId)
                 + countJournal(pool + "2-engine", "started", requestId);
@@ -144,7 +144,7 @@
     // The offer lay in the socket of a frozen agent: it must not run when that wakes.
     REQUIRE(site.runUntilServed("e1", "publish"));
     REQUIRE(site.runUntilServed("e2", "publish"));
-    CHECK(site.starts(id, "plain") == 0);
+    CHECK(site.countStarts(id, "plain") == 0);
 }
 
 TEST_CASE("processes: a planned stop of an entry and of an agent under load cuts nothing")
@@ -234,7 +234,7 @@
     CHECK(answer.header("X-Laurelcroft-Model") == "large");
     CHECK(answer.header("X-Laurelcroft-Version") == "1");
     const std::string id = answer.header("X-Laurelcroft-Request-Id");
-    CHECK(site.starts(id, "costly") == 1);
+    CHECK(site.countStarts(id, "costly") == 1);
     CHECK(site.isBilled(id));
 }
 
