--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -223,7 +223,8 @@
         return kind == fault_kind::stopEntry || kind == fault_kind::stopAgent
                 || kind == fault_kind::replaceAll;
     };
-    if (site.struck.empty() || !std::all_of(site.struck.begin(), site.struck.end(), isPlanned))
+    if (site.injectedFaults.empty()
+        || !std::all_of(site.injectedFaults.begin(), site.injectedFaults.end(), isPlanned))
         return;
     for (const auto &[id, record] : site.callers) {
         const bool refused = record.ended && !record.connectionLost && record.executed == "no";
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -314,7 +314,7 @@
     random_source random;
     std::vector<fault_point> faults; ///< each strikes once
     sabotage activeSabotage;
-    std::vector<fault_kind> struck; ///< so far
+    std::vector<fault_kind> injectedFaults; ///< so far
     table_store store;
     std::map<std::string, std::string> objects;
     std::map<caller_id, caller_record> callers;
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -160,14 +160,14 @@
         if (!here)
             continue;
         const fault_kind kind = std::exchange(fault.kind, fault_kind::none);
-        struck.push_back(kind);
+        injectedFaults.push_back(kind);
         strike(kind, entry, agent);
     }
 }
 
 bool simulated_site::hasStruck(fault_kind kind) const
 {
-    return std::find(struck.begin(), struck.end(), kind) != struck.end();
+    return std::find(injectedFaults.begin(), injectedFaults.end(), kind) != injectedFaults.end();
 }
 
 void simulated_site::strike(fault_kind kind, fake_entry *entry, fake_agent *agent)
