--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -68,7 +68,7 @@
     const std::vector<cell_result> results = runAll(cells);
     matrix_sum sum;
     for (std::size_t i = 0; i < cells.size(); ++i) {
-        sum.struck += results[i].struck ? 1 : 0;
+        sum.struck += results[i].allFaultsInjected ? 1 : 0;
         sum.served += results[i].served ? 1 : 0;
         if (results[i].violations.empty())
             continue;
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -222,7 +222,7 @@
     const time_point end = site.clock.now() + settleTime;
     site.runUntil([&] { return site.clock.now() >= end; }, settleTime);
     result.violations = audit(site);
-    result.struck = site.injectedFaults.size() == faults.size();
+    result.allFaultsInjected = site.injectedFaults.size() == faults.size();
     result.steps = site.stepCounts;
     result.afterSteps = site.afterCounts;
     result.decisions = site.decisions;
--- a/test/FaultMatrix/Scenarios.h
+++ b/test/FaultMatrix/Scenarios.h
@@ -24,7 +24,7 @@
 struct cell_result
 {
     std::vector<violation> violations;
-    bool struck = false; ///< every fault did
+    bool allFaultsInjected = false; ///< every fault did
     bool served = false; ///< the scenario's request was answered whole
     std::map<std::string, int> steps; ///< passed before their effect, with their counts
     std::map<std::string, int> afterSteps; ///< passed after it
