--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -57,7 +57,7 @@
 
 struct matrix_sum
 {
-    std::size_t struck = 0;
+    std::size_t injected = 0;
     std::size_t served = 0;
     std::size_t failed = 0;
 };
@@ -68,14 +68,14 @@
     const std::vector<cell_result> results = runAll(cells);
     matrix_sum sum;
     for (std::size_t i = 0; i < cells.size(); ++i) {
-        sum.struck += results[i].allFaultsInjected ? 1 : 0;
+        sum.injected += results[i].allFaultsInjected ? 1 : 0;
         sum.served += results[i].served ? 1 : 0;
         if (results[i].violations.empty())
             continue;
         sum.failed += 1;
         MESSAGE("cell fails: ", cells[i].text(), describeViolations(results[i].violations));
     }
-    MESSAGE("cells ", cells.size(), ", struck ", sum.struck, ", served in the end ", sum.served,
+    MESSAGE("cells ", cells.size(), ", struck ", sum.injected, ", served in the end ", sum.served,
             ", failed ", sum.failed);
     return sum;
 }
@@ -86,7 +86,7 @@
     const matrix_sum sum = sumUp(cells);
     CHECK(sum.failed == 0);
     // A fault that never strikes proves nothing.
-    CHECK(sum.struck == cells.size());
+    CHECK(sum.injected == cells.size());
 }
 
 TEST_CASE("matrix: a seeded sample of pairs of faults keeps every promise")
@@ -97,7 +97,7 @@
     const matrix_sum sum = sumUp(samplePairs(allCells(), count, 1));
     CHECK(sum.failed == 0);
     // The first fault may keep the second one's step from being passed.
-    CHECK(sum.struck * 2 > count);
+    CHECK(sum.injected * 2 > count);
 }
 
 struct sabotage_case
