--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -291,7 +291,7 @@
     void step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent);
 
     bool hasStruck(fault_kind kind) const;
-    void strike(fault_kind kind, fake_entry *entry, fake_agent *agent);
+    void injectFault(fault_kind kind, fake_entry *entry, fake_agent *agent);
     void kill(fake_instance &victim, bool asPlanned = false);
     void freeze(fake_instance &victim, duration length);
     void planStop(fake_instance &victim);
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -161,7 +161,7 @@
             continue;
         const fault_kind kind = std::exchange(fault.kind, fault_kind::none);
         injectedFaults.push_back(kind);
-        strike(kind, entry, agent);
+        injectFault(kind, entry, agent);
     }
 }
 
@@ -170,7 +170,7 @@
     return std::find(injectedFaults.begin(), injectedFaults.end(), kind) != injectedFaults.end();
 }
 
-void simulated_site::strike(fault_kind kind, fake_entry *entry, fake_agent *agent)
+void simulated_site::injectFault(fault_kind kind, fake_entry *entry, fake_agent *agent)
 {
     const time_point now = clock.now();
     switch (kind) {
