--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -125,7 +125,7 @@
 /// The caller loses patience and sends the same key to the other entry at once.
 void scenario_run::considerRepeat(const logical_request &item)
 {
-    if (m_repeated || !m_site.hasStruck(fault_kind::callerRepeats))
+    if (m_repeated || !m_site.wasInjected(fault_kind::callerRepeats))
         return;
     m_repeated = true;
     logical_request twin = item;
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -290,7 +290,7 @@
     /// Names a step that is passed; a fault may strike here.
     void step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent);
 
-    bool hasStruck(fault_kind kind) const;
+    bool wasInjected(fault_kind kind) const;
     void injectFault(fault_kind kind, fake_entry *entry, fake_agent *agent);
     void kill(fake_instance &victim, bool asPlanned = false);
     void freeze(fake_instance &victim, duration length);
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -165,7 +165,7 @@
     }
 }
 
-bool simulated_site::hasStruck(fault_kind kind) const
+bool simulated_site::wasInjected(fault_kind kind) const
 {
     return std::find(injectedFaults.begin(), injectedFaults.end(), kind) != injectedFaults.end();
 }
