--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -348,7 +348,7 @@
     std::map<std::string, std::unique_ptr<fake_entry>> m_entries;
     std::map<std::string, std::unique_ptr<fake_agent>> m_agents;
     std::vector<std::unique_ptr<fake_instance>>
-            m_graves; ///< stay until the end: timers point there
+            m_stoppedInstances; ///< stay until the end: timers point there
     std::set<std::string> m_deadIds;
     caller_id m_lastCaller = 0;
     int m_rounds = 0;
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -71,13 +71,13 @@
     const std::string id = victim.id;
     if (auto node = m_agents.extract(id); !node.empty()) {
         node.mapped()->works.clear();
-        m_graves.push_back(std::move(node.mapped()));
+        m_stoppedInstances.push_back(std::move(node.mapped()));
         for (auto &[entryId, entry] : m_entries)
             entry->runtime.run(
                     [raw = entry.get(), id] { raw->core->directory().onUnreachable(id); });
     }
     if (auto node = m_entries.extract(id); !node.empty())
-        m_graves.push_back(std::move(node.mapped()));
+        m_stoppedInstances.push_back(std::move(node.mapped()));
     for (auto &[callerId, record] : callers) {
         if (record.entry != id || record.ended)
             continue;
