--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -111,8 +111,8 @@
         if (start.requestId == requestId)
             witnesses.insert({start.agent, start.entry});
     }
-    const auto holders = site.billWitnesses.find(requestId);
-    if (holders != site.billWitnesses.end())
+    const auto holders = site.billHolderIds.find(requestId);
+    if (holders != site.billHolderIds.end())
         witnesses.insert(holders->second.begin(), holders->second.end());
     std::size_t lost = 0;
     for (const std::string &id : witnesses) {
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -63,9 +63,9 @@
         other->runtime.run([this, other, copy, finish, passed] {
             const bool held = other->holdBills(copy);
             for (const wire::bill &item : copy.bills()) {
-                site.billWitnesses[item.request_id()].insert(id);
+                site.billHolderIds[item.request_id()].insert(id);
                 if (held)
-                    site.billWitnesses[item.request_id()].insert(other->id);
+                    site.billHolderIds[item.request_id()].insert(other->id);
             }
             passed("billcopy.held", true);
             site.clock.after(simulated_site::latency, [finish, held] { finish(held); });
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -319,7 +319,7 @@
     std::map<std::string, std::string> objects;
     std::map<caller_id, caller_record> callers;
     std::vector<engine_start> engineStarts;
-    std::map<std::string, std::set<std::string>> billWitnesses; ///< who held a request's bill
+    std::map<std::string, std::set<std::string>> billHolderIds; ///< who held a request's bill
     std::set<std::string> killed; ///< dead without a planned stop
     std::map<std::string, std::set<std::string>> outputs; ///< texts engines made for a request
     std::vector<decision> decisions;
