--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -104,7 +104,7 @@
 /// \returns true when every process that knew of a start of \p requestId, or held its
 /// bill, is dead, and at least two of them without a planned stop: two instances lost
 /// before the table had the bill are beyond what two copies can keep.
-static bool allWitnessesDead(const simulated_site &site, const std::string &requestId)
+static bool allHoldersDead(const simulated_site &site, const std::string &requestId)
 {
     std::set<std::string> witnesses;
     for (const engine_start &start : site.engineStarts) {
@@ -140,7 +140,7 @@
     }
     for (const auto &[id, count] : starts) {
         const int billed = bills.count(id) ? bills.at(id) : 0;
-        const bool excused = billed == 0 && allWitnessesDead(site, id);
+        const bool excused = billed == 0 && allHoldersDead(site, id);
         if (billed != 1 && !excused)
             found.push_back({promise::billedOnce,
                              id + " has " + std::to_string(billed) + " bills for "
