--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -273,7 +273,7 @@
     return id;
 }
 
-void simulated_site::leave(caller_id caller)
+void simulated_site::disconnectCaller(caller_id caller)
 {
     caller_record &record = callers.at(caller);
     record.ended = true;
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -281,7 +281,7 @@
 
     /// Sends a caller's request to \p entry. \returns its number.
     caller_id send(const std::string &entry, caller_request request);
-    void leave(caller_id caller);
+    void disconnectCaller(caller_id caller);
     caller_record &caller(caller_id id) { return callers.at(id); }
 
     /// Runs the clock until \p done or \p longest has passed.
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -175,7 +175,7 @@
     const caller_id lost = session.send("e1", "rebuild", "", "term-rebuild");
     session.site().runUntil([&] { return !session.site().engineStarts.empty(); }, longestAnswer);
     session.say("the caller's connection breaks");
-    session.site().leave(lost);
+    session.site().disconnectCaller(lost);
     session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
     session.wait(seconds(2));
     session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
