--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -96,7 +96,7 @@
     const auto call = site.ask(options);
     REQUIRE(site.runUntil([&] { return call->body.size() > 2000; }));
     const std::string id = call->header("X-Laurelcroft-Request-Id");
-    site.leave(*call);
+    site.cancelCall(*call);
     CHECK(site.runUntil([&] {
         return site.countJournal("cheap1-engine", "cancelled", id)
                 + site.countJournal("cheap2-engine", "cancelled", id)
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -100,7 +100,7 @@
     std::shared_ptr<pending_call> ask(const ask_options &options);
     std::shared_ptr<pending_call> call(http_call request);
     /// Closes the connection of a call that is under way.
-    void leave(const pending_call &call) { m_client.cancel(call.id); }
+    void cancelCall(const pending_call &call) { m_client.cancel(call.id); }
     /// Runs the client until \p done holds. \returns false after \p longest.
     bool runUntil(const std::function<bool()> &done, seconds longest = seconds(20));
     /// Asks and waits for the end.
