--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -300,7 +300,7 @@
     keeper.observePeerEpoch(peer.id, epoch, confirmed, age);
 }
 
-void fake_entry::hearPeer(const fake_instance &peer)
+void fake_entry::observePeer(const fake_instance &peer)
 {
     const auto held = peer.current();
     hearFrom(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
@@ -455,7 +455,7 @@
     return core->keeper().current();
 }
 
-void fake_agent::hearPeer(const fake_instance &peer)
+void fake_agent::observePeer(const fake_instance &peer)
 {
     const auto held = peer.current();
     hearFrom(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -196,7 +196,7 @@
         item->adoptOld();
         fake_instance *const peer = list[random.index(list.size())];
         if (peer != item && peer->runtime.isRunning() && !isCut(item->id, peer->id))
-            item->hearPeer(*peer);
+            item->observePeer(*peer);
         const bundle_epoch epoch = item->current() ? item->current()->accepted.epoch : 0;
         const bool reverts = activeSabotage == sabotage::revertEpoch && item->id == "e1";
         if (epoch + (reverts ? 0 : 1) <= item->highestTaken)
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -181,7 +181,7 @@
 
     virtual bool holdBills(const wire::bill_copy &copy) = 0;
     virtual std::shared_ptr<const accepted_bundle> current() const = 0;
-    virtual void hearPeer(const fake_instance &peer) = 0;
+    virtual void observePeer(const fake_instance &peer) = 0;
     virtual void poll() = 0;
     virtual void peerDied(const std::string &id) = 0;
     virtual void adoptOld() = 0;
@@ -218,7 +218,7 @@
 
     bool holdBills(const wire::bill_copy &copy) override;
     std::shared_ptr<const accepted_bundle> current() const override;
-    void hearPeer(const fake_instance &peer) override;
+    void observePeer(const fake_instance &peer) override;
     void poll() override;
     void peerDied(const std::string &id) override;
     void adoptOld() override;
@@ -244,7 +244,7 @@
 
     bool holdBills(const wire::bill_copy &copy) override;
     std::shared_ptr<const accepted_bundle> current() const override;
-    void hearPeer(const fake_instance &peer) override;
+    void observePeer(const fake_instance &peer) override;
     void poll() override;
     void peerDied(const std::string &id) override;
     void adoptOld() override;
