--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -294,8 +294,8 @@
 }
 
 template <class K>
-static void hearFrom(K &keeper, const fake_instance &peer, bundle_epoch epoch, bool confirmed,
-                     duration age)
+static void observeEpoch(K &keeper, const fake_instance &peer, bundle_epoch epoch, bool confirmed,
+                         duration age)
 {
     keeper.observePeerEpoch(peer.id, epoch, confirmed, age);
 }
@@ -303,7 +303,7 @@
 void fake_entry::observePeer(const fake_instance &peer)
 {
     const auto held = peer.current();
-    hearFrom(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
+    observeEpoch(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
 }
 
 void fake_entry::poll()
@@ -458,7 +458,7 @@
 void fake_agent::observePeer(const fake_instance &peer)
 {
     const auto held = peer.current();
-    hearFrom(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
+    observeEpoch(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
 }
 
 void fake_agent::poll()
