--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -112,7 +112,7 @@
 
 fake_entry::~fake_entry() = default;
 
-void fake_entry::adoptOld()
+void fake_entry::adoptStaleBills()
 {
     core->outbox().adoptOld();
 }
@@ -325,7 +325,7 @@
 
 fake_agent::~fake_agent() = default;
 
-void fake_agent::adoptOld()
+void fake_agent::adoptStaleBills()
 {
     core->outbox().adoptOld();
 }
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -193,7 +193,7 @@
             continue;
         if (m_rounds % gossipsToPoll == 0)
             item->poll();
-        item->adoptOld();
+        item->adoptStaleBills();
         fake_instance *const peer = list[random.index(list.size())];
         if (peer != item && peer->runtime.isRunning() && !isCut(item->id, peer->id))
             item->observePeer(*peer);
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -184,7 +184,7 @@
     virtual void observePeer(const fake_instance &peer) = 0;
     virtual void poll() = 0;
     virtual void peerDied(const std::string &id) = 0;
-    virtual void adoptOld() = 0;
+    virtual void adoptStaleBills() = 0;
     virtual bool isIdle() const = 0;
 
     simulated_site &site;
@@ -221,7 +221,7 @@
     void observePeer(const fake_instance &peer) override;
     void poll() override;
     void peerDied(const std::string &id) override;
-    void adoptOld() override;
+    void adoptStaleBills() override;
     bool isIdle() const override;
 
     std::unique_ptr<simulated_entry_core> core;
@@ -247,7 +247,7 @@
     void observePeer(const fake_instance &peer) override;
     void poll() override;
     void peerDied(const std::string &id) override;
-    void adoptOld() override;
+    void adoptStaleBills() override;
     bool isIdle() const override;
 
     std::string pool;
