--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -194,7 +194,7 @@
     fake_table table;
     bool leaving = false;
     time_point leftAt{};
-    bundle_epoch highestTaken = 0;
+    bundle_epoch highestEpoch = 0;
 };
 
 class fake_entry : public fake_instance
