--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -401,7 +401,7 @@
     site.engineStarts.push_back(start);
     if (site.activeSabotage == sabotage::runTwice)
         site.engineStarts.push_back(start);
-    works.insert(work);
+    runningWork.insert(work);
     site.step("engine.start", true, site.findEntry(offer.entry()), site.findAgent(id));
 
     const bool fails = std::exchange(site.failNextWork, false);
@@ -410,7 +410,7 @@
         const std::string part = "part " + std::to_string(i) + " for " + offer.request_id() + " by "
                 + id + " on " + offer.version() + ";";
         site.clock.after(site.workTime * i / pieces, [this, work, part, text, fails, i, offer] {
-            if (works.count(work) == 0 || (fails && i > 1))
+            if (runningWork.count(work) == 0 || (fails && i > 1))
                 return;
             *text += part;
             runtime.run([this, work, part] { core->onWorkData(work, part); });
@@ -420,7 +420,7 @@
         });
     }
     site.clock.after(site.workTime + simulated_site::latency, [this, work, fails, offer] {
-        if (works.erase(work) == 0)
+        if (runningWork.erase(work) == 0)
             return;
         site.step("engine.done", false, site.findEntry(offer.entry()), site.findAgent(id));
         work_result result;
@@ -437,7 +437,7 @@
 
 void fake_agent::cancelWork(work_id work)
 {
-    runtime.run([this, work] { works.erase(work); });
+    runtime.run([this, work] { runningWork.erase(work); });
 }
 
 void fake_agent::sendOrder(const engine_order &, std::function<void(bool)> done)
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -251,7 +251,7 @@
     bool isIdle() const override;
 
     std::string pool;
-    std::set<work_id> works; ///< that the engine runs
+    std::set<work_id> runningWork; ///< that the engine runs
     std::unique_ptr<simulated_agent_core> core;
 };
 
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -70,7 +70,7 @@
     }
     const std::string id = victim.id;
     if (auto node = m_agents.extract(id); !node.empty()) {
-        node.mapped()->works.clear();
+        node.mapped()->runningWork.clear();
         m_stoppedInstances.push_back(std::move(node.mapped()));
         for (auto &[entryId, entry] : m_entries)
             entry->runtime.run(
