--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -204,7 +204,7 @@
     site.decisions.push_back(made);
 }
 
-static void takeHead(caller_record &record, int status, const http_headers &headers)
+static void recordHeaders(caller_record &record, int status, const http_headers &headers)
 {
     record.status = status;
     record.headers = headers;
@@ -229,12 +229,12 @@
     if (record.ended)
         return;
     if (const auto *whole = std::get_if<whole_answer>(&event)) {
-        takeHead(record, whole->status, whole->headers);
+        recordHeaders(record, whole->status, whole->headers);
         record.body = whole->body;
         record.ended = true;
         takeError(record);
     } else if (const auto *begin = std::get_if<answer_begin>(&event)) {
-        takeHead(record, begin->status, begin->headers);
+        recordHeaders(record, begin->status, begin->headers);
         record.headersReceived = true;
     } else if (const auto *piece = std::get_if<answer_piece>(&event)) {
         record.body += piece->data;
