--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -213,7 +213,7 @@
         record.requestId = told;
 }
 
-static void takeError(caller_record &record)
+static void recordError(caller_record &record)
 {
     if (record.status < http_status::badRequest)
         return;
@@ -232,7 +232,7 @@
         recordHeaders(record, whole->status, whole->headers);
         record.body = whole->body;
         record.ended = true;
-        takeError(record);
+        recordError(record);
     } else if (const auto *begin = std::get_if<answer_begin>(&event)) {
         recordHeaders(record, begin->status, begin->headers);
         record.headersReceived = true;
