--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -224,7 +224,7 @@
     record.code = body["error"].value("code", "");
 }
 
-static void takeEvent(caller_record &record, const answer_event &event, time_point now)
+static void recordEvent(caller_record &record, const answer_event &event, time_point now)
 {
     if (record.ended)
         return;
@@ -266,7 +266,7 @@
         site.clock.after(simulated_site::latency, [this, caller, event] {
             const auto it = site.callers.find(caller);
             if (it != site.callers.end())
-                takeEvent(it->second, event, site.clock.now());
+                recordEvent(it->second, event, site.clock.now());
         });
     });
     site.step(name, true, this, nullptr);
