--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::string_view laurelcroft::testing::textOf(promise which)
+std::string_view laurelcroft::testing::textOf(guarantee which)
 {
     static constexpr std::array<std::string_view, 11> names
             = {"allowed",      "withdrawn",       "session",      "billed-once",
@@ -64,10 +64,10 @@
         }
         if (withdrawnEverywhere)
             found.push_back(
-                    {promise::withdrawn,
+                    {guarantee::withdrawn,
                      start.requestId + " ran on withdrawn " + start.target + "@" + start.version});
         else if (!allowed)
-            found.push_back({promise::allowed,
+            found.push_back({guarantee::allowed,
                              start.requestId + " ran on " + start.target + "@" + start.version});
     }
 }
@@ -87,7 +87,7 @@
         const auto [it, fresh]
                 = versions.emplace(group->second + "/" + start.target, start.version);
         if (!fresh && it->second != start.version)
-            found.push_back({promise::session,
+            found.push_back({guarantee::session,
                              "session " + group->second + " went from " + it->second + " to "
                                      + start.version});
     }
@@ -142,13 +142,13 @@
         const int billed = bills.count(id) ? bills.at(id) : 0;
         const bool excused = billed == 0 && allHoldersDead(site, id);
         if (billed != 1 && !excused)
-            found.push_back({promise::billedOnce,
+            found.push_back({guarantee::billedOnce,
                              id + " has " + std::to_string(billed) + " bills for "
                                      + std::to_string(count) + " starts"});
     }
     for (const auto &[id, count] : bills) {
         if (starts.count(id) == 0)
-            found.push_back({promise::billedOnce, id + " is billed and never ran"});
+            found.push_back({guarantee::billedOnce, id + " is billed and never ran"});
     }
 }
 
@@ -164,7 +164,7 @@
             text.resize(text.size() - streamEnd.size());
         const auto made = site.outputs.find(record.requestId);
         if (made == site.outputs.end() || made->second.count(text) == 0)
-            found.push_back({promise::ownAnswer, record.requestId + " got '" + text + "'"});
+            found.push_back({guarantee::ownAnswer, record.requestId + " got '" + text + "'"});
     }
 }
 
@@ -189,7 +189,7 @@
             allToldNo = allToldNo && saysNotRun(record);
         }
         if (anyCause && allToldNo)
-            found.push_back({promise::notRunIsTrue,
+            found.push_back({guarantee::notRunIsTrue,
                              start.requestId + " ran at " + start.agent + " although " + start.entry
                                      + " said that it did not"});
     }
@@ -204,7 +204,8 @@
     }
     for (const auto &[id, count] : counts) {
         if (count > 1)
-            found.push_back({promise::atMostOnce, id + " ran " + std::to_string(count) + " times"});
+            found.push_back(
+                    {guarantee::atMostOnce, id + " ran " + std::to_string(count) + " times"});
     }
 }
 
@@ -213,7 +214,7 @@
     for (const engine_start &start : site.engineStarts) {
         const auto stopped = site.stoppedAt.find(start.agent);
         if (stopped != site.stoppedAt.end() && start.at > stopped->second + leavingWithin)
-            found.push_back({promise::leaving, start.agent + " got " + start.requestId});
+            found.push_back({guarantee::leaving, start.agent + " got " + start.requestId});
     }
 }
 
@@ -234,7 +235,7 @@
         const auto stopped = site.stoppedAt.find(record.entry);
         const bool wasGone = stopped != site.stoppedAt.end() && record.sentAt > stopped->second;
         if (!record.complete() && !refused && !wasGone)
-            found.push_back({promise::plannedStop,
+            found.push_back({guarantee::plannedStop,
                              "caller " + std::to_string(id) + " of " + record.entry + " got status "
                                      + std::to_string(record.status) + " " + record.code});
     }
@@ -243,13 +244,13 @@
 static void checkBundle(simulated_site &site, violations &found)
 {
     for (const std::string &problem : site.problems)
-        found.push_back({promise::bundle, problem});
+        found.push_back({guarantee::bundle, problem});
     for (const fake_instance *item : site.instances()) {
         const auto held = item->current();
         const bundle_epoch epoch = held ? held->accepted.epoch : 0;
         if (epoch != site.accepted.size())
             found.push_back(
-                    {promise::bundle, item->id + " stands at epoch " + std::to_string(epoch)});
+                    {guarantee::bundle, item->id + " stands at epoch " + std::to_string(epoch)});
     }
 }
 
@@ -258,7 +259,7 @@
     for (const auto &[id, record] : site.callers) {
         if (!record.ended)
             found.push_back(
-                    {promise::answered, "caller " + std::to_string(id) + " has no final answer"});
+                    {guarantee::answered, "caller " + std::to_string(id) + " has no final answer"});
     }
 }
 
--- a/test/FaultMatrix/Auditor.h
+++ b/test/FaultMatrix/Auditor.h
@@ -15,7 +15,7 @@
 namespace laurelcroft::testing {
 
 /// The promises of the brief, in its order.
-enum class promise {
+enum class guarantee {
     allowed,
     withdrawn,
     session,
@@ -29,11 +29,11 @@
     answered, ///< every caller that stayed gets a final answer
 };
 
-std::string_view textOf(promise which);
+std::string_view textOf(guarantee which);
 
 struct violation
 {
-    promise which;
+    guarantee which;
     std::string detail;
 };
 
--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -103,7 +103,7 @@
 struct sabotage_case
 {
     sabotage injected;
-    promise expected;
+    guarantee expected;
     const char *scenario;
     fault_kind fault;
 };
@@ -111,17 +111,17 @@
 TEST_CASE("the auditor reports each promise that is broken on purpose")
 {
     const sabotage_case cases[] = {
-            {sabotage::runTwice, promise::atMostOnce, "rebuild", fault_kind::none},
-            {sabotage::dropBills, promise::billedOnce, "whole", fault_kind::none},
-            {sabotage::doubleBills, promise::billedOnce, "whole", fault_kind::none},
-            {sabotage::mixAnswers, promise::ownAnswer, "whole", fault_kind::none},
-            {sabotage::lieNotRun, promise::notRunIsTrue, "rebuild", fault_kind::engineFails},
-            {sabotage::otherVersion, promise::session, "session-token", fault_kind::none},
-            {sabotage::withdrawnWork, promise::withdrawn, "session-name", fault_kind::withdraw},
-            {sabotage::leavingWork, promise::leaving, "session-token", fault_kind::stopAgent},
-            {sabotage::cutOnStop, promise::plannedStop, "whole", fault_kind::stopEntry},
-            {sabotage::revertEpoch, promise::bundle, "whole", fault_kind::none},
-            {sabotage::forbiddenWork, promise::allowed, "whole", fault_kind::none},
+            {sabotage::runTwice, guarantee::atMostOnce, "rebuild", fault_kind::none},
+            {sabotage::dropBills, guarantee::billedOnce, "whole", fault_kind::none},
+            {sabotage::doubleBills, guarantee::billedOnce, "whole", fault_kind::none},
+            {sabotage::mixAnswers, guarantee::ownAnswer, "whole", fault_kind::none},
+            {sabotage::lieNotRun, guarantee::notRunIsTrue, "rebuild", fault_kind::engineFails},
+            {sabotage::otherVersion, guarantee::session, "session-token", fault_kind::none},
+            {sabotage::withdrawnWork, guarantee::withdrawn, "session-name", fault_kind::withdraw},
+            {sabotage::leavingWork, guarantee::leaving, "session-token", fault_kind::stopAgent},
+            {sabotage::cutOnStop, guarantee::plannedStop, "whole", fault_kind::stopEntry},
+            {sabotage::revertEpoch, guarantee::bundle, "whole", fault_kind::none},
+            {sabotage::forbiddenWork, guarantee::allowed, "whole", fault_kind::none},
     };
     for (const sabotage_case &item : cases) {
         CAPTURE(static_cast<int>(item.injected));
