--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -243,7 +243,7 @@
 
 static void checkBundle(simulated_site &site, violations &found)
 {
-    for (const std::string &problem : site.problems)
+    for (const std::string &problem : site.observedViolations)
         found.push_back({guarantee::bundle, problem});
     for (const fake_instance *item : site.instances()) {
         const auto held = item->current();
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -200,7 +200,7 @@
         const bundle_epoch epoch = item->current() ? item->current()->accepted.epoch : 0;
         const bool reverts = activeSabotage == sabotage::revertEpoch && item->id == "e1";
         if (epoch + (reverts ? 0 : 1) <= item->highestEpoch)
-            problems.push_back(item->id + " took an older bundle");
+            observedViolations.push_back(item->id + " took an older bundle");
         item->highestEpoch = std::max(item->highestEpoch, epoch);
     }
     clock.after(gossipPeriod, [this] { gossipTick(); });
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -334,7 +334,7 @@
     std::vector<bundle> accepted; ///< by epoch, from 1
     std::vector<time_point> acceptedAt;
     std::map<std::string, time_point> stoppedAt; ///< planned stops
-    std::vector<std::string> problems; ///< that the fakes noticed themselves
+    std::vector<std::string> observedViolations; ///< that the fakes noticed themselves
     std::uint64_t lastStream = 0;
 
 private:
