--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -430,7 +430,7 @@
         result.contentType = "text/event-stream";
         result.usage.set_prompt_tokens(10);
         result.usage.set_generated_tokens(pieces);
-        result.score = offer.target() == "small" ? site.smallScore : 0.95;
+        result.score = offer.target() == "small" ? site.cheapTierScore : 0.95;
         runtime.run([this, work, result] { core->onWorkEnd(work, result); });
     });
 }
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -330,7 +330,7 @@
     bool failNextWork = false;
     duration membershipDelay = seconds(3);
     duration workTime = milliseconds(40);
-    double smallScore = 0.5; ///< confidence of the cheap tier
+    double cheapTierScore = 0.5; ///< confidence of the cheap tier
     std::vector<bundle> accepted; ///< by epoch, from 1
     std::vector<time_point> acceptedAt;
     std::map<std::string, time_point> stoppedAt; ///< planned stops
--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -156,7 +156,7 @@
 TEST_CASE("golden: a traveller follows one route while its version is withdrawn")
 {
     golden_session session(testBundle());
-    session.site().smallScore = 0.9;
+    session.site().cheapTierScore = 0.9;
     session.finish(session.send("e1", "plan", "route-7", ""));
     session.finish(session.send("e2", "plan", "route-7", ""));
     bundle withdrawn = testBundle();
