--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -18,7 +18,7 @@
 /// The officer comes back after a while.
 constexpr duration turnPause = seconds(4);
 constexpr duration retryWait = milliseconds(700);
-constexpr int mostTries = 40;
+constexpr int maxTries = 40;
 constexpr const char *callerKey = "key-school";
 
 /// One logical request with its retries.
@@ -136,7 +136,7 @@
 bool scenario_run::drive(logical_request &item)
 {
     send(item);
-    while (item.tries < mostTries) {
+    while (item.tries < maxTries) {
         m_site.runUntil(
                 [&] {
                     considerRepeat(item);
