--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr duration longestScenario = seconds(90);
+constexpr duration maxAnswerWait = seconds(90);
 constexpr duration settleTime = seconds(100);
 /// The officer comes back after a while.
 constexpr duration turnPause = seconds(4);
@@ -142,7 +142,7 @@
                     considerRepeat(item);
                     return m_site.caller(item.last).ended;
                 },
-                longestScenario);
+                maxAnswerWait);
         const caller_record record = m_site.caller(item.last);
         if (record.complete())
             return true;
