--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr duration longestAnswer = seconds(90);
+constexpr duration maxAnswerWait = seconds(90);
 constexpr duration quiet = seconds(30);
 
 /// One session under the paused clock, and the text that it leaves.
@@ -56,7 +56,7 @@
     /// Waits for the answer and writes it with the decisions that led to it.
     caller_record finish(caller_id id)
     {
-        m_site.runUntil([&] { return m_site.caller(id).ended; }, longestAnswer);
+        m_site.runUntil([&] { return m_site.caller(id).ended; }, maxAnswerWait);
         writeDecisions();
         const caller_record record = m_site.caller(id);
         std::string line = "answer " + std::to_string(record.status);
@@ -173,7 +173,7 @@
 {
     golden_session session(testBundle());
     const caller_id lost = session.send("e1", "rebuild", "", "term-rebuild");
-    session.site().runUntil([&] { return !session.site().engineStarts.empty(); }, longestAnswer);
+    session.site().runUntil([&] { return !session.site().engineStarts.empty(); }, maxAnswerWait);
     session.say("the caller's connection breaks");
     session.site().disconnectCaller(lost);
     session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
