--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr duration maxAnswerWait = seconds(90);
-constexpr duration quiet = seconds(30);
+constexpr duration settleTime = seconds(30);
 
 /// One session under the paused clock, and the text that it leaves.
 class golden_session
@@ -77,7 +77,7 @@
 
     std::string text()
     {
-        wait(quiet);
+        wait(settleTime);
         writeDecisions();
         for (const auto &[key, row] : m_site.store.rows) {
             const auto bill = decodeBill(row.value);
