--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -44,7 +44,7 @@
 
 private:
     caller_request makeRequest(const std::string &target, const std::string &key, bool stream);
-    bool drive(logical_request &item);
+    bool sendUntilServed(logical_request &item);
     void send(logical_request &item);
     void considerRepeat(const logical_request &item);
     std::string liveEntry(int turn);
@@ -133,7 +133,7 @@
 }
 
 /// \returns true when the request was answered whole in the end.
-bool scenario_run::drive(logical_request &item)
+bool scenario_run::sendUntilServed(logical_request &item)
 {
     send(item);
     while (item.tries < maxTries) {
@@ -170,7 +170,7 @@
         // Before its first answer a caller without a name has no session yet: a second
         // try is another one.
         item.group = session.empty() ? "" : group;
-        const bool served = drive(item);
+        const bool served = sendUntilServed(item);
         const bool isWithdrawn = m_site.caller(item.last).code == "version_withdrawn";
         if (!served && !isWithdrawn)
             return false;
@@ -204,7 +204,7 @@
         return runSession(m_name == "session-name" ? "my-draft" : "");
     if (m_name == "service")
         item.request.kind = wire::work_service;
-    return drive(item);
+    return sendUntilServed(item);
 }
 
 cell_result laurelcroft::testing::runCell(const std::string &scenario,
