--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -46,7 +46,7 @@
     caller_request makeRequest(const std::string &target, const std::string &key, bool stream);
     bool sendUntilServed(logical_request &item);
     void send(logical_request &item);
-    void considerRepeat(const logical_request &item);
+    void sendDuplicateIfInjected(const logical_request &item);
     std::string liveEntry(int turn);
     bool runSession(const std::string &name);
 
@@ -123,7 +123,7 @@
 }
 
 /// The caller loses patience and sends the same key to the other entry at once.
-void scenario_run::considerRepeat(const logical_request &item)
+void scenario_run::sendDuplicateIfInjected(const logical_request &item)
 {
     if (m_repeated || !m_site.wasInjected(fault_kind::callerRepeats))
         return;
@@ -139,7 +139,7 @@
     while (item.tries < maxTries) {
         m_site.runUntil(
                 [&] {
-                    considerRepeat(item);
+                    sendDuplicateIfInjected(item);
                     return m_site.caller(item.last).ended;
                 },
                 maxAnswerWait);
