--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -52,7 +52,7 @@
 
     std::string m_name;
     simulated_site &m_site;
-    bool m_repeated = false;
+    bool m_duplicateSent = false;
 };
 
 } // namespace
@@ -125,9 +125,9 @@
 /// The caller loses patience and sends the same key to the other entry at once.
 void scenario_run::sendDuplicateIfInjected(const logical_request &item)
 {
-    if (m_repeated || !m_site.wasInjected(fault_kind::callerRepeats))
+    if (m_duplicateSent || !m_site.wasInjected(fault_kind::callerRepeats))
         return;
-    m_repeated = true;
+    m_duplicateSent = true;
     logical_request twin = item;
     send(twin);
 }
