--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr duration inForceWithin = seconds(5);
+constexpr duration maxBundleDelay = seconds(5);
 constexpr duration leavingWithin = seconds(2);
 constexpr std::string_view streamEnd = "data: [DONE]\n\n";
 
@@ -41,7 +41,7 @@
         const bool replaced = i + 1 < site.accepted.size();
         if (site.acceptedAt[i] > at)
             continue;
-        if (replaced && std::max(site.acceptedAt[i + 1], readable) + inForceWithin < at)
+        if (replaced && std::max(site.acceptedAt[i + 1], readable) + maxBundleDelay < at)
             continue;
         list.push_back(&site.accepted[i]);
     }
