--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr duration maxBundleDelay = seconds(5);
-constexpr duration leavingWithin = seconds(2);
+constexpr duration maxLeavingDelay = seconds(2);
 constexpr std::string_view streamEnd = "data: [DONE]\n\n";
 
 using violations = std::vector<violation>;
@@ -213,7 +213,7 @@
 {
     for (const engine_start &start : site.engineStarts) {
         const auto stopped = site.stoppedAt.find(start.agent);
-        if (stopped != site.stoppedAt.end() && start.at > stopped->second + leavingWithin)
+        if (stopped != site.stoppedAt.end() && start.at > stopped->second + maxLeavingDelay)
             found.push_back({guarantee::leaving, start.agent + " got " + start.requestId});
     }
 }
