--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -17,7 +17,7 @@
 constexpr duration tableSlowness = seconds(10);
 constexpr duration poolOutage = seconds(2);
 constexpr duration stopPeriod = milliseconds(100);
-constexpr duration leastStop = milliseconds(500);
+constexpr duration minStopDuration = milliseconds(500);
 
 } // namespace
 
@@ -46,7 +46,7 @@
 void simulated_site::stopTick()
 {
     for (fake_instance *item : instances()) {
-        const bool waited = clock.now() - item->leftAt >= leastStop;
+        const bool waited = clock.now() - item->leftAt >= minStopDuration;
         const bool stays = activeSabotage == sabotage::leavingWork;
         if (item->leaving && waited && !stays && item->runtime.isRunning() && item->isIdle())
             kill(*item, true);
