--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -15,7 +15,7 @@
 
 constexpr duration gossipPeriod = milliseconds(300);
 constexpr duration loadPeriod = milliseconds(250);
-constexpr int gossipsToPoll = 3;
+constexpr int gossipRoundsPerPoll = 3;
 const session_key tokenKey{"k1", "session secret of the tests"};
 
 constexpr std::array<std::string_view, lastFaultKind + 1> faultNames
@@ -191,7 +191,7 @@
     for (fake_instance *item : list) {
         if (!item->runtime.isRunning())
             continue;
-        if (m_rounds % gossipsToPoll == 0)
+        if (m_rounds % gossipRoundsPerPoll == 0)
             item->poll();
         item->adoptStaleBills();
         fake_instance *const peer = list[random.index(list.size())];
