--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -12,7 +12,7 @@
 using namespace laurelcroft::testing;
 
 namespace {
-constexpr int pieces = 4;
+constexpr int piecesPerAnswer = 4;
 } // namespace
 
 fake_instance::fake_instance(simulated_site &site, std::string id, std::string dataCentre)
@@ -406,18 +406,19 @@
 
     const bool fails = std::exchange(site.failNextWork, false);
     const auto text = std::make_shared<std::string>();
-    for (int i = 1; i <= pieces; ++i) {
+    for (int i = 1; i <= piecesPerAnswer; ++i) {
         const std::string part = "part " + std::to_string(i) + " for " + offer.request_id() + " by "
                 + id + " on " + offer.version() + ";";
-        site.clock.after(site.workTime * i / pieces, [this, work, part, text, fails, i, offer] {
-            if (runningWork.count(work) == 0 || (fails && i > 1))
-                return;
-            *text += part;
-            runtime.run([this, work, part] { core->onWorkData(work, part); });
-            if (i < pieces)
-                return;
-            site.outputs[offer.request_id()].insert(*text);
-        });
+        site.clock.after(site.workTime * i / piecesPerAnswer,
+                         [this, work, part, text, fails, i, offer] {
+                             if (runningWork.count(work) == 0 || (fails && i > 1))
+                                 return;
+                             *text += part;
+                             runtime.run([this, work, part] { core->onWorkData(work, part); });
+                             if (i < piecesPerAnswer)
+                                 return;
+                             site.outputs[offer.request_id()].insert(*text);
+                         });
     }
     site.clock.after(site.workTime + simulated_site::latency, [this, work, fails, offer] {
         if (runningWork.erase(work) == 0)
@@ -429,7 +430,7 @@
         result.status = http_status::ok;
         result.contentType = "text/event-stream";
         result.usage.set_prompt_tokens(10);
-        result.usage.set_generated_tokens(pieces);
+        result.usage.set_generated_tokens(piecesPerAnswer);
         result.score = offer.target() == "small" ? site.cheapTierScore : 0.95;
         runtime.run([this, work, result] { core->onWorkEnd(work, result); });
     });
