--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr duration clientDeadline = seconds(1);
-constexpr duration slowEffect = seconds(2);
+constexpr duration slowWriteDelay = seconds(2);
 } // namespace
 
 static std::string kindOf(const std::string &key)
@@ -57,7 +57,7 @@
                 return;
             }
             if (now < store.slowUntil) {
-                site->clock.after(slowEffect, [effect] { effect(); });
+                site->clock.after(slowWriteDelay, [effect] { effect(); });
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
                 return;
             }
