--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -63,7 +63,7 @@
 };
 
 /// Runs cells and prints those that fail.
-static matrix_totals sumUp(const std::vector<cell> &cells)
+static matrix_totals runAndReport(const std::vector<cell> &cells)
 {
     const std::vector<cell_result> results = runAll(cells);
     matrix_totals sum;
@@ -83,7 +83,7 @@
 TEST_CASE("matrix: every single fault at every step keeps every promise")
 {
     const std::vector<cell> cells = allCells();
-    const matrix_totals sum = sumUp(cells);
+    const matrix_totals sum = runAndReport(cells);
     CHECK(sum.failed == 0);
     // A fault that never strikes proves nothing.
     CHECK(sum.injected == cells.size());
@@ -94,7 +94,7 @@
     constexpr std::size_t pairsInCi = 2000;
     const char *wanted = std::getenv("LAURELCROFT_PAIRS");
     const std::size_t count = wanted ? std::strtoul(wanted, nullptr, 10) : pairsInCi;
-    const matrix_totals sum = sumUp(samplePairs(allCells(), count, 1));
+    const matrix_totals sum = runAndReport(samplePairs(allCells(), count, 1));
     CHECK(sum.failed == 0);
     // The first fault may keep the second one's step from being passed.
     CHECK(sum.injected * 2 > count);
