--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -232,7 +232,7 @@
 }
 
 /// Steps of the background, which say nothing about the scenario.
-static bool isBackground(const std::string &step)
+static bool isBackgroundStep(const std::string &step)
 {
     return step.rfind("bundle", 0) == 0 || step.rfind("none", 0) == 0;
 }
@@ -242,7 +242,7 @@
                      const std::map<std::string, int> &steps, bool after)
 {
     for (const auto &[step, count] : steps) {
-        if (isBackground(step))
+        if (isBackgroundStep(step))
             continue;
         for (int kind = 1; kind <= lastFaultKind; ++kind) {
             const auto fault = static_cast<fault_kind>(kind);
