--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -31,7 +31,7 @@
 }
 
 /// \returns the bundles that may have been in force for a start at \p at.
-static std::vector<const bundle *> bundlesAt(const simulated_site &site, time_point at)
+static std::vector<const bundle *> bundlesInForceAt(const simulated_site &site, time_point at)
 {
     std::vector<const bundle *> list;
     // A bundle that nobody can read yet is in force nowhere: while the table is away the
@@ -53,7 +53,7 @@
     for (const engine_start &start : site.engineStarts) {
         bool allowed = false;
         bool withdrawnEverywhere = true;
-        for (const bundle *rules : bundlesAt(site, start.at)) {
+        for (const bundle *rules : bundlesInForceAt(site, start.at)) {
             const customer *who = rules->findCustomer(start.customer);
             allowed = allowed
                     || (who != nullptr && mayUse(*rules, *who, start.target, start.version));
