--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -35,7 +35,7 @@
 
     simulated_site &site() { return m_site; }
 
-    void say(const std::string &line) { m_text << clockText() << line << "\n"; }
+    void writeLine(const std::string &line) { m_text << clockText() << line << "\n"; }
 
     caller_id send(const std::string &entry, const std::string &target, const std::string &session,
                    const std::string &key)
@@ -48,8 +48,8 @@
         request.body = "{\"messages\":[{\"role\":\"user\",\"content\":\"" + target + "\"}]}";
         if (target == "publish")
             request.kind = wire::work_service;
-        say("request to " + entry + ": " + target + (key.empty() ? "" : ", key " + key)
-            + (session.empty() ? "" : ", in its session"));
+        writeLine("request to " + entry + ": " + target + (key.empty() ? "" : ", key " + key)
+                  + (session.empty() ? "" : ", in its session"));
         return m_site.send(entry, request);
     }
 
@@ -69,7 +69,7 @@
             line += " code=" + record.code + " executed=" + record.executed;
         else
             line += " body=" + record.body;
-        say(line);
+        writeLine(line);
         return record;
     }
 
@@ -142,11 +142,11 @@
     golden_session session(rollingBundle(0));
     const std::string token
             = session.finish(session.send("e1", "plan", "", "")).header("X-Laurelcroft-Session");
-    session.say("the roll-out of large to 2 takes all new sessions");
+    session.writeLine("the roll-out of large to 2 takes all new sessions");
     session.site().acceptBundle(rollingBundle(100));
     session.wait(std::chrono::hours(24));
     session.finish(session.send("e2", "plan", token, ""));
-    session.say("a colleague begins a draft of her own");
+    session.writeLine("a colleague begins a draft of her own");
     session.finish(session.send("e2", "plan", "", ""));
     session.wait(std::chrono::hours(24));
     session.finish(session.send("e1", "plan", token, ""));
@@ -161,7 +161,7 @@
     session.finish(session.send("e2", "plan", "route-7", ""));
     bundle withdrawn = testBundle();
     withdrawn.models[0].versions[1].state = version_state::withdrawn;
-    session.say("small@2 is withdrawn");
+    session.writeLine("small@2 is withdrawn");
     session.site().acceptBundle(withdrawn);
     session.wait(seconds(5));
     session.finish(session.send("e1", "plan", "route-7", ""));
@@ -174,7 +174,7 @@
     golden_session session(testBundle());
     const caller_id lost = session.send("e1", "rebuild", "", "term-rebuild");
     session.site().runUntil([&] { return !session.site().engineStarts.empty(); }, maxAnswerWait);
-    session.say("the caller's connection breaks");
+    session.writeLine("the caller's connection breaks");
     session.site().disconnectCaller(lost);
     session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
     session.wait(seconds(2));
@@ -185,13 +185,13 @@
 TEST_CASE("golden: substitutions and a rebuild during an outage of the table")
 {
     golden_session session(testBundle());
-    session.say("the table is down for a minute");
+    session.writeLine("the table is down for a minute");
     session.site().store.downUntil = session.site().clock.now() + seconds(60);
     session.finish(session.send("e1", "plan", "", ""));
     session.finish(session.send("e1", "rebuild", "", "term-rebuild"));
     session.finish(session.send("e2", "plan", "", ""));
     session.wait(seconds(60));
-    session.say("the table is back");
+    session.writeLine("the table is back");
     session.finish(session.send("e1", "rebuild", "", "term-rebuild"));
     compare("bureau-outage", session.text());
 }
