--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -54,7 +54,7 @@
     }
 
     /// Waits for the answer and writes it with the decisions that led to it.
-    caller_record finish(caller_id id)
+    caller_record awaitAnswer(caller_id id)
     {
         m_site.runUntil([&] { return m_site.caller(id).ended; }, maxAnswerWait);
         writeDecisions();
@@ -140,16 +140,16 @@
 TEST_CASE("golden: an officer refines one draft over days and a roll-out")
 {
     golden_session session(rollingBundle(0));
-    const std::string token
-            = session.finish(session.send("e1", "plan", "", "")).header("X-Laurelcroft-Session");
+    const std::string token = session.awaitAnswer(session.send("e1", "plan", "", ""))
+                                      .header("X-Laurelcroft-Session");
     session.writeLine("the roll-out of large to 2 takes all new sessions");
     session.site().acceptBundle(rollingBundle(100));
     session.wait(std::chrono::hours(24));
-    session.finish(session.send("e2", "plan", token, ""));
+    session.awaitAnswer(session.send("e2", "plan", token, ""));
     session.writeLine("a colleague begins a draft of her own");
-    session.finish(session.send("e2", "plan", "", ""));
+    session.awaitAnswer(session.send("e2", "plan", "", ""));
     session.wait(std::chrono::hours(24));
-    session.finish(session.send("e1", "plan", token, ""));
+    session.awaitAnswer(session.send("e1", "plan", token, ""));
     compare("bureau-draft", session.text());
 }
 
@@ -157,15 +157,15 @@
 {
     golden_session session(testBundle());
     session.site().cheapTierScore = 0.9;
-    session.finish(session.send("e1", "plan", "route-7", ""));
-    session.finish(session.send("e2", "plan", "route-7", ""));
+    session.awaitAnswer(session.send("e1", "plan", "route-7", ""));
+    session.awaitAnswer(session.send("e2", "plan", "route-7", ""));
     bundle withdrawn = testBundle();
     withdrawn.models[0].versions[1].state = version_state::withdrawn;
     session.writeLine("small@2 is withdrawn");
     session.site().acceptBundle(withdrawn);
     session.wait(seconds(5));
-    session.finish(session.send("e1", "plan", "route-7", ""));
-    session.finish(session.send("e1", "plan", "route-8", ""));
+    session.awaitAnswer(session.send("e1", "plan", "route-7", ""));
+    session.awaitAnswer(session.send("e1", "plan", "route-8", ""));
     compare("kartvik-route", session.text());
 }
 
@@ -176,9 +176,9 @@
     session.site().runUntil([&] { return !session.site().engineStarts.empty(); }, maxAnswerWait);
     session.writeLine("the caller's connection breaks");
     session.site().disconnectCaller(lost);
-    session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
+    session.awaitAnswer(session.send("e2", "rebuild", "", "term-rebuild"));
     session.wait(seconds(2));
-    session.finish(session.send("e2", "rebuild", "", "term-rebuild"));
+    session.awaitAnswer(session.send("e2", "rebuild", "", "term-rebuild"));
     compare("bureau-rebuild", session.text());
 }
 
@@ -187,11 +187,11 @@
     golden_session session(testBundle());
     session.writeLine("the table is down for a minute");
     session.site().store.downUntil = session.site().clock.now() + seconds(60);
-    session.finish(session.send("e1", "plan", "", ""));
-    session.finish(session.send("e1", "rebuild", "", "term-rebuild"));
-    session.finish(session.send("e2", "plan", "", ""));
+    session.awaitAnswer(session.send("e1", "plan", "", ""));
+    session.awaitAnswer(session.send("e1", "rebuild", "", "term-rebuild"));
+    session.awaitAnswer(session.send("e2", "plan", "", ""));
     session.wait(seconds(60));
     session.writeLine("the table is back");
-    session.finish(session.send("e1", "rebuild", "", "term-rebuild"));
+    session.awaitAnswer(session.send("e1", "rebuild", "", "term-rebuild"));
     compare("bureau-outage", session.text());
 }
