--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -30,7 +30,7 @@
         : m_site(1, {}, sabotage::none)
     {
         m_site.startSite(rules);
-        m_began = m_site.clock.now();
+        m_startedAt = m_site.clock.now();
     }
 
     simulated_site &site() { return m_site; }
@@ -97,7 +97,7 @@
 private:
     std::string clockText() const
     {
-        const auto ms = std::chrono::duration_cast<milliseconds>(m_site.clock.now() - m_began);
+        const auto ms = std::chrono::duration_cast<milliseconds>(m_site.clock.now() - m_startedAt);
         return "[" + std::to_string(ms.count()) + " ms] ";
     }
 
@@ -112,7 +112,7 @@
     }
 
     simulated_site m_site;
-    time_point m_began{};
+    time_point m_startedAt{};
     std::ostringstream m_text;
     std::size_t m_written = 0;
 };
