--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -103,8 +103,8 @@
 
     void writeDecisions()
     {
-        for (; m_written < m_site.decisions.size(); ++m_written) {
-            const decision &made = m_site.decisions[m_written];
+        for (; m_decisionsWritten < m_site.decisions.size(); ++m_decisionsWritten) {
+            const decision &made = m_site.decisions[m_decisionsWritten];
             m_text << "    " << textOf(made.kind) << ": " << made.chosen << " of "
                    << made.considered << (made.reason.empty() ? "" : ", " + made.reason)
                    << ", epoch " << made.epoch << "\n";
@@ -114,7 +114,7 @@
     simulated_site m_site;
     time_point m_startedAt{};
     std::ostringstream m_text;
-    std::size_t m_written = 0;
+    std::size_t m_decisionsWritten = 0;
 };
 
 } // namespace
