--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -119,7 +119,7 @@
 
 } // namespace
 
-static void compare(const std::string &name, const std::string &text)
+static void compareWithFile(const std::string &name, const std::string &text)
 {
     const std::string path = std::string(GOLDEN_DIR) + "/" + name + ".txt";
     std::ifstream in(path);
@@ -150,7 +150,7 @@
     session.awaitAnswer(session.send("e2", "plan", "", ""));
     session.wait(std::chrono::hours(24));
     session.awaitAnswer(session.send("e1", "plan", token, ""));
-    compare("bureau-draft", session.text());
+    compareWithFile("bureau-draft", session.text());
 }
 
 TEST_CASE("golden: a traveller follows one route while its version is withdrawn")
@@ -166,7 +166,7 @@
     session.wait(seconds(5));
     session.awaitAnswer(session.send("e1", "plan", "route-7", ""));
     session.awaitAnswer(session.send("e1", "plan", "route-8", ""));
-    compare("kartvik-route", session.text());
+    compareWithFile("kartvik-route", session.text());
 }
 
 TEST_CASE("golden: a rebuild whose answer is lost is not run again")
@@ -179,7 +179,7 @@
     session.awaitAnswer(session.send("e2", "rebuild", "", "term-rebuild"));
     session.wait(seconds(2));
     session.awaitAnswer(session.send("e2", "rebuild", "", "term-rebuild"));
-    compare("bureau-rebuild", session.text());
+    compareWithFile("bureau-rebuild", session.text());
 }
 
 TEST_CASE("golden: substitutions and a rebuild during an outage of the table")
@@ -193,5 +193,5 @@
     session.wait(seconds(60));
     session.writeLine("the table is back");
     session.awaitAnswer(session.send("e1", "rebuild", "", "term-rebuild"));
-    compare("bureau-outage", session.text());
+    compareWithFile("bureau-outage", session.text());
 }
