--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -93,7 +93,7 @@
     ask_options options;
     options.stream = true;
     options.tokens = 2000;
-    const auto call = site.ask(options);
+    const auto call = site.sendRequest(options);
     REQUIRE(site.runUntil([&] { return call->body.size() > 2000; }));
     const std::string id = call->header("X-Laurelcroft-Request-Id");
     site.cancelCall(*call);
@@ -115,7 +115,7 @@
     options.tokens = 40;
     std::vector<std::shared_ptr<pending_call>> calls;
     for (int i = 0; i < 6; ++i)
-        calls.push_back(site.ask(options));
+        calls.push_back(site.sendRequest(options));
     REQUIRE(site.runUntil([&] { return site.countJournal("cheap1-engine", "started", "") >= 2; }));
     site.process("cheap1").signal(SIGKILL);
     CHECK(site.runUntil([&] {
@@ -156,7 +156,7 @@
     options.tokens = 60;
     for (int i = 0; i < 20; ++i) {
         options.entry = i % 2 == 0 ? "e1" : "e2";
-        calls.push_back(site.ask(options));
+        calls.push_back(site.sendRequest(options));
     }
     REQUIRE(site.runUntil([&] {
         return std::all_of(calls.begin(), calls.end(),
@@ -214,7 +214,7 @@
     options.model = "rebuild";
     options.idempotencyKey = "rebuild-2";
     options.tokens = 40;
-    const auto call = site.ask(options);
+    const auto call = site.sendRequest(options);
     REQUIRE(site.runUntil([&] {
         return site.countJournal("costly1-engine", "started", "")
                 + site.countJournal("costly2-engine", "started", "")
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -268,7 +268,7 @@
     return pending;
 }
 
-std::shared_ptr<pending_call> site::ask(const ask_options &options)
+std::shared_ptr<pending_call> site::sendRequest(const ask_options &options)
 {
     http_call request;
     request.method = "POST";
@@ -309,7 +309,7 @@
 
 pending_call site::askAndWait(const ask_options &options)
 {
-    const auto pending = ask(options);
+    const auto pending = sendRequest(options);
     runUntil([&] { return pending->ended; });
     return *pending;
 }
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -97,7 +97,7 @@
     void putInForce(const std::string &text);
     void waitForEpoch(std::uint64_t epoch);
 
-    std::shared_ptr<pending_call> ask(const ask_options &options);
+    std::shared_ptr<pending_call> sendRequest(const ask_options &options);
     std::shared_ptr<pending_call> call(http_call request);
     /// Closes the connection of a call that is under way.
     void cancelCall(const pending_call &call) { m_client.cancel(call.id); }
