--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -45,7 +45,7 @@
         options.entry = entry;
         options.model = model;
         options.tokens = 1;
-        return runUntil([&] { return askAndWait(options).complete(); });
+        return runUntil([&] { return sendAndWait(options).complete(); });
     }
 
     std::size_t countStarts(const std::string &requestId, const std::string &pool)
@@ -77,7 +77,7 @@
             ask_options options;
             options.model = model;
             options.stream = stream;
-            const pending_call answer = site.askAndWait(options);
+            const pending_call answer = site.sendAndWait(options);
             REQUIRE(answer.complete());
             CHECK(answer.body.find("checked") != std::string::npos);
             const bool endsWell = answer.body.find("data: [DONE]") != std::string::npos;
@@ -133,13 +133,13 @@
     ask_options options;
     options.model = "publish";
     options.idempotencyKey = "publish-1";
-    const pending_call first = site.askAndWait(options);
+    const pending_call first = site.sendAndWait(options);
     CHECK(first.ended);
     CHECK(errorOf(first).value("executed", "") == "unknown");
     site.process("plain1").signal(SIGCONT);
     site.process("plain2").signal(SIGCONT);
     const std::string id = first.header("X-Laurelcroft-Request-Id");
-    const pending_call second = site.askAndWait(options);
+    const pending_call second = site.sendAndWait(options);
     CHECK(errorOf(second).value("code", "") == "already_running");
     // The offer lay in the socket of a frozen agent: it must not run when that wakes.
     REQUIRE(site.runUntilServed("e1", "publish"));
@@ -176,7 +176,7 @@
     options.entry = "e2";
     const std::size_t before = site.countJournal("cheap1-engine", "started", "");
     for (int i = 0; i < 5; ++i)
-        CHECK(site.askAndWait(options).complete());
+        CHECK(site.sendAndWait(options).complete());
     CHECK(site.countJournal("cheap1-engine", "started", "") == before);
 }
 
@@ -187,13 +187,13 @@
     std::vector<std::string> ids;
     ask_options options;
     for (int i = 0; i < 10; ++i) {
-        const pending_call answer = site.askAndWait(options);
+        const pending_call answer = site.sendAndWait(options);
         REQUIRE(answer.complete());
         ids.push_back(answer.header("X-Laurelcroft-Request-Id"));
     }
     options.model = "rebuild";
     options.idempotencyKey = "rebuild-1";
-    const pending_call refused = site.askAndWait(options);
+    const pending_call refused = site.sendAndWait(options);
     CHECK(refused.status == 503);
     CHECK(errorOf(refused).value("executed", "") == "no");
     CHECK(errorOf(refused).value("retry_after_ms", 0) > 0);
@@ -204,7 +204,7 @@
     for (const std::string &id : ids)
         CHECK(site.isBilled(id));
     options.entry = "e2";
-    CHECK(site.runUntil([&] { return site.askAndWait(options).complete(); }));
+    CHECK(site.runUntil([&] { return site.sendAndWait(options).complete(); }));
 }
 
 TEST_CASE("processes: a rebuild whose entry dies is not run again, and its answer is kept")
@@ -226,7 +226,7 @@
     pending_call answer;
     REQUIRE(site.runUntil(
             [&] {
-                answer = site.askAndWait(options);
+                answer = site.sendAndWait(options);
                 return answer.complete();
             },
             seconds(40)));
@@ -245,7 +245,7 @@
     options.idempotencyKey = "draft-1";
     for (const char *entry : {"e1", "e2", "e1", "e2"}) {
         options.entry = entry;
-        CHECK(site.askAndWait(options).complete());
+        CHECK(site.sendAndWait(options).complete());
     }
 }
 
@@ -253,7 +253,7 @@
 {
     full_site site;
     ask_options options;
-    pending_call answer = site.askAndWait(options);
+    pending_call answer = site.sendAndWait(options);
     REQUIRE(answer.complete());
     const std::string version = answer.header("X-Laurelcroft-Version");
     options.session = answer.header("X-Laurelcroft-Session");
@@ -262,24 +262,24 @@
         site.startAgent(old + "n", old.back() == '1' ? "dc1" : "dc2", "cheap", 2000);
         site.process(old).signal(SIGTERM);
         CHECK(site.process(old).wait() == 0);
-        answer = site.askAndWait(options);
+        answer = site.sendAndWait(options);
         CHECK(site.runUntil([&] {
-            return answer.complete() || (answer = site.askAndWait(options)).complete();
+            return answer.complete() || (answer = site.sendAndWait(options)).complete();
         }));
         CHECK(answer.header("X-Laurelcroft-Version") == version);
     }
     site.startEntry("e3", "dc1");
     options.entry = "e3";
-    CHECK(site.runUntil([&] { return (answer = site.askAndWait(options)).complete(); }));
+    CHECK(site.runUntil([&] { return (answer = site.sendAndWait(options)).complete(); }));
     CHECK(answer.header("X-Laurelcroft-Version") == version);
     // The version is withdrawn: the session is refused with its reason, never moved.
     site.putInForce(siteBundle("withdrawn"));
     site.waitForEpoch(2);
-    answer = site.askAndWait(options);
+    answer = site.sendAndWait(options);
     CHECK(answer.status == 409);
     CHECK(errorOf(answer).value("code", "") == "version_withdrawn");
     options.session.clear();
-    answer = site.askAndWait(options);
+    answer = site.sendAndWait(options);
     CHECK(answer.complete());
     CHECK(answer.header("X-Laurelcroft-Version") == "1");
 }
@@ -294,7 +294,7 @@
                                          "--signoff-required", "1", "--operator", "ann"});
     CHECK(withdrawn.first == 0);
     // One key does not sign off for the site, whatever the command is told.
-    const pending_call still = site.askAndWait({});
+    const pending_call still = site.sendAndWait({});
     CHECK(still.header("X-Laurelcroft-Bundle") == "1");
     const auto waiting = site.operate({"withdraw", "small@1", "--key-file", "KEY-A"});
     CHECK(waiting.first == 6);
@@ -333,13 +333,13 @@
     }
     ask_options stranger;
     stranger.customer = "nobody";
-    CHECK(site.askAndWait(stranger).status == 401);
+    CHECK(site.sendAndWait(stranger).status == 401);
     ask_options unknown;
     unknown.model = "unheard-of";
-    CHECK(site.askAndWait(unknown).status == 404);
+    CHECK(site.sendAndWait(unknown).status == 404);
     ask_options forged;
     forged.session = "lcs1.k1.e30.AAAA";
-    CHECK(site.askAndWait(forged).status == 400);
-    CHECK(site.askAndWait({}).complete());
+    CHECK(site.sendAndWait(forged).status == 400);
+    CHECK(site.sendAndWait({}).complete());
     CHECK_FALSE(site.process("e1").hasEnded());
 }
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -307,7 +307,7 @@
     return done();
 }
 
-pending_call site::askAndWait(const ask_options &options)
+pending_call site::sendAndWait(const ask_options &options)
 {
     const auto pending = sendRequest(options);
     runUntil([&] { return pending->ended; });
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -104,7 +104,7 @@
     /// Runs the client until \p done holds. \returns false after \p longest.
     bool runUntil(const std::function<bool()> &done, seconds longest = seconds(20));
     /// Asks and waits for the end.
-    pending_call askAndWait(const ask_options &options);
+    pending_call sendAndWait(const ask_options &options);
 
     void fault(const std::string &standin, const nlohmann::json &what);
     std::vector<nlohmann::json> journal(const std::string &standin);
