--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -41,7 +41,7 @@
 
     bool runUntilServed(const std::string &entry, const std::string &model)
     {
-        ask_options options;
+        request_options options;
         options.entry = entry;
         options.model = model;
         options.tokens = 1;
@@ -74,7 +74,7 @@
     for (const std::string model : {"small", "plan", "rebuild"}) {
         for (const bool stream : {false, true}) {
             CAPTURE(model);
-            ask_options options;
+            request_options options;
             options.model = model;
             options.stream = stream;
             const pending_call answer = site.sendAndWait(options);
@@ -90,7 +90,7 @@
 TEST_CASE("processes: a caller leaves; the engine's work is cancelled, what was sent is billed")
 {
     full_site site(5000);
-    ask_options options;
+    request_options options;
     options.stream = true;
     options.tokens = 2000;
     const auto call = site.sendRequest(options);
@@ -111,7 +111,7 @@
 TEST_CASE("processes: an agent is killed in mid-answer; what may be repeated is served")
 {
     full_site site(20000);
-    ask_options options;
+    request_options options;
     options.tokens = 40;
     std::vector<std::shared_ptr<pending_call>> calls;
     for (int i = 0; i < 6; ++i)
@@ -130,7 +130,7 @@
     full_site site;
     site.process("plain1").signal(SIGSTOP);
     site.process("plain2").signal(SIGSTOP);
-    ask_options options;
+    request_options options;
     options.model = "publish";
     options.idempotencyKey = "publish-1";
     const pending_call first = site.sendAndWait(options);
@@ -151,7 +151,7 @@
 {
     full_site site(5000);
     std::vector<std::shared_ptr<pending_call>> calls;
-    ask_options options;
+    request_options options;
     options.stream = true;
     options.tokens = 60;
     for (int i = 0; i < 20; ++i) {
@@ -185,7 +185,7 @@
     full_site site;
     site.fault("table", {{"down", true}});
     std::vector<std::string> ids;
-    ask_options options;
+    request_options options;
     for (int i = 0; i < 10; ++i) {
         const pending_call answer = site.sendAndWait(options);
         REQUIRE(answer.complete());
@@ -210,7 +210,7 @@
 TEST_CASE("processes: a rebuild whose entry dies is not run again, and its answer is kept")
 {
     full_site site(20000);
-    ask_options options;
+    request_options options;
     options.model = "rebuild";
     options.idempotencyKey = "rebuild-2";
     options.tokens = 40;
@@ -241,7 +241,7 @@
 TEST_CASE("processes: a repeatable request with one key is answered by each entry in turn")
 {
     full_site site;
-    ask_options options;
+    request_options options;
     options.idempotencyKey = "draft-1";
     for (const char *entry : {"e1", "e2", "e1", "e2"}) {
         options.entry = entry;
@@ -252,7 +252,7 @@
 TEST_CASE("processes: a session keeps its version while every instance is replaced")
 {
     full_site site;
-    ask_options options;
+    request_options options;
     pending_call answer = site.sendAndWait(options);
     REQUIRE(answer.complete());
     const std::string version = answer.header("X-Laurelcroft-Version");
@@ -331,13 +331,13 @@
         asio::write(sockets.back(), asio::buffer(noise), ignored);
         sockets.back().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     }
-    ask_options stranger;
+    request_options stranger;
     stranger.customer = "nobody";
     CHECK(site.sendAndWait(stranger).status == 401);
-    ask_options unknown;
+    request_options unknown;
     unknown.model = "unheard-of";
     CHECK(site.sendAndWait(unknown).status == 404);
-    ask_options forged;
+    request_options forged;
     forged.session = "lcs1.k1.e30.AAAA";
     CHECK(site.sendAndWait(forged).status == 400);
     CHECK(site.sendAndWait({}).complete());
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -268,7 +268,7 @@
     return pending;
 }
 
-std::shared_ptr<pending_call> site::sendRequest(const ask_options &options)
+std::shared_ptr<pending_call> site::sendRequest(const request_options &options)
 {
     http_call request;
     request.method = "POST";
@@ -307,7 +307,7 @@
     return done();
 }
 
-pending_call site::sendAndWait(const ask_options &options)
+pending_call site::sendAndWait(const request_options &options)
 {
     const auto pending = sendRequest(options);
     runUntil([&] { return pending->ended; });
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -66,7 +66,7 @@
 };
 
 /// How to ask for something.
-struct ask_options
+struct request_options
 {
     std::string entry = "e1";
     std::string model = "small";
@@ -97,14 +97,14 @@
     void putInForce(const std::string &text);
     void waitForEpoch(std::uint64_t epoch);
 
-    std::shared_ptr<pending_call> sendRequest(const ask_options &options);
+    std::shared_ptr<pending_call> sendRequest(const request_options &options);
     std::shared_ptr<pending_call> call(http_call request);
     /// Closes the connection of a call that is under way.
     void cancelCall(const pending_call &call) { m_client.cancel(call.id); }
     /// Runs the client until \p done holds. \returns false after \p longest.
     bool runUntil(const std::function<bool()> &done, seconds longest = seconds(20));
     /// Asks and waits for the end.
-    pending_call sendAndWait(const ask_options &options);
+    pending_call sendAndWait(const request_options &options);
 
     void fault(const std::string &standin, const nlohmann::json &what);
     std::vector<nlohmann::json> journal(const std::string &standin);
