--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -288,22 +288,22 @@
 {
     full_site site;
     site.fault("table", {{"lose_answers", 0}});
-    const auto status = site.operate({"status", "--output", "json"});
+    const auto status = site.runOperator({"status", "--output", "json"});
     CHECK(json::parse(status.second)["epoch"] == 1);
-    const auto withdrawn = site.operate({"withdraw", "small@2", "--key-file", "KEY-A",
-                                         "--signoff-required", "1", "--operator", "ann"});
+    const auto withdrawn = site.runOperator({"withdraw", "small@2", "--key-file", "KEY-A",
+                                             "--signoff-required", "1", "--operator", "ann"});
     CHECK(withdrawn.first == 0);
     // One key does not sign off for the site, whatever the command is told.
     const pending_call still = site.sendAndWait({});
     CHECK(still.header("X-Laurelcroft-Bundle") == "1");
-    const auto waiting = site.operate({"withdraw", "small@1", "--key-file", "KEY-A"});
+    const auto waiting = site.runOperator({"withdraw", "small@1", "--key-file", "KEY-A"});
     CHECK(waiting.first == 6);
     CHECK(waiting.second.find("needs 1 more signature") != std::string::npos);
     site.putInForce(siteBundle("withdrawn"));
-    const auto late = site.operate({"accept", std::string(64, '0'), "--base-epoch", "1"});
+    const auto late = site.runOperator({"accept", std::string(64, '0'), "--base-epoch", "1"});
     CHECK(late.first == 4);
     CHECK(late.second.find("epoch 3") != std::string::npos);
-    const auto history = site.operate({"history"});
+    const auto history = site.runOperator({"history"});
     CHECK(history.second.find("epoch 1 by") != std::string::npos);
     CHECK(history.second.find("epoch 2 by ann") != std::string::npos);
     CHECK(history.second.find("epoch 3 by") != std::string::npos);
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -210,7 +210,7 @@
     start(name, command).wordAfter(" gossip=");
 }
 
-std::pair<int, std::string> site::operate(const std::vector<std::string> &words)
+std::pair<int, std::string> site::runOperator(const std::vector<std::string> &words)
 {
     std::vector<std::string> command = {BIN_DIR "/laurelcroft"};
     command.insert(command.end(), words.begin(), words.end());
@@ -233,11 +233,11 @@
 void site::putInForce(const std::string &text)
 {
     std::ofstream(m_folder + "/bundle.yaml") << text;
-    const auto proposed = operate({"propose", "BUNDLE"});
+    const auto proposed = runOperator({"propose", "BUNDLE"});
     const std::string hash = proposed.second.substr(std::string("proposed ").size(), 64);
-    operate({"sign", hash, "--key-file", "KEY-A"});
-    operate({"sign", hash, "--key-file", "KEY-B"});
-    const auto accepted = operate({"accept", hash});
+    runOperator({"sign", hash, "--key-file", "KEY-A"});
+    runOperator({"sign", hash, "--key-file", "KEY-B"});
+    const auto accepted = runOperator({"accept", hash});
     if (accepted.first != 0)
         throw std::runtime_error("not accepted: " + proposed.second + accepted.second);
 }
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -92,7 +92,7 @@
                     int decodeUs);
 
     /// Runs the operators' command. \returns exit code and output.
-    std::pair<int, std::string> operate(const std::vector<std::string> &words);
+    std::pair<int, std::string> runOperator(const std::vector<std::string> &words);
     /// Writes and puts in force \p text as both operators.
     void putInForce(const std::string &text);
     void waitForEpoch(std::uint64_t epoch);
