--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -96,7 +96,7 @@
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-std::string child::wordAfter(const std::string &marker) const
+std::string child::waitForWord(const std::string &marker) const
 {
     for (int i = 0; i < waitTries; ++i) {
         const std::string text = output();
@@ -125,7 +125,7 @@
     for (const auto &[role, more] : standins) {
         std::vector<std::string> command = {BIN_DIR "/laurelcroft-standin", "--role", role};
         command.insert(command.end(), more.begin(), more.end());
-        m_urls[role] = "http://127.0.0.1:" + start(role, command).wordAfter("port ");
+        m_urls[role] = "http://127.0.0.1:" + start(role, command).waitForWord("port ");
     }
 }
 
@@ -182,9 +182,9 @@
     const auto common = commonSettings();
     command.insert(command.end(), common.begin(), common.end());
     child &entry = start(name, command);
-    m_urls[name] = "http://127.0.0.1:" + entry.wordAfter("callers are served port=");
-    m_urls[name + "-admin"] = "http://127.0.0.1:" + entry.wordAfter("admin_port=");
-    m_seeds.push_back(entry.wordAfter(" gossip="));
+    m_urls[name] = "http://127.0.0.1:" + entry.waitForWord("callers are served port=");
+    m_urls[name + "-admin"] = "http://127.0.0.1:" + entry.waitForWord("admin_port=");
+    m_seeds.push_back(entry.waitForWord(" gossip="));
 }
 
 void site::startAgent(const std::string &name, const std::string &dataCentre,
@@ -195,7 +195,7 @@
                           {BIN_DIR "/laurelcroft-standin", "--role",
                            pool == "plain" ? "service" : "engine", "--decode-us",
                            std::to_string(decodeUs), "--delay-ms", "300"});
-    m_urls[engine] = "http://127.0.0.1:" + worker.wordAfter("port ");
+    m_urls[engine] = "http://127.0.0.1:" + worker.waitForWord("port ");
     std::vector<std::string> command = {BIN_DIR "/laurelcroft-agent",
                                         "--instance",
                                         name,
@@ -207,7 +207,7 @@
                                         m_urls[engine]};
     const auto common = commonSettings();
     command.insert(command.end(), common.begin(), common.end());
-    start(name, command).wordAfter(" gossip=");
+    start(name, command).waitForWord(" gossip=");
 }
 
 std::pair<int, std::string> site::runOperator(const std::vector<std::string> &words)
@@ -247,7 +247,7 @@
     const std::string marker = "bundle in force epoch=" + std::to_string(epoch) + " ";
     for (auto &[name, item] : m_children) {
         if (item->output().find("instance started") != std::string::npos && !item->hasEnded())
-            item->wordAfter(marker);
+            item->waitForWord(marker);
     }
 }
 
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -38,7 +38,7 @@
     bool hasEnded();
 
     /// Waits until \p marker was printed. \returns the word that follows it.
-    std::string wordAfter(const std::string &marker) const;
+    std::string waitForWord(const std::string &marker) const;
     std::string output() const;
     int pid() const { return m_pid; }
 
