--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -50,8 +50,8 @@
 
     std::size_t countStarts(const std::string &requestId, const std::string &pool)
     {
-        return countJournal(pool + "1-engine", "started", requestId)
-                + countJournal(pool + "2-engine", "started", requestId);
+        return countJournalEntries(pool + "1-engine", "started", requestId)
+                + countJournalEntries(pool + "2-engine", "started", requestId);
     }
 
     bool isBilled(const std::string &requestId)
@@ -98,8 +98,8 @@
     const std::string id = call->header("X-Laurelcroft-Request-Id");
     site.cancelCall(*call);
     CHECK(site.runUntil([&] {
-        return site.countJournal("cheap1-engine", "cancelled", id)
-                + site.countJournal("cheap2-engine", "cancelled", id)
+        return site.countJournalEntries("cheap1-engine", "cancelled", id)
+                + site.countJournalEntries("cheap2-engine", "cancelled", id)
                 == 1;
     }));
     REQUIRE(site.isBilled(id));
@@ -116,7 +116,8 @@
     std::vector<std::shared_ptr<pending_call>> calls;
     for (int i = 0; i < 6; ++i)
         calls.push_back(site.sendRequest(options));
-    REQUIRE(site.runUntil([&] { return site.countJournal("cheap1-engine", "started", "") >= 2; }));
+    REQUIRE(site.runUntil(
+            [&] { return site.countJournalEntries("cheap1-engine", "started", "") >= 2; }));
     site.process("cheap1").signal(SIGKILL);
     CHECK(site.runUntil([&] {
         return std::all_of(calls.begin(), calls.end(), [](const auto &c) { return c->ended; });
@@ -174,10 +175,10 @@
     CHECK(site.process("e1").wait() == 0);
     CHECK(site.process("cheap1").wait() == 0);
     options.entry = "e2";
-    const std::size_t before = site.countJournal("cheap1-engine", "started", "");
+    const std::size_t before = site.countJournalEntries("cheap1-engine", "started", "");
     for (int i = 0; i < 5; ++i)
         CHECK(site.sendAndWait(options).complete());
-    CHECK(site.countJournal("cheap1-engine", "started", "") == before);
+    CHECK(site.countJournalEntries("cheap1-engine", "started", "") == before);
 }
 
 TEST_CASE("processes: while the table is down, repeatable work goes on and bills wait")
@@ -216,8 +217,8 @@
     options.tokens = 40;
     const auto call = site.sendRequest(options);
     REQUIRE(site.runUntil([&] {
-        return site.countJournal("costly1-engine", "started", "")
-                + site.countJournal("costly2-engine", "started", "")
+        return site.countJournalEntries("costly1-engine", "started", "")
+                + site.countJournalEntries("costly2-engine", "started", "")
                 > 2;
     }));
     site.process("e1").signal(SIGKILL);
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -340,8 +340,8 @@
     return lines;
 }
 
-std::size_t site::countJournal(const std::string &standin, const std::string &kind,
-                               const std::string &requestId)
+std::size_t site::countJournalEntries(const std::string &standin, const std::string &kind,
+                                      const std::string &requestId)
 {
     std::size_t count = 0;
     for (const json &line : journal(standin)) {
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -108,8 +108,8 @@
 
     void fault(const std::string &standin, const nlohmann::json &what);
     std::vector<nlohmann::json> journal(const std::string &standin);
-    std::size_t countJournal(const std::string &standin, const std::string &kind,
-                             const std::string &requestId);
+    std::size_t countJournalEntries(const std::string &standin, const std::string &kind,
+                                    const std::string &requestId);
     /// \returns the keys under \p prefix that the table holds now, with their values.
     std::map<std::string, std::string> tableRows(const std::string &prefix);
 
