--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -324,7 +324,7 @@
     runUntil([&] { return pending->ended; });
 }
 
-std::vector<json> site::journal(const std::string &standin)
+std::vector<json> site::readJournal(const std::string &standin)
 {
     http_call request;
     request.url = url(standin) + "/standin/journal";
@@ -344,7 +344,7 @@
                                       const std::string &requestId)
 {
     std::size_t count = 0;
-    for (const json &line : journal(standin)) {
+    for (const json &line : readJournal(standin)) {
         const bool same = line.value("kind", "") == kind
                 && (requestId.empty() || line.value("request_id", "") == requestId);
         count += same ? 1 : 0;
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -107,7 +107,7 @@
     pending_call sendAndWait(const request_options &options);
 
     void fault(const std::string &standin, const nlohmann::json &what);
-    std::vector<nlohmann::json> journal(const std::string &standin);
+    std::vector<nlohmann::json> readJournal(const std::string &standin);
     std::size_t countJournalEntries(const std::string &standin, const std::string &kind,
                                     const std::string &requestId);
     /// \returns the keys under \p prefix that the table holds now, with their values.
