--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -184,7 +184,7 @@
 TEST_CASE("processes: while the table is down, repeatable work goes on and bills wait")
 {
     full_site site;
-    site.fault("table", {{"down", true}});
+    site.injectFault("table", {{"down", true}});
     std::vector<std::string> ids;
     request_options options;
     for (int i = 0; i < 10; ++i) {
@@ -201,7 +201,7 @@
     // The entry dies with its bills; a second process holds them.
     site.process("e1").signal(SIGKILL);
     site.process("e1").wait();
-    site.fault("table", {{"down", false}});
+    site.injectFault("table", {{"down", false}});
     for (const std::string &id : ids)
         CHECK(site.isBilled(id));
     options.entry = "e2";
@@ -288,7 +288,7 @@
 TEST_CASE("processes: two operators race, one wins; a lost answer is resolved")
 {
     full_site site;
-    site.fault("table", {{"lose_answers", 0}});
+    site.injectFault("table", {{"lose_answers", 0}});
     const auto status = site.runOperator({"status", "--output", "json"});
     CHECK(json::parse(status.second)["epoch"] == 1);
     const auto withdrawn = site.runOperator({"withdraw", "small@2", "--key-file", "KEY-A",
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -314,7 +314,7 @@
     return *pending;
 }
 
-void site::fault(const std::string &standin, const json &what)
+void site::injectFault(const std::string &standin, const json &what)
 {
     http_call request;
     request.method = "PUT";
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -106,7 +106,7 @@
     /// Asks and waits for the end.
     pending_call sendAndWait(const request_options &options);
 
-    void fault(const std::string &standin, const nlohmann::json &what);
+    void injectFault(const std::string &standin, const nlohmann::json &what);
     std::vector<nlohmann::json> readJournal(const std::string &standin);
     std::size_t countJournalEntries(const std::string &standin, const std::string &kind,
                                     const std::string &requestId);
