--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -367,7 +367,7 @@
     return rows;
 }
 
-std::string site::entryMetric(const std::string &entry, const std::string &series)
+std::string site::readEntryMetric(const std::string &entry, const std::string &series)
 {
     http_call request;
     request.url = url(entry + "-admin") + "/metrics";
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -114,7 +114,7 @@
     std::map<std::string, std::string> tableRows(const std::string &prefix);
 
     std::string url(const std::string &name) const { return m_urls.at(name); }
-    std::string entryMetric(const std::string &entry, const std::string &series);
+    std::string readEntryMetric(const std::string &entry, const std::string &series);
 
 private:
     std::vector<std::string> commonSettings() const;
