--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -54,7 +54,7 @@
                 + countJournalEntries(pool + "2-engine", "started", requestId);
     }
 
-    bool isBilled(const std::string &requestId)
+    bool waitForBill(const std::string &requestId)
     {
         return runUntil([&] { return tableRows("bill/" + requestId).size() == 1; });
     }
@@ -82,7 +82,7 @@
             CHECK(answer.body.find("checked") != std::string::npos);
             const bool endsWell = answer.body.find("data: [DONE]") != std::string::npos;
             CHECK(endsWell == stream);
-            CHECK(site.isBilled(answer.header("X-Laurelcroft-Request-Id")));
+            CHECK(site.waitForBill(answer.header("X-Laurelcroft-Request-Id")));
         }
     }
 }
@@ -102,7 +102,7 @@
                 + site.countJournalEntries("cheap2-engine", "cancelled", id)
                 == 1;
     }));
-    REQUIRE(site.isBilled(id));
+    REQUIRE(site.waitForBill(id));
     const json bill = json::parse(site.tableRows("bill/" + id).begin()->second);
     CHECK(bill["outcome"] == "partial");
     CHECK(bill["cost"].get<double>() > 0);
@@ -203,7 +203,7 @@
     site.process("e1").wait();
     site.injectFault("table", {{"down", false}});
     for (const std::string &id : ids)
-        CHECK(site.isBilled(id));
+        CHECK(site.waitForBill(id));
     options.entry = "e2";
     CHECK(site.runUntil([&] { return site.sendAndWait(options).complete(); }));
 }
@@ -236,7 +236,7 @@
     CHECK(answer.header("X-Laurelcroft-Version") == "1");
     const std::string id = answer.header("X-Laurelcroft-Request-Id");
     CHECK(site.countStarts(id, "costly") == 1);
-    CHECK(site.isBilled(id));
+    CHECK(site.waitForBill(id));
 }
 
 TEST_CASE("processes: a repeatable request with one key is answered by each entry in turn")
