--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -35,11 +35,11 @@
         // Orders to load take effect a moment after the bundle.
         for (const char *entry : {"e1", "e2"}) {
             for (const char *model : {"small", "large", "publish"})
-                CHECK(runUntilServed(entry, model));
+                CHECK(waitUntilServed(entry, model));
         }
     }
 
-    bool runUntilServed(const std::string &entry, const std::string &model)
+    bool waitUntilServed(const std::string &entry, const std::string &model)
     {
         request_options options;
         options.entry = entry;
@@ -143,8 +143,8 @@
     const pending_call second = site.sendAndWait(options);
     CHECK(errorOf(second).value("code", "") == "already_running");
     // The offer lay in the socket of a frozen agent: it must not run when that wakes.
-    REQUIRE(site.runUntilServed("e1", "publish"));
-    REQUIRE(site.runUntilServed("e2", "publish"));
+    REQUIRE(site.waitUntilServed("e1", "publish"));
+    REQUIRE(site.waitUntilServed("e2", "publish"));
     CHECK(site.countStarts(id, "plain") == 0);
 }
 
