--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -26,7 +26,7 @@
 
 namespace {
 constexpr auto pollPause = std::chrono::milliseconds(5);
-constexpr int waitTries = 1000;
+constexpr int maxWaitTries = 1000;
 constexpr useconds_t waitStep = 10000;
 const std::string siteKey = "site key of the process tests";
 } // namespace
@@ -98,7 +98,7 @@
 
 std::string child::waitForWord(const std::string &marker) const
 {
-    for (int i = 0; i < waitTries; ++i) {
+    for (int i = 0; i < maxWaitTries; ++i) {
         const std::string text = output();
         const std::size_t at = text.find(marker);
         const std::size_t end
