--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -27,7 +27,7 @@
 namespace {
 constexpr auto pollPause = std::chrono::milliseconds(5);
 constexpr int maxWaitTries = 1000;
-constexpr useconds_t waitStep = 10000;
+constexpr useconds_t waitInterval = 10000;
 const std::string siteKey = "site key of the process tests";
 } // namespace
 
@@ -105,7 +105,7 @@
                 = at == std::string::npos ? at : text.find_first_of(" \n", at + marker.size());
         if (end != std::string::npos)
             return text.substr(at + marker.size(), end - at - marker.size());
-        usleep(waitStep);
+        usleep(waitInterval);
     }
     throw std::runtime_error(m_name + " did not print '" + marker + "': " + output());
 }
