--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -25,7 +25,7 @@
 extern char **environ;
 
 namespace {
-constexpr auto pollPause = std::chrono::milliseconds(5);
+constexpr auto pollInterval = std::chrono::milliseconds(5);
 constexpr int maxWaitTries = 1000;
 constexpr useconds_t waitInterval = 10000;
 const std::string siteKey = "site key of the process tests";
@@ -299,10 +299,10 @@
         if (done())
             return true;
         // A condition may ask the table: polling without a pause would use up its rate.
-        asio::steady_timer pause(m_context, pollPause);
+        asio::steady_timer pause(m_context, pollInterval);
         pause.async_wait([](const asio::error_code &) {});
         m_context.restart();
-        m_context.run_for(pollPause);
+        m_context.run_for(pollInterval);
     }
     return done();
 }
