--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -52,7 +52,7 @@
 
 child::~child()
 {
-    if (!m_code) {
+    if (!m_exitCode) {
         signal(SIGCONT);
         signal(SIGKILL);
         wait();
@@ -71,22 +71,22 @@
 
 int child::wait()
 {
-    if (m_code)
-        return *m_code;
+    if (m_exitCode)
+        return *m_exitCode;
     int status = 0;
     waitpid(m_pid, &status, 0);
-    m_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-    return *m_code;
+    m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    return *m_exitCode;
 }
 
 bool child::hasEnded()
 {
-    if (m_code)
+    if (m_exitCode)
         return true;
     int status = 0;
     if (waitpid(m_pid, &status, WNOHANG) == 0)
         return false;
-    m_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return true;
 }
 
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -46,7 +46,7 @@
     std::string m_name;
     std::string m_logPath;
     int m_pid = -1;
-    std::optional<int> m_code;
+    std::optional<int> m_exitCode;
 };
 
 /// A call that is under way.
