--- a/utils/demo.py
+++ b/utils/demo.py
@@ -25,7 +25,7 @@
 PATIENCE = 20.0
 
 
-def ask(entry, customer, target, words, session=None, key=None, service=False):
+def send_request(entry, customer, target, words, session=None, key=None, service=False):
     """Sends one request. Returns status, headers and parsed body."""
     headers = {"Authorization": "Bearer " + FLEET["customers"][customer]}
     if session:
@@ -85,19 +85,19 @@
 
     until(in_force_everywhere, "the bundle in force everywhere")
     for model in (site["cheap"], site["costly"]):
-        until(lambda: all(ask(e, site["office"], model, "warm up")[0] == 200 for e in range(3)),
+        until(lambda: all(send_request(e, site["office"], model, "warm up")[0] == 200 for e in range(3)),
               "loading of " + model)
-    until(lambda: ask(0, site["office"], site["service"], "warm up", service=True)[0] == 200,
+    until(lambda: send_request(0, site["office"], site["service"], "warm up", service=True)[0] == 200,
           "the service")
 
-    status, headers, _ = ask(0, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
+    status, headers, _ = send_request(0, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
     show("runs at most once", status, headers, "on the last tier, claimed in the table")
-    status, headers, _ = ask(1, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
+    status, headers, _ = send_request(1, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
     show("same key again, other entry", status, headers,
          "replayed: " + headers.get("X-Laurelcroft-Replayed", "no"))
     cheap = escalated = None
     for i in range(200):
-        status, headers, _ = ask(i, site["office"], site["cascade"], f"{site['words'][1]} {i}")
+        status, headers, _ = send_request(i, site["office"], site["cascade"], f"{site['words'][1]} {i}")
         if status == 200 and headers["X-Laurelcroft-Model"] == site["cheap"] and not cheap:
             cheap = (status, headers)
         if status == 200 and headers["X-Laurelcroft-Model"] == site["costly"] and not escalated:
@@ -106,23 +106,23 @@
             break
     show("cascade", *cheap, "the cheap answer suffices")
     show("cascade", *escalated, "escalated")
-    status, headers, _ = ask(2, site["public"], site["cheap"], site["words"][2] + " 7")
+    status, headers, _ = send_request(2, site["public"], site["cheap"], site["words"][2] + " 7")
     show("public query", status, headers, "cheap model only")
-    status, headers, _ = ask(0, site["office"], site["service"], "go", service=True)
+    status, headers, _ = send_request(0, site["office"], site["service"], "go", service=True)
     show("plain service", status, headers, "not repeated")
 
-    status, headers, _ = ask(0, site["office"], site["costly"] + "@" + site["new"], "first draft")
+    status, headers, _ = send_request(0, site["office"], site["costly"] + "@" + site["new"], "first draft")
     session = headers["X-Laurelcroft-Session"]
     show("session on the new version", status, headers, "begins")
     hash_ = by_both("roll-forward", site["costly"], "50")
     until(in_force_everywhere, "the next epoch everywhere")
-    status, headers, _ = ask(1, site["office"], site["costly"], "second draft", session=session)
+    status, headers, _ = send_request(1, site["office"], site["costly"], "second draft", session=session)
     show("same session, after a roll-forward", status, headers, "keeps its version")
     by_both("withdraw", site["costly"] + "@" + site["new"])
     until(in_force_everywhere, "the withdrawal everywhere")
-    status, headers, body = ask(2, site["office"], site["costly"], "third draft", session=session)
+    status, headers, body = send_request(2, site["office"], site["costly"], "third draft", session=session)
     show("same session, after a withdrawal", status, headers, body["error"]["code"])
-    status, headers, _ = ask(2, site["office"], site["costly"], "new draft")
+    status, headers, _ = send_request(2, site["office"], site["costly"], "new draft")
     show("new session", status, headers, "on the settled version")
 
     until(lambda: all(len(bills(i)) == 1 for i in served), "one bill for each request")
