--- a/utils/demo.py
+++ b/utils/demo.py
@@ -43,7 +43,7 @@
         return error.code, error.headers, json.load(error)
 
 
-def until(condition, what):
+def wait_until(condition, what):
     """Waits for a condition, not for a time."""
     end = time.monotonic() + PATIENCE
     while time.monotonic() < end:
@@ -83,11 +83,11 @@
         if status == 200:
             served.append(headers["X-Laurelcroft-Request-Id"])
 
-    until(in_force_everywhere, "the bundle in force everywhere")
+    wait_until(in_force_everywhere, "the bundle in force everywhere")
     for model in (site["cheap"], site["costly"]):
-        until(lambda: all(send_request(e, site["office"], model, "warm up")[0] == 200 for e in range(3)),
+        wait_until(lambda: all(send_request(e, site["office"], model, "warm up")[0] == 200 for e in range(3)),
               "loading of " + model)
-    until(lambda: send_request(0, site["office"], site["service"], "warm up", service=True)[0] == 200,
+    wait_until(lambda: send_request(0, site["office"], site["service"], "warm up", service=True)[0] == 200,
           "the service")
 
     status, headers, _ = send_request(0, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
@@ -115,17 +115,17 @@
     session = headers["X-Laurelcroft-Session"]
     show("session on the new version", status, headers, "begins")
     hash_ = by_both("roll-forward", site["costly"], "50")
-    until(in_force_everywhere, "the next epoch everywhere")
+    wait_until(in_force_everywhere, "the next epoch everywhere")
     status, headers, _ = send_request(1, site["office"], site["costly"], "second draft", session=session)
     show("same session, after a roll-forward", status, headers, "keeps its version")
     by_both("withdraw", site["costly"] + "@" + site["new"])
-    until(in_force_everywhere, "the withdrawal everywhere")
+    wait_until(in_force_everywhere, "the withdrawal everywhere")
     status, headers, body = send_request(2, site["office"], site["costly"], "third draft", session=session)
     show("same session, after a withdrawal", status, headers, body["error"]["code"])
     status, headers, _ = send_request(2, site["office"], site["costly"], "new draft")
     show("new session", status, headers, "on the settled version")
 
-    until(lambda: all(len(bills(i)) == 1 for i in served), "one bill for each request")
+    wait_until(lambda: all(len(bills(i)) == 1 for i in served), "one bill for each request")
     widths = [max(len(row[i]) for row in rows) for i in range(5)]
     print(f"\n{name}: {len(FLEET['entries'])} entries, {len(FLEET['endpoints'])} endpoints")
     for row in rows:
