--- a/utils/demo.py
+++ b/utils/demo.py
@@ -53,7 +53,7 @@
     sys.exit(f"demo: {what} did not happen")
 
 
-def operate(*words):
+def run_operator(*words):
     done = subprocess.run(["utils/operator.sh", *words, "--output", "json"],
                           capture_output=True, text=True, check=False)
     return done.returncode, json.loads(done.stdout or "{}")
@@ -68,7 +68,7 @@
 def in_force_everywhere():
     # An entry that has just started may not know all others yet: all must be among those asked.
     expected = len(FLEET["entries"]) + len(FLEET["endpoints"])
-    code, status = operate("status")
+    code, status = run_operator("status")
     return code == 0 and status.get("instances") == status.get("in_force") == expected
 
 
@@ -136,11 +136,11 @@
 
 def by_both(*words):
     """One operator edits, the other signs, and the edit is put in force."""
-    code, report = operate(*words)
+    code, report = run_operator(*words)
     assert code == 6, report
     hash_ = report["hash"]
-    assert operate("sign", hash_, "--key-file", FLEET["key_files"][1])[0] == 0
-    code, report = operate("accept", hash_)
+    assert run_operator("sign", hash_, "--key-file", FLEET["key_files"][1])[0] == 0
+    code, report = run_operator("accept", hash_)
     assert code == 0, report
     return hash_
 
