--- a/utils/demo.py
+++ b/utils/demo.py
@@ -22,7 +22,7 @@
         "words": ["rewrite the plan of hall", "step-free route to gate", "tag the sign of shop"],
     },
 }
-PATIENCE = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def send_request(entry, customer, target, words, session=None, key=None, service=False):
@@ -45,7 +45,7 @@
 
 def wait_until(condition, what):
     """Waits for a condition, not for a time."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if condition():
             return
