--- a/utils/demo.py
+++ b/utils/demo.py
@@ -114,11 +114,11 @@
     status, headers, _ = send_request(0, site["office"], site["costly"] + "@" + site["new"], "first draft")
     session = headers["X-Laurelcroft-Session"]
     show("session on the new version", status, headers, "begins")
-    hash_ = by_both("roll-forward", site["costly"], "50")
+    hash_ = edit_as_both_operators("roll-forward", site["costly"], "50")
     wait_until(in_force_everywhere, "the next epoch everywhere")
     status, headers, _ = send_request(1, site["office"], site["costly"], "second draft", session=session)
     show("same session, after a roll-forward", status, headers, "keeps its version")
-    by_both("withdraw", site["costly"] + "@" + site["new"])
+    edit_as_both_operators("withdraw", site["costly"] + "@" + site["new"])
     wait_until(in_force_everywhere, "the withdrawal everywhere")
     status, headers, body = send_request(2, site["office"], site["costly"], "third draft", session=session)
     show("same session, after a withdrawal", status, headers, body["error"]["code"])
@@ -134,7 +134,7 @@
           "forward, then its version withdrawn")
 
 
-def by_both(*words):
+def edit_as_both_operators(*words):
     """One operator edits, the other signs, and the edit is put in force."""
     code, report = run_operator(*words)
     assert code == 6, report
