--- a/utils/demo.py
+++ b/utils/demo.py
@@ -59,7 +59,7 @@
     return done.returncode, json.loads(done.stdout or "{}")
 
 
-def bills(request_id):
+def read_bills(request_id):
     url = FLEET["standins"]["table"] + "/v1/table/scan?prefix=bill/" + request_id
     with urllib.request.urlopen(url, timeout=5) as answer:
         return json.load(answer)["rows"]
@@ -125,7 +125,7 @@
     status, headers, _ = send_request(2, site["office"], site["costly"], "new draft")
     show("new session", status, headers, "on the settled version")
 
-    wait_until(lambda: all(len(bills(i)) == 1 for i in served), "one bill for each request")
+    wait_until(lambda: all(len(read_bills(i)) == 1 for i in served), "one bill for each request")
     widths = [max(len(row[i]) for row in rows) for i in range(5)]
     print(f"\n{name}: {len(FLEET['entries'])} entries, {len(FLEET['endpoints'])} endpoints")
     for row in rows:
