--- a/utils/demo.py
+++ b/utils/demo.py
@@ -77,7 +77,7 @@
     rows = []
     served = []
 
-    def show(what, status, headers, note):
+    def add_row(what, status, headers, note):
         rows.append((what, str(status), headers.get("X-Laurelcroft-Model", "-"),
                      headers.get("X-Laurelcroft-Version", "-"), note))
         if status == 200:
@@ -91,9 +91,9 @@
           "the service")
 
     status, headers, _ = send_request(0, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
-    show("runs at most once", status, headers, "on the last tier, claimed in the table")
+    add_row("runs at most once", status, headers, "on the last tier, claimed in the table")
     status, headers, _ = send_request(1, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
-    show("same key again, other entry", status, headers,
+    add_row("same key again, other entry", status, headers,
          "replayed: " + headers.get("X-Laurelcroft-Replayed", "no"))
     cheap = escalated = None
     for i in range(200):
@@ -104,26 +104,26 @@
             escalated = (status, headers)
         if cheap and escalated:
             break
-    show("cascade", *cheap, "the cheap answer suffices")
-    show("cascade", *escalated, "escalated")
+    add_row("cascade", *cheap, "the cheap answer suffices")
+    add_row("cascade", *escalated, "escalated")
     status, headers, _ = send_request(2, site["public"], site["cheap"], site["words"][2] + " 7")
-    show("public query", status, headers, "cheap model only")
+    add_row("public query", status, headers, "cheap model only")
     status, headers, _ = send_request(0, site["office"], site["service"], "go", service=True)
-    show("plain service", status, headers, "not repeated")
+    add_row("plain service", status, headers, "not repeated")
 
     status, headers, _ = send_request(0, site["office"], site["costly"] + "@" + site["new"], "first draft")
     session = headers["X-Laurelcroft-Session"]
-    show("session on the new version", status, headers, "begins")
+    add_row("session on the new version", status, headers, "begins")
     hash_ = edit_as_both_operators("roll-forward", site["costly"], "50")
     wait_until(in_force_everywhere, "the next epoch everywhere")
     status, headers, _ = send_request(1, site["office"], site["costly"], "second draft", session=session)
-    show("same session, after a roll-forward", status, headers, "keeps its version")
+    add_row("same session, after a roll-forward", status, headers, "keeps its version")
     edit_as_both_operators("withdraw", site["costly"] + "@" + site["new"])
     wait_until(in_force_everywhere, "the withdrawal everywhere")
     status, headers, body = send_request(2, site["office"], site["costly"], "third draft", session=session)
-    show("same session, after a withdrawal", status, headers, body["error"]["code"])
+    add_row("same session, after a withdrawal", status, headers, body["error"]["code"])
     status, headers, _ = send_request(2, site["office"], site["costly"], "new draft")
-    show("new session", status, headers, "on the settled version")
+    add_row("new session", status, headers, "on the settled version")
 
     wait_until(lambda: all(len(read_bills(i)) == 1 for i in served), "one bill for each request")
     widths = [max(len(row[i]) for row in rows) for i in range(5)]
