--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -27,7 +27,7 @@
     return {line.split()[1]: int(line.split()[0]) for line in lines if line}
 
 
-def processor(pid):
+def processor_seconds(pid):
     fields = open(f"/proc/{pid}/stat", encoding="utf-8").read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICK
 
@@ -102,10 +102,10 @@
     print("processor time by rate (portal-small, 8 tokens streamed), each rate for 6 s")
     by_role = {"entry": [], "agent": []}
     for rate in (60, 120, 240):
-        before = {name: processor(pid) for name, pid in pids().items()}
+        before = {name: processor_seconds(pid) for name, pid in pids().items()}
         result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=rate,
                       tokens=8, **{"for": 6})
-        used = {name: processor(pid) - before[name] for name, pid in pids().items()}
+        used = {name: processor_seconds(pid) - before[name] for name, pid in pids().items()}
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
         by_role["entry"].append((result["complete"] / 6, entry / 6))
@@ -121,11 +121,11 @@
     print("processor time by tokens of an answer, 40 requests/s streamed, each for 6 s")
     by_role = {"entry": [], "agent": []}
     for tokens in (8, 64, 256):
-        before = {name: processor(pid) for name, pid in pids().items()}
+        before = {name: processor_seconds(pid) for name, pid in pids().items()}
         result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
                       tokens=tokens, **{"for": 6})
         time.sleep(1)  # answers that began late end within it
-        used = {name: processor(pid) - before[name] for name, pid in pids().items()}
+        used = {name: processor_seconds(pid) - before[name] for name, pid in pids().items()}
         done = max(1, result["complete"])
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
@@ -152,10 +152,10 @@
     pid = pids()["entry-1"]
     best = 0.0
     for rate in (500, 1000, 2000, 3000):
-        before = processor(pid)
+        before = processor_seconds(pid)
         result = load(fleet["entries"][:1], model="portal-small", key="key-bureau-office",
                       rate=rate, tokens=1, whole=True, **{"for": 4})
-        used = (processor(pid) - before) / 4
+        used = (processor_seconds(pid) - before) / 4
         done = result["requests_per_second"]
         per_core = done / used if used > 0 else 0
         best = max(best, per_core)
@@ -167,12 +167,12 @@
 def at_rest(fleet):
     names = pids()
     time.sleep(5)
-    before = {name: processor(pid) for name, pid in names.items()}
+    before = {name: processor_seconds(pid) for name, pid in names.items()}
     time.sleep(10)
     print("at rest, 10 s, 3 entries and 7 agents")
     for prefix in ("entry-", "agent-"):
         chosen = [name for name in names if name.startswith(prefix)]
-        used = sum(processor(names[name]) - before[name] for name in chosen) / 10 / len(chosen)
+        used = sum(processor_seconds(names[name]) - before[name] for name in chosen) / 10 / len(chosen)
         memory = max(resident(names[name]) for name in chosen)
         print(f"  {prefix[:-1]}: {100 * used:.2f}% of a core, resident at most {memory:.1f} MB")
     assert fleet
