--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -32,7 +32,7 @@
     return (int(fields[11]) + int(fields[12])) / TICK
 
 
-def resident(pid):
+def resident_mb(pid):
     for line in open(f"/proc/{pid}/status", encoding="utf-8"):
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -142,7 +142,7 @@
     """Memory of an entry by the number of agents that it is connected to."""
     names = pids()
     agents = sum(1 for name in names if name.startswith("agent-"))
-    memory = max(resident(names[name]) for name in ENTRIES)
+    memory = max(resident_mb(names[name]) for name in ENTRIES)
     print(f"memory of an entry connected to {agents} agents: {memory:.2f} MB")
     assert fleet
 
@@ -173,7 +173,7 @@
     for prefix in ("entry-", "agent-"):
         chosen = [name for name in names if name.startswith(prefix)]
         used = sum(processor_seconds(names[name]) - before[name] for name in chosen) / 10 / len(chosen)
-        memory = max(resident(names[name]) for name in chosen)
+        memory = max(resident_mb(names[name]) for name in chosen)
         print(f"  {prefix[:-1]}: {100 * used:.2f}% of a core, resident at most {memory:.1f} MB")
     assert fleet
 
