--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -22,7 +22,7 @@
     return done.stdout
 
 
-def pids():
+def read_pids():
     lines = open("build/fleet/pids", encoding="utf-8").read().split("\n")
     return {line.split()[1]: int(line.split()[0]) for line in lines if line}
 
@@ -102,10 +102,10 @@
     print("processor time by rate (portal-small, 8 tokens streamed), each rate for 6 s")
     by_role = {"entry": [], "agent": []}
     for rate in (60, 120, 240):
-        before = {name: processor_seconds(pid) for name, pid in pids().items()}
+        before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
         result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=rate,
                       tokens=8, **{"for": 6})
-        used = {name: processor_seconds(pid) - before[name] for name, pid in pids().items()}
+        used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
         by_role["entry"].append((result["complete"] / 6, entry / 6))
@@ -121,11 +121,11 @@
     print("processor time by tokens of an answer, 40 requests/s streamed, each for 6 s")
     by_role = {"entry": [], "agent": []}
     for tokens in (8, 64, 256):
-        before = {name: processor_seconds(pid) for name, pid in pids().items()}
+        before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
         result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
                       tokens=tokens, **{"for": 6})
         time.sleep(1)  # answers that began late end within it
-        used = {name: processor_seconds(pid) - before[name] for name, pid in pids().items()}
+        used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         done = max(1, result["complete"])
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
@@ -140,7 +140,7 @@
 
 def link_memory(fleet):
     """Memory of an entry by the number of agents that it is connected to."""
-    names = pids()
+    names = read_pids()
     agents = sum(1 for name in names if name.startswith("agent-"))
     memory = max(resident_mb(names[name]) for name in ENTRIES)
     print(f"memory of an entry connected to {agents} agents: {memory:.2f} MB")
@@ -149,7 +149,7 @@
 
 def one_entry(fleet):
     print("one entry alone, whole answers of one token, processor time of the entry")
-    pid = pids()["entry-1"]
+    pid = read_pids()["entry-1"]
     best = 0.0
     for rate in (500, 1000, 2000, 3000):
         before = processor_seconds(pid)
@@ -165,7 +165,7 @@
 
 
 def at_rest(fleet):
-    names = pids()
+    names = read_pids()
     time.sleep(5)
     before = {name: processor_seconds(pid) for name, pid in names.items()}
     time.sleep(10)
