--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -10,7 +10,7 @@
 import time
 import urllib.request
 
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 LOAD = "build/bin/laurelcroft-load"
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 
@@ -29,7 +29,7 @@
 
 def processor_seconds(pid):
     fields = open(f"/proc/{pid}/stat", encoding="utf-8").read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def resident_mb(pid):
