--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -39,7 +39,7 @@
     return 0.0
 
 
-def load(urls, **more):
+def run_load(urls, **more):
     command = [LOAD, "http", "--urls", ",".join(urls)]
     for name, value in more.items():
         if value is True:
@@ -89,8 +89,8 @@
 def added_latency(fleet):
     print("added latency at 500 requests/s over three entries, same engines, same run")
     common = {"rate": 500, "for": 8, "tokens": 8}
-    direct = load(engines(fleet, "portal"), model="portal-small@3.1", **common)
-    routed = load(fleet["entries"], model="portal-small", key="key-family-portal", **common)
+    direct = run_load(engines(fleet, "portal"), model="portal-small@3.1", **common)
+    routed = run_load(fleet["entries"], model="portal-small", key="key-family-portal", **common)
     quantile_line("direct", direct)
     quantile_line("routed", routed)
     for share in ("p50_ms", "p99_ms"):
@@ -103,7 +103,7 @@
     by_role = {"entry": [], "agent": []}
     for rate in (60, 120, 240):
         before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
-        result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=rate,
+        result = run_load(fleet["entries"], model="portal-small", key="key-family-portal", rate=rate,
                       tokens=8, **{"for": 6})
         used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         entry = sum(used[name] for name in ENTRIES)
@@ -122,7 +122,7 @@
     by_role = {"entry": [], "agent": []}
     for tokens in (8, 64, 256):
         before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
-        result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
+        result = run_load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
                       tokens=tokens, **{"for": 6})
         time.sleep(1)  # answers that began late end within it
         used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
@@ -153,7 +153,7 @@
     best = 0.0
     for rate in (500, 1000, 2000, 3000):
         before = processor_seconds(pid)
-        result = load(fleet["entries"][:1], model="portal-small", key="key-bureau-office",
+        result = run_load(fleet["entries"][:1], model="portal-small", key="key-bureau-office",
                       rate=rate, tokens=1, whole=True, **{"for": 4})
         used = (processor_seconds(pid) - before) / 4
         done = result["requests_per_second"]
