--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -49,7 +49,7 @@
     return json.loads(run(*command))
 
 
-def fit(points):
+def fit_line(points):
     """Least squares: returns slope, intercept and the largest residual."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
@@ -111,7 +111,7 @@
         by_role["entry"].append((result["complete"] / 6, entry / 6))
         by_role["agent"].append((result["complete"] / 6, agent / 6))
     for role, points in by_role.items():
-        slope, base, residual = fit(points)
+        slope, base, residual = fit_line(points)
         shown = ", ".join(f"{x:.0f}/s: {100 * y:.1f}%" for x, y in points)
         print(f"  {role}s together: {shown} of a core; {slope * 1e6:.0f} us a request, "
               f"{100 * base:.2f}% at rest, residual {100 * residual:.2f}%")
@@ -132,7 +132,7 @@
         by_role["entry"].append((tokens, entry / done))
         by_role["agent"].append((tokens, agent / done))
     for role, points in by_role.items():
-        slope, base, residual = fit(points)
+        slope, base, residual = fit_line(points)
         shown = ", ".join(f"{x}: {1e6 * y:.0f} us" for x, y in points)
         print(f"  {role}: {shown} a request; {slope * 1e6:.1f} us a token, "
               f"{base * 1e6:.0f} us a request, residual {residual * 1e6:.0f} us")
