--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -60,7 +60,7 @@
     return slope, base, max(abs(y - base - slope * x) for x, y in points)
 
 
-def start(site, size="small"):
+def start_fleet(site, size="small"):
     os.environ["RATED_PERCENT"] = "0"
     run("utils/fleet.sh", "up", site, size)
     run("utils/operator.sh", "in-force", f"examples/{site}.yaml")
@@ -180,7 +180,7 @@
 
 def memory_slope():
     for size in ("small", "full"):
-        fleet = start("bureau", size)
+        fleet = start_fleet("bureau", size)
         try:
             link_memory(fleet)
         finally:
@@ -189,7 +189,7 @@
 
 def main():
     memory_slope()
-    fleet = start("bureau")
+    fleet = start_fleet("bureau")
     try:
         at_rest(fleet)
         added_latency(fleet)
