--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -98,7 +98,7 @@
         print(f"  added at {share[:3]}: {added:.2f} ms")
 
 
-def slopes(fleet):
+def measure_rate_slope(fleet):
     print("processor time by rate (portal-small, 8 tokens streamed), each rate for 6 s")
     by_role = {"entry": [], "agent": []}
     for rate in (60, 120, 240):
@@ -193,7 +193,7 @@
     try:
         at_rest(fleet)
         added_latency(fleet)
-        slopes(fleet)
+        measure_rate_slope(fleet)
         token_slope(fleet)
         one_entry(fleet)
         for url in fleet["admin"][:1]:
