--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -117,7 +117,7 @@
               f"{100 * base:.2f}% at rest, residual {100 * residual:.2f}%")
 
 
-def token_slope(fleet):
+def measure_token_slope(fleet):
     print("processor time by tokens of an answer, 40 requests/s streamed, each for 6 s")
     by_role = {"entry": [], "agent": []}
     for tokens in (8, 64, 256):
@@ -194,7 +194,7 @@
         at_rest(fleet)
         added_latency(fleet)
         measure_rate_slope(fleet)
-        token_slope(fleet)
+        measure_token_slope(fleet)
         one_entry(fleet)
         for url in fleet["admin"][:1]:
             urllib.request.urlopen(url + "/metrics", timeout=5).read()
