--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -178,7 +178,7 @@
     assert fleet
 
 
-def memory_slope():
+def measure_memory_slope():
     for size in ("small", "full"):
         fleet = start_fleet("bureau", size)
         try:
@@ -188,7 +188,7 @@
 
 
 def main():
-    memory_slope()
+    measure_memory_slope()
     fleet = start_fleet("bureau")
     try:
         at_rest(fleet)
