--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -138,7 +138,7 @@
               f"{base * 1e6:.0f} us a request, residual {residual * 1e6:.0f} us")
 
 
-def link_memory(fleet):
+def print_link_memory(fleet):
     """Memory of an entry by the number of agents that it is connected to."""
     names = read_pids()
     agents = sum(1 for name in names if name.startswith("agent-"))
@@ -182,7 +182,7 @@
     for size in ("small", "full"):
         fleet = start_fleet("bureau", size)
         try:
-            link_memory(fleet)
+            print_link_memory(fleet)
         finally:
             run("utils/fleet.sh", "down")
 
