--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -86,7 +86,7 @@
           f"complete {result['complete']} of {result['sent']}")
 
 
-def added_latency(fleet):
+def measure_added_latency(fleet):
     print("added latency at 500 requests/s over three entries, same engines, same run")
     common = {"rate": 500, "for": 8, "tokens": 8}
     direct = run_load(engines(fleet, "portal"), model="portal-small@3.1", **common)
@@ -192,7 +192,7 @@
     fleet = start_fleet("bureau")
     try:
         at_rest(fleet)
-        added_latency(fleet)
+        measure_added_latency(fleet)
         measure_rate_slope(fleet)
         measure_token_slope(fleet)
         one_entry(fleet)
