--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -147,7 +147,7 @@
     assert fleet
 
 
-def one_entry(fleet):
+def measure_single_entry(fleet):
     print("one entry alone, whole answers of one token, processor time of the entry")
     pid = read_pids()["entry-1"]
     best = 0.0
@@ -195,7 +195,7 @@
         measure_added_latency(fleet)
         measure_rate_slope(fleet)
         measure_token_slope(fleet)
-        one_entry(fleet)
+        measure_single_entry(fleet)
         for url in fleet["admin"][:1]:
             urllib.request.urlopen(url + "/metrics", timeout=5).read()
     finally:
