--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -164,7 +164,7 @@
     print(f"  best: {best:.0f} requests/s on one core's worth of time")
 
 
-def at_rest(fleet):
+def measure_idle_usage(fleet):
     names = read_pids()
     time.sleep(5)
     before = {name: processor_seconds(pid) for name, pid in names.items()}
@@ -191,7 +191,7 @@
     measure_memory_slope()
     fleet = start_fleet("bureau")
     try:
-        at_rest(fleet)
+        measure_idle_usage(fleet)
         measure_added_latency(fleet)
         measure_rate_slope(fleet)
         measure_token_slope(fleet)
