--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -75,7 +75,7 @@
     return fleet
 
 
-def engines(fleet, pool):
+def engine_urls(fleet, pool):
     return [item["url"] for item in fleet["endpoints"] if item["pool"] == pool]
 
 
@@ -89,7 +89,7 @@
 def measure_added_latency(fleet):
     print("added latency at 500 requests/s over three entries, same engines, same run")
     common = {"rate": 500, "for": 8, "tokens": 8}
-    direct = run_load(engines(fleet, "portal"), model="portal-small@3.1", **common)
+    direct = run_load(engine_urls(fleet, "portal"), model="portal-small@3.1", **common)
     routed = run_load(fleet["entries"], model="portal-small", key="key-family-portal", **common)
     quantile_line("direct", direct)
     quantile_line("routed", routed)
