--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -79,7 +79,7 @@
     return [item["url"] for item in fleet["endpoints"] if item["pool"] == pool]
 
 
-def quantile_line(name, result):
+def print_quantiles(name, result):
     first = result["first_token"]
     print(f"  {name}: first token p50 {first['p50_ms']:.2f} ms, p99 {first['p99_ms']:.2f} ms; "
           f"between tokens p50 {result['between_tokens']['p50_ms']:.2f} ms; "
@@ -91,8 +91,8 @@
     common = {"rate": 500, "for": 8, "tokens": 8}
     direct = run_load(engine_urls(fleet, "portal"), model="portal-small@3.1", **common)
     routed = run_load(fleet["entries"], model="portal-small", key="key-family-portal", **common)
-    quantile_line("direct", direct)
-    quantile_line("routed", routed)
+    print_quantiles("direct", direct)
+    print_quantiles("routed", routed)
     for share in ("p50_ms", "p99_ms"):
         added = routed["first_token"][share] - direct["first_token"][share]
         print(f"  added at {share[:3]}: {added:.2f} ms")
