--- a/utils/request-story.py
+++ b/utils/request-story.py
@@ -10,7 +10,7 @@
 import re
 import sys
 
-BELIEFS = ("contract in force", "contract refused", "roll-out", "endpoint is leaving",
+STATE_MESSAGES = ("contract in force", "contract refused", "roll-out", "endpoint is leaving",
            "endpoint's record removed", "store lost", "store regained", "stopping", "started",
            "ready", "evidence told")
 TIME = re.compile(r"(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d+)Z (\w+) (\w+): (.*)")
@@ -39,7 +39,7 @@
     first = own[0][0] - length - BEFORE
     for item in lines:
         told = item in own
-        belief = item[1] == own[-1][1] and item[3].startswith(BELIEFS)
+        belief = item[1] == own[-1][1] and item[3].startswith(STATE_MESSAGES)
         if first <= item[0] <= own[-1][0] and (told or belief):
             print(item[0].time(), "*" if told else " ", item[2] + ":", item[3])
 
