--- a/utils/request-story.py
+++ b/utils/request-story.py
@@ -14,7 +14,7 @@
            "endpoint's record removed", "store lost", "store regained", "stopping", "started",
            "ready", "evidence told")
 TIME = re.compile(r"(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d+)Z (\w+) (\w+): (.*)")
-BEFORE = datetime.timedelta(seconds=5)
+LEAD_TIME = datetime.timedelta(seconds=5)
 
 
 def read_lines(path):
@@ -36,7 +36,7 @@
         sys.exit(f"no line of {sys.argv[1]}: it may have been left out (see 'log lines left out')")
     total = re.search(r"total_ms=(\d+)", own[-1][3])
     length = datetime.timedelta(milliseconds=int(total[1]) if total else 0)
-    first = own[0][0] - length - BEFORE
+    first = own[0][0] - length - LEAD_TIME
     for item in lines:
         told = item in own
         belief = item[1] == own[-1][1] and item[3].startswith(STATE_MESSAGES)
