--- a/utils/check.sh
+++ b/utils/check.sh
@@ -40,8 +40,8 @@
 for program in build/unittests/*/*-tests build/platform/unittests/*-tests build/test/FaultMatrix/fault-matrix build/test/Golden/golden-tests build/test/Processes/process-tests; do
     [ -x "$program" ] && count "$program"
 done
-# countLast NAME COMMAND...: a program that is no doctest and ends with "N passed, N failed".
-countLast() {
+# countSummaryLine NAME COMMAND...: a program that is no doctest and ends with "N passed, N failed".
+countSummaryLine() {
     local name=$1 log=build/check-$1.log
     shift
     "$@" > "$log" 2>&1
@@ -59,18 +59,18 @@
     echo "$name: $good passed, $bad failed"
 }
 
-countLast soak-audit utils/run-unittests.py platform/soak/test_audit.py
-countLast soak-store utils/run-unittests.py platform/soak/test_store.py
-countLast refused-stretches utils/run-unittests.py platform/days/test_refused.py
-countLast pinned-sessions utils/run-unittests.py platform/days/test_pinned.py
-countLast crashing-request python3 platform/soak/crasher.py --plays new_ids,same_ids,store_silent,popular --seconds 10 --jobs 4
-countLast repeats-in-bound python3 platform/soak/budget.py --plays refuse_all,mixed,killed,joined_no_store --seconds 15 --jobs 4
-countLast stated-rate-limits python3 platform/soak/limits.py --plays half,half_many,all,killed --seconds 14 --jobs 4
-countLast leaving-endpoints python3 platform/soak/leaving.py --plays two,refusing,all,store_there --seconds 10 --jobs 4
-countLast endpoints-in-backoff python3 platform/soak/rest.py --plays half,short,all,malformed --jobs 4
-countLast usage-told-once python3 platform/soak/duty.py --plays calm,holder_killed,holder_suspended,raced --seconds 14 --jobs 4
+countSummaryLine soak-audit utils/run-unittests.py platform/soak/test_audit.py
+countSummaryLine soak-store utils/run-unittests.py platform/soak/test_store.py
+countSummaryLine refused-stretches utils/run-unittests.py platform/days/test_refused.py
+countSummaryLine pinned-sessions utils/run-unittests.py platform/days/test_pinned.py
+countSummaryLine crashing-request python3 platform/soak/crasher.py --plays new_ids,same_ids,store_silent,popular --seconds 10 --jobs 4
+countSummaryLine repeats-in-bound python3 platform/soak/budget.py --plays refuse_all,mixed,killed,joined_no_store --seconds 15 --jobs 4
+countSummaryLine stated-rate-limits python3 platform/soak/limits.py --plays half,half_many,all,killed --seconds 14 --jobs 4
+countSummaryLine leaving-endpoints python3 platform/soak/leaving.py --plays two,refusing,all,store_there --seconds 10 --jobs 4
+countSummaryLine endpoints-in-backoff python3 platform/soak/rest.py --plays half,short,all,malformed --jobs 4
+countSummaryLine usage-told-once python3 platform/soak/duty.py --plays calm,holder_killed,holder_suspended,raced --seconds 14 --jobs 4
 seeds=$(sed -nE 's/^([0-9]+) .*/\1/p' platform/soak/seeds.txt | paste -sd,)
-countLast soak python3 platform/soak/soak.py --seeds "$seeds" --seconds 8 --jobs 4
+countSummaryLine soak python3 platform/soak/soak.py --seeds "$seeds" --seconds 8 --jobs 4
 # Seeds that KNOWN-RED.txt lists for CI are let pass and printed; any other one that fails counts.
 for seed in $(sed -nE 's/^seed ([0-9]+): .*, [1-9][0-9]* broken$/\1/p' build/check-soak.log); do
     if grep -qE "^CI: soak seed $seed " KNOWN-RED.txt; then
