--- a/utils/check.sh
+++ b/utils/check.sh
@@ -7,8 +7,8 @@
 failed=0
 red=0
 
-# count PROGRAM: reads doctest's summary of one program.
-count() {
+# countDoctest PROGRAM: reads doctest's summary of one program.
+countDoctest() {
     local log=build/check-$(basename "$1").log
     "$@" > "$log" 2>&1
     local code=$?
@@ -38,7 +38,7 @@
 }
 
 for program in build/unittests/*/*-tests build/platform/unittests/*-tests build/test/FaultMatrix/fault-matrix build/test/Golden/golden-tests build/test/Processes/process-tests; do
-    [ -x "$program" ] && count "$program"
+    [ -x "$program" ] && countDoctest "$program"
 done
 # countSummaryLine NAME COMMAND...: a program that is no doctest and ends with "N passed, N failed".
 countSummaryLine() {
