--- a/utils/fleet.sh
+++ b/utils/fleet.sh
@@ -54,7 +54,7 @@
     die "$1 did not start: $(cat "$dir/$1.log")"
 }
 
-gossipOf() {
+gossipAddress() {
     for _ in $(seq 1 200); do
         local address; address=$(sed -n 's/.*instance started.* gossip=\([0-9.:]*\).*/\1/p' "$dir/$1.log" | head -n 1)
         [ -n "$address" ] && { echo "$address"; return; }
@@ -94,7 +94,7 @@
     for i in 1 2 3; do
         launch "entry-$i" $bin/laurelcroft-entry "${common[@]}" --instance "entry-$i" --data-centre "dc$i" \
             --session-keys "$sessionKeys" --seeds "$seeds" --rated-percent "${RATED_PERCENT:-30}"
-        seeds="$seeds${seeds:+,}$(gossipOf "entry-$i")"
+        seeds="$seeds${seeds:+,}$(gossipAddress "entry-$i")"
     done
     local pool kind count quality decode
     for spec in $pools; do
