--- a/utils/check-includes.py
+++ b/utils/check-includes.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Checks that includes point only downwards between the components."""
+"""Checks that components include headers only of themselves and of lower components."""
 import pathlib
 import re
 import sys
 
-# Lowest first; a component may include those before it and itself.
+# Components, lowest first. A component may include itself and those listed before it.
 ORDER = ["Support", "Contract", "Http", "Link", "Fleet", "Policy", "Platform", "Usage", "Ledger", "Proxy", "Node",
          "Agent", "Entry", "Operator", "Standin", "Load"]
 RANK = {name: rank for rank, name in enumerate(ORDER)}
--- a/utils/check-sanitized.sh
+++ b/utils/check-sanitized.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the tests of a sanitized build: utils/check-sanitized.sh build-asan|build-tsan
-# The matrix runs with a tenth of its pairs, because sanitizers are slow.
+# Runs the tests of a sanitized build. Usage: utils/check-sanitized.sh build-asan|build-tsan
+# The fault matrix runs a tenth of its pairs of faults, because sanitized builds are slow.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 folder=$1
@@ -10,8 +10,8 @@
 export TSAN_OPTIONS="halt_on_error=1 suppressions=$PWD/utils/tsan.supp"
 export LAURELCROFT_PAIRS=200
 programs=("$folder"/unittests/*/*-tests "$folder"/test/Processes/process-tests)
-# Golden sessions and the matrix run each world on one thread: they have no races to
-# find, and a day of paused time takes too long under the thread sanitizer.
+# The golden tests and the fault matrix run each simulated site on a single thread, so the thread
+# sanitizer has no races to find there, and a simulated day takes too long under it.
 [ "$folder" = build-tsan ] ||
     programs+=("$folder"/test/Golden/golden-tests "$folder"/test/FaultMatrix/fault-matrix)
 for program in "${programs[@]}"; do
--- a/utils/check.sh
+++ b/utils/check.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
 # Runs every test program of the build and counts test cases. The last line is
-# "N passed, N failed". KNOWN-RED.txt lists test cases that are let pass and printed.
+# "N passed, N failed". Failures listed in KNOWN-RED.txt are printed but not counted as failed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 passed=0
 failed=0
 red=0
 
-# countDoctest PROGRAM: reads doctest's summary of one program.
+# countDoctest PROGRAM: runs a doctest program and adds up the counts of its summary line.
 countDoctest() {
     local log=build/check-$(basename "$1").log
     "$@" > "$log" 2>&1
@@ -40,7 +40,8 @@
 for program in build/unittests/*/*-tests build/platform/unittests/*-tests build/test/FaultMatrix/fault-matrix build/test/Golden/golden-tests build/test/Processes/process-tests; do
     [ -x "$program" ] && countDoctest "$program"
 done
-# countSummaryLine NAME COMMAND...: a program that is no doctest and ends with "N passed, N failed".
+# countSummaryLine NAME COMMAND...: runs a command whose output ends with "N passed, N failed" and
+# adds up these counts.
 countSummaryLine() {
     local name=$1 log=build/check-$1.log
     shift
@@ -71,7 +72,7 @@
 countSummaryLine usage-told-once python3 platform/soak/duty.py --plays calm,holder_killed,holder_suspended,raced --seconds 14 --jobs 4
 seeds=$(sed -nE 's/^([0-9]+) .*/\1/p' platform/soak/seeds.txt | paste -sd,)
 countSummaryLine soak python3 platform/soak/soak.py --seeds "$seeds" --seconds 8 --jobs 4
-# Seeds that KNOWN-RED.txt lists for CI are let pass and printed; any other one that fails counts.
+# Failing seeds that KNOWN-RED.txt lists for CI are printed but not counted as failed.
 for seed in $(sed -nE 's/^seed ([0-9]+): .*, [1-9][0-9]* broken$/\1/p' build/check-soak.log); do
     if grep -qE "^CI: soak seed $seed " KNOWN-RED.txt; then
         echo "known red: soak seed $seed"
--- a/utils/demo.py
+++ b/utils/demo.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Sends a site's requests and prints what became of them as a short table."""
+"""Sends a site's typical requests and prints their results as a table."""
 import json
 import subprocess
 import sys
@@ -26,7 +26,7 @@
 
 
 def send_request(entry, customer, target, words, session=None, key=None, service=False):
-    """Sends one request. Returns status, headers and parsed body."""
+    """Sends a request to an entry. Returns status, headers and parsed body."""
     headers = {"Authorization": "Bearer " + FLEET["customers"][customer]}
     if session:
         headers["X-Laurelcroft-Session"] = session
@@ -44,13 +44,13 @@
 
 
 def wait_until(condition, what):
-    """Waits for a condition, not for a time."""
+    """Polls until condition() is true; exits with an error after WAIT_TIMEOUT_S."""
     end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if condition():
             return
         time.sleep(0.02)
-    sys.exit(f"demo: {what} did not happen")
+    sys.exit(f"demo: timed out waiting for {what}")
 
 
 def run_operator(*words):
@@ -66,7 +66,7 @@
 
 
 def in_force_everywhere():
-    # An entry that has just started may not know all others yet: all must be among those asked.
+    # Right after start an entry may not know all instances yet, so compare with the full count.
     expected = len(FLEET["entries"]) + len(FLEET["endpoints"])
     code, status = run_operator("status")
     return code == 0 and status.get("instances") == status.get("in_force") == expected
@@ -83,21 +83,24 @@
         if status == 200:
             served.append(headers["X-Laurelcroft-Request-Id"])
 
-    wait_until(in_force_everywhere, "the bundle in force everywhere")
+    wait_until(in_force_everywhere, "the bundle to be in force everywhere")
     for model in (site["cheap"], site["costly"]):
-        wait_until(lambda: all(send_request(e, site["office"], model, "warm up")[0] == 200 for e in range(3)),
-              "loading of " + model)
-    wait_until(lambda: send_request(0, site["office"], site["service"], "warm up", service=True)[0] == 200,
-          "the service")
+        wait_until(lambda: all(send_request(e, site["office"], model, "warm up")[0] == 200
+                               for e in range(3)), "loading of " + model)
+    wait_until(lambda: send_request(0, site["office"], site["service"], "warm up",
+                                    service=True)[0] == 200, "the service")
 
-    status, headers, _ = send_request(0, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
+    status, headers, _ = send_request(0, site["office"], site["once"], site["words"][0] + " 1",
+                                      key="term-1")
     add_row("runs at most once", status, headers, "on the last tier, claimed in the table")
-    status, headers, _ = send_request(1, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
+    status, headers, _ = send_request(1, site["office"], site["once"], site["words"][0] + " 1",
+                                      key="term-1")
     add_row("same key again, other entry", status, headers,
-         "replayed: " + headers.get("X-Laurelcroft-Replayed", "no"))
+            "replayed: " + headers.get("X-Laurelcroft-Replayed", "no"))
     cheap = escalated = None
     for i in range(200):
-        status, headers, _ = send_request(i, site["office"], site["cascade"], f"{site['words'][1]} {i}")
+        status, headers, _ = send_request(i, site["office"], site["cascade"],
+                                          f"{site['words'][1]} {i}")
         if status == 200 and headers["X-Laurelcroft-Model"] == site["cheap"] and not cheap:
             cheap = (status, headers)
         if status == 200 and headers["X-Laurelcroft-Model"] == site["costly"] and not escalated:
@@ -111,16 +114,19 @@
     status, headers, _ = send_request(0, site["office"], site["service"], "go", service=True)
     add_row("plain service", status, headers, "not repeated")
 
-    status, headers, _ = send_request(0, site["office"], site["costly"] + "@" + site["new"], "first draft")
+    status, headers, _ = send_request(0, site["office"], site["costly"] + "@" + site["new"],
+                                      "first draft")
     session = headers["X-Laurelcroft-Session"]
     add_row("session on the new version", status, headers, "begins")
     hash_ = edit_as_both_operators("roll-forward", site["costly"], "50")
-    wait_until(in_force_everywhere, "the next epoch everywhere")
-    status, headers, _ = send_request(1, site["office"], site["costly"], "second draft", session=session)
+    wait_until(in_force_everywhere, "the next epoch to be in force everywhere")
+    status, headers, _ = send_request(1, site["office"], site["costly"], "second draft",
+                                      session=session)
     add_row("same session, after a roll-forward", status, headers, "keeps its version")
     edit_as_both_operators("withdraw", site["costly"] + "@" + site["new"])
-    wait_until(in_force_everywhere, "the withdrawal everywhere")
-    status, headers, body = send_request(2, site["office"], site["costly"], "third draft", session=session)
+    wait_until(in_force_everywhere, "the withdrawal to be in force everywhere")
+    status, headers, body = send_request(2, site["office"], site["costly"], "third draft",
+                                         session=session)
     add_row("same session, after a withdrawal", status, headers, body["error"]["code"])
     status, headers, _ = send_request(2, site["office"], site["costly"], "new draft")
     add_row("new session", status, headers, "on the settled version")
@@ -135,7 +141,7 @@
 
 
 def edit_as_both_operators(*words):
-    """One operator edits, the other signs, and the edit is put in force."""
+    """Edits the bundle as the first operator, signs as the second and accepts the edit."""
     code, report = run_operator(*words)
     assert code == 6, report
     hash_ = report["hash"]
--- a/utils/demo.sh
+++ b/utils/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Shows one site at work: utils/demo.sh bureau|kartvik
+# Runs a short demonstration of one example site. Usage: utils/demo.sh bureau|kartvik
 set -euo pipefail
 cd "$(dirname "$0")/.."
 site=${1:-bureau}
--- a/utils/fleet.sh
+++ b/utils/fleet.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Starts or stops one of the brief's sites on loopback, at today's size.
-#   utils/fleet.sh up bureau|kartvik [SIZE]   SIZE: full (default) or small
+# Starts or stops the processes of an example site on loopback.
+#   utils/fleet.sh up bureau|kartvik [SIZE]   SIZE: full (default, the site's number of endpoints)
+#                                             or small (three endpoints in each engine pool)
 #   utils/fleet.sh down
-# Writes build/fleet/fleet.json and one log file a process under build/fleet/.
+# Writes build/fleet/fleet.json and one log file per process under build/fleet/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=build/bin
@@ -12,7 +13,7 @@
 
 die() { echo "fleet.sh: error: $*" >&2; exit 1; }
 
-# Ends every process that "up" started, by its id.
+# Ends the processes that "up" started, by process id.
 down() {
     [ -f "$dir/pids" ] || return 0
     while read -r pid _; do kill -TERM "$pid" 2>/dev/null || true; done < "$dir/pids"
@@ -27,14 +28,14 @@
     rm -f "$dir/pids"
 }
 
-# launch NAME COMMAND...: runs it in the background, log in NAME.log.
+# launch NAME COMMAND...: runs the command in the background with its output in NAME.log.
 launch() {
     local name=$1; shift
     "$@" > "$dir/$name.log" 2>&1 &
     echo "$! $name" >> "$dir/pids"
 }
 
-# portOf NAME: waits until a stand-in has printed its port.
+# portOf NAME: waits until a stand-in has printed its port, and prints it.
 portOf() {
     for _ in $(seq 1 200); do
         local port; port=$(sed -n 's/^port //p' "$dir/$1.log" | head -n 1)
@@ -44,7 +45,7 @@
     die "$1 did not start: $(cat "$dir/$1.log")"
 }
 
-# entryPort NAME FIELD: waits for an entry's log line with its ports.
+# entryPort NAME FIELD: waits until an entry has logged its ports, and prints the one in FIELD.
 entryPort() {
     for _ in $(seq 1 200); do
         local port; port=$(sed -n "s/.*callers are served.* $2=\([0-9]*\).*/\1/p" "$dir/$1.log" | head -n 1)
@@ -54,6 +55,7 @@
     die "$1 did not start: $(cat "$dir/$1.log")"
 }
 
+# gossipAddress NAME: waits until an instance has logged its gossip address, and prints it.
 gossipAddress() {
     for _ in $(seq 1 200); do
         local address; address=$(sed -n 's/.*instance started.* gossip=\([0-9.:]*\).*/\1/p' "$dir/$1.log" | head -n 1)
@@ -70,7 +72,7 @@
     case $site in
     bureau) pools="timetable:engine:20:96:4000 portal:engine:3:75:1000 roster:service:1:0:0" ;;
     kartvik) pools="floorplan:engine:10:96:4000 wayfinding:engine:3:80:1000 tiles:service:1:0:0" ;;
-    *) die "up takes bureau or kartvik" ;;
+    *) die "unknown site '$site': expected bureau or kartvik" ;;
     esac
     [ "$size" = small ] && pools=$(echo "$pools" | sed -E 's/:engine:(20|10):/:engine:3:/')
     down; rm -rf "$dir"; mkdir -p "$dir"
@@ -142,5 +144,5 @@
 case ${1:-} in
 up) up "${2:-}" "${3:-full}" ;;
 down) down ;;
-*) die "use: fleet.sh up bureau|kartvik [full|small], or fleet.sh down" ;;
+*) die "usage: fleet.sh up bureau|kartvik [full|small], or fleet.sh down" ;;
 esac
--- a/utils/install-deps.sh
+++ b/utils/install-deps.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the declared packages of Debian 12 that are missing. Needs root for that.
+# Installs the Debian 12 packages that the build needs and that are missing. Installing needs root.
 set -euo pipefail
 packages=(g++ cmake make ninja-build ccache pkg-config git curl jq python3 clang-format-14 clang-tidy-14
     libasio-dev librestinio-dev libhttp-parser-dev libfmt-dev libnghttp2-dev libboost-dev
--- a/utils/lint.sh
+++ b/utils/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formatter, linter, include directions and words that do not belong here.
+# Runs the formatter check, the linter, the include check and the check for platform names.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 sources=$(git ls-files '*.h' '*.cpp' | grep -v '\.pb\.')
@@ -7,6 +7,6 @@
 clang-format-14 --dry-run --Werror $sources || bad=1
 utils/check-includes.py || bad=1
 platform/check-words.sh || bad=1
-# The linter takes a minute: headers are seen through the units that include them.
+# The linter takes about a minute. It checks headers through the sources that include them.
 git ls-files 'lib/*.cpp' 'tools/*.cpp' 'platform/*.cpp' | xargs -P 8 -n 4 clang-tidy-14 -p build --quiet 2>/dev/null || bad=1
 exit $bad
--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Measures the path over real processes: added latency, slopes of processor time and memory.
+"""Measures the request path through real processes: added latency, CPU time and memory.
 
-Needs a build and starts its own small fleet. Every load is bounded in rate and time.
+Needs a build and starts its own fleet. Every load has a fixed rate and duration.
 """
 import json
 import os
@@ -50,7 +50,7 @@
 
 
 def fit_line(points):
-    """Least squares: returns slope, intercept and the largest residual."""
+    """Fits a line by least squares. Returns slope, intercept and the largest absolute residual."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
@@ -71,7 +71,7 @@
         if status["in_force"] == status["instances"]:
             break
         time.sleep(0.1)
-    time.sleep(1)  # the versions are loaded; a warm-up, no condition of a test
+    time.sleep(1)  # gives endpoints time to load the versions
     return fleet
 
 
@@ -103,8 +103,8 @@
     by_role = {"entry": [], "agent": []}
     for rate in (60, 120, 240):
         before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
-        result = run_load(fleet["entries"], model="portal-small", key="key-family-portal", rate=rate,
-                      tokens=8, **{"for": 6})
+        result = run_load(fleet["entries"], model="portal-small", key="key-family-portal",
+                          rate=rate, tokens=8, **{"for": 6})
         used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
@@ -123,8 +123,8 @@
     for tokens in (8, 64, 256):
         before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
         result = run_load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
-                      tokens=tokens, **{"for": 6})
-        time.sleep(1)  # answers that began late end within it
+                          tokens=tokens, **{"for": 6})
+        time.sleep(1)  # lets answers that began late finish
         used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         done = max(1, result["complete"])
         entry = sum(used[name] for name in ENTRIES)
@@ -139,7 +139,7 @@
 
 
 def print_link_memory(fleet):
-    """Memory of an entry by the number of agents that it is connected to."""
+    """Prints the memory of the largest entry and the number of connected agents."""
     names = read_pids()
     agents = sum(1 for name in names if name.startswith("agent-"))
     memory = max(resident_mb(names[name]) for name in ENTRIES)
@@ -154,7 +154,7 @@
     for rate in (500, 1000, 2000, 3000):
         before = processor_seconds(pid)
         result = run_load(fleet["entries"][:1], model="portal-small", key="key-bureau-office",
-                      rate=rate, tokens=1, whole=True, **{"for": 4})
+                          rate=rate, tokens=1, whole=True, **{"for": 4})
         used = (processor_seconds(pid) - before) / 4
         done = result["requests_per_second"]
         per_core = done / used if used > 0 else 0
@@ -172,7 +172,8 @@
     print("at rest, 10 s, 3 entries and 7 agents")
     for prefix in ("entry-", "agent-"):
         chosen = [name for name in names if name.startswith(prefix)]
-        used = sum(processor_seconds(names[name]) - before[name] for name in chosen) / 10 / len(chosen)
+        used = (sum(processor_seconds(names[name]) - before[name] for name in chosen)
+                / 10 / len(chosen))
         memory = max(resident_mb(names[name]) for name in chosen)
         print(f"  {prefix[:-1]}: {100 * used:.2f}% of a core, resident at most {memory:.1f} MB")
     assert fleet
--- a/utils/measure.sh
+++ b/utils/measure.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints every figure of docs/MEASUREMENTS.md and docs/CAPACITY.md. About six minutes.
+# Runs the measurements of docs/MEASUREMENTS.md and docs/CAPACITY.md, which takes about six minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python3 utils/measure-path.py
--- a/utils/operator.sh
+++ b/utils/operator.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs the operators' command against the fleet that fleet.sh left running.
-#   utils/operator.sh COMMAND...        as the first operator
-#   utils/operator.sh in-force FILE     propose, sign by both operators, accept, wait until all
-#                                       instances have it in force (at most 30 s)
+# Runs the operator command against the fleet that utils/fleet.sh started.
+#   utils/operator.sh COMMAND...        run COMMAND as the first operator
+#   utils/operator.sh in-force FILE     propose FILE, sign it as both operators, accept it and wait
+#                                       at most 30 s until it is in force at all instances
 set -euo pipefail
 cd "$(dirname "$0")/.."
 fleet=build/fleet/fleet.json
@@ -30,7 +30,7 @@
         build/bin/laurelcroft status | grep -q "in force at $expected of $expected" && exit 0
         sleep 0.2
     done
-    echo "in-force: not all $expected instances have it in force" >&2
+    echo "in-force: bundle is not in force at all $expected instances after 30 s" >&2
     exit 1
 fi
 exec build/bin/laurelcroft "$@"
--- a/utils/run-unittests.py
+++ b/utils/run-unittests.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Runs one file of Python tests. The last line is "N passed, N failed".
+"""Runs the tests of one Python file. The last line is "N passed, N failed".
 
 Usage: run-unittests.py FILE
 """
