--- a/tools/laurelcroft-agent/main.cpp
+++ b/tools/laurelcroft-agent/main.cpp
@@ -1,18 +1,18 @@
-//===-- main.cpp - laurelcroft-agent --------------------------------------------===//
+//===-- main.cpp - the laurelcroft-agent program -----------------------------===//
 //
-// A thin main: settings in, exit code out.
+// Parses the settings and runs the program.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Agent/AgentProcess.h"
 
 int main(int argc, char **argv)
 {
-    laurelcroft::settings given("laurelcroft-agent",
-                                "admits and runs attempts at the endpoint beside it");
-    laurelcroft::addAgentSettings(given);
-    switch (given.parse(argc, argv)) {
+    laurelcroft::settings options("laurelcroft-agent",
+                                  "admits and runs attempts at the endpoint beside it");
+    laurelcroft::addAgentSettings(options);
+    switch (options.parse(argc, argv)) {
     case laurelcroft::settings_status::ready:
-        return laurelcroft::runAgent(given);
+        return laurelcroft::runAgent(options);
     case laurelcroft::settings_status::failed:
         return 2;
     default:
--- a/tools/laurelcroft-entry/main.cpp
+++ b/tools/laurelcroft-entry/main.cpp
@@ -1,18 +1,19 @@
-//===-- main.cpp - laurelcroft-entry --------------------------------------------===//
+//===-- main.cpp - the laurelcroft-entry program -----------------------------===//
 //
-// A thin main: settings in, exit code out.
+// Parses the settings and runs the program.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Entry/EntryProcess.h"
 
 int main(int argc, char **argv)
 {
-    laurelcroft::settings given("laurelcroft-entry",
-                                "takes requests of callers and decides who serves them");
-    laurelcroft::addEntrySettings(given);
-    switch (given.parse(argc, argv)) {
+    laurelcroft::settings options(
+            "laurelcroft-entry",
+            "accepts callers' requests and decides which endpoints serve them");
+    laurelcroft::addEntrySettings(options);
+    switch (options.parse(argc, argv)) {
     case laurelcroft::settings_status::ready:
-        return laurelcroft::runEntry(given);
+        return laurelcroft::runEntry(options);
     case laurelcroft::settings_status::failed:
         return 2;
     default:
--- a/tools/laurelcroft-load/main.cpp
+++ b/tools/laurelcroft-load/main.cpp
@@ -1,18 +1,18 @@
-//===-- main.cpp - laurelcroft-load --------------------------------------------===//
+//===-- main.cpp - the laurelcroft-load program ------------------------------===//
 //
-// A thin main: settings in, exit code out.
+// Parses the settings and runs the program.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Load/LoadTool.h"
 
 int main(int argc, char **argv)
 {
-    laurelcroft::settings given("laurelcroft-load",
-                                "sends open-loop load and runs experiments: http | run FILE");
-    laurelcroft::addLoadSettings(given);
-    switch (given.parse(argc, argv)) {
+    laurelcroft::settings options("laurelcroft-load",
+                                  "sends open-loop load and runs experiments: http | run FILE");
+    laurelcroft::addLoadSettings(options);
+    switch (options.parse(argc, argv)) {
     case laurelcroft::settings_status::ready:
-        return laurelcroft::runLoadTool(given);
+        return laurelcroft::runLoadTool(options);
     case laurelcroft::settings_status::failed:
         return 2;
     default:
--- a/tools/laurelcroft-standin/main.cpp
+++ b/tools/laurelcroft-standin/main.cpp
@@ -1,17 +1,18 @@
-//===-- main.cpp - laurelcroft-standin --------------------------------------------===//
+//===-- main.cpp - the laurelcroft-standin program ---------------------------===//
 //
-// A thin main: settings in, exit code out.
+// Parses the settings and runs the program.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Standin/Standin.h"
 
 int main(int argc, char **argv)
 {
-    laurelcroft::settings given("laurelcroft-standin", "stands in for the platform or an endpoint");
-    laurelcroft::addStandinSettings(given);
-    switch (given.parse(argc, argv)) {
+    laurelcroft::settings options("laurelcroft-standin",
+                                  "simulates a platform service or an endpoint for tests");
+    laurelcroft::addStandinSettings(options);
+    switch (options.parse(argc, argv)) {
     case laurelcroft::settings_status::ready:
-        return laurelcroft::runStandin(given);
+        return laurelcroft::runStandin(options);
     case laurelcroft::settings_status::failed:
         return 2;
     default:
--- a/tools/laurelcroft/main.cpp
+++ b/tools/laurelcroft/main.cpp
@@ -1,6 +1,6 @@
-//===-- main.cpp - laurelcroft ----------------------------------------------===//
+//===-- main.cpp - the laurelcroft command -----------------------------------===//
 //
-// The operators' command.
+// Runs the operator command.
 //
 //===----------------------------------------------------------------------===//
 #include "laurelcroft/Operator/Operator.h"
