--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands: `make demo` shows the product, `make check` runs all tests.
+# `make demo` runs the demonstration, `make check` runs all tests.
 .PHONY: demo check build matrix measure lint asan tsan
 build:
 	@utils/install-deps.sh
@@ -12,11 +12,11 @@
 check: build
 	@utils/check.sh
 
-# Pairs of faults: a larger seeded sample than `check` runs.
+# Runs the fault matrix with a larger seeded sample of pairs of faults than `check` does.
 matrix: build
 	@LAURELCROFT_PAIRS=20000 build/test/FaultMatrix/fault-matrix
 
-# Every figure of docs/MEASUREMENTS.md and docs/CAPACITY.md.
+# Runs the measurements of docs/MEASUREMENTS.md and docs/CAPACITY.md.
 measure: build
 	@utils/measure.sh
 
--- a/cmake/Laurelcroft.cmake
+++ b/cmake/Laurelcroft.cmake
@@ -1,5 +1,5 @@
 # laurelcroft_library(NAME SOURCES a.cpp b.cpp DEPENDS other)
-# One static library for each component; headers live under include/laurelcroft/NAME.
+# Adds the static library of one component. Its headers are in include/laurelcroft/NAME.
 function(laurelcroft_library name)
     cmake_parse_arguments(ARG "" "" "SOURCES;DEPENDS" ${ARGN})
     set(target lc_${name})
@@ -8,7 +8,8 @@
     target_link_libraries(${target} PUBLIC ${ARG_DEPENDS} Threads::Threads)
 endfunction()
 
-# laurelcroft_tool(BINARY DEPENDS lc_Entry)
+# laurelcroft_tool(NAME DEPENDS lc_Entry)
+# Adds the program NAME, built from main.cpp, to the bin folder of the build.
 function(laurelcroft_tool name)
     cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
     add_executable(${name} main.cpp)
