--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -1,17 +1,17 @@
-//===-- FakeTable.cpp - the table with its faults ---------------------------===//
+//===-- FakeTable.cpp - fake table with injected faults ---------------------===//
 //
-// Writes take effect in the shared store at the time they arrive; a fault may keep
-// the request, the answer or both.
+// Calls take effect in the shared store when they arrive. A fault may lose the request
+// or the answer, or delay the effect beyond the client's deadline.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 constexpr duration clientDeadline = seconds(1);
-constexpr duration slowEffect = seconds(2);
+constexpr duration slowWriteDelay = seconds(2);
 } // namespace
 
 static std::string kindOf(const std::string &key)
@@ -27,29 +27,29 @@
 template <class T>
 void fake_table::call(const std::string &kind, std::function<T()> effect, table_callback<T> done)
 {
-    world *const all = &m_world;
+    simulated_site *const site = &m_site;
     const std::string owner = m_owner;
-    const auto passed = [all, owner](const std::string &name, bool after) {
-        all->step(name, after, all->findEntry(owner), all->findAgent(owner));
+    const auto countStep = [site, owner](const std::string &name, bool after) {
+        site->step(name, after, site->findEntry(owner), site->findAgent(owner));
     };
-    passed(kind + ".sent", false);
+    countStep(kind + ".sent", false);
     if (m_runtime.isDead())
         return;
     const auto answer
-            = [all, this, done, passed, kind](duration when, outcome<T, table_error> result) {
-                  all->clock.after(when, [this, done, passed, kind, result] {
-                      passed(kind + ".answered", false);
+            = [site, this, done, countStep, kind](duration when, outcome<T, table_error> result) {
+                  site->clock.after(when, [this, done, countStep, kind, result] {
+                      countStep(kind + ".answered", false);
                       m_runtime.run([done, result] { done(result); });
-                      passed(kind + ".answered", true);
+                      countStep(kind + ".answered", true);
                   });
               };
     m_runtime.run([=] {
-        all->clock.after(world::latency, [=] {
-            table_store &store = all->store;
-            const time_point now = all->clock.now();
+        site->clock.after(simulated_site::latency, [=] {
+            table_store &store = site->store;
+            const time_point now = site->clock.now();
             const bool isRead = kind.find(".read") != std::string::npos;
             if (now < store.downUntil) {
-                answer(world::latency, failure(errorOf(table_failure::notSent)));
+                answer(simulated_site::latency, failure(errorOf(table_failure::notSent)));
                 return;
             }
             if (!isRead && std::exchange(store.loseNextRequest, false)) {
@@ -57,17 +57,17 @@
                 return;
             }
             if (now < store.slowUntil) {
-                all->clock.after(slowEffect, [effect] { effect(); });
+                site->clock.after(slowWriteDelay, [effect] { effect(); });
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
                 return;
             }
-            passed(kind + ".applied", false);
+            countStep(kind + ".applied", false);
             const T result = effect();
-            passed(kind + ".applied", true);
+            countStep(kind + ".applied", true);
             if (!isRead && std::exchange(store.loseNextAnswer, false))
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
             else
-                answer(world::latency, result);
+                answer(simulated_site::latency, result);
         });
     });
 }
@@ -77,22 +77,23 @@
     call<std::optional<table_row>>(
             kindOf(key) + ".read",
             [this, key]() -> std::optional<table_row> {
-                const auto it = m_world.store.rows.find(key);
-                if (it == m_world.store.rows.end())
+                const auto it = m_site.store.rows.find(key);
+                if (it == m_site.store.rows.end())
                     return std::nullopt;
                 return it->second;
             },
             std::move(done));
 }
 
-static write_result insertRow(world &all, const std::string &key, const std::string &value)
+static write_result insertRow(simulated_site &site, const std::string &key,
+                              const std::string &value)
 {
     const bool isBill = kindOf(key) == "bill";
-    if (isBill && all.broken == sabotage::dropBills)
+    if (isBill && site.activeSabotage == sabotage::dropBills)
         return {true, {value, 1}};
-    if (isBill && all.broken == sabotage::doubleBills)
-        all.store.rows[key + "-again"] = {value, 1};
-    const auto [it, fresh] = all.store.rows.try_emplace(key, table_row{value, 1});
+    if (isBill && site.activeSabotage == sabotage::doubleBills)
+        site.store.rows[key + "-again"] = {value, 1};
+    const auto [it, fresh] = site.store.rows.try_emplace(key, table_row{value, 1});
     return {fresh, it->second};
 }
 
@@ -100,7 +101,7 @@
                         table_callback<write_result> done)
 {
     call<write_result>(
-            kindOf(key), [this, key, value] { return insertRow(m_world, key, value); },
+            kindOf(key), [this, key, value] { return insertRow(m_site, key, value); },
             std::move(done));
 }
 
@@ -110,7 +111,7 @@
     call<write_result>(
             kindOf(key) + ".set",
             [this, key, version, value]() -> write_result {
-                table_row &row = m_world.store.rows[key];
+                table_row &row = m_site.store.rows[key];
                 if (row.version != version)
                     return {false, row};
                 row = {value, version + 1};
@@ -127,7 +128,7 @@
             [this, rows] {
                 std::vector<write_result> results;
                 for (const new_row &row : rows)
-                    results.push_back(insertRow(m_world, row.key, row.value));
+                    results.push_back(insertRow(m_site, row.key, row.value));
                 return results;
             },
             std::move(done));
--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -1,8 +1,8 @@
-//===-- MatrixTests.cpp - the fault matrix and the proof of its auditor -----===//
+//===-- MatrixTests.cpp - the fault matrix and tests of its auditor ---------===//
 //
-// LAURELCROFT_CELL="scenario|step|occurrence|before or after|fault" runs one cell
-// alone, with LAURELCROFT_SEED, and prints its decisions. LAURELCROFT_PAIRS sets the
-// number of seeded pairs.
+// LAURELCROFT_CELL="scenario|step|occurrence|before or after|fault" runs a single cell
+// with the seed LAURELCROFT_SEED and prints its decisions. LAURELCROFT_PAIRS sets the
+// number of cells with two faults.
 //
 //===----------------------------------------------------------------------===//
 #include "Scenarios.h"
@@ -17,17 +17,17 @@
 #include <thread>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 static std::string describeViolations(const std::vector<violation> &list)
 {
     std::string text;
     for (const violation &item : list)
-        text += "\n    " + std::string(bench::textOf(item.which)) + ": " + item.detail;
+        text += "\n    " + std::string(testing::textOf(item.which)) + ": " + item.detail;
     return text;
 }
 
-TEST_CASE("without a fault every scenario is served and audited clean")
+TEST_CASE("without a fault every scenario is served and violates no guarantee")
 {
     for (const std::string &scenario : scenarioNames()) {
         CAPTURE(scenario);
@@ -37,7 +37,7 @@
     }
 }
 
-/// Runs all cells on a few threads; each cell is a world of its own.
+/// Runs all cells on one thread per core. Cells share no state.
 static std::vector<cell_result> runAll(const std::vector<cell> &cells)
 {
     std::vector<cell_result> results(cells.size());
@@ -55,91 +55,94 @@
     return results;
 }
 
-struct matrix_sum
+/// Totals over the cells of one run.
+struct matrix_totals
 {
-    std::size_t struck = 0;
+    std::size_t injected = 0;
     std::size_t served = 0;
     std::size_t failed = 0;
 };
 
-/// Runs cells and prints those that fail.
-static matrix_sum sumUp(const std::vector<cell> &cells)
+/// Runs \p cells and prints those that violate a guarantee.
+static matrix_totals runAndReport(const std::vector<cell> &cells)
 {
     const std::vector<cell_result> results = runAll(cells);
-    matrix_sum sum;
+    matrix_totals totals;
     for (std::size_t i = 0; i < cells.size(); ++i) {
-        sum.struck += results[i].struck ? 1 : 0;
-        sum.served += results[i].served ? 1 : 0;
+        totals.injected += results[i].allFaultsInjected ? 1 : 0;
+        totals.served += results[i].served ? 1 : 0;
         if (results[i].violations.empty())
             continue;
-        sum.failed += 1;
-        MESSAGE("cell fails: ", cells[i].text(), describeViolations(results[i].violations));
+        totals.failed += 1;
+        MESSAGE("cell failed: ", cells[i].text(), describeViolations(results[i].violations));
     }
-    MESSAGE("cells ", cells.size(), ", struck ", sum.struck, ", served in the end ", sum.served,
-            ", failed ", sum.failed);
-    return sum;
+    MESSAGE("cells ", cells.size(), ", with all faults injected ", totals.injected, ", served ",
+            totals.served, ", failed ", totals.failed);
+    return totals;
 }
 
-TEST_CASE("matrix: every single fault at every step keeps every promise")
+TEST_CASE("matrix: no single fault at any step violates a guarantee")
 {
     const std::vector<cell> cells = allCells();
-    const matrix_sum sum = sumUp(cells);
-    CHECK(sum.failed == 0);
-    // A fault that never strikes proves nothing.
-    CHECK(sum.struck == cells.size());
+    const matrix_totals totals = runAndReport(cells);
+    CHECK(totals.failed == 0);
+    // A cell whose fault was never injected tests nothing.
+    CHECK(totals.injected == cells.size());
 }
 
-TEST_CASE("matrix: a seeded sample of pairs of faults keeps every promise")
+TEST_CASE("matrix: no pair of faults of a seeded sample violates a guarantee")
 {
     constexpr std::size_t pairsInCi = 2000;
-    const char *wanted = std::getenv("LAURELCROFT_PAIRS");
-    const std::size_t count = wanted ? std::strtoul(wanted, nullptr, 10) : pairsInCi;
-    const matrix_sum sum = sumUp(samplePairs(allCells(), count, 1));
-    CHECK(sum.failed == 0);
-    // The first fault may keep the second one's step from being passed.
-    CHECK(sum.struck * 2 > count);
+    const char *pairsSetting = std::getenv("LAURELCROFT_PAIRS");
+    const std::size_t count = pairsSetting ? std::strtoul(pairsSetting, nullptr, 10) : pairsInCi;
+    const matrix_totals totals = runAndReport(samplePairs(allCells(), count, 1));
+    CHECK(totals.failed == 0);
+    // The first fault may prevent the run from reaching the step of the second.
+    CHECK(totals.injected * 2 > count);
 }
 
-struct broken_case
+/// A sabotage and the violation that the auditor must report for it.
+struct sabotage_case
 {
-    sabotage broken;
-    promise expected;
+    sabotage injected;
+    guarantee expected;
     const char *scenario;
     fault_kind fault;
 };
 
-TEST_CASE("the auditor reports each promise that is broken on purpose")
+TEST_CASE("the auditor reports each guarantee that is violated on purpose")
 {
-    const broken_case cases[] = {
-            {sabotage::runTwice, promise::atMostOnce, "rebuild", fault_kind::none},
-            {sabotage::dropBills, promise::billedOnce, "whole", fault_kind::none},
-            {sabotage::doubleBills, promise::billedOnce, "whole", fault_kind::none},
-            {sabotage::mixAnswers, promise::ownAnswer, "whole", fault_kind::none},
-            {sabotage::lieNotRun, promise::notRunIsTrue, "rebuild", fault_kind::engineFails},
-            {sabotage::otherVersion, promise::session, "session-token", fault_kind::none},
-            {sabotage::withdrawnWork, promise::withdrawn, "session-name", fault_kind::withdraw},
-            {sabotage::leavingWork, promise::leaving, "session-token", fault_kind::stopAgent},
-            {sabotage::cutOnStop, promise::plannedStop, "whole", fault_kind::stopEntry},
-            {sabotage::revertEpoch, promise::bundle, "whole", fault_kind::none},
-            {sabotage::forbiddenWork, promise::allowed, "whole", fault_kind::none},
+    const sabotage_case cases[] = {
+            {sabotage::runTwice, guarantee::atMostOnce, "rebuild", fault_kind::none},
+            {sabotage::dropBills, guarantee::billedOnce, "whole", fault_kind::none},
+            {sabotage::doubleBills, guarantee::billedOnce, "whole", fault_kind::none},
+            {sabotage::mixAnswers, guarantee::ownAnswer, "whole", fault_kind::none},
+            {sabotage::lieNotRun, guarantee::notRunIsTrue, "rebuild", fault_kind::engineFails},
+            {sabotage::otherVersion, guarantee::session, "session-token", fault_kind::none},
+            {sabotage::withdrawnWork, guarantee::withdrawn, "session-name", fault_kind::withdraw},
+            {sabotage::leavingWork, guarantee::leaving, "session-token", fault_kind::stopAgent},
+            {sabotage::cutOnStop, guarantee::plannedStop, "whole", fault_kind::stopEntry},
+            {sabotage::revertEpoch, guarantee::bundle, "whole", fault_kind::none},
+            {sabotage::forbiddenWork, guarantee::allowed, "whole", fault_kind::none},
     };
-    for (const broken_case &item : cases) {
-        CAPTURE(static_cast<int>(item.broken));
+    for (const sabotage_case &item : cases) {
+        CAPTURE(static_cast<int>(item.injected));
         fault_point fault;
         fault.kind = item.fault;
         fault.step = item.fault == fault_kind::withdraw ? "request.received" : "offer.received";
-        const cell_result result = runCell(item.scenario, {fault}, 1, item.broken);
+        const cell_result result = runCell(item.scenario, {fault}, 1, item.injected);
         const bool reported
                 = std::any_of(result.violations.begin(), result.violations.end(),
                               [&](const violation &v) { return v.which == item.expected; });
-        CHECK_MESSAGE(reported, "not reported: ", std::string(bench::textOf(item.expected)),
+        CHECK_MESSAGE(reported, "not reported: ", std::string(testing::textOf(item.expected)),
                       describeViolations(result.violations));
     }
 }
 
 TEST_CASE("one cell alone" * doctest::skip(std::getenv("LAURELCROFT_CELL") == nullptr))
 {
-    // scenario|step|occurrence|before or after|fault, the last four for each fault.
+    // The format is scenario|step|occurrence|before or after|fault; each further fault adds the
+    // last four fields again.
     const std::vector<std::string> parts = splitList(std::getenv("LAURELCROFT_CELL"), '|');
     REQUIRE(parts.size() % 4 == 1);
     std::vector<fault_point> faults;
@@ -147,7 +150,7 @@
         fault_point fault{parts[at], std::atoi(parts[at + 1].c_str()), parts[at + 2] == "after",
                           fault_kind::none};
         for (int kind = 0; kind <= lastFaultKind; ++kind) {
-            if (bench::textOf(static_cast<fault_kind>(kind)) == parts[at + 3])
+            if (testing::textOf(static_cast<fault_kind>(kind)) == parts[at + 3])
                 fault.kind = static_cast<fault_kind>(kind);
         }
         faults.push_back(fault);
@@ -161,6 +164,6 @@
     for (const caller_record &record : result.callers)
         std::cout << "caller " << record.id << " at " << record.entry << " status " << record.status
                   << " " << record.code << " executed " << record.executed
-                  << (record.cut ? " cut" : "") << "\n";
+                  << (record.connectionLost ? " cut" : "") << "\n";
     CHECK_MESSAGE(result.violations.empty(), describeViolations(result.violations));
 }
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -1,7 +1,7 @@
-//===-- Scenarios.cpp - what callers do in a cell of the matrix -------------===//
+//===-- Scenarios.cpp - caller scenarios and cells of the matrix -------------===//
 //
-// A caller asks again, with the same key and at the other entry, after a cut or
-// an answer that tells it to come back; as callers' libraries do.
+// Callers retry as client libraries do: after a lost connection, or an error answer that
+// permits a retry, they send the same idempotency key to the next entry.
 //
 //===----------------------------------------------------------------------===//
 #include "Scenarios.h"
@@ -9,16 +9,16 @@
 #include "laurelcroft/Support/Crypto.h"
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
-constexpr duration longestScenario = seconds(90);
+constexpr duration maxAnswerWait = seconds(90);
 constexpr duration settleTime = seconds(100);
-/// The officer comes back after a while.
+/// The pause between two requests of a session.
 constexpr duration turnPause = seconds(4);
 constexpr duration retryWait = milliseconds(700);
-constexpr int mostTries = 40;
+constexpr int maxTries = 40;
 constexpr const char *callerKey = "key-school";
 
 /// One logical request with its retries.
@@ -31,12 +31,13 @@
     bool done = false;
 };
 
+/// Runs the callers of one scenario.
 class scenario_run
 {
 public:
-    scenario_run(const std::string &name, world &all)
+    scenario_run(const std::string &name, simulated_site &site)
         : m_name(name)
-        , m_world(all)
+        , m_site(site)
     {
     }
 
@@ -44,20 +45,20 @@
 
 private:
     caller_request makeRequest(const std::string &target, const std::string &key, bool stream);
-    bool drive(logical_request &item);
+    bool sendUntilServed(logical_request &item);
     void send(logical_request &item);
-    void considerRepeat(const logical_request &item);
+    void sendDuplicateIfInjected(const logical_request &item);
     std::string liveEntry(int turn);
     bool runSession(const std::string &name);
 
     std::string m_name;
-    world &m_world;
-    bool m_repeated = false;
+    simulated_site &m_site;
+    bool m_duplicateSent = false;
 };
 
 } // namespace
 
-bundle laurelcroft::bench::benchBundle()
+bundle laurelcroft::testing::testBundle()
 {
     bundle rules;
     rules.site = "bench";
@@ -82,7 +83,7 @@
     return rules;
 }
 
-const std::vector<std::string> &laurelcroft::bench::scenarioNames()
+const std::vector<std::string> &laurelcroft::testing::scenarioNames()
 {
     static const std::vector<std::string> names
             = {"whole", "stream", "cascade", "rebuild", "service", "session-token", "session-name"};
@@ -104,8 +105,8 @@
 std::string scenario_run::liveEntry(int turn)
 {
     std::vector<std::string> ids;
-    for (const fake_instance *item : m_world.instances()) {
-        const bool takesWork = m_world.findEntry(item->id) != nullptr && !item->leaving;
+    for (const fake_instance *item : m_site.instances()) {
+        const bool takesWork = m_site.findEntry(item->id) != nullptr && !item->leaving;
         if (takesWork && !item->runtime.isDead())
             ids.push_back(item->id);
     }
@@ -114,44 +115,46 @@
 
 void scenario_run::send(logical_request &item)
 {
-    item.last = m_world.send(liveEntry(item.tries), item.request);
+    item.last = m_site.send(liveEntry(item.tries), item.request);
     item.tries += 1;
-    caller_record &record = m_world.caller(item.last);
+    caller_record &record = m_site.caller(item.last);
     record.group = item.group;
     if (!item.request.idempotencyKey.empty())
         record.requestId = keyedRequestId("school", item.request.idempotencyKey);
 }
 
-/// The caller loses patience and sends the same key to the other entry at once.
-void scenario_run::considerRepeat(const logical_request &item)
+/// Sends a duplicate of \p item to the next entry once if the callerRepeats fault was injected.
+void scenario_run::sendDuplicateIfInjected(const logical_request &item)
 {
-    if (m_repeated || !m_world.hasStruck(fault_kind::callerRepeats))
+    if (m_duplicateSent || !m_site.wasInjected(fault_kind::callerRepeats))
         return;
-    m_repeated = true;
-    logical_request twin = item;
-    send(twin);
+    m_duplicateSent = true;
+    logical_request duplicate = item;
+    send(duplicate);
 }
 
-/// \returns true when the request was answered whole in the end.
-bool scenario_run::drive(logical_request &item)
+/// Sends the request and retries it while that is permitted.
+/// \returns true once it has a complete answer.
+bool scenario_run::sendUntilServed(logical_request &item)
 {
     send(item);
-    while (item.tries < mostTries) {
-        m_world.runUntil(
+    while (item.tries < maxTries) {
+        m_site.runUntil(
                 [&] {
-                    considerRepeat(item);
-                    return m_world.caller(item.last).ended;
+                    sendDuplicateIfInjected(item);
+                    return m_site.caller(item.last).ended;
                 },
-                longestScenario);
-        const caller_record record = m_world.caller(item.last);
+                maxAnswerWait);
+        const caller_record record = m_site.caller(item.last);
         if (record.complete())
             return true;
-        const bool mayAskAgain = !item.request.idempotencyKey.empty()
-                && (record.cut || record.executed == "no" || record.code == "already_running")
+        const bool mayRetry = !item.request.idempotencyKey.empty()
+                && (record.connectionLost || record.executed == "no"
+                    || record.code == "already_running")
                 && record.code != "version_withdrawn";
-        if (!record.ended || !mayAskAgain)
+        if (!record.ended || !mayRetry)
             return false;
-        m_world.clock.advance(retryWait);
+        m_site.clock.advance(retryWait);
         send(item);
     }
     return false;
@@ -166,22 +169,22 @@
         logical_request item;
         item.request = makeRequest("plan", "turn-" + std::to_string(turn), turn == 1);
         item.request.session = session;
-        // Before its first answer a caller without a name has no session yet: a second
-        // try is another one.
+        // Without a session name, the caller has no session before its first answer, and a
+        // retry may open another one.
         item.group = session.empty() ? "" : group;
-        const bool served = drive(item);
-        const bool isWithdrawn = m_world.caller(item.last).code == "version_withdrawn";
+        const bool served = sendUntilServed(item);
+        const bool isWithdrawn = m_site.caller(item.last).code == "version_withdrawn";
         if (!served && !isWithdrawn)
             return false;
         if (name.empty() && served)
-            session = m_world.caller(item.last).header("X-Laurelcroft-Session");
+            session = m_site.caller(item.last).header("X-Laurelcroft-Session");
         if (isWithdrawn) {
-            // The answer says to begin a new session.
+            // The error asks the caller to open a new session.
             begun += 1;
             session = name.empty() ? "" : name + std::to_string(begun);
             group = "draft-" + std::to_string(begun);
         }
-        m_world.clock.advance(turnPause);
+        m_site.clock.advance(turnPause);
     }
     return true;
 }
@@ -203,45 +206,45 @@
         return runSession(m_name == "session-name" ? "my-draft" : "");
     if (m_name == "service")
         item.request.kind = wire::work_service;
-    return drive(item);
+    return sendUntilServed(item);
 }
 
-cell_result laurelcroft::bench::runCell(const std::string &scenario,
-                                        const std::vector<fault_point> &faults, std::uint64_t seed,
-                                        sabotage broken)
+cell_result laurelcroft::testing::runCell(const std::string &scenario,
+                                          const std::vector<fault_point> &faults,
+                                          std::uint64_t seed, sabotage activeSabotage)
 {
-    world all(seed, faults, broken);
-    all.startSite(benchBundle());
-    // Only what the scenario passes counts, not the start of the site.
-    all.stepCounts.clear();
-    all.afterCounts.clear();
+    simulated_site site(seed, faults, activeSabotage);
+    site.startSite(testBundle());
+    // Steps passed while the site started are not part of the scenario.
+    site.stepCounts.clear();
+    site.afterCounts.clear();
     cell_result result;
-    scenario_run run(scenario, all);
+    scenario_run run(scenario, site);
     result.served = run.run();
-    const time_point end = all.clock.now() + settleTime;
-    all.runUntil([&] { return all.clock.now() >= end; }, settleTime);
-    result.violations = audit(all);
-    result.struck = all.struck.size() == faults.size();
-    result.steps = all.stepCounts;
-    result.afterSteps = all.afterCounts;
-    result.decisions = all.decisions;
-    for (const auto &[id, record] : all.callers)
+    const time_point end = site.clock.now() + settleTime;
+    site.runUntil([&] { return site.clock.now() >= end; }, settleTime);
+    result.violations = audit(site);
+    result.allFaultsInjected = site.injectedFaults.size() == faults.size();
+    result.steps = site.stepCounts;
+    result.afterSteps = site.afterCounts;
+    result.decisions = site.decisions;
+    for (const auto &[id, record] : site.callers)
         result.callers.push_back(record);
     return result;
 }
 
-/// Steps of the background, which say nothing about the scenario.
-static bool isBackground(const std::string &step)
+/// \returns true for steps of background activity, which is independent of the scenario.
+static bool isBackgroundStep(const std::string &step)
 {
     return step.rfind("bundle", 0) == 0 || step.rfind("none", 0) == 0;
 }
 
-/// Adds every fault at the first and the last passing of every step.
+/// Adds a cell for each kind of fault at the first and the last passage of each step.
 static void addCells(std::vector<cell> &cells, const std::string &scenario,
                      const std::map<std::string, int> &steps, bool after)
 {
     for (const auto &[step, count] : steps) {
-        if (isBackground(step))
+        if (isBackgroundStep(step))
             continue;
         for (int kind = 1; kind <= lastFaultKind; ++kind) {
             const auto fault = static_cast<fault_kind>(kind);
@@ -252,7 +255,7 @@
     }
 }
 
-std::vector<cell> laurelcroft::bench::allCells()
+std::vector<cell> laurelcroft::testing::allCells()
 {
     std::vector<cell> cells;
     for (const std::string &scenario : scenarioNames()) {
@@ -271,8 +274,8 @@
     return all;
 }
 
-std::vector<cell> laurelcroft::bench::samplePairs(const std::vector<cell> &cells, std::size_t count,
-                                                  std::uint64_t seed)
+std::vector<cell> laurelcroft::testing::samplePairs(const std::vector<cell> &cells,
+                                                    std::size_t count, std::uint64_t seed)
 {
     random_source random(seed);
     std::vector<cell> pairs;
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -1,7 +1,8 @@
-//===-- World.cpp - the site and its network ------------------------------------===//
+//===-- World.cpp - instances, network and membership of the simulation ----------===//
 //
-// Membership is an oracle with a delay here; the protocol itself has tests of its
-// own. Everything else is the real code.
+// Membership changes are announced to all instances after a delay instead of running
+// the gossip protocol, which has tests of its own. The decisions are made by the
+// production cores.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
@@ -9,13 +10,13 @@
 #include <array>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
 constexpr duration gossipPeriod = milliseconds(300);
 constexpr duration loadPeriod = milliseconds(250);
-constexpr int gossipsToPoll = 3;
+constexpr int gossipRoundsPerPoll = 3;
 const session_key tokenKey{"k1", "session secret of the tests"};
 
 constexpr std::array<std::string_view, lastFaultKind + 1> faultNames
@@ -26,28 +27,29 @@
 
 } // namespace
 
-std::string_view laurelcroft::bench::textOf(fault_kind kind)
+std::string_view laurelcroft::testing::textOf(fault_kind kind)
 {
     return faultNames[static_cast<std::size_t>(kind)];
 }
 
 std::string fault_point::text() const
 {
-    return std::string(bench::textOf(kind)) + (after ? " after " : " before ") + step + " #"
+    return std::string(testing::textOf(kind)) + (after ? " after " : " before ") + step + " #"
             + std::to_string(occurrence);
 }
 
-world::world(std::uint64_t seed, std::vector<fault_point> faults, sabotage broken)
+simulated_site::simulated_site(std::uint64_t seed, std::vector<fault_point> faults,
+                               sabotage activeSabotage)
     : random(seed)
     , faults(std::move(faults))
-    , broken(broken)
+    , activeSabotage(activeSabotage)
     , m_key(makeSigningKey())
 {
 }
 
-world::~world() = default;
+simulated_site::~simulated_site() = default;
 
-std::vector<fake_instance *> world::instances()
+std::vector<fake_instance *> simulated_site::instances()
 {
     std::vector<fake_instance *> list;
     for (const auto &[id, item] : m_entries)
@@ -57,26 +59,26 @@
     return list;
 }
 
-fake_entry *world::findEntry(const std::string &id)
+fake_entry *simulated_site::findEntry(const std::string &id)
 {
     const auto it = m_entries.find(id);
     return it == m_entries.end() ? nullptr : it->second.get();
 }
 
-fake_agent *world::findAgent(const std::string &id)
+fake_agent *simulated_site::findAgent(const std::string &id)
 {
     const auto it = m_agents.find(id);
     return it == m_agents.end() ? nullptr : it->second.get();
 }
 
-fake_instance *world::find(const std::string &id)
+fake_instance *simulated_site::find(const std::string &id)
 {
     if (fake_entry *const entry = findEntry(id))
         return entry;
     return findAgent(id);
 }
 
-fake_entry *world::addEntry(const std::string &id, const std::string &dataCentre)
+fake_entry *simulated_site::addEntry(const std::string &id, const std::string &dataCentre)
 {
     auto item = std::make_unique<fake_entry>(*this, id, dataCentre);
     entry_options options;
@@ -84,9 +86,9 @@
     options.dataCentre = dataCentre;
     options.ratedShare = 0.5;
     options.defaultTimeout = seconds(60);
-    item->core = std::make_unique<bench_entry_core>(item->runtime, item->table, *item, random,
-                                                    signoff_rule{{m_key.publicHex}, 1},
-                                                    session_token_codec({tokenKey}), options);
+    item->core = std::make_unique<simulated_entry_core>(item->runtime, item->table, *item, random,
+                                                        signoff_rule{{m_key.publicHex}, 1},
+                                                        session_token_codec({tokenKey}), options);
     fake_entry *const raw = item.get();
     m_entries[id] = std::move(item);
     for (fake_instance *other : instances()) {
@@ -98,16 +100,16 @@
     return raw;
 }
 
-fake_agent *world::addAgent(const std::string &id, const std::string &dataCentre,
-                            const std::string &pool)
+fake_agent *simulated_site::addAgent(const std::string &id, const std::string &dataCentre,
+                                     const std::string &pool)
 {
     auto item = std::make_unique<fake_agent>(*this, id, dataCentre, pool);
     agent_options options;
     options.instance = id;
     options.pool = pool;
     options.firstIncarnation = static_cast<std::uint64_t>(clock.now().time_since_epoch().count());
-    item->core = std::make_unique<bench_agent_core>(item->runtime, item->table, *item,
-                                                    signoff_rule{{m_key.publicHex}, 1}, options);
+    item->core = std::make_unique<simulated_agent_core>(
+            item->runtime, item->table, *item, signoff_rule{{m_key.publicHex}, 1}, options);
     item->core->start();
     fake_agent *const raw = item.get();
     m_agents[id] = std::move(item);
@@ -115,7 +117,7 @@
     return raw;
 }
 
-wire::member world::memberOf(const fake_instance &item, wire::member_state state)
+wire::member simulated_site::memberOf(const fake_instance &item, wire::member_state state)
 {
     wire::member member;
     member.set_id(item.id);
@@ -128,11 +130,12 @@
     return member;
 }
 
-void world::announceMember(const fake_instance &item, wire::member_state state, duration delay)
+void simulated_site::announceMember(const fake_instance &item, wire::member_state state,
+                                    duration delay)
 {
     const wire::member member = memberOf(item, state);
     clock.after(delay, [this, member] {
-        // An instance that came back meanwhile is not declared dead.
+        // An instance that runs again by now is not declared dead.
         fake_instance *const alive = find(member.id());
         const bool isBack = alive != nullptr && alive->runtime.isRunning();
         if (member.state() == wire::member_dead && isBack)
@@ -150,7 +153,7 @@
     });
 }
 
-void world::startSite(const bundle &rules)
+void simulated_site::startSite(const bundle &rules)
 {
     acceptBundle(rules);
     addEntry("e1", "dc1");
@@ -167,7 +170,7 @@
     clock.advance(seconds(3));
 }
 
-void world::acceptBundle(const bundle &rules)
+void simulated_site::acceptBundle(const bundle &rules)
 {
     acceptance next;
     next.epoch = accepted.size() + 1;
@@ -182,29 +185,29 @@
     acceptedAt.push_back(clock.now());
 }
 
-void world::gossipTick()
+void simulated_site::gossipTick()
 {
-    m_rounds += 1;
+    m_gossipRounds += 1;
     const auto list = instances();
     for (fake_instance *item : list) {
         if (!item->runtime.isRunning())
             continue;
-        if (m_rounds % gossipsToPoll == 0)
+        if (m_gossipRounds % gossipRoundsPerPoll == 0)
             item->poll();
-        item->adoptOld();
+        item->adoptStaleBills();
         fake_instance *const peer = list[random.index(list.size())];
         if (peer != item && peer->runtime.isRunning() && !isCut(item->id, peer->id))
-            item->hearPeer(*peer);
+            item->observePeer(*peer);
         const bundle_epoch epoch = item->current() ? item->current()->accepted.epoch : 0;
-        const bool reverts = broken == sabotage::revertEpoch && item->id == "e1";
-        if (epoch + (reverts ? 0 : 1) <= item->highestTaken)
-            problems.push_back(item->id + " took an older bundle");
-        item->highestTaken = std::max(item->highestTaken, epoch);
+        const bool reverts = activeSabotage == sabotage::revertEpoch && item->id == "e1";
+        if (epoch + (reverts ? 0 : 1) <= item->highestEpoch)
+            observedViolations.push_back(item->id + " went back to an older bundle epoch");
+        item->highestEpoch = std::max(item->highestEpoch, epoch);
     }
     clock.after(gossipPeriod, [this] { gossipTick(); });
 }
 
-void world::loadTick()
+void simulated_site::loadTick()
 {
     for (auto &[entryId, entry] : m_entries) {
         for (auto &[agentId, agent] : m_agents) {
@@ -221,7 +224,7 @@
     clock.after(loadPeriod, [this] { loadTick(); });
 }
 
-void world::deliver(std::uint64_t streamId, bool, std::function<void()> action)
+void simulated_site::deliver(std::uint64_t streamId, bool, std::function<void()> action)
 {
     clock.after(latency, [this, streamId, action = std::move(action)] {
         const auto it = streams.find(streamId);
@@ -234,7 +237,7 @@
     });
 }
 
-void world::breakStream(std::uint64_t id)
+void simulated_site::breakStream(std::uint64_t id)
 {
     const auto node = streams.extract(id);
     if (node.empty())
@@ -248,7 +251,7 @@
     });
 }
 
-caller_id world::send(const std::string &entry, caller_request request)
+caller_id simulated_site::send(const std::string &entry, caller_request request)
 {
     const caller_id id = ++m_lastCaller;
     request.id = id;
@@ -261,7 +264,7 @@
         fake_entry *const found = findEntry(entry);
         if (found == nullptr) {
             callers[id].ended = true;
-            callers[id].cut = true;
+            callers[id].connectionLost = true;
             return;
         }
         step("request.received", false, found, nullptr);
@@ -271,16 +274,16 @@
     return id;
 }
 
-void world::leave(caller_id caller)
+void simulated_site::disconnectCaller(caller_id caller)
 {
     caller_record &record = callers.at(caller);
     record.ended = true;
-    record.cut = true;
+    record.connectionLost = true;
     if (fake_entry *const entry = findEntry(record.entry))
         entry->runtime.run([entry, caller] { entry->core->callerLeft(caller); });
 }
 
-void world::runUntil(const std::function<bool()> &done, duration longest)
+void simulated_site::runUntil(const std::function<bool()> &done, duration longest)
 {
     const time_point end = clock.now() + longest;
     while (clock.now() < end && !done())
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -1,12 +1,12 @@
-//===-- WorldFaults.cpp - the faults of the world --------------------------===//
+//===-- WorldFaults.cpp - effects of the injected faults --------------------===//
 //
-// Where a fault strikes is decided by the steps that requests pass; what it does is here.
+// step() decides when a fault is due; injectFault() carries it out.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 
 namespace {
 
@@ -17,44 +17,45 @@
 constexpr duration tableSlowness = seconds(10);
 constexpr duration poolOutage = seconds(2);
 constexpr duration stopPeriod = milliseconds(100);
-constexpr duration leastStop = milliseconds(500);
+constexpr duration minStopDuration = milliseconds(500);
 
 } // namespace
 
-void world::planStop(fake_instance &victim)
+void simulated_site::beginPlannedStop(fake_instance &victim)
 {
     if (victim.leaving || !victim.runtime.isRunning())
         return;
-    if (broken == sabotage::cutOnStop) {
+    if (activeSabotage == sabotage::cutOnStop) {
         stoppedAt[victim.id] = clock.now();
         kill(victim);
         return;
     }
     victim.leaving = true;
-    victim.leftAt = clock.now();
+    victim.stopBeganAt = clock.now();
     stoppedAt[victim.id] = clock.now();
     if (fake_entry *const entry = findEntry(victim.id))
         entry->core->drain();
     fake_agent *const agent = findAgent(victim.id);
-    if (agent != nullptr && broken != sabotage::leavingWork)
+    if (agent != nullptr && activeSabotage != sabotage::leavingWork)
         agent->core->drain();
-    if (broken != sabotage::leavingWork)
+    if (activeSabotage != sabotage::leavingWork)
         announceMember(victim, wire::member_leaving, milliseconds(300));
 }
 
-/// Ends stopped processes once they are idle, as the binaries do.
-void world::stopTick()
+/// Ends draining processes once they are idle, as the real programs do.
+void simulated_site::stopTick()
 {
     for (fake_instance *item : instances()) {
-        const bool waited = clock.now() - item->leftAt >= leastStop;
-        const bool stays = broken == sabotage::leavingWork;
-        if (item->leaving && waited && !stays && item->runtime.isRunning() && item->isIdle())
+        const bool minTimePassed = clock.now() - item->stopBeganAt >= minStopDuration;
+        const bool ignoresStop = activeSabotage == sabotage::leavingWork;
+        if (item->leaving && minTimePassed && !ignoresStop && item->runtime.isRunning()
+            && item->isIdle())
             kill(*item, true);
     }
     clock.after(stopPeriod, [this] { stopTick(); });
 }
 
-void world::kill(fake_instance &victim, bool asPlanned)
+void simulated_site::kill(fake_instance &victim, bool asPlanned)
 {
     if (victim.runtime.isDead())
         return;
@@ -63,33 +64,33 @@
     if (!asPlanned)
         killed.insert(victim.id);
     announceMember(victim, wire::member_dead, membershipDelay);
-    std::vector<std::uint64_t> broken;
+    std::vector<std::uint64_t> brokenStreams;
     for (const auto &[id, stream] : streams) {
         if (stream.entry == victim.id || stream.agent == victim.id)
-            broken.push_back(id);
+            brokenStreams.push_back(id);
     }
     const std::string id = victim.id;
     if (auto node = m_agents.extract(id); !node.empty()) {
-        node.mapped()->works.clear();
-        m_graves.push_back(std::move(node.mapped()));
+        node.mapped()->runningWork.clear();
+        m_stoppedInstances.push_back(std::move(node.mapped()));
         for (auto &[entryId, entry] : m_entries)
             entry->runtime.run(
                     [raw = entry.get(), id] { raw->core->directory().onUnreachable(id); });
     }
     if (auto node = m_entries.extract(id); !node.empty())
-        m_graves.push_back(std::move(node.mapped()));
+        m_stoppedInstances.push_back(std::move(node.mapped()));
     for (auto &[callerId, record] : callers) {
         if (record.entry != id || record.ended)
             continue;
         record.ended = true;
-        record.cut = true;
+        record.connectionLost = true;
         record.answeredAt = clock.now();
     }
-    for (const std::uint64_t stream : broken)
+    for (const std::uint64_t stream : brokenStreams)
         breakStream(stream);
 }
 
-void world::freeze(fake_instance &victim, duration length)
+void simulated_site::freeze(fake_instance &victim, duration length)
 {
     if (!victim.runtime.isRunning())
         return;
@@ -100,12 +101,12 @@
         fake_instance *const frozen = find(id);
         if (frozen == nullptr || !frozen->runtime.isFrozen())
             return;
-        std::vector<std::uint64_t> broken;
+        std::vector<std::uint64_t> brokenStreams;
         for (const auto &[streamId, stream] : streams) {
             if (stream.entry == id || stream.agent == id)
-                broken.push_back(streamId);
+                brokenStreams.push_back(streamId);
         }
-        for (const std::uint64_t stream : broken)
+        for (const std::uint64_t stream : brokenStreams)
             breakStream(stream);
     });
     clock.after(length, [this, id] {
@@ -117,23 +118,23 @@
     });
 }
 
-bool world::isCut(const std::string &a, const std::string &b) const
+bool simulated_site::isCut(const std::string &a, const std::string &b) const
 {
     return cuts.count({a, b}) != 0 || cuts.count({b, a}) != 0;
 }
 
-void world::cutPair(const std::string &a, const std::string &b, duration length)
+void simulated_site::cutPair(const std::string &a, const std::string &b, duration length)
 {
     cuts.insert({a, b});
     clock.after(pingTimeout, [this, a, b] {
         if (!isCut(a, b))
             return;
-        std::vector<std::uint64_t> broken;
+        std::vector<std::uint64_t> brokenStreams;
         for (const auto &[id, stream] : streams) {
             if (stream.entry == a && stream.agent == b)
-                broken.push_back(id);
+                brokenStreams.push_back(id);
         }
-        for (const std::uint64_t id : broken)
+        for (const std::uint64_t id : brokenStreams)
             breakStream(id);
         if (fake_entry *const entry = findEntry(a))
             entry->runtime.run([entry, b] { entry->core->directory().onUnreachable(b); });
@@ -150,7 +151,8 @@
         }
     });
 }
-void world::step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent)
+
+void simulated_site::step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent)
 {
     auto &counts = after ? afterCounts : stepCounts;
     const int passed = ++counts[name];
@@ -160,22 +162,22 @@
         if (!here)
             continue;
         const fault_kind kind = std::exchange(fault.kind, fault_kind::none);
-        struck.push_back(kind);
-        strike(kind, entry, agent);
+        injectedFaults.push_back(kind);
+        injectFault(kind, entry, agent);
     }
 }
 
-bool world::hasStruck(fault_kind kind) const
+bool simulated_site::wasInjected(fault_kind kind) const
 {
-    return std::find(struck.begin(), struck.end(), kind) != struck.end();
+    return std::find(injectedFaults.begin(), injectedFaults.end(), kind) != injectedFaults.end();
 }
 
-void world::strike(fault_kind kind, fake_entry *entry, fake_agent *agent)
+void simulated_site::injectFault(fault_kind kind, fake_entry *entry, fake_agent *agent)
 {
     const time_point now = clock.now();
     switch (kind) {
     case fault_kind::none:
-    case fault_kind::callerRepeats: // acted on by the scenario
+    case fault_kind::callerRepeats: // carried out by the scenario
         break;
     case fault_kind::killEntry:
         if (entry != nullptr)
@@ -230,11 +232,11 @@
         break;
     case fault_kind::stopEntry:
         if (entry != nullptr)
-            planStop(*entry);
+            beginPlannedStop(*entry);
         break;
     case fault_kind::stopAgent:
         if (agent != nullptr)
-            planStop(*agent);
+            beginPlannedStop(*agent);
         break;
     case fault_kind::replaceAll: {
         duration when{0};
@@ -243,12 +245,12 @@
                 fake_instance *const old = find(id);
                 if (old == nullptr)
                     return;
-                const std::string fresh = id + "n" + std::to_string(++m_replacements);
+                const std::string newId = id + "n" + std::to_string(++m_replacements);
                 if (const fake_agent *const oldAgent = findAgent(id))
-                    addAgent(fresh, old->dataCentre, oldAgent->pool);
+                    addAgent(newId, old->dataCentre, oldAgent->pool);
                 else
-                    addEntry(fresh, old->dataCentre);
-                planStop(*old);
+                    addEntry(newId, old->dataCentre);
+                beginPlannedStop(*old);
             });
             when += seconds(2);
         }
--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -1,7 +1,7 @@
-//===-- ProcessTests.cpp - real processes, real signals ---------------------===//
+//===-- ProcessTests.cpp - system tests with real processes -----------------===//
 //
-// What the fault matrix proves over fakes is seen here once with sockets, threads
-// and signals.
+// Repeats selected cases of the fault matrix, which simulates processes, with real
+// processes, sockets, threads and signals.
 //
 //===----------------------------------------------------------------------===//
 #include "Site.h"
@@ -14,12 +14,12 @@
 #include <set>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 using nlohmann::json;
 
 namespace {
 
-/// Two entries, two agents on each pool, a bundle in force everywhere.
+/// Two entries, two agents in each pool, and a bundle that is in force everywhere.
 struct full_site : site
 {
     explicit full_site(int decodeUs = 2000)
@@ -32,29 +32,32 @@
         }
         putInForce(siteBundle("settled"));
         waitForEpoch(1);
-        // Orders to load take effect a moment after the bundle.
+        // Endpoints load the versions shortly after the bundle takes effect.
         for (const char *entry : {"e1", "e2"}) {
             for (const char *model : {"small", "large", "publish"})
-                CHECK(runUntilServed(entry, model));
+                CHECK(waitUntilServed(entry, model));
         }
     }
 
-    bool runUntilServed(const std::string &entry, const std::string &model)
+    /// Repeats a request to \p entry until it is served.
+    bool waitUntilServed(const std::string &entry, const std::string &model)
     {
-        ask_options options;
+        request_options options;
         options.entry = entry;
         options.model = model;
         options.tokens = 1;
-        return runUntil([&] { return askAndWait(options).complete(); });
+        return runUntil([&] { return sendAndWait(options).complete(); });
     }
 
-    std::size_t starts(const std::string &requestId, const std::string &pool)
+    /// Counts how often the endpoints of \p pool have started \p requestId.
+    std::size_t countStarts(const std::string &requestId, const std::string &pool)
     {
-        return countJournal(pool + "1-engine", "started", requestId)
-                + countJournal(pool + "2-engine", "started", requestId);
+        return countJournalEntries(pool + "1-engine", "started", requestId)
+                + countJournalEntries(pool + "2-engine", "started", requestId);
     }
 
-    bool isBilled(const std::string &requestId)
+    /// Waits until the table has exactly one bill for \p requestId.
+    bool waitForBill(const std::string &requestId)
     {
         return runUntil([&] { return tableRows("bill/" + requestId).size() == 1; });
     }
@@ -74,49 +77,51 @@
     for (const std::string model : {"small", "plan", "rebuild"}) {
         for (const bool stream : {false, true}) {
             CAPTURE(model);
-            ask_options options;
+            request_options options;
             options.model = model;
             options.stream = stream;
-            const pending_call answer = site.askAndWait(options);
+            const pending_call answer = site.sendAndWait(options);
             REQUIRE(answer.complete());
             CHECK(answer.body.find("checked") != std::string::npos);
             const bool endsWell = answer.body.find("data: [DONE]") != std::string::npos;
             CHECK(endsWell == stream);
-            CHECK(site.isBilled(answer.header("X-Laurelcroft-Request-Id")));
+            CHECK(site.waitForBill(answer.header("X-Laurelcroft-Request-Id")));
         }
     }
 }
 
-TEST_CASE("processes: a caller leaves; the engine's work is cancelled, what was sent is billed")
+TEST_CASE(
+        "processes: a caller disconnects; the engine cancels the attempt and its output is billed")
 {
     full_site site(5000);
-    ask_options options;
+    request_options options;
     options.stream = true;
     options.tokens = 2000;
-    const auto call = site.ask(options);
+    const auto call = site.sendRequest(options);
     REQUIRE(site.runUntil([&] { return call->body.size() > 2000; }));
     const std::string id = call->header("X-Laurelcroft-Request-Id");
-    site.leave(*call);
+    site.cancelCall(*call);
     CHECK(site.runUntil([&] {
-        return site.countJournal("cheap1-engine", "cancelled", id)
-                + site.countJournal("cheap2-engine", "cancelled", id)
+        return site.countJournalEntries("cheap1-engine", "cancelled", id)
+                + site.countJournalEntries("cheap2-engine", "cancelled", id)
                 == 1;
     }));
-    REQUIRE(site.isBilled(id));
+    REQUIRE(site.waitForBill(id));
     const json bill = json::parse(site.tableRows("bill/" + id).begin()->second);
     CHECK(bill["outcome"] == "partial");
     CHECK(bill["cost"].get<double>() > 0);
 }
 
-TEST_CASE("processes: an agent is killed in mid-answer; what may be repeated is served")
+TEST_CASE("processes: an agent is killed during its answers; repeatable requests are still served")
 {
     full_site site(20000);
-    ask_options options;
+    request_options options;
     options.tokens = 40;
     std::vector<std::shared_ptr<pending_call>> calls;
     for (int i = 0; i < 6; ++i)
-        calls.push_back(site.ask(options));
-    REQUIRE(site.runUntil([&] { return site.countJournal("cheap1-engine", "started", "") >= 2; }));
+        calls.push_back(site.sendRequest(options));
+    REQUIRE(site.runUntil(
+            [&] { return site.countJournalEntries("cheap1-engine", "started", "") >= 2; }));
     site.process("cheap1").signal(SIGKILL);
     CHECK(site.runUntil([&] {
         return std::all_of(calls.begin(), calls.end(), [](const auto &c) { return c->ended; });
@@ -130,33 +135,34 @@
     full_site site;
     site.process("plain1").signal(SIGSTOP);
     site.process("plain2").signal(SIGSTOP);
-    ask_options options;
+    request_options options;
     options.model = "publish";
     options.idempotencyKey = "publish-1";
-    const pending_call first = site.askAndWait(options);
+    const pending_call first = site.sendAndWait(options);
     CHECK(first.ended);
     CHECK(errorOf(first).value("executed", "") == "unknown");
     site.process("plain1").signal(SIGCONT);
     site.process("plain2").signal(SIGCONT);
     const std::string id = first.header("X-Laurelcroft-Request-Id");
-    const pending_call second = site.askAndWait(options);
+    const pending_call second = site.sendAndWait(options);
     CHECK(errorOf(second).value("code", "") == "already_running");
-    // The offer lay in the socket of a frozen agent: it must not run when that wakes.
-    REQUIRE(site.runUntilServed("e1", "publish"));
-    REQUIRE(site.runUntilServed("e2", "publish"));
-    CHECK(site.starts(id, "plain") == 0);
+    // An offer that was buffered in the socket of a frozen agent must not run when the agent
+    // resumes.
+    REQUIRE(site.waitUntilServed("e1", "publish"));
+    REQUIRE(site.waitUntilServed("e2", "publish"));
+    CHECK(site.countStarts(id, "plain") == 0);
 }
 
-TEST_CASE("processes: a planned stop of an entry and of an agent under load cuts nothing")
+TEST_CASE("processes: a planned stop of an entry and of an agent under load interrupts no request")
 {
     full_site site(5000);
     std::vector<std::shared_ptr<pending_call>> calls;
-    ask_options options;
+    request_options options;
     options.stream = true;
     options.tokens = 60;
     for (int i = 0; i < 20; ++i) {
         options.entry = i % 2 == 0 ? "e1" : "e2";
-        calls.push_back(site.ask(options));
+        calls.push_back(site.sendRequest(options));
     }
     REQUIRE(site.runUntil([&] {
         return std::all_of(calls.begin(), calls.end(),
@@ -174,50 +180,50 @@
     CHECK(site.process("e1").wait() == 0);
     CHECK(site.process("cheap1").wait() == 0);
     options.entry = "e2";
-    const std::size_t before = site.countJournal("cheap1-engine", "started", "");
+    const std::size_t before = site.countJournalEntries("cheap1-engine", "started", "");
     for (int i = 0; i < 5; ++i)
-        CHECK(site.askAndWait(options).complete());
-    CHECK(site.countJournal("cheap1-engine", "started", "") == before);
+        CHECK(site.sendAndWait(options).complete());
+    CHECK(site.countJournalEntries("cheap1-engine", "started", "") == before);
 }
 
-TEST_CASE("processes: while the table is down, repeatable work goes on and bills wait")
+TEST_CASE("processes: while the table is down, repeatable requests are served and billed later")
 {
     full_site site;
-    site.fault("table", {{"down", true}});
+    site.injectFault("table", {{"down", true}});
     std::vector<std::string> ids;
-    ask_options options;
+    request_options options;
     for (int i = 0; i < 10; ++i) {
-        const pending_call answer = site.askAndWait(options);
+        const pending_call answer = site.sendAndWait(options);
         REQUIRE(answer.complete());
         ids.push_back(answer.header("X-Laurelcroft-Request-Id"));
     }
     options.model = "rebuild";
     options.idempotencyKey = "rebuild-1";
-    const pending_call refused = site.askAndWait(options);
+    const pending_call refused = site.sendAndWait(options);
     CHECK(refused.status == 503);
     CHECK(errorOf(refused).value("executed", "") == "no");
     CHECK(errorOf(refused).value("retry_after_ms", 0) > 0);
-    // The entry dies with its bills; a second process holds them.
+    // Another process holds copies of the bills that the killed entry had not written.
     site.process("e1").signal(SIGKILL);
     site.process("e1").wait();
-    site.fault("table", {{"down", false}});
+    site.injectFault("table", {{"down", false}});
     for (const std::string &id : ids)
-        CHECK(site.isBilled(id));
+        CHECK(site.waitForBill(id));
     options.entry = "e2";
-    CHECK(site.runUntil([&] { return site.askAndWait(options).complete(); }));
+    CHECK(site.runUntil([&] { return site.sendAndWait(options).complete(); }));
 }
 
-TEST_CASE("processes: a rebuild whose entry dies is not run again, and its answer is kept")
+TEST_CASE("processes: a rebuild whose entry is killed is not run again, and its answer is replayed")
 {
     full_site site(20000);
-    ask_options options;
+    request_options options;
     options.model = "rebuild";
     options.idempotencyKey = "rebuild-2";
     options.tokens = 40;
-    const auto call = site.ask(options);
+    const auto call = site.sendRequest(options);
     REQUIRE(site.runUntil([&] {
-        return site.countJournal("costly1-engine", "started", "")
-                + site.countJournal("costly2-engine", "started", "")
+        return site.countJournalEntries("costly1-engine", "started", "")
+                + site.countJournalEntries("costly2-engine", "started", "")
                 > 2;
     }));
     site.process("e1").signal(SIGKILL);
@@ -226,7 +232,7 @@
     pending_call answer;
     REQUIRE(site.runUntil(
             [&] {
-                answer = site.askAndWait(options);
+                answer = site.sendAndWait(options);
                 return answer.complete();
             },
             seconds(40)));
@@ -234,26 +240,26 @@
     CHECK(answer.header("X-Laurelcroft-Model") == "large");
     CHECK(answer.header("X-Laurelcroft-Version") == "1");
     const std::string id = answer.header("X-Laurelcroft-Request-Id");
-    CHECK(site.starts(id, "costly") == 1);
-    CHECK(site.isBilled(id));
+    CHECK(site.countStarts(id, "costly") == 1);
+    CHECK(site.waitForBill(id));
 }
 
 TEST_CASE("processes: a repeatable request with one key is answered by each entry in turn")
 {
     full_site site;
-    ask_options options;
+    request_options options;
     options.idempotencyKey = "draft-1";
     for (const char *entry : {"e1", "e2", "e1", "e2"}) {
         options.entry = entry;
-        CHECK(site.askAndWait(options).complete());
+        CHECK(site.sendAndWait(options).complete());
     }
 }
 
 TEST_CASE("processes: a session keeps its version while every instance is replaced")
 {
     full_site site;
-    ask_options options;
-    pending_call answer = site.askAndWait(options);
+    request_options options;
+    pending_call answer = site.sendAndWait(options);
     REQUIRE(answer.complete());
     const std::string version = answer.header("X-Laurelcroft-Version");
     options.session = answer.header("X-Laurelcroft-Session");
@@ -262,61 +268,62 @@
         site.startAgent(old + "n", old.back() == '1' ? "dc1" : "dc2", "cheap", 2000);
         site.process(old).signal(SIGTERM);
         CHECK(site.process(old).wait() == 0);
-        answer = site.askAndWait(options);
+        answer = site.sendAndWait(options);
         CHECK(site.runUntil([&] {
-            return answer.complete() || (answer = site.askAndWait(options)).complete();
+            return answer.complete() || (answer = site.sendAndWait(options)).complete();
         }));
         CHECK(answer.header("X-Laurelcroft-Version") == version);
     }
     site.startEntry("e3", "dc1");
     options.entry = "e3";
-    CHECK(site.runUntil([&] { return (answer = site.askAndWait(options)).complete(); }));
+    CHECK(site.runUntil([&] { return (answer = site.sendAndWait(options)).complete(); }));
     CHECK(answer.header("X-Laurelcroft-Version") == version);
-    // The version is withdrawn: the session is refused with its reason, never moved.
+    // A session on a withdrawn version is refused and never moved to another version.
     site.putInForce(siteBundle("withdrawn"));
     site.waitForEpoch(2);
-    answer = site.askAndWait(options);
+    answer = site.sendAndWait(options);
     CHECK(answer.status == 409);
     CHECK(errorOf(answer).value("code", "") == "version_withdrawn");
     options.session.clear();
-    answer = site.askAndWait(options);
+    answer = site.sendAndWait(options);
     CHECK(answer.complete());
     CHECK(answer.header("X-Laurelcroft-Version") == "1");
 }
 
-TEST_CASE("processes: two operators race, one wins; a lost answer is resolved")
+TEST_CASE("processes: a change needs two signatures and the current epoch; the history lists each "
+          "epoch")
 {
     full_site site;
-    site.fault("table", {{"lose_answers", 0}});
-    const auto status = site.operate({"status", "--output", "json"});
+    site.injectFault("table", {{"lose_answers", 0}});
+    const auto status = site.runOperator({"status", "--output", "json"});
     CHECK(json::parse(status.second)["epoch"] == 1);
-    const auto withdrawn = site.operate({"withdraw", "small@2", "--key-file", "KEY-A",
-                                         "--signoff-required", "1", "--operator", "ann"});
+    const auto withdrawn = site.runOperator({"withdraw", "small@2", "--key-file", "KEY-A",
+                                             "--signoff-required", "1", "--operator", "ann"});
     CHECK(withdrawn.first == 0);
-    // One key does not sign off for the site, whatever the command is told.
-    const pending_call still = site.askAndWait({});
+    // Entries require two signatures, even if the operator command was told that one suffices.
+    const pending_call still = site.sendAndWait({});
     CHECK(still.header("X-Laurelcroft-Bundle") == "1");
-    const auto waiting = site.operate({"withdraw", "small@1", "--key-file", "KEY-A"});
+    const auto waiting = site.runOperator({"withdraw", "small@1", "--key-file", "KEY-A"});
     CHECK(waiting.first == 6);
     CHECK(waiting.second.find("needs 1 more signature") != std::string::npos);
     site.putInForce(siteBundle("withdrawn"));
-    const auto late = site.operate({"accept", std::string(64, '0'), "--base-epoch", "1"});
+    const auto late = site.runOperator({"accept", std::string(64, '0'), "--base-epoch", "1"});
     CHECK(late.first == 4);
     CHECK(late.second.find("epoch 3") != std::string::npos);
-    const auto history = site.operate({"history"});
+    const auto history = site.runOperator({"history"});
     CHECK(history.second.find("epoch 1 by") != std::string::npos);
     CHECK(history.second.find("epoch 2 by ann") != std::string::npos);
     CHECK(history.second.find("epoch 3 by") != std::string::npos);
 }
 
-TEST_CASE("processes: bad input gets its own error and harms nobody")
+TEST_CASE("processes: malformed input gets an error and leaves other requests unaffected")
 {
     full_site site;
     const std::string address = site.url("e1").substr(std::string("http://127.0.0.1:").size());
     const auto port = static_cast<std::uint16_t>(std::stoi(address));
     asio::io_context context;
     std::vector<asio::ip::tcp::socket> sockets;
-    const std::vector<std::string> noises
+    const std::vector<std::string> malformedInputs
             = {"\x00\x01\x02 garbage\r\n\r\n",
                "GET / HTTP/9.9\r\n\r\n",
                "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n{",
@@ -324,22 +331,22 @@
                "GET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n",
                "GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n",
                "GET / HTTP/1.1\r\nX: " + std::string(20000, 'b') + "\r\n\r\n"};
-    for (const std::string &noise : noises) {
+    for (const std::string &input : malformedInputs) {
         sockets.emplace_back(context);
         sockets.back().connect({asio::ip::make_address("127.0.0.1"), port});
         asio::error_code ignored;
-        asio::write(sockets.back(), asio::buffer(noise), ignored);
+        asio::write(sockets.back(), asio::buffer(input), ignored);
         sockets.back().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     }
-    ask_options stranger;
-    stranger.customer = "nobody";
-    CHECK(site.askAndWait(stranger).status == 401);
-    ask_options unknown;
+    request_options unknownCustomer;
+    unknownCustomer.customer = "nobody";
+    CHECK(site.sendAndWait(unknownCustomer).status == 401);
+    request_options unknown;
     unknown.model = "unheard-of";
-    CHECK(site.askAndWait(unknown).status == 404);
-    ask_options forged;
+    CHECK(site.sendAndWait(unknown).status == 404);
+    request_options forged;
     forged.session = "lcs1.k1.e30.AAAA";
-    CHECK(site.askAndWait(forged).status == 400);
-    CHECK(site.askAndWait({}).complete());
+    CHECK(site.sendAndWait(forged).status == 400);
+    CHECK(site.sendAndWait({}).complete());
     CHECK_FALSE(site.process("e1").hasEnded());
 }
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -1,6 +1,6 @@
-//===-- Site.cpp - a small site of real processes ---------------------------===//
+//===-- Site.cpp - test fixture that runs a site of real processes ----------===//
 //
-// Every wait is for a condition, with a bound that only a failure reaches.
+// Every wait is for a condition, with a time limit that is reached only on failure.
 //
 //===----------------------------------------------------------------------===//
 #include "Site.h"
@@ -19,15 +19,15 @@
 #include <unistd.h>
 
 using namespace laurelcroft;
-using namespace laurelcroft::bench;
+using namespace laurelcroft::testing;
 using nlohmann::json;
 
 extern char **environ;
 
 namespace {
-constexpr auto pollPause = std::chrono::milliseconds(5);
-constexpr int waitTries = 1000;
-constexpr useconds_t waitStep = 10000;
+constexpr auto pollInterval = std::chrono::milliseconds(5);
+constexpr int maxWaitTries = 1000;
+constexpr useconds_t waitInterval = 10000;
 const std::string siteKey = "site key of the process tests";
 } // namespace
 
@@ -52,12 +52,12 @@
 
 child::~child()
 {
-    if (!m_code) {
+    if (!m_exitCode) {
         signal(SIGCONT);
         signal(SIGKILL);
         wait();
     }
-    // LAURELCROFT_KEEP_LOGS names a folder for the logs of a failing run.
+    // If LAURELCROFT_KEEP_LOGS is set, keep the output in the folder that it names.
     if (const char *folder = std::getenv("LAURELCROFT_KEEP_LOGS"))
         std::ofstream(std::string(folder) + "/" + m_name + ".log") << output();
     unlink(m_logPath.c_str());
@@ -71,22 +71,22 @@
 
 int child::wait()
 {
-    if (m_code)
-        return *m_code;
+    if (m_exitCode)
+        return *m_exitCode;
     int status = 0;
     waitpid(m_pid, &status, 0);
-    m_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-    return *m_code;
+    m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    return *m_exitCode;
 }
 
 bool child::hasEnded()
 {
-    if (m_code)
+    if (m_exitCode)
         return true;
     int status = 0;
     if (waitpid(m_pid, &status, WNOHANG) == 0)
         return false;
-    m_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return true;
 }
 
@@ -96,16 +96,16 @@
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-std::string child::wordAfter(const std::string &marker) const
+std::string child::waitForWord(const std::string &marker) const
 {
-    for (int i = 0; i < waitTries; ++i) {
+    for (int i = 0; i < maxWaitTries; ++i) {
         const std::string text = output();
         const std::size_t at = text.find(marker);
         const std::size_t end
                 = at == std::string::npos ? at : text.find_first_of(" \n", at + marker.size());
         if (end != std::string::npos)
             return text.substr(at + marker.size(), end - at - marker.size());
-        usleep(waitStep);
+        usleep(waitInterval);
     }
     throw std::runtime_error(m_name + " did not print '" + marker + "': " + output());
 }
@@ -125,7 +125,7 @@
     for (const auto &[role, more] : standins) {
         std::vector<std::string> command = {BIN_DIR "/laurelcroft-standin", "--role", role};
         command.insert(command.end(), more.begin(), more.end());
-        m_urls[role] = "http://127.0.0.1:" + start(role, command).wordAfter("port ");
+        m_urls[role] = "http://127.0.0.1:" + start(role, command).waitForWord("port ");
     }
 }
 
@@ -182,9 +182,9 @@
     const auto common = commonSettings();
     command.insert(command.end(), common.begin(), common.end());
     child &entry = start(name, command);
-    m_urls[name] = "http://127.0.0.1:" + entry.wordAfter("callers are served port=");
-    m_urls[name + "-admin"] = "http://127.0.0.1:" + entry.wordAfter("admin_port=");
-    m_seeds.push_back(entry.wordAfter(" gossip="));
+    m_urls[name] = "http://127.0.0.1:" + entry.waitForWord("callers are served port=");
+    m_urls[name + "-admin"] = "http://127.0.0.1:" + entry.waitForWord("admin_port=");
+    m_seeds.push_back(entry.waitForWord(" gossip="));
 }
 
 void site::startAgent(const std::string &name, const std::string &dataCentre,
@@ -195,7 +195,7 @@
                           {BIN_DIR "/laurelcroft-standin", "--role",
                            pool == "plain" ? "service" : "engine", "--decode-us",
                            std::to_string(decodeUs), "--delay-ms", "300"});
-    m_urls[engine] = "http://127.0.0.1:" + worker.wordAfter("port ");
+    m_urls[engine] = "http://127.0.0.1:" + worker.waitForWord("port ");
     std::vector<std::string> command = {BIN_DIR "/laurelcroft-agent",
                                         "--instance",
                                         name,
@@ -207,10 +207,10 @@
                                         m_urls[engine]};
     const auto common = commonSettings();
     command.insert(command.end(), common.begin(), common.end());
-    start(name, command).wordAfter(" gossip=");
+    start(name, command).waitForWord(" gossip=");
 }
 
-std::pair<int, std::string> site::operate(const std::vector<std::string> &words)
+std::pair<int, std::string> site::runOperator(const std::vector<std::string> &words)
 {
     std::vector<std::string> command = {BIN_DIR "/laurelcroft"};
     command.insert(command.end(), words.begin(), words.end());
@@ -233,13 +233,13 @@
 void site::putInForce(const std::string &text)
 {
     std::ofstream(m_folder + "/bundle.yaml") << text;
-    const auto proposed = operate({"propose", "BUNDLE"});
+    const auto proposed = runOperator({"propose", "BUNDLE"});
     const std::string hash = proposed.second.substr(std::string("proposed ").size(), 64);
-    operate({"sign", hash, "--key-file", "KEY-A"});
-    operate({"sign", hash, "--key-file", "KEY-B"});
-    const auto accepted = operate({"accept", hash});
+    runOperator({"sign", hash, "--key-file", "KEY-A"});
+    runOperator({"sign", hash, "--key-file", "KEY-B"});
+    const auto accepted = runOperator({"accept", hash});
     if (accepted.first != 0)
-        throw std::runtime_error("not accepted: " + proposed.second + accepted.second);
+        throw std::runtime_error("bundle not accepted: " + proposed.second + accepted.second);
 }
 
 void site::waitForEpoch(std::uint64_t epoch)
@@ -247,7 +247,7 @@
     const std::string marker = "bundle in force epoch=" + std::to_string(epoch) + " ";
     for (auto &[name, item] : m_children) {
         if (item->output().find("instance started") != std::string::npos && !item->hasEnded())
-            item->wordAfter(marker);
+            item->waitForWord(marker);
     }
 }
 
@@ -268,7 +268,7 @@
     return pending;
 }
 
-std::shared_ptr<pending_call> site::ask(const ask_options &options)
+std::shared_ptr<pending_call> site::sendRequest(const request_options &options)
 {
     http_call request;
     request.method = "POST";
@@ -298,23 +298,24 @@
     while (std::chrono::steady_clock::now() < end) {
         if (done())
             return true;
-        // A condition may ask the table: polling without a pause would use up its rate.
-        asio::steady_timer pause(m_context, pollPause);
+        // Polling without a pause would exceed the table's rate limit when a condition reads the
+        // table.
+        asio::steady_timer pause(m_context, pollInterval);
         pause.async_wait([](const asio::error_code &) {});
         m_context.restart();
-        m_context.run_for(pollPause);
+        m_context.run_for(pollInterval);
     }
     return done();
 }
 
-pending_call site::askAndWait(const ask_options &options)
+pending_call site::sendAndWait(const request_options &options)
 {
-    const auto pending = ask(options);
+    const auto pending = sendRequest(options);
     runUntil([&] { return pending->ended; });
     return *pending;
 }
 
-void site::fault(const std::string &standin, const json &what)
+void site::injectFault(const std::string &standin, const json &what)
 {
     http_call request;
     request.method = "PUT";
@@ -324,7 +325,7 @@
     runUntil([&] { return pending->ended; });
 }
 
-std::vector<json> site::journal(const std::string &standin)
+std::vector<json> site::readJournal(const std::string &standin)
 {
     http_call request;
     request.url = url(standin) + "/standin/journal";
@@ -340,11 +341,11 @@
     return lines;
 }
 
-std::size_t site::countJournal(const std::string &standin, const std::string &kind,
-                               const std::string &requestId)
+std::size_t site::countJournalEntries(const std::string &standin, const std::string &kind,
+                                      const std::string &requestId)
 {
     std::size_t count = 0;
-    for (const json &line : journal(standin)) {
+    for (const json &line : readJournal(standin)) {
         const bool same = line.value("kind", "") == kind
                 && (requestId.empty() || line.value("request_id", "") == requestId);
         count += same ? 1 : 0;
@@ -367,7 +368,7 @@
     return rows;
 }
 
-std::string site::entryMetric(const std::string &entry, const std::string &series)
+std::string site::readEntryMetric(const std::string &entry, const std::string &series)
 {
     http_call request;
     request.url = url(entry + "-admin") + "/metrics";
@@ -381,7 +382,7 @@
     return pending->body.substr(at + marker.size(), end - at - marker.size());
 }
 
-std::string laurelcroft::bench::siteBundle(const std::string &small2)
+std::string laurelcroft::testing::siteBundle(const std::string &small2)
 {
     const std::string digest = sha256Hex("key-school");
     return R"(laurelcroft: 1
--- a/utils/check.sh
+++ b/utils/check.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
 # Runs every test program of the build and counts test cases. The last line is
-# "N passed, N failed". KNOWN-RED.txt lists test cases that are let pass and printed.
+# "N passed, N failed". Failures listed in KNOWN-RED.txt are printed but not counted as failed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 passed=0
 failed=0
 red=0
 
-# count PROGRAM: reads doctest's summary of one program.
-count() {
+# countDoctest PROGRAM: runs a doctest program and adds up the counts of its summary line.
+countDoctest() {
     local log=build/check-$(basename "$1").log
     "$@" > "$log" 2>&1
     local code=$?
@@ -38,10 +38,11 @@
 }
 
 for program in build/unittests/*/*-tests build/platform/unittests/*-tests build/test/FaultMatrix/fault-matrix build/test/Golden/golden-tests build/test/Processes/process-tests; do
-    [ -x "$program" ] && count "$program"
+    [ -x "$program" ] && countDoctest "$program"
 done
-# countLast NAME COMMAND...: a program that is no doctest and ends with "N passed, N failed".
-countLast() {
+# countSummaryLine NAME COMMAND...: runs a command whose output ends with "N passed, N failed" and
+# adds up these counts.
+countSummaryLine() {
     local name=$1 log=build/check-$1.log
     shift
     "$@" > "$log" 2>&1
@@ -59,19 +60,19 @@
     echo "$name: $good passed, $bad failed"
 }
 
-countLast soak-audit utils/run-unittests.py platform/soak/test_audit.py
-countLast soak-store utils/run-unittests.py platform/soak/test_store.py
-countLast refused-stretches utils/run-unittests.py platform/days/test_refused.py
-countLast pinned-sessions utils/run-unittests.py platform/days/test_pinned.py
-countLast crashing-request python3 platform/soak/crasher.py --plays new_ids,same_ids,store_silent,popular --seconds 10 --jobs 4
-countLast repeats-in-bound python3 platform/soak/budget.py --plays refuse_all,mixed,killed,joined_no_store --seconds 15 --jobs 4
-countLast stated-rate-limits python3 platform/soak/limits.py --plays half,half_many,all,killed --seconds 14 --jobs 4
-countLast leaving-endpoints python3 platform/soak/leaving.py --plays two,refusing,all,store_there --seconds 10 --jobs 4
-countLast endpoints-in-backoff python3 platform/soak/rest.py --plays half,short,all,malformed --jobs 4
-countLast usage-told-once python3 platform/soak/duty.py --plays calm,holder_killed,holder_suspended,raced --seconds 14 --jobs 4
+countSummaryLine soak-audit utils/run-unittests.py platform/soak/test_audit.py
+countSummaryLine soak-store utils/run-unittests.py platform/soak/test_store.py
+countSummaryLine refused-stretches utils/run-unittests.py platform/days/test_refused.py
+countSummaryLine pinned-sessions utils/run-unittests.py platform/days/test_pinned.py
+countSummaryLine crashing-request python3 platform/soak/crasher.py --plays new_ids,same_ids,store_silent,popular --seconds 10 --jobs 4
+countSummaryLine repeats-in-bound python3 platform/soak/budget.py --plays refuse_all,mixed,killed,joined_no_store --seconds 15 --jobs 4
+countSummaryLine stated-rate-limits python3 platform/soak/limits.py --plays half,half_many,all,killed --seconds 14 --jobs 4
+countSummaryLine leaving-endpoints python3 platform/soak/leaving.py --plays two,refusing,all,store_there --seconds 10 --jobs 4
+countSummaryLine endpoints-in-backoff python3 platform/soak/rest.py --plays half,short,all,malformed --jobs 4
+countSummaryLine usage-told-once python3 platform/soak/duty.py --plays calm,holder_killed,holder_suspended,raced --seconds 14 --jobs 4
 seeds=$(sed -nE 's/^([0-9]+) .*/\1/p' platform/soak/seeds.txt | paste -sd,)
-countLast soak python3 platform/soak/soak.py --seeds "$seeds" --seconds 8 --jobs 4
-# Seeds that KNOWN-RED.txt lists for CI are let pass and printed; any other one that fails counts.
+countSummaryLine soak python3 platform/soak/soak.py --seeds "$seeds" --seconds 8 --jobs 4
+# Failing seeds that KNOWN-RED.txt lists for CI are printed but not counted as failed.
 for seed in $(sed -nE 's/^seed ([0-9]+): .*, [1-9][0-9]* broken$/\1/p' build/check-soak.log); do
     if grep -qE "^CI: soak seed $seed " KNOWN-RED.txt; then
         echo "known red: soak seed $seed"
--- a/utils/demo.py
+++ b/utils/demo.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Sends a site's requests and prints what became of them as a short table."""
+"""Sends a site's typical requests and prints their results as a table."""
 import json
 import subprocess
 import sys
@@ -22,11 +22,11 @@
         "words": ["rewrite the plan of hall", "step-free route to gate", "tag the sign of shop"],
     },
 }
-PATIENCE = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
-def ask(entry, customer, target, words, session=None, key=None, service=False):
-    """Sends one request. Returns status, headers and parsed body."""
+def send_request(entry, customer, target, words, session=None, key=None, service=False):
+    """Sends a request to an entry. Returns status, headers and parsed body."""
     headers = {"Authorization": "Bearer " + FLEET["customers"][customer]}
     if session:
         headers["X-Laurelcroft-Session"] = session
@@ -43,32 +43,32 @@
         return error.code, error.headers, json.load(error)
 
 
-def until(condition, what):
-    """Waits for a condition, not for a time."""
-    end = time.monotonic() + PATIENCE
+def wait_until(condition, what):
+    """Polls until condition() is true; exits with an error after WAIT_TIMEOUT_S."""
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if condition():
             return
         time.sleep(0.02)
-    sys.exit(f"demo: {what} did not happen")
+    sys.exit(f"demo: timed out waiting for {what}")
 
 
-def operate(*words):
+def run_operator(*words):
     done = subprocess.run(["utils/operator.sh", *words, "--output", "json"],
                           capture_output=True, text=True, check=False)
     return done.returncode, json.loads(done.stdout or "{}")
 
 
-def bills(request_id):
+def read_bills(request_id):
     url = FLEET["standins"]["table"] + "/v1/table/scan?prefix=bill/" + request_id
     with urllib.request.urlopen(url, timeout=5) as answer:
         return json.load(answer)["rows"]
 
 
 def in_force_everywhere():
-    # An entry that has just started may not know all others yet: all must be among those asked.
+    # Right after start an entry may not know all instances yet, so compare with the full count.
     expected = len(FLEET["entries"]) + len(FLEET["endpoints"])
-    code, status = operate("status")
+    code, status = run_operator("status")
     return code == 0 and status.get("instances") == status.get("in_force") == expected
 
 
@@ -77,55 +77,61 @@
     rows = []
     served = []
 
-    def show(what, status, headers, note):
+    def add_row(what, status, headers, note):
         rows.append((what, str(status), headers.get("X-Laurelcroft-Model", "-"),
                      headers.get("X-Laurelcroft-Version", "-"), note))
         if status == 200:
             served.append(headers["X-Laurelcroft-Request-Id"])
 
-    until(in_force_everywhere, "the bundle in force everywhere")
+    wait_until(in_force_everywhere, "the bundle to be in force everywhere")
     for model in (site["cheap"], site["costly"]):
-        until(lambda: all(ask(e, site["office"], model, "warm up")[0] == 200 for e in range(3)),
-              "loading of " + model)
-    until(lambda: ask(0, site["office"], site["service"], "warm up", service=True)[0] == 200,
-          "the service")
-
-    status, headers, _ = ask(0, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
-    show("runs at most once", status, headers, "on the last tier, claimed in the table")
-    status, headers, _ = ask(1, site["office"], site["once"], site["words"][0] + " 1", key="term-1")
-    show("same key again, other entry", status, headers,
-         "replayed: " + headers.get("X-Laurelcroft-Replayed", "no"))
+        wait_until(lambda: all(send_request(e, site["office"], model, "warm up")[0] == 200
+                               for e in range(3)), "loading of " + model)
+    wait_until(lambda: send_request(0, site["office"], site["service"], "warm up",
+                                    service=True)[0] == 200, "the service")
+
+    status, headers, _ = send_request(0, site["office"], site["once"], site["words"][0] + " 1",
+                                      key="term-1")
+    add_row("runs at most once", status, headers, "on the last tier, claimed in the table")
+    status, headers, _ = send_request(1, site["office"], site["once"], site["words"][0] + " 1",
+                                      key="term-1")
+    add_row("same key again, other entry", status, headers,
+            "replayed: " + headers.get("X-Laurelcroft-Replayed", "no"))
     cheap = escalated = None
     for i in range(200):
-        status, headers, _ = ask(i, site["office"], site["cascade"], f"{site['words'][1]} {i}")
+        status, headers, _ = send_request(i, site["office"], site["cascade"],
+                                          f"{site['words'][1]} {i}")
         if status == 200 and headers["X-Laurelcroft-Model"] == site["cheap"] and not cheap:
             cheap = (status, headers)
         if status == 200 and headers["X-Laurelcroft-Model"] == site["costly"] and not escalated:
             escalated = (status, headers)
         if cheap and escalated:
             break
-    show("cascade", *cheap, "the cheap answer suffices")
-    show("cascade", *escalated, "escalated")
-    status, headers, _ = ask(2, site["public"], site["cheap"], site["words"][2] + " 7")
-    show("public query", status, headers, "cheap model only")
-    status, headers, _ = ask(0, site["office"], site["service"], "go", service=True)
-    show("plain service", status, headers, "not repeated")
-
-    status, headers, _ = ask(0, site["office"], site["costly"] + "@" + site["new"], "first draft")
+    add_row("cascade", *cheap, "the cheap answer suffices")
+    add_row("cascade", *escalated, "escalated")
+    status, headers, _ = send_request(2, site["public"], site["cheap"], site["words"][2] + " 7")
+    add_row("public query", status, headers, "cheap model only")
+    status, headers, _ = send_request(0, site["office"], site["service"], "go", service=True)
+    add_row("plain service", status, headers, "not repeated")
+
+    status, headers, _ = send_request(0, site["office"], site["costly"] + "@" + site["new"],
+                                      "first draft")
     session = headers["X-Laurelcroft-Session"]
-    show("session on the new version", status, headers, "begins")
-    hash_ = by_both("roll-forward", site["costly"], "50")
-    until(in_force_everywhere, "the next epoch everywhere")
-    status, headers, _ = ask(1, site["office"], site["costly"], "second draft", session=session)
-    show("same session, after a roll-forward", status, headers, "keeps its version")
-    by_both("withdraw", site["costly"] + "@" + site["new"])
-    until(in_force_everywhere, "the withdrawal everywhere")
-    status, headers, body = ask(2, site["office"], site["costly"], "third draft", session=session)
-    show("same session, after a withdrawal", status, headers, body["error"]["code"])
-    status, headers, _ = ask(2, site["office"], site["costly"], "new draft")
-    show("new session", status, headers, "on the settled version")
-
-    until(lambda: all(len(bills(i)) == 1 for i in served), "one bill for each request")
+    add_row("session on the new version", status, headers, "begins")
+    hash_ = edit_as_both_operators("roll-forward", site["costly"], "50")
+    wait_until(in_force_everywhere, "the next epoch to be in force everywhere")
+    status, headers, _ = send_request(1, site["office"], site["costly"], "second draft",
+                                      session=session)
+    add_row("same session, after a roll-forward", status, headers, "keeps its version")
+    edit_as_both_operators("withdraw", site["costly"] + "@" + site["new"])
+    wait_until(in_force_everywhere, "the withdrawal to be in force everywhere")
+    status, headers, body = send_request(2, site["office"], site["costly"], "third draft",
+                                         session=session)
+    add_row("same session, after a withdrawal", status, headers, body["error"]["code"])
+    status, headers, _ = send_request(2, site["office"], site["costly"], "new draft")
+    add_row("new session", status, headers, "on the settled version")
+
+    wait_until(lambda: all(len(read_bills(i)) == 1 for i in served), "one bill for each request")
     widths = [max(len(row[i]) for row in rows) for i in range(5)]
     print(f"\n{name}: {len(FLEET['entries'])} entries, {len(FLEET['endpoints'])} endpoints")
     for row in rows:
@@ -134,13 +140,13 @@
           "forward, then its version withdrawn")
 
 
-def by_both(*words):
-    """One operator edits, the other signs, and the edit is put in force."""
-    code, report = operate(*words)
+def edit_as_both_operators(*words):
+    """Edits the bundle as the first operator, signs as the second and accepts the edit."""
+    code, report = run_operator(*words)
     assert code == 6, report
     hash_ = report["hash"]
-    assert operate("sign", hash_, "--key-file", FLEET["key_files"][1])[0] == 0
-    code, report = operate("accept", hash_)
+    assert run_operator("sign", hash_, "--key-file", FLEET["key_files"][1])[0] == 0
+    code, report = run_operator("accept", hash_)
     assert code == 0, report
     return hash_
 
--- a/utils/measure-path.py
+++ b/utils/measure-path.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Measures the path over real processes: added latency, slopes of processor time and memory.
+"""Measures the request path through real processes: added latency, CPU time and memory.
 
-Needs a build and starts its own small fleet. Every load is bounded in rate and time.
+Needs a build and starts its own fleet. Every load has a fixed rate and duration.
 """
 import json
 import os
@@ -10,7 +10,7 @@
 import time
 import urllib.request
 
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 LOAD = "build/bin/laurelcroft-load"
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 
@@ -22,24 +22,24 @@
     return done.stdout
 
 
-def pids():
+def read_pids():
     lines = open("build/fleet/pids", encoding="utf-8").read().split("\n")
     return {line.split()[1]: int(line.split()[0]) for line in lines if line}
 
 
-def processor(pid):
+def processor_seconds(pid):
     fields = open(f"/proc/{pid}/stat", encoding="utf-8").read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-def resident(pid):
+def resident_mb(pid):
     for line in open(f"/proc/{pid}/status", encoding="utf-8"):
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def load(urls, **more):
+def run_load(urls, **more):
     command = [LOAD, "http", "--urls", ",".join(urls)]
     for name, value in more.items():
         if value is True:
@@ -49,8 +49,8 @@
     return json.loads(run(*command))
 
 
-def fit(points):
-    """Least squares: returns slope, intercept and the largest residual."""
+def fit_line(points):
+    """Fits a line by least squares. Returns slope, intercept and the largest absolute residual."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
@@ -60,7 +60,7 @@
     return slope, base, max(abs(y - base - slope * x) for x, y in points)
 
 
-def start(site, size="small"):
+def start_fleet(site, size="small"):
     os.environ["RATED_PERCENT"] = "0"
     run("utils/fleet.sh", "up", site, size)
     run("utils/operator.sh", "in-force", f"examples/{site}.yaml")
@@ -71,91 +71,91 @@
         if status["in_force"] == status["instances"]:
             break
         time.sleep(0.1)
-    time.sleep(1)  # the versions are loaded; a warm-up, no condition of a test
+    time.sleep(1)  # gives endpoints time to load the versions
     return fleet
 
 
-def engines(fleet, pool):
+def engine_urls(fleet, pool):
     return [item["url"] for item in fleet["endpoints"] if item["pool"] == pool]
 
 
-def quantile_line(name, result):
+def print_quantiles(name, result):
     first = result["first_token"]
     print(f"  {name}: first token p50 {first['p50_ms']:.2f} ms, p99 {first['p99_ms']:.2f} ms; "
           f"between tokens p50 {result['between_tokens']['p50_ms']:.2f} ms; "
           f"complete {result['complete']} of {result['sent']}")
 
 
-def added_latency(fleet):
+def measure_added_latency(fleet):
     print("added latency at 500 requests/s over three entries, same engines, same run")
     common = {"rate": 500, "for": 8, "tokens": 8}
-    direct = load(engines(fleet, "portal"), model="portal-small@3.1", **common)
-    routed = load(fleet["entries"], model="portal-small", key="key-family-portal", **common)
-    quantile_line("direct", direct)
-    quantile_line("routed", routed)
+    direct = run_load(engine_urls(fleet, "portal"), model="portal-small@3.1", **common)
+    routed = run_load(fleet["entries"], model="portal-small", key="key-family-portal", **common)
+    print_quantiles("direct", direct)
+    print_quantiles("routed", routed)
     for share in ("p50_ms", "p99_ms"):
         added = routed["first_token"][share] - direct["first_token"][share]
         print(f"  added at {share[:3]}: {added:.2f} ms")
 
 
-def slopes(fleet):
+def measure_rate_slope(fleet):
     print("processor time by rate (portal-small, 8 tokens streamed), each rate for 6 s")
     by_role = {"entry": [], "agent": []}
     for rate in (60, 120, 240):
-        before = {name: processor(pid) for name, pid in pids().items()}
-        result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=rate,
-                      tokens=8, **{"for": 6})
-        used = {name: processor(pid) - before[name] for name, pid in pids().items()}
+        before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
+        result = run_load(fleet["entries"], model="portal-small", key="key-family-portal",
+                          rate=rate, tokens=8, **{"for": 6})
+        used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
         by_role["entry"].append((result["complete"] / 6, entry / 6))
         by_role["agent"].append((result["complete"] / 6, agent / 6))
     for role, points in by_role.items():
-        slope, base, residual = fit(points)
+        slope, base, residual = fit_line(points)
         shown = ", ".join(f"{x:.0f}/s: {100 * y:.1f}%" for x, y in points)
         print(f"  {role}s together: {shown} of a core; {slope * 1e6:.0f} us a request, "
               f"{100 * base:.2f}% at rest, residual {100 * residual:.2f}%")
 
 
-def token_slope(fleet):
+def measure_token_slope(fleet):
     print("processor time by tokens of an answer, 40 requests/s streamed, each for 6 s")
     by_role = {"entry": [], "agent": []}
     for tokens in (8, 64, 256):
-        before = {name: processor(pid) for name, pid in pids().items()}
-        result = load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
-                      tokens=tokens, **{"for": 6})
-        time.sleep(1)  # answers that began late end within it
-        used = {name: processor(pid) - before[name] for name, pid in pids().items()}
+        before = {name: processor_seconds(pid) for name, pid in read_pids().items()}
+        result = run_load(fleet["entries"], model="portal-small", key="key-family-portal", rate=40,
+                          tokens=tokens, **{"for": 6})
+        time.sleep(1)  # lets answers that began late finish
+        used = {name: processor_seconds(pid) - before[name] for name, pid in read_pids().items()}
         done = max(1, result["complete"])
         entry = sum(used[name] for name in ENTRIES)
         agent = sum(value for name, value in used.items() if name.startswith("agent-portal"))
         by_role["entry"].append((tokens, entry / done))
         by_role["agent"].append((tokens, agent / done))
     for role, points in by_role.items():
-        slope, base, residual = fit(points)
+        slope, base, residual = fit_line(points)
         shown = ", ".join(f"{x}: {1e6 * y:.0f} us" for x, y in points)
         print(f"  {role}: {shown} a request; {slope * 1e6:.1f} us a token, "
               f"{base * 1e6:.0f} us a request, residual {residual * 1e6:.0f} us")
 
 
-def link_memory(fleet):
-    """Memory of an entry by the number of agents that it is connected to."""
-    names = pids()
+def print_link_memory(fleet):
+    """Prints the memory of the largest entry and the number of connected agents."""
+    names = read_pids()
     agents = sum(1 for name in names if name.startswith("agent-"))
-    memory = max(resident(names[name]) for name in ENTRIES)
+    memory = max(resident_mb(names[name]) for name in ENTRIES)
     print(f"memory of an entry connected to {agents} agents: {memory:.2f} MB")
     assert fleet
 
 
-def one_entry(fleet):
+def measure_single_entry(fleet):
     print("one entry alone, whole answers of one token, processor time of the entry")
-    pid = pids()["entry-1"]
+    pid = read_pids()["entry-1"]
     best = 0.0
     for rate in (500, 1000, 2000, 3000):
-        before = processor(pid)
-        result = load(fleet["entries"][:1], model="portal-small", key="key-bureau-office",
-                      rate=rate, tokens=1, whole=True, **{"for": 4})
-        used = (processor(pid) - before) / 4
+        before = processor_seconds(pid)
+        result = run_load(fleet["entries"][:1], model="portal-small", key="key-bureau-office",
+                          rate=rate, tokens=1, whole=True, **{"for": 4})
+        used = (processor_seconds(pid) - before) / 4
         done = result["requests_per_second"]
         per_core = done / used if used > 0 else 0
         best = max(best, per_core)
@@ -164,38 +164,39 @@
     print(f"  best: {best:.0f} requests/s on one core's worth of time")
 
 
-def at_rest(fleet):
-    names = pids()
+def measure_idle_usage(fleet):
+    names = read_pids()
     time.sleep(5)
-    before = {name: processor(pid) for name, pid in names.items()}
+    before = {name: processor_seconds(pid) for name, pid in names.items()}
     time.sleep(10)
     print("at rest, 10 s, 3 entries and 7 agents")
     for prefix in ("entry-", "agent-"):
         chosen = [name for name in names if name.startswith(prefix)]
-        used = sum(processor(names[name]) - before[name] for name in chosen) / 10 / len(chosen)
-        memory = max(resident(names[name]) for name in chosen)
+        used = (sum(processor_seconds(names[name]) - before[name] for name in chosen)
+                / 10 / len(chosen))
+        memory = max(resident_mb(names[name]) for name in chosen)
         print(f"  {prefix[:-1]}: {100 * used:.2f}% of a core, resident at most {memory:.1f} MB")
     assert fleet
 
 
-def memory_slope():
+def measure_memory_slope():
     for size in ("small", "full"):
-        fleet = start("bureau", size)
+        fleet = start_fleet("bureau", size)
         try:
-            link_memory(fleet)
+            print_link_memory(fleet)
         finally:
             run("utils/fleet.sh", "down")
 
 
 def main():
-    memory_slope()
-    fleet = start("bureau")
+    measure_memory_slope()
+    fleet = start_fleet("bureau")
     try:
-        at_rest(fleet)
-        added_latency(fleet)
-        slopes(fleet)
-        token_slope(fleet)
-        one_entry(fleet)
+        measure_idle_usage(fleet)
+        measure_added_latency(fleet)
+        measure_rate_slope(fleet)
+        measure_token_slope(fleet)
+        measure_single_entry(fleet)
         for url in fleet["admin"][:1]:
             urllib.request.urlopen(url + "/metrics", timeout=5).read()
     finally:
