--- a/include/laurelcroft/Support/CircuitBreaker.h
+++ b/include/laurelcroft/Support/CircuitBreaker.h
@@ -24,8 +24,8 @@
     {
     }
 
-    /// \returns true if a call may be made at \p now. When open, this starts the trial call, whose
-    /// result must be reported.
+    /// \returns true if a call may be made at \p now. If the breaker is open, that call is
+    /// the trial call, and its result must be reported.
     bool allows(time_point now);
 
     void recordSuccess();
