--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -43,8 +43,8 @@
     /// \param flushed as for \c reply.
     void end(std::function<void()> flushed = {});
 
-    /// Closes the connection, so that the peer does not take an incomplete response for a complete
-    /// one.
+    /// Ends the exchange. If a response was begun, closes the connection, so that the peer does not
+    /// take the response for a complete one.
     void abort();
 
     /// \param action is called once if the peer closes the connection before the response ended.
