--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 matrix: build
 	@LAURELCROFT_PAIRS=20000 build/test/FaultMatrix/fault-matrix
 
-# Runs the measurements of docs/MEASUREMENTS.md and docs/CAPACITY.md.
+# Measures every figure of docs/MEASUREMENTS.md and docs/CAPACITY.md.
 measure: build
 	@utils/measure.sh
 
--- a/utils/measure.sh
+++ b/utils/measure.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the measurements of docs/MEASUREMENTS.md and docs/CAPACITY.md, which takes about six minutes.
+# Measures every figure of docs/MEASUREMENTS.md and docs/CAPACITY.md. Takes about six minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python3 utils/measure-path.py
