--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -1,6 +1,6 @@
-//===-- Auditor.cpp - compares the fakes' journals with the promises --------===//
+//===-- Auditor.cpp - checks a simulated run against the guarantees ----------===//
 //
-// One function for each promise.
+// Most guarantees have a check function of their own; checkVersions() checks two.
 //
 //===----------------------------------------------------------------------===//
 #include "Auditor.h"
@@ -30,12 +30,12 @@
     return names[static_cast<std::size_t>(which)];
 }
 
-/// \returns the bundles that may have been in force for a start at \p at.
+/// \returns the bundles that may have been in force at an instance at time \p at.
 static std::vector<const bundle *> bundlesInForceAt(const simulated_site &site, time_point at)
 {
     std::vector<const bundle *> list;
-    // A bundle that nobody can read yet is in force nowhere: while the table is away the
-    // one before goes on. docs/PROMISES.md names this exposure.
+    // While the table cannot be read, instances keep applying the previous bundle;
+    // docs/PROMISES.md documents this exposure.
     const time_point readable = std::max(site.store.downUntil, site.store.slowUntil);
     for (std::size_t i = 0; i < site.accepted.size(); ++i) {
         const bool replaced = i + 1 < site.accepted.size();
@@ -101,21 +101,21 @@
     return counts;
 }
 
-/// \returns true when every process that knew of a start of \p requestId, or held its
-/// bill, is dead, and at least two of them without a planned stop: two instances lost
-/// before the table had the bill are beyond what two copies can keep.
+/// \returns true when every process that knew of a start of \p requestId or held its bill is
+/// dead, and at least two of them died without a planned stop. Bills have two copies until
+/// they are in the table, so losing two instances before that may lose the bill.
 static bool allHoldersDead(const simulated_site &site, const std::string &requestId)
 {
-    std::set<std::string> witnesses;
+    std::set<std::string> knownBy;
     for (const engine_start &start : site.engineStarts) {
         if (start.requestId == requestId)
-            witnesses.insert({start.agent, start.entry});
+            knownBy.insert({start.agent, start.entry});
     }
     const auto holders = site.billHolderIds.find(requestId);
     if (holders != site.billHolderIds.end())
-        witnesses.insert(holders->second.begin(), holders->second.end());
+        knownBy.insert(holders->second.begin(), holders->second.end());
     std::size_t lost = 0;
-    for (const std::string &id : witnesses) {
+    for (const std::string &id : knownBy) {
         if (!site.isDead(id))
             return false;
         lost += site.killed.count(id);
@@ -133,15 +133,16 @@
         const auto bill = decodeBill(row.value);
         if (!bill)
             continue;
-        // A bill of nothing for a request that nobody could tell of is no charge.
+        // A bill with outcome "uncertain" and no cost records a request whose outcome is unknown.
+        // It charges nothing.
         const bool isRecord = bill->outcome() == uncertainBill && bill->cost() == 0;
         if (!isRecord || starts.count(bill->request_id()) != 0)
             bills[bill->request_id()] += 1;
     }
     for (const auto &[id, count] : starts) {
         const int billed = bills.count(id) ? bills.at(id) : 0;
-        const bool excused = billed == 0 && allHoldersDead(site, id);
-        if (billed != 1 && !excused)
+        const bool lossAccepted = billed == 0 && allHoldersDead(site, id);
+        if (billed != 1 && !lossAccepted)
             found.push_back({guarantee::billedOnce,
                              id + " has " + std::to_string(billed) + " bills for "
                                      + std::to_string(count) + " starts"});
@@ -158,9 +159,9 @@
         if (!record.complete() || record.requestId.empty())
             continue;
         std::string text = record.body;
-        const bool streamed = text.size() >= streamEnd.size()
+        const bool isStream = text.size() >= streamEnd.size()
                 && text.compare(text.size() - streamEnd.size(), streamEnd.size(), streamEnd) == 0;
-        if (streamed)
+        if (isStream)
             text.resize(text.size() - streamEnd.size());
         const auto made = site.outputs.find(record.requestId);
         if (made == site.outputs.end() || made->second.count(text) == 0)
@@ -173,22 +174,23 @@
     return record.ended && !record.connectionLost && record.executed == "no";
 }
 
-/// A start is laid to the calls that may have caused it: same request, same entry,
-/// sent before. If all of those were told "not run", one of them was told wrong.
+/// Attributes each start to the calls that may have caused it: those of the same request at
+/// the same entry that were sent before it. If all of them were answered "not run", at least
+/// one of these answers is wrong.
 static void checkNotRun(const simulated_site &site, violations &found)
 {
     for (const engine_start &start : site.engineStarts) {
-        bool anyCause = false;
-        bool allToldNo = true;
+        bool hasCause = false;
+        bool allAnsweredNotRun = true;
         for (const auto &[id, record] : site.callers) {
             const bool isCause = record.requestId == start.requestId && record.entry == start.entry
                     && record.sentAt <= start.at;
             if (!isCause)
                 continue;
-            anyCause = true;
-            allToldNo = allToldNo && saysNotRun(record);
+            hasCause = true;
+            allAnsweredNotRun = allAnsweredNotRun && saysNotRun(record);
         }
-        if (anyCause && allToldNo)
+        if (hasCause && allAnsweredNotRun)
             found.push_back({guarantee::notRunIsTrue,
                              start.requestId + " ran at " + start.agent + " although " + start.entry
                                      + " said that it did not"});
@@ -229,7 +231,8 @@
         return;
     for (const auto &[id, record] : site.callers) {
         const bool refused = record.ended && !record.connectionLost && record.executed == "no";
-        // Nobody was left to send it to, or the instance had left: the balancer's part.
+        // Requests without a live entry, or sent to an entry that had begun to stop, are the load
+        // balancer's responsibility.
         if (record.entry == "none")
             continue;
         const auto stopped = site.stoppedAt.find(record.entry);
@@ -250,7 +253,7 @@
         const bundle_epoch epoch = held ? held->accepted.epoch : 0;
         if (epoch != site.accepted.size())
             found.push_back(
-                    {guarantee::bundle, item->id + " stands at epoch " + std::to_string(epoch)});
+                    {guarantee::bundle, item->id + " is still at epoch " + std::to_string(epoch)});
     }
 }
 
--- a/test/FaultMatrix/FakeTable.cpp
+++ b/test/FaultMatrix/FakeTable.cpp
@@ -1,7 +1,7 @@
-//===-- FakeTable.cpp - the table with its faults ---------------------------===//
+//===-- FakeTable.cpp - fake table with injected faults ---------------------===//
 //
-// Writes take effect in the shared store at the time they arrive; a fault may keep
-// the request, the answer or both.
+// Calls take effect in the shared store when they arrive. A fault may lose the request
+// or the answer, or delay the effect beyond the client's deadline.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
@@ -29,18 +29,18 @@
 {
     simulated_site *const site = &m_site;
     const std::string owner = m_owner;
-    const auto passed = [site, owner](const std::string &name, bool after) {
+    const auto countStep = [site, owner](const std::string &name, bool after) {
         site->step(name, after, site->findEntry(owner), site->findAgent(owner));
     };
-    passed(kind + ".sent", false);
+    countStep(kind + ".sent", false);
     if (m_runtime.isDead())
         return;
     const auto answer
-            = [site, this, done, passed, kind](duration when, outcome<T, table_error> result) {
-                  site->clock.after(when, [this, done, passed, kind, result] {
-                      passed(kind + ".answered", false);
+            = [site, this, done, countStep, kind](duration when, outcome<T, table_error> result) {
+                  site->clock.after(when, [this, done, countStep, kind, result] {
+                      countStep(kind + ".answered", false);
                       m_runtime.run([done, result] { done(result); });
-                      passed(kind + ".answered", true);
+                      countStep(kind + ".answered", true);
                   });
               };
     m_runtime.run([=] {
@@ -61,9 +61,9 @@
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
                 return;
             }
-            passed(kind + ".applied", false);
+            countStep(kind + ".applied", false);
             const T result = effect();
-            passed(kind + ".applied", true);
+            countStep(kind + ".applied", true);
             if (!isRead && std::exchange(store.loseNextAnswer, false))
                 answer(clientDeadline, failure(errorOf(table_failure::unknown)));
             else
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -1,7 +1,7 @@
-//===-- Instances.cpp - entries and agents over the fakes -------------------===//
+//===-- Instances.cpp - simulated entries and agents ------------------------===//
 //
-// The environments of the two cores. Whatever a process does passes through its
-// runtime, so that a dead one does nothing and a frozen one does it later.
+// Implements the environments of the two cores. Every action of a process goes through
+// its runtime, which drops the actions of a dead process and delays those of a frozen one.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
@@ -40,10 +40,10 @@
 void fake_instance::copyBills(const std::string &holder, const wire::bill_copy &copy,
                               std::function<void(bool)> done)
 {
-    const auto passed = [this](const char *name, bool after) {
+    const auto countStep = [this](const char *name, bool after) {
         site.step(name, after, site.findEntry(id), site.findAgent(id));
     };
-    passed("billcopy.sent", false);
+    countStep("billcopy.sent", false);
     const auto answered = std::make_shared<bool>(false);
     const auto finish = [this, done, answered](bool held) {
         runtime.run([done, answered, held] {
@@ -54,20 +54,20 @@
     site.clock.after(milliseconds(300), [finish] { finish(false); });
     if (!runtime.isRunning() || site.isCut(id, holder))
         return;
-    site.clock.after(simulated_site::latency, [this, holder, copy, finish, passed] {
+    site.clock.after(simulated_site::latency, [this, holder, copy, finish, countStep] {
         fake_instance *const other = site.find(holder);
         if (other == nullptr) {
             finish(false);
             return;
         }
-        other->runtime.run([this, other, copy, finish, passed] {
+        other->runtime.run([this, other, copy, finish, countStep] {
             const bool held = other->holdBills(copy);
             for (const wire::bill &item : copy.bills()) {
                 site.billHolderIds[item.request_id()].insert(id);
                 if (held)
                     site.billHolderIds[item.request_id()].insert(other->id);
             }
-            passed("billcopy.held", true);
+            countStep("billcopy.held", true);
             site.clock.after(simulated_site::latency, [finish, held] { finish(held); });
         });
     });
@@ -162,7 +162,7 @@
     if (it == site.streams.end())
         return;
     const std::string agentId = it->second.agent;
-    // The end of the stream comes behind what was sent on it.
+    // The end of the stream is delivered after all messages sent on it.
     runtime.run([this, handle, agentId] {
         site.deliver(handle, true, [this, handle, agentId] {
             site.streams.erase(handle);
@@ -208,9 +208,9 @@
 {
     record.status = status;
     record.headers = headers;
-    const std::string told = record.header("X-Laurelcroft-Request-Id");
-    if (!told.empty())
-        record.requestId = told;
+    const std::string headerId = record.header("X-Laurelcroft-Request-Id");
+    if (!headerId.empty())
+        record.requestId = headerId;
 }
 
 static void recordError(caller_record &record)
@@ -383,13 +383,14 @@
 void fake_agent::startWork(work_id work, const wire::offer &offer)
 {
     site.step("engine.start", false, site.findEntry(offer.entry()), this);
-    // A process that freezes here starts it when it wakes: the work was given before.
+    // A process frozen at this step starts the engine after it thaws. The start is recorded with
+    // the time at which the attempt was handed over, before the freeze.
     runtime.run([this, work, offer, at = site.clock.now()] { startEngine(work, offer, at); });
 }
 
-void fake_agent::startEngine(work_id work, const wire::offer &offer, time_point givenAt)
+void fake_agent::startEngine(work_id work, const wire::offer &offer, time_point handedOverAt)
 {
-    engine_start start{givenAt,         offer.request_id(), id,
+    engine_start start{handedOverAt,    offer.request_id(), id,
                        offer.entry(),   offer.customer(),   offer.target(),
                        offer.version(), offer.repeatable()};
     if (site.activeSabotage == sabotage::otherVersion && site.random.chance(0.5))
--- a/test/FaultMatrix/MatrixTests.cpp
+++ b/test/FaultMatrix/MatrixTests.cpp
@@ -1,8 +1,8 @@
-//===-- MatrixTests.cpp - the fault matrix and the proof of its auditor -----===//
+//===-- MatrixTests.cpp - the fault matrix and tests of its auditor ---------===//
 //
-// LAURELCROFT_CELL="scenario|step|occurrence|before or after|fault" runs one cell
-// alone, with LAURELCROFT_SEED, and prints its decisions. LAURELCROFT_PAIRS sets the
-// number of seeded pairs.
+// LAURELCROFT_CELL="scenario|step|occurrence|before or after|fault" runs a single cell
+// with the seed LAURELCROFT_SEED and prints its decisions. LAURELCROFT_PAIRS sets the
+// number of cells with two faults.
 //
 //===----------------------------------------------------------------------===//
 #include "Scenarios.h"
@@ -27,7 +27,7 @@
     return text;
 }
 
-TEST_CASE("without a fault every scenario is served and audited clean")
+TEST_CASE("without a fault every scenario is served and violates no guarantee")
 {
     for (const std::string &scenario : scenarioNames()) {
         CAPTURE(scenario);
@@ -37,7 +37,7 @@
     }
 }
 
-/// Runs all cells on a few threads; each cell is a world of its own.
+/// Runs all cells on one thread per core. Cells share no state.
 static std::vector<cell_result> runAll(const std::vector<cell> &cells)
 {
     std::vector<cell_result> results(cells.size());
@@ -55,6 +55,7 @@
     return results;
 }
 
+/// Totals over the cells of one run.
 struct matrix_totals
 {
     std::size_t injected = 0;
@@ -62,44 +63,45 @@
     std::size_t failed = 0;
 };
 
-/// Runs cells and prints those that fail.
+/// Runs \p cells and prints those that violate a guarantee.
 static matrix_totals runAndReport(const std::vector<cell> &cells)
 {
     const std::vector<cell_result> results = runAll(cells);
-    matrix_totals sum;
+    matrix_totals totals;
     for (std::size_t i = 0; i < cells.size(); ++i) {
-        sum.injected += results[i].allFaultsInjected ? 1 : 0;
-        sum.served += results[i].served ? 1 : 0;
+        totals.injected += results[i].allFaultsInjected ? 1 : 0;
+        totals.served += results[i].served ? 1 : 0;
         if (results[i].violations.empty())
             continue;
-        sum.failed += 1;
-        MESSAGE("cell fails: ", cells[i].text(), describeViolations(results[i].violations));
+        totals.failed += 1;
+        MESSAGE("cell failed: ", cells[i].text(), describeViolations(results[i].violations));
     }
-    MESSAGE("cells ", cells.size(), ", struck ", sum.injected, ", served in the end ", sum.served,
-            ", failed ", sum.failed);
-    return sum;
+    MESSAGE("cells ", cells.size(), ", with all faults injected ", totals.injected, ", served ",
+            totals.served, ", failed ", totals.failed);
+    return totals;
 }
 
-TEST_CASE("matrix: every single fault at every step keeps every promise")
+TEST_CASE("matrix: no single fault at any step violates a guarantee")
 {
     const std::vector<cell> cells = allCells();
-    const matrix_totals sum = runAndReport(cells);
-    CHECK(sum.failed == 0);
-    // A fault that never strikes proves nothing.
-    CHECK(sum.injected == cells.size());
+    const matrix_totals totals = runAndReport(cells);
+    CHECK(totals.failed == 0);
+    // A cell whose fault was never injected tests nothing.
+    CHECK(totals.injected == cells.size());
 }
 
-TEST_CASE("matrix: a seeded sample of pairs of faults keeps every promise")
+TEST_CASE("matrix: no pair of faults of a seeded sample violates a guarantee")
 {
     constexpr std::size_t pairsInCi = 2000;
-    const char *wanted = std::getenv("LAURELCROFT_PAIRS");
-    const std::size_t count = wanted ? std::strtoul(wanted, nullptr, 10) : pairsInCi;
-    const matrix_totals sum = runAndReport(samplePairs(allCells(), count, 1));
-    CHECK(sum.failed == 0);
-    // The first fault may keep the second one's step from being passed.
-    CHECK(sum.injected * 2 > count);
+    const char *pairsSetting = std::getenv("LAURELCROFT_PAIRS");
+    const std::size_t count = pairsSetting ? std::strtoul(pairsSetting, nullptr, 10) : pairsInCi;
+    const matrix_totals totals = runAndReport(samplePairs(allCells(), count, 1));
+    CHECK(totals.failed == 0);
+    // The first fault may prevent the run from reaching the step of the second.
+    CHECK(totals.injected * 2 > count);
 }
 
+/// A sabotage and the violation that the auditor must report for it.
 struct sabotage_case
 {
     sabotage injected;
@@ -108,7 +110,7 @@
     fault_kind fault;
 };
 
-TEST_CASE("the auditor reports each promise that is broken on purpose")
+TEST_CASE("the auditor reports each guarantee that is violated on purpose")
 {
     const sabotage_case cases[] = {
             {sabotage::runTwice, guarantee::atMostOnce, "rebuild", fault_kind::none},
@@ -139,7 +141,8 @@
 
 TEST_CASE("one cell alone" * doctest::skip(std::getenv("LAURELCROFT_CELL") == nullptr))
 {
-    // scenario|step|occurrence|before or after|fault, the last four for each fault.
+    // The format is scenario|step|occurrence|before or after|fault; each further fault adds the
+    // last four fields again.
     const std::vector<std::string> parts = splitList(std::getenv("LAURELCROFT_CELL"), '|');
     REQUIRE(parts.size() % 4 == 1);
     std::vector<fault_point> faults;
--- a/test/FaultMatrix/Process.h
+++ b/test/FaultMatrix/Process.h
@@ -1,7 +1,8 @@
-//===-- Process.h - a process under the paused clock -------------*- C++ -*-===//
+//===-- Process.h - runtime of one simulated process -------------*- C++ -*-===//
 //
-// Wraps the manual runtime for one process, so that it can be killed, frozen and
-// thawed: timers and messages of a frozen process wait, those of a dead one vanish.
+// Wraps the manual runtime for one process, so that the process can be killed, frozen
+// and thawed. Timers and messages of a frozen process are queued until it thaws; those
+// of a dead process are dropped.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_TEST_FAULTMATRIX_PROCESS_H
@@ -44,7 +45,8 @@
 
     void cancel(timer_id timer) { m_state->timers.erase(timer); }
 
-    /// Runs \p action now, after a thaw, or never.
+    /// Runs \p action at once, queues it while the process is frozen, or drops it if the process
+    /// is dead.
     void run(std::function<void()> action) { run(m_state, std::move(action)); }
 
     void kill()
--- a/test/FaultMatrix/Scenarios.cpp
+++ b/test/FaultMatrix/Scenarios.cpp
@@ -1,7 +1,7 @@
-//===-- Scenarios.cpp - what callers do in a cell of the matrix -------------===//
+//===-- Scenarios.cpp - caller scenarios and cells of the matrix -------------===//
 //
-// A caller asks again, with the same key and at the other entry, after a cut or
-// an answer that tells it to come back; as callers' libraries do.
+// Callers retry as client libraries do: after a lost connection, or an error answer that
+// permits a retry, they send the same idempotency key to the next entry.
 //
 //===----------------------------------------------------------------------===//
 #include "Scenarios.h"
@@ -15,7 +15,7 @@
 
 constexpr duration maxAnswerWait = seconds(90);
 constexpr duration settleTime = seconds(100);
-/// The officer comes back after a while.
+/// The pause between two requests of a session.
 constexpr duration turnPause = seconds(4);
 constexpr duration retryWait = milliseconds(700);
 constexpr int maxTries = 40;
@@ -31,6 +31,7 @@
     bool done = false;
 };
 
+/// Runs the callers of one scenario.
 class scenario_run
 {
 public:
@@ -122,17 +123,18 @@
         record.requestId = keyedRequestId("school", item.request.idempotencyKey);
 }
 
-/// The caller loses patience and sends the same key to the other entry at once.
+/// Sends a duplicate of \p item to the next entry once if the callerRepeats fault was injected.
 void scenario_run::sendDuplicateIfInjected(const logical_request &item)
 {
     if (m_duplicateSent || !m_site.wasInjected(fault_kind::callerRepeats))
         return;
     m_duplicateSent = true;
-    logical_request twin = item;
-    send(twin);
+    logical_request duplicate = item;
+    send(duplicate);
 }
 
-/// \returns true when the request was answered whole in the end.
+/// Sends the request and retries it while that is permitted.
+/// \returns true once it has a complete answer.
 bool scenario_run::sendUntilServed(logical_request &item)
 {
     send(item);
@@ -146,11 +148,11 @@
         const caller_record record = m_site.caller(item.last);
         if (record.complete())
             return true;
-        const bool mayAskAgain = !item.request.idempotencyKey.empty()
+        const bool mayRetry = !item.request.idempotencyKey.empty()
                 && (record.connectionLost || record.executed == "no"
                     || record.code == "already_running")
                 && record.code != "version_withdrawn";
-        if (!record.ended || !mayAskAgain)
+        if (!record.ended || !mayRetry)
             return false;
         m_site.clock.advance(retryWait);
         send(item);
@@ -167,8 +169,8 @@
         logical_request item;
         item.request = makeRequest("plan", "turn-" + std::to_string(turn), turn == 1);
         item.request.session = session;
-        // Before its first answer a caller without a name has no session yet: a second
-        // try is another one.
+        // Without a session name, the caller has no session before its first answer, and a
+        // retry may open another one.
         item.group = session.empty() ? "" : group;
         const bool served = sendUntilServed(item);
         const bool isWithdrawn = m_site.caller(item.last).code == "version_withdrawn";
@@ -177,7 +179,7 @@
         if (name.empty() && served)
             session = m_site.caller(item.last).header("X-Laurelcroft-Session");
         if (isWithdrawn) {
-            // The answer says to begin a new session.
+            // The error asks the caller to open a new session.
             begun += 1;
             session = name.empty() ? "" : name + std::to_string(begun);
             group = "draft-" + std::to_string(begun);
@@ -213,7 +215,7 @@
 {
     simulated_site site(seed, faults, activeSabotage);
     site.startSite(testBundle());
-    // Only what the scenario passes counts, not the start of the site.
+    // Steps passed while the site started are not part of the scenario.
     site.stepCounts.clear();
     site.afterCounts.clear();
     cell_result result;
@@ -231,13 +233,13 @@
     return result;
 }
 
-/// Steps of the background, which say nothing about the scenario.
+/// \returns true for steps of background activity, which is independent of the scenario.
 static bool isBackgroundStep(const std::string &step)
 {
     return step.rfind("bundle", 0) == 0 || step.rfind("none", 0) == 0;
 }
 
-/// Adds every fault at the first and the last passing of every step.
+/// Adds a cell for each kind of fault at the first and the last passage of each step.
 static void addCells(std::vector<cell> &cells, const std::string &scenario,
                      const std::map<std::string, int> &steps, bool after)
 {
--- a/test/FaultMatrix/Scenarios.h
+++ b/test/FaultMatrix/Scenarios.h
@@ -1,7 +1,7 @@
-//===-- Scenarios.h - what callers do in a cell of the matrix ----*- C++ -*-===//
+//===-- Scenarios.h - caller scenarios and cells of the matrix ----*- C++ -*-===//
 //
-// Each scenario is one kind of request of the brief, with a caller that retries as
-// the answers tell it to.
+// Each scenario sends one kind of request. Its caller retries when the answer permits
+// it. A cell runs one scenario with the faults injected at chosen steps.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_TEST_FAULTMATRIX_SCENARIOS_H
@@ -14,29 +14,29 @@
 
 namespace laurelcroft::testing {
 
-/// The bundle that all scenarios use.
+/// \returns the bundle that all scenarios use.
 bundle testBundle();
 
-/// Names of the scenarios.
+/// \returns the names of all scenarios.
 const std::vector<std::string> &scenarioNames();
 
-/// What one cell ended with.
+/// The result of running one cell.
 struct cell_result
 {
     std::vector<violation> violations;
-    bool allFaultsInjected = false; ///< every fault did
-    bool served = false; ///< the scenario's request was answered whole
-    std::map<std::string, int> steps; ///< passed before their effect, with their counts
-    std::map<std::string, int> afterSteps; ///< passed after it
+    bool allFaultsInjected = false; ///< no fault missed its step
+    bool served = false; ///< the scenario's requests received complete answers
+    std::map<std::string, int> steps; ///< passages of each step, counted before its effect
+    std::map<std::string, int> afterSteps; ///< passages of each step, counted after its effect
     std::vector<decision> decisions;
     std::vector<caller_record> callers;
 };
 
-/// Runs one cell from start to quiescence and audits it.
+/// Runs one cell from site start until all activity has settled, and audits it.
 cell_result runCell(const std::string &scenario, const std::vector<fault_point> &faults,
                     std::uint64_t seed, sabotage activeSabotage = sabotage::none);
 
-/// One cell's address.
+/// Identifies one cell of the fault matrix.
 struct cell
 {
     std::string scenario;
@@ -46,10 +46,12 @@
     std::string text() const;
 };
 
-/// All single faults at all steps that the scenarios pass without a fault.
+/// \returns a cell for each kind of fault at the first and the last passage of each step that
+/// a fault-free run of the scenario passes.
 std::vector<cell> allCells();
 
-/// A seeded sample of \p count pairs of them, each pair in one scenario.
+/// \returns \p count cells with two faults each, drawn at random by \p seed from \p cells of
+/// the same scenario.
 std::vector<cell> samplePairs(const std::vector<cell> &cells, std::size_t count,
                               std::uint64_t seed);
 
--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -1,7 +1,8 @@
-//===-- World.cpp - the site and its network ------------------------------------===//
+//===-- World.cpp - instances, network and membership of the simulation ----------===//
 //
-// Membership is an oracle with a delay here; the protocol itself has tests of its
-// own. Everything else is the real code.
+// Membership changes are announced to all instances after a delay instead of running
+// the gossip protocol, which has tests of its own. The decisions are made by the
+// production cores.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
@@ -134,7 +135,7 @@
 {
     const wire::member member = memberOf(item, state);
     clock.after(delay, [this, member] {
-        // An instance that came back meanwhile is not declared dead.
+        // An instance that runs again by now is not declared dead.
         fake_instance *const alive = find(member.id());
         const bool isBack = alive != nullptr && alive->runtime.isRunning();
         if (member.state() == wire::member_dead && isBack)
@@ -200,7 +201,7 @@
         const bundle_epoch epoch = item->current() ? item->current()->accepted.epoch : 0;
         const bool reverts = activeSabotage == sabotage::revertEpoch && item->id == "e1";
         if (epoch + (reverts ? 0 : 1) <= item->highestEpoch)
-            observedViolations.push_back(item->id + " took an older bundle");
+            observedViolations.push_back(item->id + " went back to an older bundle epoch");
         item->highestEpoch = std::max(item->highestEpoch, epoch);
     }
     clock.after(gossipPeriod, [this] { gossipTick(); });
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -1,7 +1,7 @@
-//===-- World.h - small fakes around the real decisions ----------*- C++ -*-===//
+//===-- World.h - deterministic simulation of one site ------------*- C++ -*-===//
 //
-// Entries and agents run their real cores over a fake table, fake links and fake
-// engines, on one paused clock. A fault strikes at a named step.
+// Entries and agents run their production cores over a fake table, fake links and
+// fake engines, all driven by one manual clock. Faults are injected at named steps.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_TEST_FAULTMATRIX_WORLD_H
@@ -24,26 +24,26 @@
 struct simulated_entry_core;
 struct simulated_agent_core;
 
-/// What can go wrong.
+/// Faults that the simulation can inject.
 enum class fault_kind {
     none,
-    killEntry,
-    killAgent,
-    freezeEntry,
-    freezeAgent,
-    resetLink, ///< the connection between entry and agent breaks once
-    cutLink, ///< nothing passes between them for six seconds
-    tableDown, ///< twenty seconds
-    tableSlow, ///< answers after the client's deadline, for ten seconds
-    loseAnswer, ///< the next write takes effect, its answer is lost
-    loseRequest, ///< the next write never arrives
-    engineFails, ///< the next work fails after it started
+    killEntry, ///< without notice, as SIGKILL
+    killAgent, ///< without notice, as SIGKILL
+    freezeEntry, ///< as SIGSTOP, then SIGCONT five seconds later
+    freezeAgent, ///< as SIGSTOP, then SIGCONT five seconds later
+    resetLink, ///< every open stream between entries and agents breaks once
+    cutLink, ///< no message passes between one entry and one agent for six seconds
+    tableDown, ///< the table cannot be reached for twenty seconds
+    tableSlow, ///< for ten seconds, the client times out before a call takes effect
+    loseAnswer, ///< the next write takes effect, but its answer is lost
+    loseRequest, ///< the next write never reaches the table
+    engineFails, ///< the next attempt fails after its engine has started
     poolFull, ///< all agents refuse for two seconds
-    stopEntry, ///< planned
-    stopAgent, ///< planned
-    replaceAll, ///< all instances, one after another, planned
-    loseDataCentre, ///< every instance of dc1
-    lateMembership, ///< deaths are heard of ten seconds late
+    stopEntry, ///< planned stop: drains first
+    stopAgent, ///< planned stop: drains first
+    replaceAll, ///< replaces all instances one after another by planned stops
+    loseDataCentre, ///< kills every instance of dc1
+    lateMembership, ///< kills the agent and reports deaths ten seconds late from then on
     callerRepeats, ///< the caller sends the same key to the other entry at once
     withdraw, ///< the version in use is withdrawn
 };
@@ -51,37 +51,37 @@
 inline constexpr int lastFaultKind = static_cast<int>(fault_kind::withdraw);
 std::string_view textOf(fault_kind kind);
 
-/// A switch in the fakes that breaks one promise on purpose, to prove the auditor.
+/// A defect that the fakes introduce on purpose, to check that the auditor reports it.
 enum class sabotage {
     none,
-    runTwice, ///< the engine runs every work twice
-    dropBills, ///< the table loses bills
-    doubleBills, ///< bills are written under a second key as well
-    mixAnswers, ///< callers get another request's text
-    lieNotRun, ///< errors say that nothing has run
-    otherVersion, ///< the engine is given another version than the session's
-    withdrawnWork, ///< agents take work for withdrawn versions
-    leavingWork, ///< a leaving agent's endpoint is given work
-    cutOnStop, ///< a planned stop kills
-    revertEpoch, ///< a process takes an older bundle
-    forbiddenWork, ///< an engine runs what the customer may not use
+    runTwice, ///< engines run every attempt twice
+    dropBills, ///< the table confirms bills without storing them
+    doubleBills, ///< the table stores each bill under a second key as well
+    mixAnswers, ///< callers receive the answer of another request
+    lieNotRun, ///< errors claim that the request has not run
+    otherVersion, ///< engines run a version other than the session's
+    withdrawnWork, ///< engines run version 2 even after its withdrawal
+    leavingWork, ///< a leaving agent still admits attempts
+    cutOnStop, ///< a planned stop kills without draining
+    revertEpoch, ///< the check of e1's bundle epoch reports a step backwards
+    forbiddenWork, ///< engines run a model that the customer is not allowed to use
 };
 
-/// Where a fault strikes.
+/// The fault to inject and the step at which to inject it.
 struct fault_point
 {
     std::string step;
     int occurrence = 1;
-    bool after = false; ///< after the step's effect
+    bool after = false; ///< true: after the step has taken effect; false: before
     fault_kind kind = fault_kind::none;
 
     std::string text() const;
 };
 
-/// One start of work at an engine.
+/// One start of an attempt at an engine.
 struct engine_start
 {
-    time_point at{}; ///< when the agent admitted it
+    time_point at{}; ///< when the agent passed the attempt to the engine
     std::string requestId;
     std::string agent;
     std::string entry;
@@ -100,15 +100,15 @@
     time_point sentAt{};
     time_point answeredAt{};
     bool headersReceived = false;
-    bool ended = false; ///< has its final answer
-    bool connectionLost = false; ///< the connection broke
+    bool ended = false; ///< the final answer has arrived or the connection was lost
+    bool connectionLost = false;
     int status = 0;
     std::string body;
     http_headers headers;
-    std::string executed; ///< of an error
-    std::string code; ///< of an error
-    std::string group; ///< requests of one session share it
-    std::string requestId; ///< as the headers or the key tell
+    std::string executed; ///< field "executed" of an error body
+    std::string code; ///< field "code" of an error body
+    std::string group; ///< identifies the session; empty outside one
+    std::string requestId; ///< from the response header or the idempotency key
     bool complete() const { return ended && !connectionLost && status < 400; }
     std::string header(std::string_view name) const
     {
@@ -116,7 +116,7 @@
     }
 };
 
-/// The table's store, shared by all processes.
+/// State of the fake table, shared by all simulated processes.
 struct table_store
 {
     std::map<std::string, table_row> rows;
@@ -126,7 +126,7 @@
     bool loseNextRequest = false;
 };
 
-/// A process's client of the fake table.
+/// Client of the fake table for one simulated process.
 class fake_table
 {
 public:
@@ -153,17 +153,17 @@
     std::string m_owner;
 };
 
-/// One attempt's stream between an entry and an agent.
+/// The stream of one attempt between an entry and an agent.
 struct fake_stream
 {
     std::uint64_t id = 0;
     std::string entry;
     std::string agent;
     bool open = true;
-    std::deque<std::function<void()>> held; ///< messages that a cut holds back
+    std::deque<std::function<void()>> held; ///< messages delayed by a cut link
 };
 
-/// What entry and agent share of the environment.
+/// The environment interface that entry and agent cores have in common.
 class fake_instance
 {
 public:
@@ -203,7 +203,7 @@
     fake_entry(simulated_site &site, std::string id, std::string dataCentre);
     ~fake_entry() override;
 
-    // The environment of the core.
+    // Interface that entry_core requires of its environment.
     attempt_handle openAttempt(const std::string &instance, const wire::from_entry &first);
     void sendAttempt(attempt_handle handle, const wire::from_entry &message);
     void closeAttempt(attempt_handle handle);
@@ -233,12 +233,12 @@
     fake_agent(simulated_site &site, std::string id, std::string dataCentre, std::string pool);
     ~fake_agent() override;
 
-    // The environment of the core.
+    // Interface that agent_core requires of its environment.
     void sendToEntry(link_stream_id stream, const wire::from_agent &message);
     void closeStream(link_stream_id stream);
     void resetStream(link_stream_id stream) { closeStream(stream); }
     void startWork(work_id work, const wire::offer &offer);
-    void startEngine(work_id work, const wire::offer &offer, time_point givenAt);
+    void startEngine(work_id work, const wire::offer &offer, time_point handedOverAt);
     void cancelWork(work_id work);
     void sendOrder(const engine_order &order, std::function<void(bool)> done);
 
@@ -251,11 +251,11 @@
     bool isIdle() const override;
 
     std::string pool;
-    std::set<work_id> runningWork; ///< that the engine runs
+    std::set<work_id> runningWork; ///< attempts that the engine is running
     std::unique_ptr<simulated_agent_core> core;
 };
 
-/// The real cores; named here because an environment is complete only now.
+/// The production cores, defined here because they need complete environment types.
 struct simulated_entry_core : entry_core<process_runtime, fake_table, fake_entry>
 {
     using entry_core::entry_core;
@@ -266,28 +266,29 @@
     using agent_core::agent_core;
 };
 
-/// Everything together.
+/// One site: its instances, network, table, callers and clock.
 class simulated_site
 {
 public:
     simulated_site(std::uint64_t seed, std::vector<fault_point> faults, sabotage activeSabotage);
     ~simulated_site();
 
-    /// Starts entries and agents and waits until the first bundle is in force.
+    /// Starts entries and agents and gives them three seconds to load the first bundle.
     void startSite(const bundle &rules);
 
-    /// Puts \p rules in force as an operator would.
+    /// Writes \p rules to the table as the current bundle, with a valid signature.
     void acceptBundle(const bundle &rules);
 
-    /// Sends a caller's request to \p entry. \returns its number.
+    /// Sends \p request to \p entry. \returns the caller's id.
     caller_id send(const std::string &entry, caller_request request);
+    /// Closes the caller's connection before its answer is complete.
     void disconnectCaller(caller_id caller);
     caller_record &caller(caller_id id) { return callers.at(id); }
 
-    /// Runs the clock until \p done or \p longest has passed.
+    /// Advances the clock until \p done returns true or \p longest has passed.
     void runUntil(const std::function<bool()> &done, duration longest);
 
-    /// Names a step that is passed; a fault may strike here.
+    /// Counts one passage of step \p name and injects the faults due at it.
     void step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent);
 
     bool wasInjected(fault_kind kind) const;
@@ -312,29 +313,32 @@
 
     manual_runtime clock;
     random_source random;
-    std::vector<fault_point> faults; ///< each strikes once
+    std::vector<fault_point> faults; ///< each is injected once
     sabotage activeSabotage;
-    std::vector<fault_kind> injectedFaults; ///< so far
+    std::vector<fault_kind> injectedFaults; ///< in order of injection
     table_store store;
     std::map<std::string, std::string> objects;
     std::map<caller_id, caller_record> callers;
     std::vector<engine_start> engineStarts;
-    std::map<std::string, std::set<std::string>> billHolderIds; ///< who held a request's bill
-    std::set<std::string> killed; ///< dead without a planned stop
-    std::map<std::string, std::set<std::string>> outputs; ///< texts engines made for a request
+    std::map<std::string, std::set<std::string>>
+            billHolderIds; ///< by request: instances that hold or held its bill
+    std::set<std::string> killed; ///< instances that died without a planned stop
+    std::map<std::string, std::set<std::string>>
+            outputs; ///< by request: complete texts that engines generated
     std::vector<decision> decisions;
-    std::map<std::string, int> stepCounts; ///< before their effect
-    std::map<std::string, int> afterCounts; ///< after it; not every step has one
+    std::map<std::string, int> stepCounts; ///< passages of each step, counted before its effect
+    std::map<std::string, int>
+            afterCounts; ///< passages counted after the effect; not every step has them
     std::map<std::uint64_t, fake_stream> streams;
     std::set<std::pair<std::string, std::string>> cuts;
     bool failNextWork = false;
     duration membershipDelay = seconds(3);
     duration workTime = milliseconds(40);
-    double cheapTierScore = 0.5; ///< confidence of the cheap tier
-    std::vector<bundle> accepted; ///< by epoch, from 1
+    double cheapTierScore = 0.5; ///< confidence score of answers of the model "small"
+    std::vector<bundle> accepted; ///< the bundle of epoch N is at index N - 1
     std::vector<time_point> acceptedAt;
-    std::map<std::string, time_point> stoppedAt; ///< planned stops
-    std::vector<std::string> observedViolations; ///< that the fakes noticed themselves
+    std::map<std::string, time_point> stoppedAt; ///< when each planned stop began
+    std::vector<std::string> observedViolations; ///< violations detected while the simulation runs
     std::uint64_t lastStream = 0;
 
 private:
@@ -348,7 +352,7 @@
     std::map<std::string, std::unique_ptr<fake_entry>> m_entries;
     std::map<std::string, std::unique_ptr<fake_agent>> m_agents;
     std::vector<std::unique_ptr<fake_instance>>
-            m_stoppedInstances; ///< stay until the end: timers point there
+            m_stoppedInstances; ///< kept alive because pending timers refer to them
     std::set<std::string> m_deadIds;
     caller_id m_lastCaller = 0;
     int m_rounds = 0;
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -1,6 +1,6 @@
-//===-- WorldFaults.cpp - the faults of the world --------------------------===//
+//===-- WorldFaults.cpp - effects of the injected faults --------------------===//
 //
-// Where a fault strikes is decided by the steps that requests pass; what it does is here.
+// step() decides when a fault is due; injectFault() carries it out.
 //
 //===----------------------------------------------------------------------===//
 #include "World.h"
@@ -42,13 +42,14 @@
         announceMember(victim, wire::member_leaving, milliseconds(300));
 }
 
-/// Ends stopped processes once they are idle, as the binaries do.
+/// Ends draining processes once they are idle, as the real programs do.
 void simulated_site::stopTick()
 {
     for (fake_instance *item : instances()) {
-        const bool waited = clock.now() - item->leftAt >= minStopDuration;
-        const bool stays = activeSabotage == sabotage::leavingWork;
-        if (item->leaving && waited && !stays && item->runtime.isRunning() && item->isIdle())
+        const bool minTimePassed = clock.now() - item->leftAt >= minStopDuration;
+        const bool ignoresStop = activeSabotage == sabotage::leavingWork;
+        if (item->leaving && minTimePassed && !ignoresStop && item->runtime.isRunning()
+            && item->isIdle())
             kill(*item, true);
     }
     clock.after(stopPeriod, [this] { stopTick(); });
@@ -63,10 +64,10 @@
     if (!asPlanned)
         killed.insert(victim.id);
     announceMember(victim, wire::member_dead, membershipDelay);
-    std::vector<std::uint64_t> broken;
+    std::vector<std::uint64_t> brokenStreams;
     for (const auto &[id, stream] : streams) {
         if (stream.entry == victim.id || stream.agent == victim.id)
-            broken.push_back(id);
+            brokenStreams.push_back(id);
     }
     const std::string id = victim.id;
     if (auto node = m_agents.extract(id); !node.empty()) {
@@ -85,7 +86,7 @@
         record.connectionLost = true;
         record.answeredAt = clock.now();
     }
-    for (const std::uint64_t stream : broken)
+    for (const std::uint64_t stream : brokenStreams)
         breakStream(stream);
 }
 
@@ -100,12 +101,12 @@
         fake_instance *const frozen = find(id);
         if (frozen == nullptr || !frozen->runtime.isFrozen())
             return;
-        std::vector<std::uint64_t> broken;
+        std::vector<std::uint64_t> brokenStreams;
         for (const auto &[streamId, stream] : streams) {
             if (stream.entry == id || stream.agent == id)
-                broken.push_back(streamId);
+                brokenStreams.push_back(streamId);
         }
-        for (const std::uint64_t stream : broken)
+        for (const std::uint64_t stream : brokenStreams)
             breakStream(stream);
     });
     clock.after(length, [this, id] {
@@ -128,12 +129,12 @@
     clock.after(pingTimeout, [this, a, b] {
         if (!isCut(a, b))
             return;
-        std::vector<std::uint64_t> broken;
+        std::vector<std::uint64_t> brokenStreams;
         for (const auto &[id, stream] : streams) {
             if (stream.entry == a && stream.agent == b)
-                broken.push_back(id);
+                brokenStreams.push_back(id);
         }
-        for (const std::uint64_t id : broken)
+        for (const std::uint64_t id : brokenStreams)
             breakStream(id);
         if (fake_entry *const entry = findEntry(a))
             entry->runtime.run([entry, b] { entry->core->directory().onUnreachable(b); });
@@ -150,6 +151,7 @@
         }
     });
 }
+
 void simulated_site::step(const std::string &name, bool after, fake_entry *entry, fake_agent *agent)
 {
     auto &counts = after ? afterCounts : stepCounts;
@@ -175,7 +177,7 @@
     const time_point now = clock.now();
     switch (kind) {
     case fault_kind::none:
-    case fault_kind::callerRepeats: // acted on by the scenario
+    case fault_kind::callerRepeats: // carried out by the scenario
         break;
     case fault_kind::killEntry:
         if (entry != nullptr)
@@ -243,11 +245,11 @@
                 fake_instance *const old = find(id);
                 if (old == nullptr)
                     return;
-                const std::string fresh = id + "n" + std::to_string(++m_replacements);
+                const std::string newId = id + "n" + std::to_string(++m_replacements);
                 if (const fake_agent *const oldAgent = findAgent(id))
-                    addAgent(fresh, old->dataCentre, oldAgent->pool);
+                    addAgent(newId, old->dataCentre, oldAgent->pool);
                 else
-                    addEntry(fresh, old->dataCentre);
+                    addEntry(newId, old->dataCentre);
                 planStop(*old);
             });
             when += seconds(2);
