--- a/test/Golden/GoldenTests.cpp
+++ b/test/Golden/GoldenTests.cpp
@@ -1,8 +1,9 @@
-//===-- GoldenTests.cpp - whole sessions, byte for byte ---------------------===//
+//===-- GoldenTests.cpp - golden tests of simulated sessions ----------------===//
 //
-// Each session's requests, decisions with reasons, answers and bills are compared
-// with a file. After an intended change, run with LAURELCROFT_GOLDEN_NEW=1: it
-// writes NAME.new beside NAME, to be read before it takes its place.
+// Each test records the requests, decisions with reasons, answers and bills of a session
+// and compares the text byte for byte with a golden file. After an intended change, run
+// with LAURELCROFT_GOLDEN_NEW=1: it writes NAME.txt.new beside each golden file NAME.txt.
+// Review the difference before you replace the golden file.
 //
 //===----------------------------------------------------------------------===//
 #include "Scenarios.h"
@@ -22,7 +23,7 @@
 constexpr duration maxAnswerWait = seconds(90);
 constexpr duration settleTime = seconds(30);
 
-/// One session under the paused clock, and the text that it leaves.
+/// Runs one session in a simulated site and records it as text.
 class golden_session
 {
 public:
@@ -35,6 +36,7 @@
 
     simulated_site &site() { return m_site; }
 
+    /// Writes \p line with the time since the session began.
     void writeLine(const std::string &line) { m_text << clockText() << line << "\n"; }
 
     caller_id send(const std::string &entry, const std::string &target, const std::string &session,
@@ -53,7 +55,7 @@
         return m_site.send(entry, request);
     }
 
-    /// Waits for the answer and writes it with the decisions that led to it.
+    /// Waits for the answer and writes it after the decisions made meanwhile.
     caller_record awaitAnswer(caller_id id)
     {
         m_site.runUntil([&] { return m_site.caller(id).ended; }, maxAnswerWait);
@@ -75,6 +77,7 @@
 
     void wait(duration time) { m_site.clock.advance(time); }
 
+    /// Lets the site settle. \returns the recorded text with the bills and any violations.
     std::string text()
     {
         wait(settleTime);
@@ -119,16 +122,18 @@
 
 } // namespace
 
+/// Compares \p text with the golden file of \p name.
 static void compareWithFile(const std::string &name, const std::string &text)
 {
     const std::string path = std::string(GOLDEN_DIR) + "/" + name + ".txt";
     std::ifstream in(path);
-    const std::string wanted{std::istreambuf_iterator<char>(in), {}};
+    const std::string expected{std::istreambuf_iterator<char>(in), {}};
     if (std::getenv("LAURELCROFT_GOLDEN_NEW") != nullptr)
         std::ofstream(path + ".new") << text;
-    CHECK(text == wanted);
+    CHECK(text == expected);
 }
 
+/// \returns the test bundle with a roll-out of large@2 to \p share percent of new sessions.
 static bundle rollingBundle(std::uint32_t share)
 {
     bundle rules = testBundle();
@@ -137,7 +142,7 @@
     return rules;
 }
 
-TEST_CASE("golden: an officer refines one draft over days and a roll-out")
+TEST_CASE("golden: a session of several days keeps its versions during a roll-out")
 {
     golden_session session(rollingBundle(0));
     const std::string token = session.awaitAnswer(session.send("e1", "plan", "", ""))
@@ -153,7 +158,7 @@
     compareWithFile("bureau-draft", session.text());
 }
 
-TEST_CASE("golden: a traveller follows one route while its version is withdrawn")
+TEST_CASE("golden: the version of a named session is withdrawn")
 {
     golden_session session(testBundle());
     session.site().cheapTierScore = 0.9;
@@ -182,7 +187,7 @@
     compareWithFile("bureau-rebuild", session.text());
 }
 
-TEST_CASE("golden: substitutions and a rebuild during an outage of the table")
+TEST_CASE("golden: cascades and a rebuild while the table is down")
 {
     golden_session session(testBundle());
     session.writeLine("the table is down for a minute");
