--- a/test/Processes/ProcessTests.cpp
+++ b/test/Processes/ProcessTests.cpp
@@ -1,7 +1,7 @@
-//===-- ProcessTests.cpp - real processes, real signals ---------------------===//
+//===-- ProcessTests.cpp - system tests with real processes -----------------===//
 //
-// What the fault matrix proves over fakes is seen here once with sockets, threads
-// and signals.
+// Repeats selected cases of the fault matrix, which simulates processes, with real
+// processes, sockets, threads and signals.
 //
 //===----------------------------------------------------------------------===//
 #include "Site.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Two entries, two agents on each pool, a bundle in force everywhere.
+/// Two entries, two agents in each pool, and a bundle that is in force everywhere.
 struct full_site : site
 {
     explicit full_site(int decodeUs = 2000)
@@ -32,13 +32,14 @@
         }
         putInForce(siteBundle("settled"));
         waitForEpoch(1);
-        // Orders to load take effect a moment after the bundle.
+        // Endpoints load the versions shortly after the bundle takes effect.
         for (const char *entry : {"e1", "e2"}) {
             for (const char *model : {"small", "large", "publish"})
                 CHECK(waitUntilServed(entry, model));
         }
     }
 
+    /// Repeats a request to \p entry until it is served.
     bool waitUntilServed(const std::string &entry, const std::string &model)
     {
         request_options options;
@@ -48,12 +49,14 @@
         return runUntil([&] { return sendAndWait(options).complete(); });
     }
 
+    /// Counts how often the endpoints of \p pool have started \p requestId.
     std::size_t countStarts(const std::string &requestId, const std::string &pool)
     {
         return countJournalEntries(pool + "1-engine", "started", requestId)
                 + countJournalEntries(pool + "2-engine", "started", requestId);
     }
 
+    /// Waits until the table has exactly one bill for \p requestId.
     bool waitForBill(const std::string &requestId)
     {
         return runUntil([&] { return tableRows("bill/" + requestId).size() == 1; });
@@ -87,7 +90,8 @@
     }
 }
 
-TEST_CASE("processes: a caller leaves; the engine's work is cancelled, what was sent is billed")
+TEST_CASE(
+        "processes: a caller disconnects; the engine cancels the attempt and its output is billed")
 {
     full_site site(5000);
     request_options options;
@@ -108,7 +112,7 @@
     CHECK(bill["cost"].get<double>() > 0);
 }
 
-TEST_CASE("processes: an agent is killed in mid-answer; what may be repeated is served")
+TEST_CASE("processes: an agent is killed during its answers; repeatable requests are still served")
 {
     full_site site(20000);
     request_options options;
@@ -142,13 +146,14 @@
     const std::string id = first.header("X-Laurelcroft-Request-Id");
     const pending_call second = site.sendAndWait(options);
     CHECK(errorOf(second).value("code", "") == "already_running");
-    // The offer lay in the socket of a frozen agent: it must not run when that wakes.
+    // An offer that was buffered in the socket of a frozen agent must not run when the agent
+    // resumes.
     REQUIRE(site.waitUntilServed("e1", "publish"));
     REQUIRE(site.waitUntilServed("e2", "publish"));
     CHECK(site.countStarts(id, "plain") == 0);
 }
 
-TEST_CASE("processes: a planned stop of an entry and of an agent under load cuts nothing")
+TEST_CASE("processes: a planned stop of an entry and of an agent under load interrupts no request")
 {
     full_site site(5000);
     std::vector<std::shared_ptr<pending_call>> calls;
@@ -181,7 +186,7 @@
     CHECK(site.countJournalEntries("cheap1-engine", "started", "") == before);
 }
 
-TEST_CASE("processes: while the table is down, repeatable work goes on and bills wait")
+TEST_CASE("processes: while the table is down, repeatable requests are served and billed later")
 {
     full_site site;
     site.injectFault("table", {{"down", true}});
@@ -198,7 +203,7 @@
     CHECK(refused.status == 503);
     CHECK(errorOf(refused).value("executed", "") == "no");
     CHECK(errorOf(refused).value("retry_after_ms", 0) > 0);
-    // The entry dies with its bills; a second process holds them.
+    // Another process holds copies of the bills that the killed entry had not written.
     site.process("e1").signal(SIGKILL);
     site.process("e1").wait();
     site.injectFault("table", {{"down", false}});
@@ -208,7 +213,7 @@
     CHECK(site.runUntil([&] { return site.sendAndWait(options).complete(); }));
 }
 
-TEST_CASE("processes: a rebuild whose entry dies is not run again, and its answer is kept")
+TEST_CASE("processes: a rebuild whose entry is killed is not run again, and its answer is replayed")
 {
     full_site site(20000);
     request_options options;
@@ -273,7 +278,7 @@
     options.entry = "e3";
     CHECK(site.runUntil([&] { return (answer = site.sendAndWait(options)).complete(); }));
     CHECK(answer.header("X-Laurelcroft-Version") == version);
-    // The version is withdrawn: the session is refused with its reason, never moved.
+    // A session on a withdrawn version is refused and never moved to another version.
     site.putInForce(siteBundle("withdrawn"));
     site.waitForEpoch(2);
     answer = site.sendAndWait(options);
@@ -285,7 +290,8 @@
     CHECK(answer.header("X-Laurelcroft-Version") == "1");
 }
 
-TEST_CASE("processes: two operators race, one wins; a lost answer is resolved")
+TEST_CASE("processes: a change needs two signatures and the current epoch; the history lists each "
+          "epoch")
 {
     full_site site;
     site.injectFault("table", {{"lose_answers", 0}});
@@ -294,7 +300,7 @@
     const auto withdrawn = site.runOperator({"withdraw", "small@2", "--key-file", "KEY-A",
                                              "--signoff-required", "1", "--operator", "ann"});
     CHECK(withdrawn.first == 0);
-    // One key does not sign off for the site, whatever the command is told.
+    // Entries require two signatures, even if the operator command was told that one suffices.
     const pending_call still = site.sendAndWait({});
     CHECK(still.header("X-Laurelcroft-Bundle") == "1");
     const auto waiting = site.runOperator({"withdraw", "small@1", "--key-file", "KEY-A"});
@@ -310,14 +316,14 @@
     CHECK(history.second.find("epoch 3 by") != std::string::npos);
 }
 
-TEST_CASE("processes: bad input gets its own error and harms nobody")
+TEST_CASE("processes: malformed input gets an error and leaves other requests unaffected")
 {
     full_site site;
     const std::string address = site.url("e1").substr(std::string("http://127.0.0.1:").size());
     const auto port = static_cast<std::uint16_t>(std::stoi(address));
     asio::io_context context;
     std::vector<asio::ip::tcp::socket> sockets;
-    const std::vector<std::string> noises
+    const std::vector<std::string> malformedInputs
             = {"\x00\x01\x02 garbage\r\n\r\n",
                "GET / HTTP/9.9\r\n\r\n",
                "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n{",
@@ -325,16 +331,16 @@
                "GET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n",
                "GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n",
                "GET / HTTP/1.1\r\nX: " + std::string(20000, 'b') + "\r\n\r\n"};
-    for (const std::string &noise : noises) {
+    for (const std::string &input : malformedInputs) {
         sockets.emplace_back(context);
         sockets.back().connect({asio::ip::make_address("127.0.0.1"), port});
         asio::error_code ignored;
-        asio::write(sockets.back(), asio::buffer(noise), ignored);
+        asio::write(sockets.back(), asio::buffer(input), ignored);
         sockets.back().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     }
-    request_options stranger;
-    stranger.customer = "nobody";
-    CHECK(site.sendAndWait(stranger).status == 401);
+    request_options unknownCustomer;
+    unknownCustomer.customer = "nobody";
+    CHECK(site.sendAndWait(unknownCustomer).status == 401);
     request_options unknown;
     unknown.model = "unheard-of";
     CHECK(site.sendAndWait(unknown).status == 404);
--- a/test/Processes/Site.cpp
+++ b/test/Processes/Site.cpp
@@ -1,6 +1,6 @@
-//===-- Site.cpp - a small site of real processes ---------------------------===//
+//===-- Site.cpp - test fixture that runs a site of real processes ----------===//
 //
-// Every wait is for a condition, with a bound that only a failure reaches.
+// Every wait is for a condition, with a time limit that is reached only on failure.
 //
 //===----------------------------------------------------------------------===//
 #include "Site.h"
@@ -57,7 +57,7 @@
         signal(SIGKILL);
         wait();
     }
-    // LAURELCROFT_KEEP_LOGS names a folder for the logs of a failing run.
+    // If LAURELCROFT_KEEP_LOGS is set, keep the output in the folder that it names.
     if (const char *folder = std::getenv("LAURELCROFT_KEEP_LOGS"))
         std::ofstream(std::string(folder) + "/" + m_name + ".log") << output();
     unlink(m_logPath.c_str());
@@ -239,7 +239,7 @@
     runOperator({"sign", hash, "--key-file", "KEY-B"});
     const auto accepted = runOperator({"accept", hash});
     if (accepted.first != 0)
-        throw std::runtime_error("not accepted: " + proposed.second + accepted.second);
+        throw std::runtime_error("bundle not accepted: " + proposed.second + accepted.second);
 }
 
 void site::waitForEpoch(std::uint64_t epoch)
@@ -298,7 +298,8 @@
     while (std::chrono::steady_clock::now() < end) {
         if (done())
             return true;
-        // A condition may ask the table: polling without a pause would use up its rate.
+        // Polling without a pause would exceed the table's rate limit when a condition reads the
+        // table.
         asio::steady_timer pause(m_context, pollInterval);
         pause.async_wait([](const asio::error_code &) {});
         m_context.restart();
--- a/test/Processes/Site.h
+++ b/test/Processes/Site.h
@@ -1,7 +1,7 @@
-//===-- Site.h - a small site of real processes ------------------*- C++ -*-===//
+//===-- Site.h - test fixture that runs a site of real processes -*- C++ -*-===//
 //
-// Starts stand-ins, entries and agents as processes on loopback, finds their
-// ports in what they print, and ends them by process id.
+// Starts stand-ins, entries and agents as processes on loopback, reads their ports from
+// their output, and ends them by process id.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_TEST_PROCESSES_SITE_H
@@ -22,7 +22,7 @@
 
 namespace laurelcroft::testing {
 
-/// One child process; its output goes to a file.
+/// A child process whose output goes to a temporary file.
 class child
 {
 public:
@@ -37,7 +37,7 @@
     int wait();
     bool hasEnded();
 
-    /// Waits until \p marker was printed. \returns the word that follows it.
+    /// Waits until the process has printed \p marker. \returns the word after it.
     std::string waitForWord(const std::string &marker) const;
     std::string output() const;
     int pid() const { return m_pid; }
@@ -49,12 +49,12 @@
     std::optional<int> m_exitCode;
 };
 
-/// A call that is under way.
+/// An HTTP call and what has been received of its response.
 struct pending_call
 {
     http_call_id id = 0;
     bool ended = false;
-    bool failed = false; ///< cut or timed out
+    bool failed = false; ///< the connection was lost or the call timed out
     int status = 0;
     http_headers headers;
     std::string body;
@@ -65,7 +65,7 @@
     }
 };
 
-/// How to ask for something.
+/// Parameters of a request to an entry.
 struct request_options
 {
     std::string entry = "e1";
@@ -77,7 +77,7 @@
     int tokens = 8;
 };
 
-/// The site: a table, an object store, ratings, engines with agents, entries.
+/// A site with a table, an object store, a ratings service, endpoints with agents, and entries.
 class site
 {
 public:
@@ -87,33 +87,39 @@
     child &start(const std::string &name, const std::vector<std::string> &command);
     child &process(const std::string &name) { return *m_children.at(name); }
     void startEntry(const std::string &name, const std::string &dataCentre);
-    /// \param decodeUs time of one token at its engine.
+    /// \param decodeUs time per generated token at the agent's endpoint, in microseconds.
     void startAgent(const std::string &name, const std::string &dataCentre, const std::string &pool,
                     int decodeUs);
 
-    /// Runs the operators' command. \returns exit code and output.
+    /// Runs the operator command with \p words. \returns its exit code and output.
     std::pair<int, std::string> runOperator(const std::vector<std::string> &words);
-    /// Writes and puts in force \p text as both operators.
+    /// Proposes the bundle \p text, signs it with both operators' keys and accepts it.
     void putInForce(const std::string &text);
+    /// Waits until every running entry and agent has bundle \p epoch in force.
     void waitForEpoch(std::uint64_t epoch);
 
+    /// Starts a request to an entry; runUntil() advances it.
     std::shared_ptr<pending_call> sendRequest(const request_options &options);
     std::shared_ptr<pending_call> call(http_call request);
-    /// Closes the connection of a call that is under way.
+    /// Closes the connection of an unfinished call.
     void cancelCall(const pending_call &call) { m_client.cancel(call.id); }
-    /// Runs the client until \p done holds. \returns false after \p longest.
+    /// Runs the client until \p done returns true. \returns false if \p longest passes first.
     bool runUntil(const std::function<bool()> &done, seconds longest = seconds(20));
-    /// Asks and waits for the end.
+    /// Sends a request and waits for the end of its response.
     pending_call sendAndWait(const request_options &options);
 
+    /// Configures a fault at a stand-in.
     void injectFault(const std::string &standin, const nlohmann::json &what);
+    /// \returns the journal lines of a stand-in.
     std::vector<nlohmann::json> readJournal(const std::string &standin);
+    /// Counts the journal lines of \p kind; an empty \p requestId matches every request.
     std::size_t countJournalEntries(const std::string &standin, const std::string &kind,
                                     const std::string &requestId);
-    /// \returns the keys under \p prefix that the table holds now, with their values.
+    /// \returns the current table rows whose keys start with \p prefix, as key and value.
     std::map<std::string, std::string> tableRows(const std::string &prefix);
 
     std::string url(const std::string &name) const { return m_urls.at(name); }
+    /// \returns the value of a metric of \p entry, or an empty string if it has none.
     std::string readEntryMetric(const std::string &entry, const std::string &series);
 
 private:
@@ -128,7 +134,7 @@
     std::string m_signoffKeys;
 };
 
-/// The bundle that the process tests use; \p small2 is the state of small@2.
+/// \returns the bundle that the process tests use, with small@2 in state \p small2.
 std::string siteBundle(const std::string &small2);
 
 } // namespace laurelcroft::testing
--- a/test/Processes/main.cpp
+++ b/test/Processes/main.cpp
@@ -1,6 +1,6 @@
-//===-- main.cpp - runs the tests over real processes ----------------------------===//
+//===-- main.cpp - main of the process tests ----------------------------------===//
 //
-// doctest's own main.
+// Defines main() by means of doctest.
 //
 //===----------------------------------------------------------------------===//
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
