--- a/test/FaultMatrix/World.cpp
+++ b/test/FaultMatrix/World.cpp
@@ -187,12 +187,12 @@
 
 void simulated_site::gossipTick()
 {
-    m_rounds += 1;
+    m_gossipRounds += 1;
     const auto list = instances();
     for (fake_instance *item : list) {
         if (!item->runtime.isRunning())
             continue;
-        if (m_rounds % gossipRoundsPerPoll == 0)
+        if (m_gossipRounds % gossipRoundsPerPoll == 0)
             item->poll();
         item->adoptStaleBills();
         fake_instance *const peer = list[random.index(list.size())];
--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -355,7 +355,7 @@
             m_stoppedInstances; ///< kept alive because pending timers refer to them
     std::set<std::string> m_deadIds;
     caller_id m_lastCaller = 0;
-    int m_rounds = 0;
+    int m_gossipRounds = 0;
     int m_replacements = 0;
     signing_key m_key;
 };
