--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -295,7 +295,7 @@
     void injectFault(fault_kind kind, fake_entry *entry, fake_agent *agent);
     void kill(fake_instance &victim, bool asPlanned = false);
     void freeze(fake_instance &victim, duration length);
-    void planStop(fake_instance &victim);
+    void beginPlannedStop(fake_instance &victim);
     fake_entry *addEntry(const std::string &id, const std::string &dataCentre);
     fake_agent *addAgent(const std::string &id, const std::string &dataCentre,
                          const std::string &pool);
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void simulated_site::planStop(fake_instance &victim)
+void simulated_site::beginPlannedStop(fake_instance &victim)
 {
     if (victim.leaving || !victim.runtime.isRunning())
         return;
@@ -232,11 +232,11 @@
         break;
     case fault_kind::stopEntry:
         if (entry != nullptr)
-            planStop(*entry);
+            beginPlannedStop(*entry);
         break;
     case fault_kind::stopAgent:
         if (agent != nullptr)
-            planStop(*agent);
+            beginPlannedStop(*agent);
         break;
     case fault_kind::replaceAll: {
         duration when{0};
@@ -250,7 +250,7 @@
                     addAgent(newId, old->dataCentre, oldAgent->pool);
                 else
                     addEntry(newId, old->dataCentre);
-                planStop(*old);
+                beginPlannedStop(*old);
             });
             when += seconds(2);
         }
