--- a/test/FaultMatrix/World.h
+++ b/test/FaultMatrix/World.h
@@ -193,7 +193,7 @@
     process_runtime runtime;
     fake_table table;
     bool leaving = false;
-    time_point leftAt{};
+    time_point stopBeganAt{};
     bundle_epoch highestEpoch = 0;
 };
 
--- a/test/FaultMatrix/WorldFaults.cpp
+++ b/test/FaultMatrix/WorldFaults.cpp
@@ -31,7 +31,7 @@
         return;
     }
     victim.leaving = true;
-    victim.leftAt = clock.now();
+    victim.stopBeganAt = clock.now();
     stoppedAt[victim.id] = clock.now();
     if (fake_entry *const entry = findEntry(victim.id))
         entry->core->drain();
@@ -46,7 +46,7 @@
 void simulated_site::stopTick()
 {
     for (fake_instance *item : instances()) {
-        const bool minTimePassed = clock.now() - item->leftAt >= minStopDuration;
+        const bool minTimePassed = clock.now() - item->stopBeganAt >= minStopDuration;
         const bool ignoresStop = activeSabotage == sabotage::leavingWork;
         if (item->leaving && minTimePassed && !ignoresStop && item->runtime.isRunning()
             && item->isIdle())
