--- a/test/FaultMatrix/Auditor.cpp
+++ b/test/FaultMatrix/Auditor.cpp
@@ -169,7 +169,7 @@
     }
 }
 
-static bool saysNotRun(const caller_record &record)
+static bool answeredNotRun(const caller_record &record)
 {
     return record.ended && !record.connectionLost && record.executed == "no";
 }
@@ -188,7 +188,7 @@
             if (!isCause)
                 continue;
             hasCause = true;
-            allAnsweredNotRun = allAnsweredNotRun && saysNotRun(record);
+            allAnsweredNotRun = allAnsweredNotRun && answeredNotRun(record);
         }
         if (hasCause && allAnsweredNotRun)
             found.push_back({guarantee::notRunIsTrue,
