--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -61,7 +61,7 @@
 {
     std::string host = "127.0.0.1";
     std::uint16_t port = 0; ///< 0: any free port
-    std::size_t largestBody = 8 << 20; ///< in bytes; the connection is closed if a body is larger
+    std::size_t maxBodyBytes = 8 << 20; ///< in bytes; the connection is closed if a body is larger
     /// Maximum size of the URL and of each header name and value.
     std::size_t maxHeaderFieldBytes = 8192;
     std::size_t maxConnections = 4096;
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -237,7 +237,7 @@
                             .max_parallel_connections(m_state->options.maxConnections)
                             .incoming_http_msg_limits(
                                     restinio::incoming_http_msg_limits_t{}
-                                            .max_body_size(m_state->options.largestBody)
+                                            .max_body_size(m_state->options.maxBodyBytes)
                                             .max_field_value_size(
                                                     m_state->options.maxHeaderFieldBytes)
                                             .max_field_name_size(
