--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -20,7 +20,7 @@
 struct follow_pace
 {
     milliseconds readInterval{0}; ///< minimum time from an answer to the next call
-    milliseconds maxHold{0}; ///< how long the store may hold a call while there are no changes
+    milliseconds held{0}; ///< how long the store may hold a call while there are no changes
     /// How long a starting process waits for a relay before it reads the store itself. When all
     /// processes start at once, a relay has a table some tens of milliseconds later than the store
     /// could deliver it, and the relay may also start later. When a hundred entries start together,
@@ -227,7 +227,7 @@
         };
         // While the store is unavailable, its calls are not held: its recovery is noticed at once,
         // and a call that hangs times out sooner.
-        const milliseconds maxHold = m_lost ? milliseconds(0) : m_pace.maxHold;
+        const milliseconds maxHold = m_lost ? milliseconds(0) : m_pace.held;
         if (m_since == unknownVersion)
             m_store.list(m_table, std::move(done));
         else
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -61,7 +61,7 @@
 {
     follow_pace pace;
     pace.readInterval = between;
-    pace.maxHold = m_links.timings.maxStoreHold;
+    pace.held = m_links.timings.maxStoreHold;
     pace.staleWait = m_links.timings.staleWait;
     return pace;
 }
