--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -29,7 +29,7 @@
 constexpr milliseconds step{100};
 
 /// Changes the set of entries. Called each \c step with the time since the simulation began.
-using churn = std::function<void(retry_world &world, milliseconds at)>;
+using churn = std::function<void(retry_fixture &world, milliseconds at)>;
 
 /// \returns true if \p at is a multiple of \p pause.
 bool isMultipleOf(milliseconds at, milliseconds pause)
@@ -42,9 +42,9 @@
     return std::find(moments.begin(), moments.end(), int(at.count())) != moments.end();
 }
 
-void noChurn(retry_world &, milliseconds) { }
+void noChurn(retry_fixture &, milliseconds) { }
 
-void killAllRepeatedly(retry_world &world, milliseconds at)
+void killAllRepeatedly(retry_fixture &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {13000, 15000, 17000}))
@@ -54,7 +54,7 @@
     }
 }
 
-void killInTurn(retry_world &world, milliseconds at)
+void killInTurn(retry_fixture &world, milliseconds at)
 {
     const std::size_t count = world.entries.size();
     const milliseconds pause{std::max<std::int64_t>(100, 2500 / std::int64_t(count) / 100 * 100)};
@@ -65,14 +65,14 @@
     world.kill(turn % count);
 }
 
-void restartInTurn(retry_world &world, milliseconds at)
+void restartInTurn(retry_fixture &world, milliseconds at)
 {
     const milliseconds pause{800};
     if (isMultipleOf(at, pause) && at > seconds(5))
         world.restart(std::size_t(at / pause) % world.entries.size());
 }
 
-void doubleEntries(retry_world &world, milliseconds at)
+void doubleEntries(retry_fixture &world, milliseconds at)
 {
     if (!isOneOf(at, {14000}))
         return;
@@ -80,7 +80,7 @@
         world.join();
 }
 
-void callersMove(retry_world &world, milliseconds at)
+void callersMove(retry_fixture &world, milliseconds at)
 {
     if (isOneOf(at, {5000}))
         world.preferEntry(0);
@@ -88,7 +88,7 @@
         world.preferEntry(1);
 }
 
-void suspendAllTwice(retry_world &world, milliseconds at)
+void suspendAllTwice(retry_fixture &world, milliseconds at)
 {
     for (std::size_t i = 0; i < world.entries.size(); ++i) {
         if (isOneOf(at, {10000, 15000}))
@@ -99,20 +99,20 @@
 }
 
 /// All endpoints refuse all requests from 12 s to 19 s.
-request_outcome refusedForSeconds(retry_world &, milliseconds at)
+request_outcome refusedForSeconds(retry_fixture &, milliseconds at)
 {
     return at >= seconds(12) && at < seconds(19) ? request_outcome::refuses
                                                  : request_outcome::answers;
 }
 
 /// All endpoints refuse all requests for six of each seven seconds.
-request_outcome refusedMostly(retry_world &, milliseconds at)
+request_outcome refusedMostly(retry_fixture &, milliseconds at)
 {
     return at % seconds(7) >= seconds(1) ? request_outcome::refuses : request_outcome::answers;
 }
 
 /// From 11 s on, most requests fail with an error, a broken connection or no answer at all.
-request_outcome failsMostly(retry_world &world, milliseconds at)
+request_outcome failsMostly(retry_fixture &world, milliseconds at)
 {
     if (at < seconds(11))
         return request_outcome::answers;
@@ -121,7 +121,7 @@
     return ends[world.random.index(ends.size())];
 }
 
-using fault = request_outcome (*)(retry_world &world, milliseconds at);
+using fault = request_outcome (*)(retry_fixture &world, milliseconds at);
 
 struct named_churn
 {
@@ -148,7 +148,7 @@
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
     plan.allowance = size.allowance;
-    retry_world world(plan);
+    retry_fixture world(plan);
     const time_point begin = world.runtime.now();
     world.endpointEnds = [&](const std::string &) {
         return ends(world, std::chrono::floor<milliseconds>(world.runtime.now() - begin));
--- a/unittests/Proxy/RetryOutlookTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -41,7 +41,7 @@
 {
     for (const std::size_t entries : {3, 12}) {
         CAPTURE(entries);
-        retry_world world(lookupPlan(entries));
+        retry_fixture world(lookupPlan(entries));
         world.simulate(before);
         world.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
         // An entry with a twelfth of 100 requests per second sees thirty failures in one to two
@@ -73,7 +73,7 @@
     // answered. The budget allows at least 0.7 retries per request.
     constexpr double answered = 0.28;
     constexpr double further = 0.7;
-    retry_world world(lookupPlan(3));
+    retry_fixture world(lookupPlan(3));
     world.simulate(before);
     world.endpointEnds = [&](const std::string &endpoint) {
         const bool isSound = endpoint.back() % 5 == 0;
--- a/unittests/Proxy/RetryWorld.cpp
+++ b/unittests/Proxy/RetryWorld.cpp
@@ -80,7 +80,7 @@
     ++world->statuses[0];
 }
 
-retry_world::retry_world(retry_plan given)
+retry_fixture::retry_fixture(retry_plan given)
     : plan(std::move(given))
     , rule{{0.9, plan.allowance, seconds(10)}}
     , random(plan.seed)
@@ -92,13 +92,13 @@
     setEntriesOfAll();
 }
 
-void retry_world::updateEntries()
+void retry_fixture::updateEntries()
 {
     if (!plan.storeAway)
         setEntriesOfAll();
 }
 
-void retry_world::setEntriesOfAll()
+void retry_fixture::setEntriesOfAll()
 {
     std::vector<std::string> names;
     for (const auto &entry : entries) {
@@ -111,7 +111,7 @@
     }
 }
 
-void retry_world::start(std::size_t index)
+void retry_fixture::start(std::size_t index)
 {
     if (entries[index])
         return;
@@ -125,7 +125,7 @@
     runtime.after(plan.discoveryTime, [this] { updateEntries(); });
 }
 
-void retry_world::listEndpoints(routing_state &routing) const
+void retry_fixture::listEndpoints(routing_state &routing) const
 {
     for (unsigned i = 0; i < plan.endpoints; ++i) {
         endpoint_record record;
@@ -139,19 +139,19 @@
     }
 }
 
-void retry_world::kill(std::size_t index)
+void retry_fixture::kill(std::size_t index)
 {
     entries[index].reset();
     runtime.after(plan.discoveryTime, [this] { updateEntries(); });
 }
 
-void retry_world::join()
+void retry_fixture::join()
 {
     entries.emplace_back();
     start(entries.size() - 1);
 }
 
-void retry_world::restart(std::size_t index)
+void retry_fixture::restart(std::size_t index)
 {
     constexpr milliseconds drainTime{300};
     if (!entries[index])
@@ -163,7 +163,7 @@
     });
 }
 
-std::vector<std::size_t> retry_world::acceptingEntries() const
+std::vector<std::size_t> retry_fixture::acceptingEntries() const
 {
     std::vector<std::size_t> indices;
     for (std::size_t i = 0; i < entries.size(); ++i) {
@@ -173,7 +173,7 @@
     return indices;
 }
 
-void retry_world::request()
+void retry_fixture::request()
 {
     requests.push_back(runtime.now());
     const std::string id = "r" + std::to_string(++lastRequest);
@@ -193,7 +193,7 @@
     });
 }
 
-void retry_world::take(retry_entry &entry, const std::string &id)
+void retry_fixture::take(retry_entry &entry, const std::string &id)
 {
     auto item = requestFor(plan.route);
     item->id = id;
@@ -204,13 +204,13 @@
     flow->start();
 }
 
-void retry_world::suspend(std::size_t index)
+void retry_fixture::suspend(std::size_t index)
 {
     if (entries[index])
         entries[index]->isSuspended = true;
 }
 
-void retry_world::resume(std::size_t index)
+void retry_fixture::resume(std::size_t index)
 {
     if (!entries[index])
         return;
@@ -220,7 +220,7 @@
         take(*entries[index], id);
 }
 
-void retry_world::simulate(milliseconds time)
+void retry_fixture::simulate(milliseconds time)
 {
     const time_point end = runtime.now() + time;
     while (runtime.now() < end) {
--- a/unittests/Proxy/RetryWorld.h
+++ b/unittests/Proxy/RetryWorld.h
@@ -25,7 +25,7 @@
 /// How a simulated endpoint handles a request.
 enum class request_outcome { answers, refuses, fails, breaks, hangs };
 
-struct retry_world;
+struct retry_fixture;
 
 /// One process of an entry.
 struct retry_entry
@@ -41,7 +41,7 @@
 /// Environment of a request flow at one entry.
 struct retry_environment
 {
-    retry_world *world;
+    retry_fixture *world;
     retry_entry *entry;
 
     manual_runtime &runtime();
@@ -76,9 +76,9 @@
 };
 
 /// The simulated fleet, endpoints and callers.
-struct retry_world
+struct retry_fixture
 {
-    explicit retry_world(retry_plan plan);
+    explicit retry_fixture(retry_plan plan);
 
     /// Simulates callers' requests for \p time.
     void simulate(milliseconds time);
