--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -30,9 +30,9 @@
 /// Number of entries that one entry sends each notice to, as in production.
 constexpr std::size_t listeners = 12;
 
-struct limit_world;
+struct limit_fixture;
 
-using fleet_flow = request_flow<fleet_environment<limit_world>>;
+using fleet_flow = request_flow<fleet_environment<limit_fixture>>;
 
 /// A simulated endpoint: the limit that it states and the requests that it received.
 struct limited_endpoint
@@ -43,7 +43,7 @@
 };
 
 /// A simulated fleet in front of endpoints that may state rate limits.
-struct limit_world
+struct limit_fixture
 {
     fleet entries;
     service_route route = lookupRoute();
@@ -57,7 +57,7 @@
     std::size_t nextListener = 0;
 
     /// \param count number of entries.
-    explicit limit_world(std::size_t count)
+    explicit limit_fixture(std::size_t count)
     {
         route.objective = milliseconds(2000);
         entries.store.put("orders", "contract", "7");
@@ -143,7 +143,7 @@
         for (duration passed{0}; passed < time; passed += requestInterval) {
             runtime().advance(requestInterval);
             std::erase_if(flows, [](const auto &flow) { return flow->isDone(); });
-            const fleet_environment<limit_world> environment{this, &*entry};
+            const fleet_environment<limit_fixture> environment{this, &*entry};
             flows.push_back(std::make_shared<fleet_flow>(environment, requestFor(route)));
             flows.back()->start();
             if (++entry == entries.entries.end())
@@ -211,7 +211,7 @@
         for (const unsigned limited : {endpoints / 2, endpoints}) {
             CAPTURE(count);
             CAPTURE(limited);
-            limit_world world(count);
+            limit_fixture world(count);
             world.simulate(seconds(3));
             world.stateLimits(limited);
             world.simulate(seconds(20));
@@ -224,7 +224,7 @@
 {
     for (const std::size_t count : {3U, 12U}) {
         CAPTURE(count);
-        limit_world world(count);
+        limit_fixture world(count);
         world.losesNotices = true;
         world.simulate(seconds(3));
         world.stateLimits(endpoints / 2);
@@ -237,7 +237,7 @@
 {
     for (const std::size_t count : {1U, 3U, 12U, 40U}) {
         CAPTURE(count);
-        limit_world world(count);
+        limit_fixture world(count);
         world.stateLimits(endpoints);
         world.simulate(seconds(33));
         CHECK(world.leastLimitUsed(seconds(30)) >= 0.5);
@@ -248,7 +248,7 @@
 {
     for (const bool losesNotices : {false, true}) {
         CAPTURE(losesNotices);
-        limit_world world(12);
+        limit_fixture world(12);
         world.stateLimits(2);
         world.simulate(seconds(6));
         world.liftLimits();
@@ -265,7 +265,7 @@
 
 TEST_CASE("refusals have a Retry-After header when all rate limits are used up")
 {
-    limit_world world(3);
+    limit_fixture world(3);
     world.stateLimits(endpoints);
     world.simulate(seconds(10));
     CHECK(world.refused > world.served);
--- a/unittests/Proxy/RateLimitWatchTests.cpp
+++ b/unittests/Proxy/RateLimitWatchTests.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-struct limit_world : flow_fixture
+struct limit_fixture : flow_fixture
 {
-    limit_world()
+    limit_fixture()
         : flow_fixture(lookupRoute(), {"e1"})
     {
     }
@@ -37,7 +37,7 @@
 
 TEST_CASE("an endpoint's rate limit holds until a signed answer states none")
 {
-    limit_world world;
+    limit_fixture world;
     CHECK_FALSE(world.endpoint().rateLimit());
     world.answerWithLimit(1.5);
     CHECK(world.endpoint().rateLimit() == 1.5);
@@ -51,7 +51,7 @@
 
 TEST_CASE("only notable changes of a rate limit are counted")
 {
-    limit_world world;
+    limit_fixture world;
     for (const double perSecond : {1.5, 1.5, 1.6, 1.5, 3.0})
         world.answerWithLimit(perSecond);
     world.answerWithLimit(std::nullopt);
