--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -41,12 +41,12 @@
 constexpr unsigned maxEnded = 6; ///< required bound for any number of entries
 constexpr unsigned maxLaterArrivals = 3;
 
-struct crash_world;
+struct crash_fixture;
 
 /// Environment of a request flow at one entry of a fleet.
 struct crash_environment
 {
-    crash_world *world;
+    crash_fixture *world;
     fleet_entry *entry;
     std::string who; ///< kind of caller whose outcomes are counted
 
@@ -81,7 +81,7 @@
 };
 
 /// A fleet of entries with simulated endpoints and callers.
-struct crash_world
+struct crash_fixture
 {
     struct endpoint_call
     {
@@ -89,7 +89,7 @@
         call_events events;
     };
 
-    explicit crash_world(std::size_t entryCount, std::uint64_t seed = 1)
+    explicit crash_fixture(std::size_t entryCount, std::uint64_t seed = 1)
         : random(seed)
     {
         route.resumable = true;
@@ -337,7 +337,7 @@
         return number;
     }
     world->users[id].insert(entry);
-    const bool crashes = crash_world::endsEndpoints(attempt.request->body);
+    const bool crashes = crash_fixture::endsEndpoints(attempt.request->body);
     if (crashes)
         world->arrivals.push_back(runtime().now());
     world->later(runDelay,
@@ -378,7 +378,7 @@
     CAPTURE(entryCount);
     CAPTURE(pause.count());
     CAPTURE(seed);
-    crash_world world(entryCount, seed);
+    crash_fixture world(entryCount, seed);
     world.simulate(seconds(20), pause);
     CHECK(world.endedAt.size() >= 1);
     CHECK(world.endedAt.size() <= maxEnded);
@@ -406,7 +406,7 @@
         for (const std::uint64_t seed : {1, 2, 3, 4}) {
             CAPTURE(entryCount);
             CAPTURE(seed);
-            crash_world world(entryCount, seed);
+            crash_fixture world(entryCount, seed);
             world.unrelatedCrashInterval = milliseconds(130);
             world.popularRequestInterval = milliseconds(20);
             world.simulate(seconds(20), milliseconds(0));
@@ -422,7 +422,7 @@
 {
     for (const std::size_t entryCount : {3, 12, 100}) {
         CAPTURE(entryCount);
-        crash_world world(entryCount);
+        crash_fixture world(entryCount);
         world.unrelatedCrashInterval = milliseconds(500);
         world.popularRequestInterval = milliseconds(40);
         world.simulate(seconds(20), milliseconds(400));
@@ -436,7 +436,7 @@
 {
     for (const std::size_t entryCount : {3, 12, 100}) {
         CAPTURE(entryCount);
-        crash_world world(entryCount);
+        crash_fixture world(entryCount);
         world.crashers = 2;
         world.simulate(seconds(20), milliseconds(200));
         CHECK(world.endedAt.size() <= 2 * maxEnded);
@@ -448,12 +448,12 @@
 {
     for (const std::size_t entryCount : {3, 12, 100}) {
         CAPTURE(entryCount);
-        crash_world without(entryCount);
+        crash_fixture without(entryCount);
         without.entries.store.away = true;
         without.simulate(seconds(5), milliseconds(400));
         CHECK(without.endedAt.size() <= maxEnded);
 
-        crash_world lossy(entryCount);
+        crash_fixture lossy(entryCount);
         lossy.lostDatagrams = 0.5;
         lossy.simulate(seconds(20), milliseconds(400));
         CHECK(lossy.endedAt.size() <= maxEnded);
@@ -466,7 +466,7 @@
         for (const std::uint64_t seed : {1, 2, 3}) {
             CAPTURE(entryCount);
             CAPTURE(seed);
-            crash_world silent(entryCount, seed);
+            crash_fixture silent(entryCount, seed);
             silent.lostDatagrams = 1;
             silent.simulate(seconds(20), milliseconds(400));
             CHECK(silent.laterArrivals() <= maxLaterArrivals);
@@ -476,7 +476,7 @@
 
 TEST_CASE("many requests that each crash endpoints once cause no other request to be withheld")
 {
-    crash_world world(12);
+    crash_fixture world(12);
     world.crashers = 1000;
     world.simulate(seconds(20), milliseconds(1500));
     CHECK(world.outcomes["others"].withheld == 0);
@@ -486,7 +486,7 @@
 
 TEST_CASE("a crashing request is tried at a new version and withheld there again")
 {
-    crash_world world(3);
+    crash_fixture world(3);
     world.simulate(seconds(5), milliseconds(400));
     const std::size_t before = world.endedAt.size();
     CHECK(before >= crash_suspects::endsToWithhold);
