--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -36,9 +36,9 @@
 constexpr milliseconds window{10000}; ///< duration of a roll-out, as the test codec decodes it
 
 /// Simulates sessions whose requests arrive at any entry, and records changes of their versions.
-struct session_world
+struct session_fixture
 {
-    explicit session_world(std::uint64_t seed)
+    explicit session_fixture(std::uint64_t seed)
         : random(seed)
     {
         for (unsigned i = 0; i < endpointsPerVersion; ++i)
@@ -142,7 +142,7 @@
     unsigned over = 0;
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_world world(seed);
+        session_fixture world(seed);
         world.startRollout();
         world.run(seconds(12));
         over += world.changedToNew;
@@ -157,7 +157,7 @@
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_world world(seed);
+        session_fixture world(seed);
         // Chooses one of the busiest entries that read rows from others.
         for (fleet_entry &entry : world.entries.entries) {
             if (!entry.readers.empty()) {
@@ -178,7 +178,7 @@
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_world world(seed);
+        session_fixture world(seed);
         unsigned number = 0;
         for (fleet_entry &entry : world.entries.entries) {
             if (!entry.readers.empty() && ++number % 2 == 0)
