--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -27,13 +27,13 @@
 }
 
 /// A fleet of entries and endpoints that send heartbeats, each at its own time.
-struct lapse_world
+struct lapse_fixture
 {
     fleet entries;
     /// Lowest number of usable endpoints seen at any entry.
     std::size_t minUsable = std::numeric_limits<std::size_t>::max();
 
-    explicit lapse_world(std::size_t count = fewEntries)
+    explicit lapse_fixture(std::size_t count = fewEntries)
     {
         addInitialRows(entries);
         entries.start(0, count);
@@ -97,7 +97,7 @@
 {
     // Entries that read from others once kept none of 60 endpoints after an outage, because the
     // readers did not tell them that the store was back.
-    lapse_world world;
+    lapse_fixture world;
     for (const int ms : {4000, 9000}) {
         CAPTURE(ms);
         world.outage(milliseconds(ms));
@@ -111,7 +111,7 @@
 {
     // Only the readers notice the outage. The other entries cannot distinguish it from a reader
     // that is cut off, and stop using removed endpoints until their rows are back.
-    lapse_world world;
+    lapse_fixture world;
     for (const int ms : {600, 1500}) {
         CAPTURE(ms);
         world.outage(milliseconds(ms));
@@ -123,7 +123,7 @@
 
 TEST_CASE("endpoints stay usable when calls hang during the outage")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.entries.store.awayDelay = milliseconds(900);
     world.outage(seconds(4));
     world.pass(seconds(6));
@@ -132,7 +132,7 @@
 
 TEST_CASE("endpoints stay usable when the store drops its history as it returns")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.entries.store.hasLostHistory = true;
     world.outage(seconds(4));
     world.pass(seconds(1));
@@ -143,7 +143,7 @@
 
 TEST_CASE("endpoints stay usable when first the other entries and then the readers lose the store")
 {
-    lapse_world world;
+    lapse_fixture world;
     for (const bool readersAway : {false, true}) {
         for (fleet_entry &entry : world.entries.entries)
             entry.store.rejectsCalls = entry.readers.empty() == readersAway;
@@ -158,7 +158,7 @@
 
 TEST_CASE("endpoints stay usable when an entry starts during the outage")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.entries.store.away = true;
     world.pass(milliseconds(500));
     world.entries.start(fewEntries, fewEntries + 1);
@@ -170,7 +170,7 @@
 
 TEST_CASE("an entry that starts late in an outage uses the rows that the others still trust")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.entries.store.away = true;
     world.pass(seconds(5));
     world.entries.start(fewEntries, fewEntries + 1);
@@ -184,7 +184,7 @@
 
 TEST_CASE("all entries know all endpoints soon after an outage in which the readers lost power")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.entries.store.away = true;
     world.pass(seconds(1));
     for (fleet_entry &entry : world.entries.entries) {
@@ -201,7 +201,7 @@
 
 TEST_CASE("no entry uses an endpoint that died in the outage")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.dead.insert(7);
     world.outage(seconds(4));
     world.pass(recoveryBound);
@@ -217,7 +217,7 @@
 
 TEST_CASE("an endpoint that returns after it was dropped is known to all entries again")
 {
-    lapse_world world;
+    lapse_fixture world;
     world.dead.insert(7);
     world.entries.store.remove("endpoints", idOf(7));
     world.pass(seconds(3));
@@ -234,7 +234,7 @@
     // The endpoint never announces that it leaves: its row is removed. The other entries cannot
     // know that the store was available all the time, only how long ago they last heard from it.
     for (int i = 0; i < 10; ++i) {
-        lapse_world world;
+        lapse_fixture world;
         world.pass(milliseconds(170 * i));
         for (fleet_entry &entry : world.entries.entries)
             entry.store.rejectsCalls = entry.readers.empty();
@@ -254,7 +254,7 @@
 /// \returns how many of the other entries still use the endpoint after the bound.
 static std::size_t sendersAfterBound(std::size_t count, milliseconds phase)
 {
-    lapse_world world(count);
+    lapse_fixture world(count);
     fleet_entry *reader = nullptr;
     for (fleet_entry &entry : world.entries.entries)
         reader = entry.readers.empty() ? &entry : reader;
