--- a/unittests/Proxy/LeavingEndpointTests.cpp
+++ b/unittests/Proxy/LeavingEndpointTests.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-struct leaving_world : flow_fixture
+struct leaving_fixture : flow_fixture
 {
     using flow_fixture::flow_fixture;
 
@@ -50,7 +50,7 @@
     for (const int code : {200, 500, 503}) {
         for (const call_end end : {call_end::complete, call_end::broken}) {
             CAPTURE(code);
-            leaving_world world(lookupRoute(), {"e1", "e2"});
+            leaving_fixture world(lookupRoute(), {"e1", "e2"});
             startFlow(world, requestFor(lookupRoute()));
             const std::string leaving = world.endpointOf(0);
             world.answerLeaving(0, code, end);
@@ -61,7 +61,7 @@
 
 TEST_CASE("the leaving state of an endpoint is kept by later rows and cleared by a new start")
 {
-    leaving_world world(lookupRoute(), {"e1"});
+    leaving_fixture world(lookupRoute(), {"e1"});
     endpoint_record record = world.directory().all().at("e1")->record();
     record.startedAt = 100;
     record.rowVersion = 7;
@@ -79,7 +79,7 @@
 
 TEST_CASE("callers are refused at once when all endpoints have stated that they are leaving")
 {
-    leaving_world world(lookupRoute(), {"e1"});
+    leaving_fixture world(lookupRoute(), {"e1"});
     startFlow(world, requestFor(lookupRoute()));
     world.answerLeaving(0);
     world.status = 0;
@@ -91,7 +91,7 @@
 
 TEST_CASE("a broken stream is resumed at another endpoint when its endpoint is leaving")
 {
-    leaving_world world(draftRoute(), {"e1", "e2"});
+    leaving_fixture world(draftRoute(), {"e1", "e2"});
     startFlow(world, requestFor(draftRoute()));
     proxy_answer answer;
     answer.status = 200;
