--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-struct sync_world
+struct sync_fixture
 {
-    explicit sync_world(const std::string &name = "e1",
-                        milliseconds leaveBound = milliseconds(2000))
+    explicit sync_fixture(const std::string &name = "e1",
+                          milliseconds leaveBound = milliseconds(2000))
         : name(name)
         , leaveBound(leaveBound)
     {
@@ -83,7 +83,7 @@
 
 TEST_CASE("contract and endpoints are read, then followed")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("orders", "contract", "3");
     world.store.put("endpoints", "a", "v1");
     world.begin();
@@ -103,7 +103,7 @@
 
 TEST_CASE("a malformed or older contract leaves the current one in force")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("orders", "contract", "3");
     world.begin();
     world.store.put("orders", "contract", "wrong");
@@ -116,7 +116,7 @@
 
 TEST_CASE("a leaving endpoint is no longer used within a second of its row")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "a", "v1");
     world.begin();
     world.store.put("endpoints", "a", "v1-");
@@ -126,7 +126,7 @@
 
 TEST_CASE("endpoints are read more often on a site with a shorter bound")
 {
-    sync_world world("e1", milliseconds(500));
+    sync_fixture world("e1", milliseconds(500));
     world.store.put("endpoints", "a", "v1");
     world.begin();
     world.store.put("endpoints", "a", "v1-");
@@ -136,7 +136,7 @@
 
 TEST_CASE("an endpoint that was listed and removed between two reads stays removed")
 {
-    sync_world world;
+    sync_fixture world;
     world.begin();
     world.store.put("endpoints", "a", "v1");
     world.store.remove("endpoints", "a");
@@ -149,7 +149,7 @@
 
 TEST_CASE("a table is read again after the store drops its history, including removals")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "a", "v1");
     world.store.put("endpoints", "b", "v1");
     world.begin();
@@ -163,7 +163,7 @@
 
 TEST_CASE("endpoints whose rows expired in an outage get two seconds to return")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "a", "v1");
     world.store.put("endpoints", "b", "v1");
     world.begin();
@@ -184,7 +184,7 @@
 
 TEST_CASE("the end of an outage is noticed within a second")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("orders", "contract", "1");
     world.begin();
     world.store.away = true;
@@ -197,7 +197,7 @@
 
 TEST_CASE("an order is carried out to completion, and the operator status follows")
 {
-    sync_world world;
+    sync_fixture world;
     world.orderRollout();
     world.sync.start();
     world.runtime.advance(seconds(2));
@@ -218,7 +218,7 @@
 
 TEST_CASE("after an outage a roll-out waits for the evidence of other entries")
 {
-    sync_world world;
+    sync_fixture world;
     world.orderRollout();
     world.sync.start();
     world.runtime.advance(seconds(6));
@@ -244,7 +244,7 @@
 /// reverted.
 static milliseconds revertedAfter(milliseconds outage)
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "b", "v2");
     world.store.put("orders", "pool", "v2");
     world.sync.start();
@@ -276,7 +276,7 @@
 
 TEST_CASE("an entry that starts during a roll-out continues from its row")
 {
-    sync_world world;
+    sync_fixture world;
     world.orderRollout();
     // The order's row has version 4 here.
     const rollout_row row{4, "v2", rollout_stage::reverted, milliseconds(1), milliseconds(1), 0.1};
@@ -294,7 +294,7 @@
 
 TEST_CASE("entries count each other by their rows")
 {
-    sync_world world("e1");
+    sync_fixture world("e1");
     world.store.put("laurelcroft", "entry/e2", encodeEntry({"10.0.0.2:5", "hall"}));
     world.store.put("laurelcroft", "entry/e3", "nonsense");
     world.sync.start();
@@ -306,7 +306,7 @@
 
 TEST_CASE("rows of dead entries are removed, and a live entry writes its removed row again")
 {
-    sync_world world("e1");
+    sync_fixture world("e1");
     const auto storeNow
             = std::chrono::duration_cast<milliseconds>(world.runtime.now().time_since_epoch());
     world.store.put("laurelcroft", "entry/e2", encodeEntry({"10.0.0.2:5", "hall", storeNow}));
@@ -326,7 +326,7 @@
 
 TEST_CASE("an entry without the store learns from another one, and ignores older rows")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("orders", "contract", "3");
     world.begin();
     const std::uint64_t version = 50;
@@ -343,7 +343,7 @@
 
 TEST_CASE("an entry that starts during an outage learns from another one")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.away = true;
     world.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
     world.sync.start();
@@ -354,7 +354,7 @@
 
 TEST_CASE("failed writes are not repeated at every check")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "b", "v2");
     world.store.put("orders", "pool", "v2");
     world.sync.start();
@@ -367,7 +367,7 @@
 
 TEST_CASE("an entry with readers reads from them, and from the store only when they fail")
 {
-    sync_world world;
+    sync_fixture world;
     world.relayed = true;
     world.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
     world.store.put("endpoints", "a", "v1");
@@ -382,7 +382,7 @@
 
 TEST_CASE("an entry whose write conflicts continues from the current row")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "b", "v2");
     world.store.put("orders", "pool", "v2");
     world.begin();
@@ -396,7 +396,7 @@
 
 TEST_CASE("a restarted entry uses the evidence that it wrote before")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "b", "v2");
     world.store.put("orders", "pool", "v2");
     const rollout_evidence before{3, {{"route", {10, 30}}}};
@@ -408,7 +408,7 @@
 
 TEST_CASE("heartbeats are not passed on, changes are")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "a", "v1");
     world.store.put("endpoints", "b", "v1");
     world.begin();
@@ -427,7 +427,7 @@
 
 TEST_CASE("an unreadable record does not affect others and is counted once")
 {
-    sync_world world;
+    sync_fixture world;
     world.store.put("endpoints", "a", "v1");
     world.store.put("endpoints", "x", "foreign");
     world.begin();
