--- a/unittests/Proxy/ProxyServerTests.cpp
+++ b/unittests/Proxy/ProxyServerTests.cpp
@@ -48,9 +48,9 @@
 }
 
 /// An entry with one route to one endpoint that accepts connections but never answers.
-struct entry_world
+struct entry_fixture
 {
-    entry_world()
+    entry_fixture()
     {
         service_route route;
         route.name = "route";
@@ -107,7 +107,7 @@
 
 TEST_CASE("a request that arrives after an entry is drained is refused, not cut off")
 {
-    entry_world world;
+    entry_fixture world;
     proxy_server server(world.context, world.routing, world.metrics, plainDialect(), world.options);
     REQUIRE(server.open().empty());
     world.runFor(milliseconds(50));
