--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -61,7 +61,7 @@
 class entry_core
 {
 public:
-    using keeper_type = bundle_tracker<Runtime, Env>;
+    using tracker_type = bundle_tracker<Runtime, Env>;
     using runner_type = attempt_runner<Runtime, Env>;
 
     entry_core(Runtime &runtime, Table &table, Env &env, random_source &random, signoff_rule rule,
@@ -81,7 +81,7 @@
     {
     }
 
-    keeper_type &keeper() { return m_keeper; }
+    tracker_type &keeper() { return m_keeper; }
     endpoint_directory &directory() { return m_directory; }
     runner_type &runner() { return m_runner; }
     auto &outbox() { return m_outbox; }
@@ -355,7 +355,7 @@
     random_source &m_random;
     entry_options m_options;
     bool m_draining = false;
-    keeper_type m_keeper;
+    tracker_type m_keeper;
     endpoint_directory m_directory;
     runner_type m_runner;
     bill_outbox<Runtime, Table, Env> m_outbox;
