--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -70,8 +70,8 @@
         , m_env(env)
         , m_random(random)
         , m_options(std::move(options))
-        , m_keeper(runtime, env, std::move(rule),
-                   [this](const auto &taken) { m_guards.onBundle(taken->rules); })
+        , m_bundleTracker(runtime, env, std::move(rule),
+                          [this](const auto &taken) { m_guards.onBundle(taken->rules); })
         , m_directory(m_options.instance, m_options.dataCentre, m_options.subset)
         , m_runner(runtime, env, m_directory, random, m_options.attempts)
         , m_outbox(runtime, table, env, m_options.instance, m_options.outbox)
@@ -81,7 +81,7 @@
     {
     }
 
-    tracker_type &keeper() { return m_keeper; }
+    tracker_type &keeper() { return m_bundleTracker; }
     endpoint_directory &directory() { return m_directory; }
     runner_type &runner() { return m_runner; }
     auto &outbox() { return m_outbox; }
@@ -102,7 +102,7 @@
     std::size_t inFlight() const { return m_flows.size(); }
 
     /// \returns true if requests can be served.
-    bool isReady() const { return m_keeper.current() != nullptr && !m_draining; }
+    bool isReady() const { return m_bundleTracker.current() != nullptr && !m_draining; }
 
     /// Starts processing a caller's request.
     void submit(caller_request request)
@@ -152,7 +152,7 @@
     /// Answers a query for the models that a customer may use.
     void listModels(const models_request &request)
     {
-        const auto current = m_keeper.current();
+        const auto current = m_bundleTracker.current();
         const customer *who = current ? authenticate(current->rules, request.key) : nullptr;
         if (who == nullptr)
             m_env.answer(request.id, errorAnswer(current ? badKey() : noBundle()));
@@ -163,7 +163,7 @@
     /// Answers a query for the status of a request.
     void findRequest(const status_request &request)
     {
-        const auto current = m_keeper.current();
+        const auto current = m_bundleTracker.current();
         const customer *who = current ? authenticate(current->rules, request.key) : nullptr;
         if (who == nullptr) {
             m_env.answer(request.id, errorAnswer(current ? badKey() : noBundle()));
@@ -177,8 +177,8 @@
     /// Handles the bundle epoch in a message from another process.
     void onPeerEpoch(const std::string &peer, bundle_epoch epoch)
     {
-        if (epoch > m_keeper.epoch())
-            m_keeper.observePeerEpoch(peer, epoch, false, duration(0));
+        if (epoch > m_bundleTracker.epoch())
+            m_bundleTracker.observePeerEpoch(peer, epoch, false, duration(0));
     }
 
     /// Handles a roll-out that another process's guard stopped.
@@ -242,7 +242,7 @@
         known.rolloutStopped = m_guards.isStopped(name);
         const rollout *moving = rules.findRollout(name);
         known.confirmed = moving == nullptr
-                || m_keeper.isConfirmedWithin(seconds(moving->guard.confirmSeconds));
+                || m_bundleTracker.isConfirmedWithin(seconds(moving->guard.confirmSeconds));
         return known;
     }
 
@@ -355,7 +355,7 @@
     random_source &m_random;
     entry_options m_options;
     bool m_draining = false;
-    tracker_type m_keeper;
+    tracker_type m_bundleTracker;
     endpoint_directory m_directory;
     runner_type m_runner;
     bill_outbox<Runtime, Table, Env> m_outbox;
--- a/include/laurelcroft/Entry/EntryCoreImpl.h
+++ b/include/laurelcroft/Entry/EntryCoreImpl.h
@@ -13,7 +13,7 @@
         -> std::optional<caller_error>
 {
     flow.requestId = newRequestId();
-    flow.rules = m_keeper.current();
+    flow.rules = m_bundleTracker.current();
     if (!flow.rules)
         return noBundle();
     if (m_draining)
@@ -294,7 +294,7 @@
         if (flow == nullptr)
             return;
         flow->bundleRetries += 1;
-        flow->rules = m_keeper.current();
+        flow->rules = m_bundleTracker.current();
         const customer *who = flow->rules->rules.findCustomer(flow->customerName);
         flow->target = resolveTarget(flow->rules->rules, flow->request.target);
         if (who == nullptr || !flow->target.isKnown()
