--- a/include/laurelcroft/Agent/AgentCore.h
+++ b/include/laurelcroft/Agent/AgentCore.h
@@ -81,7 +81,7 @@
 
     void start() { tick(); }
 
-    tracker_type &keeper() { return m_bundleTracker; }
+    tracker_type &bundleTracker() { return m_bundleTracker; }
     auto &outbox() { return m_outbox; }
     std::uint64_t incarnation() const { return m_incarnation; }
 
--- a/include/laurelcroft/Entry/EntryCore.h
+++ b/include/laurelcroft/Entry/EntryCore.h
@@ -81,7 +81,7 @@
     {
     }
 
-    tracker_type &keeper() { return m_bundleTracker; }
+    tracker_type &bundleTracker() { return m_bundleTracker; }
     endpoint_directory &directory() { return m_directory; }
     runner_type &runner() { return m_runner; }
     auto &outbox() { return m_outbox; }
--- a/include/laurelcroft/Node/NodeEnvironment.h
+++ b/include/laurelcroft/Node/NodeEnvironment.h
@@ -62,11 +62,12 @@
 void bindCoreEvents(node_events &events, Core &core)
 {
     events.onEpoch = [&core](const epoch_observation &seen) {
-        core.keeper().observePeerEpoch(seen.from, seen.epoch, seen.confirmed, seen.confirmedAge);
+        core.bundleTracker().observePeerEpoch(seen.from, seen.epoch, seen.confirmed,
+                                              seen.confirmedAge);
     };
     events.onBundleRequest = [&core] {
         wire::bundle_reply reply;
-        if (const auto current = core.keeper().current()) {
+        if (const auto current = core.bundleTracker().current()) {
             reply.set_bundle_epoch(current->accepted.epoch);
             reply.set_acceptance(encodeAcceptance(current->accepted));
             reply.set_text(current->text);
@@ -75,10 +76,11 @@
     };
     events.onBillCopy = [&core](const wire::bill_copy &copy) { return core.outbox().hold(copy); };
     events.digest = [&core] {
-        const auto &keeper = core.keeper();
-        return epoch_digest{keeper.epoch(), keeper.confirmed(), keeper.confirmedAt()};
+        const auto &bundleTracker = core.bundleTracker();
+        return epoch_digest{bundleTracker.epoch(), bundleTracker.confirmed(),
+                            bundleTracker.confirmedAt()};
     };
-    events.pollTable = [&core] { core.keeper().poll(); };
+    events.pollTable = [&core] { core.bundleTracker().poll(); };
 }
 
 } // namespace laurelcroft
--- a/lib/Agent/AgentProcess.cpp
+++ b/lib/Agent/AgentProcess.cpp
@@ -263,9 +263,9 @@
 
 void agent_process::announceNewEpoch()
 {
-    if (m_core.keeper().epoch() == m_announcedEpoch)
+    if (m_core.bundleTracker().epoch() == m_announcedEpoch)
         return;
-    m_announcedEpoch = m_core.keeper().epoch();
+    m_announcedEpoch = m_core.bundleTracker().epoch();
     m_node.gossipDigest();
 }
 
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -93,7 +93,7 @@
                   routing, callerOptions, m_metrics, [this] { return m_ready.load(); },
                   [this](caller_message &&message) { onCaller(std::move(message)); })
         , m_status(m_node)
-        , m_sharing(m_node, m_core.limits(), [this] { return m_core.keeper().current(); })
+        , m_sharing(m_node, m_core.limits(), [this] { return m_core.bundleTracker().current(); })
     {
         attempt_stream_handlers handlers;
         handlers.onMessage
@@ -283,7 +283,7 @@
 
 void entry_process::answerFleet(caller_id id)
 {
-    m_status.collect(m_core.keeper().epoch(), [this, id](const std::string &body) {
+    m_status.collect(m_core.bundleTracker().epoch(), [this, id](const std::string &body) {
         m_callers.answer(
                 id, whole_answer{http_status::ok, {{"Content-Type", "application/json"}}, body});
     });
@@ -370,7 +370,7 @@
     }
     answerSingleRequest(stream, [this](std::string_view) -> std::optional<std::string> {
         wire::from_agent header;
-        header.set_bundle_epoch(m_core.keeper().epoch());
+        header.set_bundle_epoch(m_core.bundleTracker().epoch());
         return header.SerializeAsString();
     });
 }
@@ -378,13 +378,13 @@
 void entry_process::maintain()
 {
     m_ready = m_core.isReady();
-    if (m_core.keeper().epoch() != m_announcedEpoch) {
-        m_announcedEpoch = m_core.keeper().epoch();
+    if (m_core.bundleTracker().epoch() != m_announcedEpoch) {
+        m_announcedEpoch = m_core.bundleTracker().epoch();
         m_node.gossipDigest();
     }
     m_core.outbox().adoptExpired();
     m_metrics.set("in_flight", static_cast<double>(m_core.inFlight()));
-    m_metrics.set("bundle_epoch", static_cast<double>(m_core.keeper().epoch()));
+    m_metrics.set("bundle_epoch", static_cast<double>(m_core.bundleTracker().epoch()));
     m_metrics.set("bills_pending", static_cast<double>(m_core.outbox().pending()));
     m_metrics.set("bill_copies_held", static_cast<double>(m_core.outbox().copies()));
     m_metrics.set("resident_bytes", static_cast<double>(residentBytes()));
--- a/test/FaultMatrix/Instances.cpp
+++ b/test/FaultMatrix/Instances.cpp
@@ -290,25 +290,25 @@
 
 std::shared_ptr<const accepted_bundle> fake_entry::current() const
 {
-    return core->keeper().current();
+    return core->bundleTracker().current();
 }
 
 template <class K>
-static void observeEpoch(K &keeper, const fake_instance &peer, bundle_epoch epoch, bool confirmed,
-                         duration age)
+static void observeEpoch(K &bundleTracker, const fake_instance &peer, bundle_epoch epoch,
+                         bool confirmed, duration age)
 {
-    keeper.observePeerEpoch(peer.id, epoch, confirmed, age);
+    bundleTracker.observePeerEpoch(peer.id, epoch, confirmed, age);
 }
 
 void fake_entry::observePeer(const fake_instance &peer)
 {
     const auto held = peer.current();
-    observeEpoch(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
+    observeEpoch(core->bundleTracker(), peer, held ? held->accepted.epoch : 0, false, duration(0));
 }
 
 void fake_entry::poll()
 {
-    core->keeper().poll();
+    core->bundleTracker().poll();
 }
 
 void fake_entry::peerDied(const std::string &peer)
@@ -455,18 +455,18 @@
 
 std::shared_ptr<const accepted_bundle> fake_agent::current() const
 {
-    return core->keeper().current();
+    return core->bundleTracker().current();
 }
 
 void fake_agent::observePeer(const fake_instance &peer)
 {
     const auto held = peer.current();
-    observeEpoch(core->keeper(), peer, held ? held->accepted.epoch : 0, false, duration(0));
+    observeEpoch(core->bundleTracker(), peer, held ? held->accepted.epoch : 0, false, duration(0));
 }
 
 void fake_agent::poll()
 {
-    core->keeper().poll();
+    core->bundleTracker().poll();
 }
 
 void fake_agent::peerDied(const std::string &peer)
