--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -181,7 +181,7 @@
     void setEvacuated(std::set<std::string> dataCentres, std::uint64_t version);
     /// Treats removals as uncertain for a while: an endpoint's row may have expired because the
     /// store was unavailable, not because the endpoint is gone.
-    void doubtRemovals(row_failure why);
+    void deferRemovals(row_failure why);
     void noteTime(const row_batch &batch);
     milliseconds storeNow();
     void maintainEntryRows();
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -10,7 +10,7 @@
 namespace laurelcroft {
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::doubtRemovals(row_failure why)
+void store_sync<Store, Runtime>::deferRemovals(row_failure why)
 {
     const time_point now = m_runtime.now();
     if (why != row_failure::outdated) {
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -88,7 +88,7 @@
         m_metrics.add("store_lost_total{table=\"" + table + "\"}");
         logWarning(log_part::platform, "store lost", {{"table", table}, {"why", textOf(why)}});
         if (listsEndpoints)
-            doubtRemovals(why);
+            deferRemovals(why);
     };
     if (listsEndpoints)
         events.onLostLocally = [this] { m_state.directory().storeLost(m_runtime.now()); };
