--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -69,7 +69,7 @@
     /// Sends this entry's evidence about a version under roll-out to the entries that read the
     /// store.
     /// \returns false when it could not be sent to all of them. May be empty.
-    std::function<bool(const evidence_notice &notice)> tellReaders;
+    std::function<bool(const evidence_notice &notice)> sendEvidenceToReaders;
 };
 
 /// Keeps the routing state of one entry up to date with the store.
--- a/include/laurelcroft/Proxy/StoreSyncRollouts.h
+++ b/include/laurelcroft/Proxy/StoreSyncRollouts.h
@@ -67,11 +67,11 @@
                                               const rollout_tracker &tracker)
 {
     const rollout_evidence &own = tracker.evaluator().ownEvidence();
-    if (!m_links.tellReaders || own.byRoute.empty() || m_sentEvidence[service] == own)
+    if (!m_links.sendEvidenceToReaders || own.byRoute.empty() || m_sentEvidence[service] == own)
         return;
     evidence_notice notice{m_links.entry, service, own};
     notice.evidence.incarnation = m_incarnation;
-    if (m_links.tellReaders(notice))
+    if (m_links.sendEvidenceToReaders(notice))
         m_sentEvidence[service] = own;
 }
 
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -207,7 +207,7 @@
         readers = sourcesFor(known, name).readers;
     };
     links.onContract = [] {};
-    links.tellReaders = [this](const evidence_notice &notice) {
+    links.sendEvidenceToReaders = [this](const evidence_notice &notice) {
         for (fleet_entry &entry : all.entries) {
             if (entry.store.isUp && entry.readers.empty())
                 entry.sync.takeEvidence(notice);
