--- a/include/laurelcroft/Policy/ServiceRollout.h
+++ b/include/laurelcroft/Policy/ServiceRollout.h
@@ -69,7 +69,7 @@
     bool suspected = false; ///< there is too much evidence against it to stop the old version
     /// Whether the findings of other entries are up to date. If not, the only step is to revert a
     /// version that this entry has found bad.
-    bool othersKnown = true;
+    bool peerEvidenceCurrent = true;
     double exposure = 0.1; ///< share of requests that the site tolerates on a bad version
     double requestsPerSecond = 0; ///< for the service, at all entries
 };
--- a/include/laurelcroft/Proxy/RolloutTracker.h
+++ b/include/laurelcroft/Proxy/RolloutTracker.h
@@ -129,11 +129,11 @@
     const version_evaluator &evaluator() const { return m_evaluator; }
 
     /// \param entries number of entries that serve callers.
-    /// \param othersKnown true when the evidence of the other entries is up to date.
+    /// \param peerEvidenceCurrent true when the evidence of the other entries is up to date.
     /// \returns the row to write next, if a step is due.
     std::optional<rollout_row> nextRow(milliseconds storeNow,
                                        const std::vector<endpoint_ptr> &endpoints,
-                                       std::size_t entries, bool othersKnown = true) const;
+                                       std::size_t entries, bool peerEvidenceCurrent = true) const;
 
     /// An entry that finds the version bad stops using it on its own only when the shared stage is
     /// not reverted after this time, which covers several checks for due writes and one write.
--- a/lib/Policy/ServiceRollout.cpp
+++ b/lib/Policy/ServiceRollout.cpp
@@ -197,7 +197,7 @@
         return std::nullopt;
     if (view.foundBad)
         return advancedNow(*row, rollout_stage::reverted, view);
-    if (!view.targetListed || !view.othersKnown)
+    if (!view.targetListed || !view.peerEvidenceCurrent)
         return std::nullopt;
 
     const std::chrono::duration<double> window = order.window;
--- a/lib/Proxy/RolloutTracker.cpp
+++ b/lib/Proxy/RolloutTracker.cpp
@@ -241,7 +241,8 @@
 
 std::optional<rollout_row> rollout_tracker::nextRow(milliseconds storeNow,
                                                     const std::vector<endpoint_ptr> &endpoints,
-                                                    std::size_t entries, bool othersKnown) const
+                                                    std::size_t entries,
+                                                    bool peerEvidenceCurrent) const
 {
     if (!m_order)
         return std::nullopt;
@@ -252,7 +253,7 @@
     view.evaluatedAnswers = m_evaluator.targetAnswers();
     view.suspected = m_evaluator.isSuspected();
     view.foundBad = m_evaluator.isFoundBad();
-    view.othersKnown = othersKnown;
+    view.peerEvidenceCurrent = peerEvidenceCurrent;
     view.targetListed = std::any_of(endpoints.begin(), endpoints.end(), [&](const auto &endpoint) {
         return isTarget(endpoint->record().softwareVersion);
     });
