--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -12,7 +12,7 @@
 // another entry, and 1.96 when entries were killed in turn.
 //
 //===----------------------------------------------------------------------===//
-#include "RetryWorld.h"
+#include "RetryFixture.h"
 
 #include <doctest/doctest.h>
 
--- a/unittests/Proxy/RetryWorld.cpp
+++ b/unittests/Proxy/RetryFixture.cpp
@@ -1,9 +1,9 @@
-//===-- RetryWorld.cpp - simulated entries with retries ---------------------===//
+//===-- RetryFixture.cpp - simulated entries with retries -------------------===//
 //
 // Killing a process destroys its flows and state. Requests that it has sent still arrive.
 //
 //===----------------------------------------------------------------------===//
-#include "RetryWorld.h"
+#include "RetryFixture.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/Proxy/RetryWorld.h
+++ b/unittests/Proxy/RetryFixture.h
@@ -1,4 +1,4 @@
-//===-- RetryWorld.h - simulated entries with retries ------------*- C++ -*-===//
+//===-- RetryFixture.h - simulated entries with retries ----------*- C++ -*-===//
 //
 // Simulates entries with real request flows in front of endpoints that answer, refuse or fail as
 // the test chooses. Callers send to any entry, and entries can be killed, stopped and added, on a
@@ -6,8 +6,8 @@
 // bound in every window.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_UNITTESTS_PROXY_RETRYWORLD_H
-#define LAURELCROFT_UNITTESTS_PROXY_RETRYWORLD_H
+#ifndef LAURELCROFT_UNITTESTS_PROXY_RETRYFIXTURE_H
+#define LAURELCROFT_UNITTESTS_PROXY_RETRYFIXTURE_H
 
 #include "../Policy/RepeatRule.h"
 #include "FlowFixture.h"
--- a/unittests/Proxy/RetryOutlookTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -5,7 +5,7 @@
 // that a retry could have fixed then found no budget left.
 //
 //===----------------------------------------------------------------------===//
-#include "RetryWorld.h"
+#include "RetryFixture.h"
 
 #include <doctest/doctest.h>
 
