--- a/unittests/Proxy/CrashNoticesTests.cpp
+++ b/unittests/Proxy/CrashNoticesTests.cpp
@@ -151,76 +151,76 @@
 
 TEST_CASE("a finding reaches all entries by its row alone, including entries that start later")
 {
-    finding_fleet world(20);
-    world.detect();
-    world.entries.runtime.advance(seconds(2));
-    CHECK(world.countWithholding() == 20);
-    world.entries.start(20, 25);
-    world.entries.runtime.advance(seconds(2));
-    CHECK(world.countWithholding() == 25);
+    finding_fleet fixture(20);
+    fixture.detect();
+    fixture.entries.runtime.advance(seconds(2));
+    CHECK(fixture.countWithholding() == 20);
+    fixture.entries.start(20, 25);
+    fixture.entries.runtime.advance(seconds(2));
+    CHECK(fixture.countWithholding() == 25);
 }
 
 TEST_CASE("a request is released at all entries when an operator removes its row")
 {
-    finding_fleet world(12);
-    world.detect();
-    world.entries.runtime.advance(seconds(2));
-    world.entries.store.remove("laurelcroft", withheldRowKey(world.key));
-    world.entries.runtime.advance(seconds(2));
-    CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.entries.front().routing.suspects().isEmpty());
+    finding_fleet fixture(12);
+    fixture.detect();
+    fixture.entries.runtime.advance(seconds(2));
+    fixture.entries.store.remove("laurelcroft", withheldRowKey(fixture.key));
+    fixture.entries.runtime.advance(seconds(2));
+    CHECK(fixture.countWithholding() == 0);
+    CHECK(fixture.entries.entries.front().routing.suspects().isEmpty());
 }
 
 TEST_CASE("a finding is written once the store is available again")
 {
-    finding_fleet world(3);
-    for (fleet_entry &entry : world.entries.entries)
+    finding_fleet fixture(3);
+    for (fleet_entry &entry : fixture.entries.entries)
         entry.store.rejectsCalls = true;
-    world.detect();
-    world.entries.runtime.advance(seconds(5));
-    CHECK(world.countWithholding() == 1);
-    for (fleet_entry &entry : world.entries.entries)
+    fixture.detect();
+    fixture.entries.runtime.advance(seconds(5));
+    CHECK(fixture.countWithholding() == 1);
+    for (fleet_entry &entry : fixture.entries.entries)
         entry.store.rejectsCalls = false;
-    world.entries.runtime.advance(seconds(5));
-    CHECK(world.countWithholding() == 3);
+    fixture.entries.runtime.advance(seconds(5));
+    CHECK(fixture.countWithholding() == 3);
 }
 
 TEST_CASE("an expired row is removed and no longer withholds its request")
 {
-    finding_fleet world(3);
-    world.detect();
-    world.entries.runtime.advance(seconds(2));
-    CHECK(!world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
-    world.entries.runtime.advance(crash_suspects::withheldFor + seconds(60));
-    CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
+    finding_fleet fixture(3);
+    fixture.detect();
+    fixture.entries.runtime.advance(seconds(2));
+    CHECK(!fixture.entries.store.valueOf("laurelcroft", withheldRowKey(fixture.key)).empty());
+    fixture.entries.runtime.advance(crash_suspects::withheldFor + seconds(60));
+    CHECK(fixture.countWithholding() == 0);
+    CHECK(fixture.entries.store.valueOf("laurelcroft", withheldRowKey(fixture.key)).empty());
 }
 
 TEST_CASE("a request that an endpoint answers is released at all entries, and its row is removed")
 {
-    finding_fleet world(3);
-    world.detect();
-    world.entries.runtime.advance(seconds(3));
-    CHECK(world.countWithholding() == 3);
+    finding_fleet fixture(3);
+    fixture.detect();
+    fixture.entries.runtime.advance(seconds(3));
+    CHECK(fixture.countWithholding() == 3);
     // Simulates the datagrams to the other entries.
-    for (fleet_entry &entry : world.entries.entries)
-        entry.routing.crashes().applyNotice(cleared_notice{world.key, "v1"},
-                                            world.entries.runtime.now());
-    CHECK(world.countWithholding() == 0);
-    world.entries.runtime.advance(seconds(10));
-    CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
+    for (fleet_entry &entry : fixture.entries.entries)
+        entry.routing.crashes().applyNotice(cleared_notice{fixture.key, "v1"},
+                                            fixture.entries.runtime.now());
+    CHECK(fixture.countWithholding() == 0);
+    fixture.entries.runtime.advance(seconds(10));
+    CHECK(fixture.countWithholding() == 0);
+    CHECK(fixture.entries.store.valueOf("laurelcroft", withheldRowKey(fixture.key)).empty());
 }
 
 TEST_CASE("a finding that is cleared before it is firm is never written")
 {
-    finding_fleet world(3);
-    world.detect();
-    const time_point now = world.entries.runtime.now();
-    fleet_entry &first = world.entries.entries.front();
-    CHECK(first.routing.suspects().isUnconfirmed(world.key, now));
-    first.routing.crashes().clear(world.key, "v1", now);
-    world.entries.runtime.advance(seconds(3));
-    CHECK(world.countWithholding() == 0);
-    CHECK(world.entries.store.valueOf("laurelcroft", withheldRowKey(world.key)).empty());
+    finding_fleet fixture(3);
+    fixture.detect();
+    const time_point now = fixture.entries.runtime.now();
+    fleet_entry &first = fixture.entries.entries.front();
+    CHECK(first.routing.suspects().isUnconfirmed(fixture.key, now));
+    first.routing.crashes().clear(fixture.key, "v1", now);
+    fixture.entries.runtime.advance(seconds(3));
+    CHECK(fixture.countWithholding() == 0);
+    CHECK(fixture.entries.store.valueOf("laurelcroft", withheldRowKey(fixture.key)).empty());
 }
--- a/unittests/Proxy/CrashingRequestTests.cpp
+++ b/unittests/Proxy/CrashingRequestTests.cpp
@@ -46,7 +46,7 @@
 /// Environment of a request flow at one entry of a fleet.
 struct crash_environment
 {
-    crash_fixture *world;
+    crash_fixture *fixture;
     fleet_entry *entry;
     std::string who; ///< kind of caller whose outcomes are counted
 
@@ -322,43 +322,45 @@
 
 manual_runtime &crash_environment::runtime()
 {
-    return world->entries.runtime;
+    return fixture->entries.runtime;
 }
 
 call_id crash_environment::call(proxy_attempt attempt, call_events events)
 {
     const std::string id = attempt.endpoint->record().id;
-    const call_id number = ++world->lastCall;
-    world->calls[number] = {id, std::move(events)};
-    world->firstEvents[number] = unsigned(attempt.afterEvent.value_or(0)) + 1;
-    if (world->alive.count(id) == 0) {
-        world->later(milliseconds(1),
-                     [world = world, number] { world->endCall(number, call_end::notSent); });
+    const call_id number = ++fixture->lastCall;
+    fixture->calls[number] = {id, std::move(events)};
+    fixture->firstEvents[number] = unsigned(attempt.afterEvent.value_or(0)) + 1;
+    if (fixture->alive.count(id) == 0) {
+        fixture->later(milliseconds(1), [fixture = fixture, number] {
+            fixture->endCall(number, call_end::notSent);
+        });
         return number;
     }
-    world->users[id].insert(entry);
+    fixture->users[id].insert(entry);
     const bool crashes = crash_fixture::endsEndpoints(attempt.request->body);
     if (crashes)
-        world->arrivals.push_back(runtime().now());
-    world->later(runDelay,
-                 [world = world, number, id, crashes] { world->begins(number, id, crashes); });
+        fixture->arrivals.push_back(runtime().now());
+    fixture->later(runDelay, [fixture = fixture, number, id, crashes] {
+        fixture->begins(number, id, crashes);
+    });
     return number;
 }
 
 void crash_environment::cancel(call_id call)
 {
-    world->calls.erase(call);
+    fixture->calls.erase(call);
 }
 
 void crash_environment::ended(int status)
 {
-    caller_outcomes &outcomes = world->outcomes[who];
+    caller_outcomes &outcomes = fixture->outcomes[who];
     (status == http_status::ok ? outcomes.served : outcomes.other) += 1;
 }
 
 void crash_environment::finished(const flow_record &record)
 {
-    world->outcomes[who].withheld += record.reason == flow_reason::withheld ? 1 : 0;
+    fixture->outcomes[who].withheld += record.reason == flow_reason::withheld ? 1 : 0;
 }
 
 void crash_environment::checkEnded(const endpoint_ptr &endpoint)
@@ -366,8 +368,8 @@
     const time_point at = runtime().now();
     if (routing().runs().findSuspects(endpoint->record().id, at).empty())
         return;
-    world->later(probeTime, [world = world, entry = entry, endpoint, at] {
-        if (world->alive.count(endpoint->record().id) == 0)
+    fixture->later(probeTime, [fixture = fixture, entry = entry, endpoint, at] {
+        if (fixture->alive.count(endpoint->record().id) == 0)
             entry->routing.crashes().endpointEnded(*endpoint, at);
     });
 }
@@ -378,13 +380,13 @@
     CAPTURE(entryCount);
     CAPTURE(pause.count());
     CAPTURE(seed);
-    crash_fixture world(entryCount, seed);
-    world.simulate(seconds(20), pause);
-    CHECK(world.endedAt.size() >= 1);
-    CHECK(world.endedAt.size() <= maxEnded);
-    CHECK(world.laterArrivals() <= maxLaterArrivals);
-    CHECK(world.outcomes["others"].share() >= 0.99);
-    CHECK(world.outcomes["others"].withheld == 0);
+    crash_fixture fixture(entryCount, seed);
+    fixture.simulate(seconds(20), pause);
+    CHECK(fixture.endedAt.size() >= 1);
+    CHECK(fixture.endedAt.size() <= maxEnded);
+    CHECK(fixture.laterArrivals() <= maxLaterArrivals);
+    CHECK(fixture.outcomes["others"].share() >= 0.99);
+    CHECK(fixture.outcomes["others"].withheld == 0);
 }
 
 } // namespace
@@ -406,13 +408,13 @@
         for (const std::uint64_t seed : {1, 2, 3, 4}) {
             CAPTURE(entryCount);
             CAPTURE(seed);
-            crash_fixture world(entryCount, seed);
-            world.unrelatedCrashInterval = milliseconds(130);
-            world.popularRequestInterval = milliseconds(20);
-            world.simulate(seconds(20), milliseconds(0));
-            CHECK(world.outcomes["popular"].withheld == 0);
-            CHECK(world.outcomes["others"].withheld == 0);
-            for (fleet_entry &entry : world.entries.entries)
+            crash_fixture fixture(entryCount, seed);
+            fixture.unrelatedCrashInterval = milliseconds(130);
+            fixture.popularRequestInterval = milliseconds(20);
+            fixture.simulate(seconds(20), milliseconds(0));
+            CHECK(fixture.outcomes["popular"].withheld == 0);
+            CHECK(fixture.outcomes["others"].withheld == 0);
+            for (fleet_entry &entry : fixture.entries.entries)
                 CHECK(entry.routing.suspects().withheld().empty());
         }
     }
@@ -422,13 +424,13 @@
 {
     for (const std::size_t entryCount : {3, 12, 100}) {
         CAPTURE(entryCount);
-        crash_fixture world(entryCount);
-        world.unrelatedCrashInterval = milliseconds(500);
-        world.popularRequestInterval = milliseconds(40);
-        world.simulate(seconds(20), milliseconds(400));
-        CHECK(world.laterArrivals() <= maxLaterArrivals);
-        CHECK(world.outcomes["popular"].withheld == 0);
-        CHECK(world.outcomes["others"].withheld == 0);
+        crash_fixture fixture(entryCount);
+        fixture.unrelatedCrashInterval = milliseconds(500);
+        fixture.popularRequestInterval = milliseconds(40);
+        fixture.simulate(seconds(20), milliseconds(400));
+        CHECK(fixture.laterArrivals() <= maxLaterArrivals);
+        CHECK(fixture.outcomes["popular"].withheld == 0);
+        CHECK(fixture.outcomes["others"].withheld == 0);
     }
 }
 
@@ -436,11 +438,11 @@
 {
     for (const std::size_t entryCount : {3, 12, 100}) {
         CAPTURE(entryCount);
-        crash_fixture world(entryCount);
-        world.crashers = 2;
-        world.simulate(seconds(20), milliseconds(200));
-        CHECK(world.endedAt.size() <= 2 * maxEnded);
-        CHECK(world.outcomes["others"].withheld == 0);
+        crash_fixture fixture(entryCount);
+        fixture.crashers = 2;
+        fixture.simulate(seconds(20), milliseconds(200));
+        CHECK(fixture.endedAt.size() <= 2 * maxEnded);
+        CHECK(fixture.outcomes["others"].withheld == 0);
     }
 }
 
@@ -476,25 +478,25 @@
 
 TEST_CASE("many requests that each crash endpoints once cause no other request to be withheld")
 {
-    crash_fixture world(12);
-    world.crashers = 1000;
-    world.simulate(seconds(20), milliseconds(1500));
-    CHECK(world.outcomes["others"].withheld == 0);
-    for (fleet_entry &entry : world.entries.entries)
+    crash_fixture fixture(12);
+    fixture.crashers = 1000;
+    fixture.simulate(seconds(20), milliseconds(1500));
+    CHECK(fixture.outcomes["others"].withheld == 0);
+    for (fleet_entry &entry : fixture.entries.entries)
         CHECK(entry.routing.suspects().suspectCount() <= crash_suspects::maxSuspects);
 }
 
 TEST_CASE("a crashing request is tried at a new version and withheld there again")
 {
-    crash_fixture world(3);
-    world.simulate(seconds(5), milliseconds(400));
-    const std::size_t before = world.endedAt.size();
+    crash_fixture fixture(3);
+    fixture.simulate(seconds(5), milliseconds(400));
+    const std::size_t before = fixture.endedAt.size();
     CHECK(before >= crash_suspects::endsToWithhold);
-    world.version = "v2";
-    for (const std::string &id : std::set<std::string>(world.alive))
-        world.endEndpoint(id);
-    world.entries.runtime.advance(seconds(6));
-    world.simulate(seconds(10), milliseconds(400));
-    CHECK(world.endedAt.size() - before >= 1);
-    CHECK(world.endedAt.size() - before <= 3);
+    fixture.version = "v2";
+    for (const std::string &id : std::set<std::string>(fixture.alive))
+        fixture.endEndpoint(id);
+    fixture.entries.runtime.advance(seconds(6));
+    fixture.simulate(seconds(10), milliseconds(400));
+    CHECK(fixture.endedAt.size() - before >= 1);
+    CHECK(fixture.endedAt.size() - before <= 3);
 }
--- a/unittests/Proxy/EndpointRunsTests.cpp
+++ b/unittests/Proxy/EndpointRunsTests.cpp
@@ -77,14 +77,14 @@
 TEST_CASE("an endpoint is probed after a broken connection and after a failed connect")
 {
     for (const call_end how : {call_end::broken, call_end::notSent}) {
-        flow_fixture world(lookupRoute(), {"e1", "e2"});
-        startFlow(world, requestFor(lookupRoute()));
-        const std::string first = world.calls[0].attempt.endpoint->record().id;
-        world.end(0, how);
-        CHECK(world.probedEndpoints == std::vector{first});
+        flow_fixture fixture(lookupRoute(), {"e1", "e2"});
+        startFlow(fixture, requestFor(lookupRoute()));
+        const std::string first = fixture.calls[0].attempt.endpoint->record().id;
+        fixture.end(0, how);
+        CHECK(fixture.probedEndpoints == std::vector{first});
         const bool isSuspected
-                = !world.routing.runs()
-                           .findSuspects(first, world.runtime.now() + milliseconds(1))
+                = !fixture.routing.runs()
+                           .findSuspects(first, fixture.runtime.now() + milliseconds(1))
                            .empty();
         CHECK(isSuspected == (how == call_end::broken));
     }
@@ -93,21 +93,21 @@
 TEST_CASE("answered and refused requests are not suspected, one whose caller left is")
 {
     for (const int status : {200, 500, 503}) {
-        flow_fixture world(fetchRoute(), {"e1"});
-        startFlow(world, requestFor(fetchRoute()));
+        flow_fixture fixture(fetchRoute(), {"e1"});
+        startFlow(fixture, requestFor(fetchRoute()));
         if (status == 503) {
-            world.refuseNotRun(0);
+            fixture.refuseNotRun(0);
         } else {
-            world.answer(0, status);
-            world.end(0, call_end::complete);
+            fixture.answer(0, status);
+            fixture.end(0, call_end::complete);
         }
-        CHECK(world.routing.runs()
-                      .findSuspects("e1", world.runtime.now() + milliseconds(1))
+        CHECK(fixture.routing.runs()
+                      .findSuspects("e1", fixture.runtime.now() + milliseconds(1))
                       .empty());
     }
-    flow_fixture world(fetchRoute(), {"e1"});
-    const auto flow = startFlow(world, requestFor(fetchRoute()));
+    flow_fixture fixture(fetchRoute(), {"e1"});
+    const auto flow = startFlow(fixture, requestFor(fetchRoute()));
     flow->callerLeft();
-    CHECK(world.routing.runs().findSuspects("e1", world.runtime.now() + milliseconds(1)).size()
+    CHECK(fixture.routing.runs().findSuspects("e1", fixture.runtime.now() + milliseconds(1)).size()
           == 1);
 }
--- a/unittests/Proxy/FleetFlows.h
+++ b/unittests/Proxy/FleetFlows.h
@@ -21,21 +21,21 @@
 template <class World>
 struct fleet_environment
 {
-    World *world;
+    World *fixture;
     fleet_entry *entry;
 
-    manual_runtime &runtime() { return world->runtime(); }
+    manual_runtime &runtime() { return fixture->runtime(); }
     routing_state &routing() { return entry->routing; }
     bool hasRoomAt(const endpoint_ptr &) { return true; }
     call_id call(const proxy_attempt &attempt, call_events events)
     {
-        world->onCall(*entry, attempt, std::move(events));
+        fixture->onCall(*entry, attempt, std::move(events));
         return 1;
     }
     void cancel(call_id) { }
     void reply(int status, const http_headers &headers, std::string_view)
     {
-        world->onReply(status, headers);
+        fixture->onReply(status, headers);
     }
     void begin(int, const http_headers &) { }
     void write(std::string_view) { }
--- a/unittests/Proxy/LapseTests.cpp
+++ b/unittests/Proxy/LapseTests.cpp
@@ -97,12 +97,12 @@
 {
     // Entries that read from others once kept none of 60 endpoints after an outage, because the
     // readers did not tell them that the store was back.
-    lapse_fixture world;
+    lapse_fixture fixture;
     for (const int ms : {4000, 9000}) {
         CAPTURE(ms);
-        world.outage(milliseconds(ms));
-        world.pass(seconds(6));
-        CHECK(world.minUsable == endpoints);
+        fixture.outage(milliseconds(ms));
+        fixture.pass(seconds(6));
+        CHECK(fixture.minUsable == endpoints);
     }
 }
 
@@ -111,121 +111,121 @@
 {
     // Only the readers notice the outage. The other entries cannot distinguish it from a reader
     // that is cut off, and stop using removed endpoints until their rows are back.
-    lapse_fixture world;
+    lapse_fixture fixture;
     for (const int ms : {600, 1500}) {
         CAPTURE(ms);
-        world.outage(milliseconds(ms));
-        world.pass(recoveryBound);
-        for (fleet_entry &entry : world.entries.entries)
-            CHECK(world.usableAt(entry) == endpoints);
+        fixture.outage(milliseconds(ms));
+        fixture.pass(recoveryBound);
+        for (fleet_entry &entry : fixture.entries.entries)
+            CHECK(fixture.usableAt(entry) == endpoints);
     }
 }
 
 TEST_CASE("endpoints stay usable when calls hang during the outage")
 {
-    lapse_fixture world;
-    world.entries.store.awayDelay = milliseconds(900);
-    world.outage(seconds(4));
-    world.pass(seconds(6));
-    CHECK(world.minUsable == endpoints);
+    lapse_fixture fixture;
+    fixture.entries.store.awayDelay = milliseconds(900);
+    fixture.outage(seconds(4));
+    fixture.pass(seconds(6));
+    CHECK(fixture.minUsable == endpoints);
 }
 
 TEST_CASE("endpoints stay usable when the store drops its history as it returns")
 {
-    lapse_fixture world;
-    world.entries.store.hasLostHistory = true;
-    world.outage(seconds(4));
-    world.pass(seconds(1));
-    world.entries.store.hasLostHistory = false;
-    world.pass(seconds(6));
-    CHECK(world.minUsable == endpoints);
+    lapse_fixture fixture;
+    fixture.entries.store.hasLostHistory = true;
+    fixture.outage(seconds(4));
+    fixture.pass(seconds(1));
+    fixture.entries.store.hasLostHistory = false;
+    fixture.pass(seconds(6));
+    CHECK(fixture.minUsable == endpoints);
 }
 
 TEST_CASE("endpoints stay usable when first the other entries and then the readers lose the store")
 {
-    lapse_fixture world;
+    lapse_fixture fixture;
     for (const bool readersAway : {false, true}) {
-        for (fleet_entry &entry : world.entries.entries)
+        for (fleet_entry &entry : fixture.entries.entries)
             entry.store.rejectsCalls = entry.readers.empty() == readersAway;
-        world.pass(seconds(4));
-        world.outage(seconds(3));
-        for (fleet_entry &entry : world.entries.entries)
+        fixture.pass(seconds(4));
+        fixture.outage(seconds(3));
+        for (fleet_entry &entry : fixture.entries.entries)
             entry.store.rejectsCalls = false;
-        world.pass(seconds(6));
-        CHECK(world.minUsable == endpoints);
+        fixture.pass(seconds(6));
+        CHECK(fixture.minUsable == endpoints);
     }
 }
 
 TEST_CASE("endpoints stay usable when an entry starts during the outage")
 {
-    lapse_fixture world;
-    world.entries.store.away = true;
-    world.pass(milliseconds(500));
-    world.entries.start(fewEntries, fewEntries + 1);
-    world.pass(seconds(1));
-    world.outage(seconds(3));
-    world.pass(seconds(6));
-    CHECK(world.minUsable == endpoints);
+    lapse_fixture fixture;
+    fixture.entries.store.away = true;
+    fixture.pass(milliseconds(500));
+    fixture.entries.start(fewEntries, fewEntries + 1);
+    fixture.pass(seconds(1));
+    fixture.outage(seconds(3));
+    fixture.pass(seconds(6));
+    CHECK(fixture.minUsable == endpoints);
 }
 
 TEST_CASE("an entry that starts late in an outage uses the rows that the others still trust")
 {
-    lapse_fixture world;
-    world.entries.store.away = true;
-    world.pass(seconds(5));
-    world.entries.start(fewEntries, fewEntries + 1);
-    world.pass(seconds(1));
-    CHECK(world.entries.entries.back().isReady());
-    CHECK(world.usableAt(world.entries.entries.back()) == endpoints);
-    world.outage(seconds(2));
-    world.pass(seconds(6));
-    CHECK(world.minUsable == endpoints);
+    lapse_fixture fixture;
+    fixture.entries.store.away = true;
+    fixture.pass(seconds(5));
+    fixture.entries.start(fewEntries, fewEntries + 1);
+    fixture.pass(seconds(1));
+    CHECK(fixture.entries.entries.back().isReady());
+    CHECK(fixture.usableAt(fixture.entries.entries.back()) == endpoints);
+    fixture.outage(seconds(2));
+    fixture.pass(seconds(6));
+    CHECK(fixture.minUsable == endpoints);
 }
 
 TEST_CASE("all entries know all endpoints soon after an outage in which the readers lost power")
 {
-    lapse_fixture world;
-    world.entries.store.away = true;
-    world.pass(seconds(1));
-    for (fleet_entry &entry : world.entries.entries) {
+    lapse_fixture fixture;
+    fixture.entries.store.away = true;
+    fixture.pass(seconds(1));
+    for (fleet_entry &entry : fixture.entries.entries) {
         if (entry.readers.empty())
             entry.store.isUp = false;
     }
-    world.outage(seconds(3));
-    world.pass(seconds(6));
-    for (fleet_entry &entry : world.entries.entries) {
+    fixture.outage(seconds(3));
+    fixture.pass(seconds(6));
+    for (fleet_entry &entry : fixture.entries.entries) {
         if (entry.store.isUp)
-            CHECK(world.usableAt(entry) == endpoints);
+            CHECK(fixture.usableAt(entry) == endpoints);
     }
 }
 
 TEST_CASE("no entry uses an endpoint that died in the outage")
 {
-    lapse_fixture world;
-    world.dead.insert(7);
-    world.outage(seconds(4));
-    world.pass(recoveryBound);
+    lapse_fixture fixture;
+    fixture.dead.insert(7);
+    fixture.outage(seconds(4));
+    fixture.pass(recoveryBound);
     // The dead endpoint may go earlier; the live ones stay.
-    CHECK(world.minUsable >= endpoints - 1);
+    CHECK(fixture.minUsable >= endpoints - 1);
     // The grace period, one read of a reader, and one read of the other entries.
-    world.pass(milliseconds(200) + seconds(2));
-    for (fleet_entry &entry : world.entries.entries) {
-        CHECK(world.usableAt(entry) == endpoints - 1);
+    fixture.pass(milliseconds(200) + seconds(2));
+    for (fleet_entry &entry : fixture.entries.entries) {
+        CHECK(fixture.usableAt(entry) == endpoints - 1);
         CHECK(entry.routing.directory().all().count(idOf(7)) == 0);
     }
 }
 
 TEST_CASE("an endpoint that returns after it was dropped is known to all entries again")
 {
-    lapse_fixture world;
-    world.dead.insert(7);
-    world.entries.store.remove("endpoints", idOf(7));
-    world.pass(seconds(3));
-    CHECK(world.minUsable == endpoints - 1);
-    world.dead.clear();
-    world.pass(seconds(3));
-    for (fleet_entry &entry : world.entries.entries)
-        CHECK(world.usableAt(entry) == endpoints);
+    lapse_fixture fixture;
+    fixture.dead.insert(7);
+    fixture.entries.store.remove("endpoints", idOf(7));
+    fixture.pass(seconds(3));
+    CHECK(fixture.minUsable == endpoints - 1);
+    fixture.dead.clear();
+    fixture.pass(seconds(3));
+    for (fleet_entry &entry : fixture.entries.entries)
+        CHECK(fixture.usableAt(entry) == endpoints);
 }
 
 TEST_CASE("an endpoint that leaves while only the readers have lost the store is no longer used "
@@ -234,17 +234,17 @@
     // The endpoint never announces that it leaves: its row is removed. The other entries cannot
     // know that the store was available all the time, only how long ago they last heard from it.
     for (int i = 0; i < 10; ++i) {
-        lapse_fixture world;
-        world.pass(milliseconds(170 * i));
-        for (fleet_entry &entry : world.entries.entries)
+        lapse_fixture fixture;
+        fixture.pass(milliseconds(170 * i));
+        for (fleet_entry &entry : fixture.entries.entries)
             entry.store.rejectsCalls = entry.readers.empty();
-        world.pass(milliseconds(400));
-        world.dead.insert(7);
-        world.entries.store.remove("endpoints", idOf(7));
-        world.pass(changeBound);
-        for (fleet_entry &entry : world.entries.entries) {
+        fixture.pass(milliseconds(400));
+        fixture.dead.insert(7);
+        fixture.entries.store.remove("endpoints", idOf(7));
+        fixture.pass(changeBound);
+        for (fleet_entry &entry : fixture.entries.entries) {
             if (!entry.store.rejectsCalls)
-                CHECK(world.usableAt(entry) == endpoints - 1);
+                CHECK(fixture.usableAt(entry) == endpoints - 1);
         }
     }
 }
@@ -254,22 +254,22 @@
 /// \returns how many of the other entries still use the endpoint after the bound.
 static std::size_t sendersAfterBound(std::size_t count, milliseconds phase)
 {
-    lapse_fixture world(count);
+    lapse_fixture fixture(count);
     fleet_entry *reader = nullptr;
-    for (fleet_entry &entry : world.entries.entries)
+    for (fleet_entry &entry : fixture.entries.entries)
         reader = entry.readers.empty() ? &entry : reader;
     reader->store.rejectsCalls = true;
-    world.pass(seconds(3) + phase);
-    world.dead.insert(7);
-    world.entries.store.remove("endpoints", idOf(7));
+    fixture.pass(seconds(3) + phase);
+    fixture.dead.insert(7);
+    fixture.entries.store.remove("endpoints", idOf(7));
     // The reader regains the store just before it would have learned of the removal in time.
-    world.pass(milliseconds(50));
+    fixture.pass(milliseconds(50));
     reader->store.rejectsCalls = false;
-    world.pass(changeBound - milliseconds(50));
+    fixture.pass(changeBound - milliseconds(50));
     std::size_t senders = 0;
-    for (fleet_entry &entry : world.entries.entries) {
+    for (fleet_entry &entry : fixture.entries.entries) {
         const bool isOther = &entry != reader;
-        senders += isOther && world.usableAt(entry) == endpoints ? 1 : 0;
+        senders += isOther && fixture.usableAt(entry) == endpoints ? 1 : 0;
     }
     return senders;
 }
--- a/unittests/Proxy/LeavingEndpointTests.cpp
+++ b/unittests/Proxy/LeavingEndpointTests.cpp
@@ -50,62 +50,62 @@
     for (const int code : {200, 500, 503}) {
         for (const call_end end : {call_end::complete, call_end::broken}) {
             CAPTURE(code);
-            leaving_fixture world(lookupRoute(), {"e1", "e2"});
-            startFlow(world, requestFor(lookupRoute()));
-            const std::string leaving = world.endpointOf(0);
-            world.answerLeaving(0, code, end);
-            CHECK(world.sentTo(leaving, 20) == 0);
+            leaving_fixture fixture(lookupRoute(), {"e1", "e2"});
+            startFlow(fixture, requestFor(lookupRoute()));
+            const std::string leaving = fixture.endpointOf(0);
+            fixture.answerLeaving(0, code, end);
+            CHECK(fixture.sentTo(leaving, 20) == 0);
         }
     }
 }
 
 TEST_CASE("the leaving state of an endpoint is kept by later rows and cleared by a new start")
 {
-    leaving_fixture world(lookupRoute(), {"e1"});
-    endpoint_record record = world.directory().all().at("e1")->record();
+    leaving_fixture fixture(lookupRoute(), {"e1"});
+    endpoint_record record = fixture.directory().all().at("e1")->record();
     record.startedAt = 100;
     record.rowVersion = 7;
-    world.directory().apply(record, world.runtime.now());
-    startFlow(world, requestFor(lookupRoute()));
-    REQUIRE(world.calls.size() == 1);
-    world.answerLeaving(0);
+    fixture.directory().apply(record, fixture.runtime.now());
+    startFlow(fixture, requestFor(lookupRoute()));
+    REQUIRE(fixture.calls.size() == 1);
+    fixture.answerLeaving(0);
     record.rowVersion = 8;
-    world.directory().apply(record, world.runtime.now());
-    CHECK(world.sentTo("e1", 5) == 0);
+    fixture.directory().apply(record, fixture.runtime.now());
+    CHECK(fixture.sentTo("e1", 5) == 0);
     record.startedAt = 200;
-    world.directory().apply(record, world.runtime.now());
-    CHECK(world.sentTo("e1", 5) == 5);
+    fixture.directory().apply(record, fixture.runtime.now());
+    CHECK(fixture.sentTo("e1", 5) == 5);
 }
 
 TEST_CASE("callers are refused at once when all endpoints have stated that they are leaving")
 {
-    leaving_fixture world(lookupRoute(), {"e1"});
-    startFlow(world, requestFor(lookupRoute()));
-    world.answerLeaving(0);
-    world.status = 0;
-    startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 1);
-    CHECK(world.status == 503);
-    CHECK_FALSE(findHeader(world.headers, "Retry-After").empty());
+    leaving_fixture fixture(lookupRoute(), {"e1"});
+    startFlow(fixture, requestFor(lookupRoute()));
+    fixture.answerLeaving(0);
+    fixture.status = 0;
+    startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 1);
+    CHECK(fixture.status == 503);
+    CHECK_FALSE(findHeader(fixture.headers, "Retry-After").empty());
 }
 
 TEST_CASE("a broken stream is resumed at another endpoint when its endpoint is leaving")
 {
-    leaving_fixture world(draftRoute(), {"e1", "e2"});
-    startFlow(world, requestFor(draftRoute()));
+    leaving_fixture fixture(draftRoute(), {"e1", "e2"});
+    startFlow(fixture, requestFor(draftRoute()));
     proxy_answer answer;
     answer.status = 200;
     answer.signedByEndpoint = true;
     answer.confidence = 100;
     answer.endpointLeaving = true;
-    world.calls[0].events.onAnswer(std::move(answer));
-    world.data(0, eventText(1));
-    CHECK_FALSE(world.calls[0].cancelled);
-    world.end(0, call_end::broken);
-    REQUIRE(world.calls.size() == 2);
-    CHECK(world.endpointOf(1) != world.endpointOf(0));
-    world.end(1, call_end::broken);
+    fixture.calls[0].events.onAnswer(std::move(answer));
+    fixture.data(0, eventText(1));
+    CHECK_FALSE(fixture.calls[0].cancelled);
+    fixture.end(0, call_end::broken);
+    REQUIRE(fixture.calls.size() == 2);
+    CHECK(fixture.endpointOf(1) != fixture.endpointOf(0));
+    fixture.end(1, call_end::broken);
     // The remaining endpoint is tried again rather than the leaving one.
-    REQUIRE(world.calls.size() == 3);
-    CHECK(world.endpointOf(2) == world.endpointOf(1));
+    REQUIRE(fixture.calls.size() == 3);
+    CHECK(fixture.endpointOf(2) == fixture.endpointOf(1));
 }
--- a/unittests/Proxy/LeavingNoticeTests.cpp
+++ b/unittests/Proxy/LeavingNoticeTests.cpp
@@ -67,33 +67,33 @@
 
 TEST_CASE("a leaving notice is applied, and forwarded a bounded number of times")
 {
-    watched_directory world;
-    world.watch.applyNotice(world.directory, {"e1", 7, 1}, start);
-    CHECK_FALSE(world.isUsable());
-    world.watch.applyNotice(world.directory, {"e1", 7, 2}, start);
-    REQUIRE(world.forwarded.size() == 1);
-    CHECK(world.forwarded[0] == leaving_notice{"e1", 7, 0});
+    watched_directory fixture;
+    fixture.watch.applyNotice(fixture.directory, {"e1", 7, 1}, start);
+    CHECK_FALSE(fixture.isUsable());
+    fixture.watch.applyNotice(fixture.directory, {"e1", 7, 2}, start);
+    REQUIRE(fixture.forwarded.size() == 1);
+    CHECK(fixture.forwarded[0] == leaving_notice{"e1", 7, 0});
 }
 
 TEST_CASE("a leaving notice of another start, or of an unlisted endpoint, is ignored")
 {
-    watched_directory world;
-    world.watch.applyNotice(world.directory, {"e1", 6, 2}, start);
-    world.watch.applyNotice(world.directory, {"e2", 7, 2}, start);
-    CHECK(world.isUsable());
-    CHECK(world.forwarded.empty());
+    watched_directory fixture;
+    fixture.watch.applyNotice(fixture.directory, {"e1", 6, 2}, start);
+    fixture.watch.applyNotice(fixture.directory, {"e2", 7, 2}, start);
+    CHECK(fixture.isUsable());
+    CHECK(fixture.forwarded.empty());
 }
 
 TEST_CASE("a leaving endpoint is dropped with its row, and stays unusable until it starts again")
 {
-    watched_directory world;
-    CHECK(world.directory.setLeaving("e1", 7));
-    CHECK_FALSE(world.directory.setLeaving("e1", 7));
+    watched_directory fixture;
+    CHECK(fixture.directory.setLeaving("e1", 7));
+    CHECK_FALSE(fixture.directory.setLeaving("e1", 7));
     // After a store outage, removed endpoints are kept for a while unless they are leaving.
-    world.directory.deferRemovalsUntil(start + seconds(5));
-    CHECK(world.directory.remove("e1", start));
-    world.applyRecord(7);
-    CHECK_FALSE(world.isUsable());
-    world.applyRecord(8);
-    CHECK(world.isUsable());
+    fixture.directory.deferRemovalsUntil(start + seconds(5));
+    CHECK(fixture.directory.remove("e1", start));
+    fixture.applyRecord(7);
+    CHECK_FALSE(fixture.isUsable());
+    fixture.applyRecord(8);
+    CHECK(fixture.isUsable());
 }
--- a/unittests/Proxy/ProxyServerTests.cpp
+++ b/unittests/Proxy/ProxyServerTests.cpp
@@ -107,22 +107,23 @@
 
 TEST_CASE("a request that arrives after an entry is drained is refused, not cut off")
 {
-    entry_fixture world;
-    proxy_server server(world.context, world.routing, world.metrics, plainDialect(), world.options);
+    entry_fixture fixture;
+    proxy_server server(fixture.context, fixture.routing, fixture.metrics, plainDialect(),
+                        fixture.options);
     REQUIRE(server.open().empty());
-    world.runFor(milliseconds(50));
+    fixture.runFor(milliseconds(50));
     bool drained = false;
     server.drain([&] { drained = true; });
     // No request is in progress, so the entry is drained as soon as the drain delay has passed. It
     // reports this a moment later.
-    world.runFor(world.options.drainDelay + milliseconds(30));
+    fixture.runFor(fixture.options.drainDelay + milliseconds(30));
     REQUIRE(!drained);
 
-    tcp::socket caller(world.context);
-    caller.connect({loopback, world.options.port});
+    tcp::socket caller(fixture.context);
+    caller.connect({loopback, fixture.options.port});
     asio::write(caller, asio::buffer(std::string("GET /a/x HTTP/1.1\r\nHost: x\r\n\r\n")));
-    world.runFor(milliseconds(30));
-    CHECK(!world.endpointWasCalled());
+    fixture.runFor(milliseconds(30));
+    CHECK(!fixture.endpointWasCalled());
     caller.non_blocking(true);
     std::array<char, 256> buffer{};
     asio::error_code error;
--- a/unittests/Proxy/RateLimitNoticeTests.cpp
+++ b/unittests/Proxy/RateLimitNoticeTests.cpp
@@ -73,34 +73,34 @@
 
 TEST_CASE("a rate limit notice that is older than the known limit is ignored")
 {
-    watched_endpoint world;
-    world.watch.update(world.endpoint, std::nullopt, start);
-    world.watch.applyNotice(world.endpoint, {"e1", 7, 1.5, milliseconds(30), 2},
-                            start + milliseconds(20));
-    CHECK_FALSE(world.endpoint.rateLimit());
-    world.watch.applyNotice(world.endpoint, {"e1", 7, 1.5, milliseconds(10), 2},
-                            start + milliseconds(20));
-    CHECK(world.endpoint.rateLimit() == 1.5);
+    watched_endpoint fixture;
+    fixture.watch.update(fixture.endpoint, std::nullopt, start);
+    fixture.watch.applyNotice(fixture.endpoint, {"e1", 7, 1.5, milliseconds(30), 2},
+                              start + milliseconds(20));
+    CHECK_FALSE(fixture.endpoint.rateLimit());
+    fixture.watch.applyNotice(fixture.endpoint, {"e1", 7, 1.5, milliseconds(10), 2},
+                              start + milliseconds(20));
+    CHECK(fixture.endpoint.rateLimit() == 1.5);
 }
 
 TEST_CASE("a rate limit notice of an earlier start of an endpoint is ignored")
 {
-    watched_endpoint world;
-    world.watch.applyNotice(world.endpoint, {"e1", 6, 1.5, milliseconds(0), 2}, start);
-    CHECK_FALSE(world.endpoint.rateLimit());
-    CHECK(world.forwarded.empty());
+    watched_endpoint fixture;
+    fixture.watch.applyNotice(fixture.endpoint, {"e1", 6, 1.5, milliseconds(0), 2}, start);
+    CHECK_FALSE(fixture.endpoint.rateLimit());
+    CHECK(fixture.forwarded.empty());
 }
 
 TEST_CASE("a rate limit notice is forwarded once, and only while it has hops left")
 {
-    watched_endpoint world;
+    watched_endpoint fixture;
     const rate_limit_notice notice{"e1", 7, 1.5, milliseconds(0), 1};
-    world.watch.applyNotice(world.endpoint, notice, start);
-    world.watch.applyNotice(world.endpoint, notice, start + milliseconds(1));
-    REQUIRE(world.forwarded.size() == 1);
-    CHECK(world.forwarded[0].hops == 0);
-    world.watch.applyNotice(world.endpoint, {"e1", 7, 9.5, milliseconds(0), 0},
-                            start + milliseconds(2));
-    CHECK(world.endpoint.rateLimit() == 9.5);
-    CHECK(world.forwarded.size() == 1);
+    fixture.watch.applyNotice(fixture.endpoint, notice, start);
+    fixture.watch.applyNotice(fixture.endpoint, notice, start + milliseconds(1));
+    REQUIRE(fixture.forwarded.size() == 1);
+    CHECK(fixture.forwarded[0].hops == 0);
+    fixture.watch.applyNotice(fixture.endpoint, {"e1", 7, 9.5, milliseconds(0), 0},
+                              start + milliseconds(2));
+    CHECK(fixture.endpoint.rateLimit() == 9.5);
+    CHECK(fixture.forwarded.size() == 1);
 }
--- a/unittests/Proxy/RateLimitTests.cpp
+++ b/unittests/Proxy/RateLimitTests.cpp
@@ -211,11 +211,11 @@
         for (const unsigned limited : {endpoints / 2, endpoints}) {
             CAPTURE(count);
             CAPTURE(limited);
-            limit_fixture world(count);
-            world.simulate(seconds(3));
-            world.stateLimits(limited);
-            world.simulate(seconds(20));
-            CHECK(world.worstShare() <= 1);
+            limit_fixture fixture(count);
+            fixture.simulate(seconds(3));
+            fixture.stateLimits(limited);
+            fixture.simulate(seconds(20));
+            CHECK(fixture.worstShare() <= 1);
         }
     }
 }
@@ -224,12 +224,12 @@
 {
     for (const std::size_t count : {3U, 12U}) {
         CAPTURE(count);
-        limit_fixture world(count);
-        world.losesNotices = true;
-        world.simulate(seconds(3));
-        world.stateLimits(endpoints / 2);
-        world.simulate(seconds(40));
-        CHECK(world.worstShare() <= 1);
+        limit_fixture fixture(count);
+        fixture.losesNotices = true;
+        fixture.simulate(seconds(3));
+        fixture.stateLimits(endpoints / 2);
+        fixture.simulate(seconds(40));
+        CHECK(fixture.worstShare() <= 1);
     }
 }
 
@@ -237,10 +237,10 @@
 {
     for (const std::size_t count : {1U, 3U, 12U, 40U}) {
         CAPTURE(count);
-        limit_fixture world(count);
-        world.stateLimits(endpoints);
-        world.simulate(seconds(33));
-        CHECK(world.leastLimitUsed(seconds(30)) >= 0.5);
+        limit_fixture fixture(count);
+        fixture.stateLimits(endpoints);
+        fixture.simulate(seconds(33));
+        CHECK(fixture.leastLimitUsed(seconds(30)) >= 0.5);
     }
 }
 
@@ -248,28 +248,28 @@
 {
     for (const bool losesNotices : {false, true}) {
         CAPTURE(losesNotices);
-        limit_fixture world(12);
-        world.stateLimits(2);
-        world.simulate(seconds(6));
-        world.liftLimits();
-        world.losesNotices = losesNotices;
+        limit_fixture fixture(12);
+        fixture.stateLimits(2);
+        fixture.simulate(seconds(6));
+        fixture.liftLimits();
+        fixture.losesNotices = losesNotices;
         // Without notices, entries without a share of the limit learn this only from their own rate
         // limit checks.
-        world.simulate(losesNotices ? seconds(60) : seconds(10));
-        const time_point from = world.runtime().now();
-        world.simulate(seconds(5));
+        fixture.simulate(losesNotices ? seconds(60) : seconds(10));
+        const time_point from = fixture.runtime().now();
+        fixture.simulate(seconds(5));
         for (const char *id : {"p0", "p1"})
-            CHECK(world.arrivedSince(id, from) >= 15);
+            CHECK(fixture.arrivedSince(id, from) >= 15);
     }
 }
 
 TEST_CASE("refusals have a Retry-After header when all rate limits are used up")
 {
-    limit_fixture world(3);
-    world.stateLimits(endpoints);
-    world.simulate(seconds(10));
-    CHECK(world.refused > world.served);
-    CHECK(world.retryAfter.size() == world.refused);
+    limit_fixture fixture(3);
+    fixture.stateLimits(endpoints);
+    fixture.simulate(seconds(10));
+    CHECK(fixture.refused > fixture.served);
+    CHECK(fixture.retryAfter.size() == fixture.refused);
 }
 
 TEST_CASE("entries in an endpoint's data centre share its rate limit, or all if none is there")
@@ -293,65 +293,65 @@
 
 TEST_CASE("a retry keeps to the rate limit and is refused at once if it is used up")
 {
-    flow_fixture world(lookupRoute(), {"e1", "e2"});
-    const auto &listed = world.routing.directory().all();
-    listed.at("e1")->setRateLimit(0.5, world.runtime.now());
-    listed.at("e1")->recordSend(world.runtime.now());
-    startFlow(world, requestFor(lookupRoute()));
-    REQUIRE(world.calls.size() == 1);
-    CHECK(world.calls[0].attempt.endpoint->record().id == "e2");
-    world.refuseNotRun(0);
-    CHECK(world.calls.size() == 1);
-    CHECK(world.status == 503);
-    CHECK_FALSE(findHeader(world.headers, "Retry-After").empty());
+    flow_fixture fixture(lookupRoute(), {"e1", "e2"});
+    const auto &listed = fixture.routing.directory().all();
+    listed.at("e1")->setRateLimit(0.5, fixture.runtime.now());
+    listed.at("e1")->recordSend(fixture.runtime.now());
+    startFlow(fixture, requestFor(lookupRoute()));
+    REQUIRE(fixture.calls.size() == 1);
+    CHECK(fixture.calls[0].attempt.endpoint->record().id == "e2");
+    fixture.refuseNotRun(0);
+    CHECK(fixture.calls.size() == 1);
+    CHECK(fixture.status == 503);
+    CHECK_FALSE(findHeader(fixture.headers, "Retry-After").empty());
 }
 
 TEST_CASE("a request is refused at once when the rate limits of all endpoints are used up")
 {
-    flow_fixture world(lookupRoute(), {"e1"});
-    world.routing.directory().all().at("e1")->setRateLimit(0.5, world.runtime.now());
-    startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.calls.size() == 1);
-    world.runtime.advance(milliseconds(400));
-    startFlow(world, requestFor(lookupRoute()));
-    CHECK(world.status == 503);
-    REQUIRE(world.record);
-    CHECK(world.record->reason == flow_reason::limitedEndpoints);
-    CHECK(std::stod(std::string(findHeader(world.headers, "Retry-After"))) == 1.6);
+    flow_fixture fixture(lookupRoute(), {"e1"});
+    fixture.routing.directory().all().at("e1")->setRateLimit(0.5, fixture.runtime.now());
+    startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.calls.size() == 1);
+    fixture.runtime.advance(milliseconds(400));
+    startFlow(fixture, requestFor(lookupRoute()));
+    CHECK(fixture.status == 503);
+    REQUIRE(fixture.record);
+    CHECK(fixture.record->reason == flow_reason::limitedEndpoints);
+    CHECK(std::stod(std::string(findHeader(fixture.headers, "Retry-After"))) == 1.6);
 }
 
 TEST_CASE("the only endpoint with capacity is found among many whose limits are used up")
 {
-    flow_fixture world(lookupRoute(), {});
+    flow_fixture fixture(lookupRoute(), {});
     constexpr unsigned many = 300;
     for (unsigned i = 0; i < many; ++i)
-        world.addEndpoint("e" + std::to_string(i));
-    world.routing.setEntries({"other"}, "own");
-    for (const auto &[id, endpoint] : world.routing.directory().all()) {
+        fixture.addEndpoint("e" + std::to_string(i));
+    fixture.routing.setEntries({"other"}, "own");
+    for (const auto &[id, endpoint] : fixture.routing.directory().all()) {
         if (id != "e123")
-            endpoint->setRateLimit(1.5, world.runtime.now());
+            endpoint->setRateLimit(1.5, fixture.runtime.now());
     }
     for (unsigned i = 0; i < 10; ++i) {
-        startFlow(world, requestFor(lookupRoute()));
-        REQUIRE(world.calls.size() == i + 1);
-        CHECK(world.calls[i].attempt.endpoint->record().id == "e123");
+        startFlow(fixture, requestFor(lookupRoute()));
+        REQUIRE(fixture.calls.size() == i + 1);
+        CHECK(fixture.calls[i].attempt.endpoint->record().id == "e123");
     }
 }
 
 TEST_CASE("a resumed stream waits if a rate limit soon allows a request")
 {
-    flow_fixture world(draftRoute(), {"e1"});
-    startFlow(world, requestFor(draftRoute()));
-    REQUIRE(world.calls.size() == 1);
-    world.answer(0, 200, 100);
-    world.data(0, eventText(1));
-    world.routing.directory().all().at("e1")->setRateLimit(1, world.runtime.now());
-    world.runtime.advance(milliseconds(600));
-    world.end(0, call_end::broken);
-    CHECK(world.calls.size() == 1);
-    CHECK_FALSE(world.aborted);
-    world.runtime.advance(milliseconds(350));
-    CHECK(world.calls.size() == 1);
-    world.runtime.advance(milliseconds(100));
-    CHECK(world.calls.size() == 2);
+    flow_fixture fixture(draftRoute(), {"e1"});
+    startFlow(fixture, requestFor(draftRoute()));
+    REQUIRE(fixture.calls.size() == 1);
+    fixture.answer(0, 200, 100);
+    fixture.data(0, eventText(1));
+    fixture.routing.directory().all().at("e1")->setRateLimit(1, fixture.runtime.now());
+    fixture.runtime.advance(milliseconds(600));
+    fixture.end(0, call_end::broken);
+    CHECK(fixture.calls.size() == 1);
+    CHECK_FALSE(fixture.aborted);
+    fixture.runtime.advance(milliseconds(350));
+    CHECK(fixture.calls.size() == 1);
+    fixture.runtime.advance(milliseconds(100));
+    CHECK(fixture.calls.size() == 2);
 }
--- a/unittests/Proxy/RateLimitWatchTests.cpp
+++ b/unittests/Proxy/RateLimitWatchTests.cpp
@@ -37,24 +37,24 @@
 
 TEST_CASE("an endpoint's rate limit holds until a signed answer states none")
 {
-    limit_fixture world;
-    CHECK_FALSE(world.endpoint().rateLimit());
-    world.answerWithLimit(1.5);
-    CHECK(world.endpoint().rateLimit() == 1.5);
-    world.answerWithLimit(std::nullopt, 502, false);
-    CHECK(world.endpoint().rateLimit() == 1.5);
-    world.answerWithLimit(2.5, 500);
-    CHECK(world.endpoint().rateLimit() == 2.5);
-    world.answerWithLimit(std::nullopt);
-    CHECK_FALSE(world.endpoint().rateLimit());
+    limit_fixture fixture;
+    CHECK_FALSE(fixture.endpoint().rateLimit());
+    fixture.answerWithLimit(1.5);
+    CHECK(fixture.endpoint().rateLimit() == 1.5);
+    fixture.answerWithLimit(std::nullopt, 502, false);
+    CHECK(fixture.endpoint().rateLimit() == 1.5);
+    fixture.answerWithLimit(2.5, 500);
+    CHECK(fixture.endpoint().rateLimit() == 2.5);
+    fixture.answerWithLimit(std::nullopt);
+    CHECK_FALSE(fixture.endpoint().rateLimit());
 }
 
 TEST_CASE("only notable changes of a rate limit are counted")
 {
-    limit_fixture world;
+    limit_fixture fixture;
     for (const double perSecond : {1.5, 1.5, 1.6, 1.5, 3.0})
-        world.answerWithLimit(perSecond);
-    world.answerWithLimit(std::nullopt);
-    CHECK(world.routing.rateLimits().takeChanges() == 3);
-    CHECK(world.routing.rateLimits().takeChanges() == 0);
+        fixture.answerWithLimit(perSecond);
+    fixture.answerWithLimit(std::nullopt);
+    CHECK(fixture.routing.rateLimits().takeChanges() == 3);
+    CHECK(fixture.routing.rateLimits().takeChanges() == 0);
 }
--- a/unittests/Proxy/RetryBudgetTests.cpp
+++ b/unittests/Proxy/RetryBudgetTests.cpp
@@ -29,7 +29,7 @@
 constexpr milliseconds step{100};
 
 /// Changes the set of entries. Called each \c step with the time since the simulation began.
-using churn = std::function<void(retry_fixture &world, milliseconds at)>;
+using churn = std::function<void(retry_fixture &fixture, milliseconds at)>;
 
 /// \returns true if \p at is a multiple of \p pause.
 bool isMultipleOf(milliseconds at, milliseconds pause)
@@ -44,57 +44,57 @@
 
 void noChurn(retry_fixture &, milliseconds) { }
 
-void killAllRepeatedly(retry_fixture &world, milliseconds at)
+void killAllRepeatedly(retry_fixture &fixture, milliseconds at)
 {
-    for (std::size_t i = 0; i < world.entries.size(); ++i) {
+    for (std::size_t i = 0; i < fixture.entries.size(); ++i) {
         if (isOneOf(at, {13000, 15000, 17000}))
-            world.kill(i);
+            fixture.kill(i);
         if (isOneOf(at, {13400, 15400, 17400}))
-            world.start(i);
+            fixture.start(i);
     }
 }
 
-void killInTurn(retry_fixture &world, milliseconds at)
+void killInTurn(retry_fixture &fixture, milliseconds at)
 {
-    const std::size_t count = world.entries.size();
+    const std::size_t count = fixture.entries.size();
     const milliseconds pause{std::max<std::int64_t>(100, 2500 / std::int64_t(count) / 100 * 100)};
     const auto turn = std::size_t(at / pause);
     if (!isMultipleOf(at, pause) || at < seconds(5))
         return;
-    world.start((turn + count - 1) % count);
-    world.kill(turn % count);
+    fixture.start((turn + count - 1) % count);
+    fixture.kill(turn % count);
 }
 
-void restartInTurn(retry_fixture &world, milliseconds at)
+void restartInTurn(retry_fixture &fixture, milliseconds at)
 {
     const milliseconds pause{800};
     if (isMultipleOf(at, pause) && at > seconds(5))
-        world.restart(std::size_t(at / pause) % world.entries.size());
+        fixture.restart(std::size_t(at / pause) % fixture.entries.size());
 }
 
-void doubleEntries(retry_fixture &world, milliseconds at)
+void doubleEntries(retry_fixture &fixture, milliseconds at)
 {
     if (!isOneOf(at, {14000}))
         return;
-    for (std::size_t i = world.plan.entries; i > 0; --i)
-        world.join();
+    for (std::size_t i = fixture.plan.entries; i > 0; --i)
+        fixture.join();
 }
 
-void callersMove(retry_fixture &world, milliseconds at)
+void callersMove(retry_fixture &fixture, milliseconds at)
 {
     if (isOneOf(at, {5000}))
-        world.preferEntry(0);
+        fixture.preferEntry(0);
     if (isOneOf(at, {14000}))
-        world.preferEntry(1);
+        fixture.preferEntry(1);
 }
 
-void suspendAllTwice(retry_fixture &world, milliseconds at)
+void suspendAllTwice(retry_fixture &fixture, milliseconds at)
 {
-    for (std::size_t i = 0; i < world.entries.size(); ++i) {
+    for (std::size_t i = 0; i < fixture.entries.size(); ++i) {
         if (isOneOf(at, {10000, 15000}))
-            world.suspend(i);
+            fixture.suspend(i);
         if (isOneOf(at, {12000, 17000}))
-            world.resume(i);
+            fixture.resume(i);
     }
 }
 
@@ -112,16 +112,16 @@
 }
 
 /// From 11 s on, most requests fail with an error, a broken connection or no answer at all.
-request_outcome failsMostly(retry_fixture &world, milliseconds at)
+request_outcome failsMostly(retry_fixture &fixture, milliseconds at)
 {
     if (at < seconds(11))
         return request_outcome::answers;
     const std::array ends{request_outcome::fails, request_outcome::fails, request_outcome::breaks,
                           request_outcome::hangs, request_outcome::answers};
-    return ends[world.random.index(ends.size())];
+    return ends[fixture.random.index(ends.size())];
 }
 
-using fault = request_outcome (*)(retry_fixture &world, milliseconds at);
+using fault = request_outcome (*)(retry_fixture &fixture, milliseconds at);
 
 struct named_churn
 {
@@ -148,22 +148,22 @@
     plan.entries = size.entries;
     plan.perSecond = size.perSecond;
     plan.allowance = size.allowance;
-    retry_fixture world(plan);
-    const time_point begin = world.runtime.now();
-    world.endpointEnds = [&](const std::string &) {
-        return ends(world, std::chrono::floor<milliseconds>(world.runtime.now() - begin));
+    retry_fixture fixture(plan);
+    const time_point begin = fixture.runtime.now();
+    fixture.endpointEnds = [&](const std::string &) {
+        return ends(fixture, std::chrono::floor<milliseconds>(fixture.runtime.now() - begin));
     };
     for (milliseconds at{0}; at < simulatedTime; at += step) {
-        action(world, at);
-        world.simulate(step);
+        action(fixture, at);
+        fixture.simulate(step);
     }
-    return world.worstShare();
+    return fixture.worstShare();
 }
 
-double furtherSendsLeft(flow_fixture &world)
+double furtherSendsLeft(flow_fixture &fixture)
 {
-    return world.routing.repeats("pool").availableSends(world.runtime.now(),
-                                                        world.routing.shareOfEntries());
+    return fixture.routing.repeats("pool").availableSends(fixture.runtime.now(),
+                                                          fixture.routing.shareOfEntries());
 }
 
 /// \returns the number of seeds to run: one, or the value of LAURELCROFT_SEEDS for manual runs.
@@ -225,46 +225,46 @@
     constexpr unsigned requests = 60;
     constexpr unsigned coldEndpoints = 40;
     const send_budget_bounds bounds; // same as in flow_fixture
-    flow_fixture world(draftRoute(), {"warm"});
+    flow_fixture fixture(draftRoute(), {"warm"});
     for (unsigned i = 0; i < coldEndpoints; ++i) {
         const std::string id = "cold" + std::to_string(i);
-        world.addColdEndpoint(id, "own");
-        world.routing.directory().all().at(id)->recordSend(world.runtime.now());
+        fixture.addColdEndpoint(id, "own");
+        fixture.routing.directory().all().at(id)->recordSend(fixture.runtime.now());
     }
-    world.runtime.advance(milliseconds(800));
+    fixture.runtime.advance(milliseconds(800));
     for (unsigned i = 0; i < requests; ++i) {
         const auto request = requestFor(draftRoute());
         request->id = "r" + std::to_string(i);
-        startFlow(world, request);
+        startFlow(fixture, request);
     }
-    REQUIRE(world.calls.size() == requests);
+    REQUIRE(fixture.calls.size() == requests);
     for (unsigned i = 0; i < requests; ++i)
-        world.refuseNotRun(i);
-    world.runtime.advance(milliseconds(450));
-    const double further = double(world.calls.size() - requests);
+        fixture.refuseNotRun(i);
+    fixture.runtime.advance(milliseconds(450));
+    const double further = double(fixture.calls.size() - requests);
     CHECK(further > 0);
     CHECK(further <= bounds.ratio * requests + bounds.allowance);
 }
 
 TEST_CASE("a retry that finds no endpoint is not charged to the budget")
 {
-    flow_fixture world(draftRoute(), {"only"});
-    startFlow(world, requestFor(draftRoute()));
-    const double before = furtherSendsLeft(world);
-    world.refuseNotRun(0);
-    REQUIRE(world.record);
-    CHECK(world.status == http_status::unavailable);
-    CHECK(furtherSendsLeft(world) == doctest::Approx(before));
+    flow_fixture fixture(draftRoute(), {"only"});
+    startFlow(fixture, requestFor(draftRoute()));
+    const double before = furtherSendsLeft(fixture);
+    fixture.refuseNotRun(0);
+    REQUIRE(fixture.record);
+    CHECK(fixture.status == http_status::unavailable);
+    CHECK(furtherSendsLeft(fixture) == doctest::Approx(before));
 }
 
 TEST_CASE("a retry that reached no endpoint is sent to the next one and charged once")
 {
-    flow_fixture world(draftRoute(), {"a", "b", "c"});
-    startFlow(world, requestFor(draftRoute()));
-    const double before = furtherSendsLeft(world);
-    world.refuseNotRun(0);
-    REQUIRE(world.calls.size() == 2);
-    world.end(1, call_end::notSent);
-    REQUIRE(world.calls.size() == 3);
-    CHECK(furtherSendsLeft(world) == doctest::Approx(before - 1));
+    flow_fixture fixture(draftRoute(), {"a", "b", "c"});
+    startFlow(fixture, requestFor(draftRoute()));
+    const double before = furtherSendsLeft(fixture);
+    fixture.refuseNotRun(0);
+    REQUIRE(fixture.calls.size() == 2);
+    fixture.end(1, call_end::notSent);
+    REQUIRE(fixture.calls.size() == 3);
+    CHECK(furtherSendsLeft(fixture) == doctest::Approx(before - 1));
 }
--- a/unittests/Proxy/RetryFixture.cpp
+++ b/unittests/Proxy/RetryFixture.cpp
@@ -31,26 +31,26 @@
 
 manual_runtime &retry_environment::runtime()
 {
-    return world->runtime;
+    return fixture->runtime;
 }
 
 call_id retry_environment::call(proxy_attempt attempt, call_events events)
 {
     const std::string request = attempt.request->id;
     const std::string endpoint = attempt.endpoint->record().id;
-    world->runtime.after(way, [world = world, request, endpoint, events = std::move(events)] {
-        ++world->arrivals[request];
-        if (world->arrivals[request] > 1)
-            world->retries.push_back(world->runtime.now());
-        const request_outcome how = world->endpointEnds(endpoint);
-        world->runtime.after(world->plan.answerTime, [world, request, how, events] {
+    fixture->runtime.after(way, [fixture = fixture, request, endpoint, events = std::move(events)] {
+        ++fixture->arrivals[request];
+        if (fixture->arrivals[request] > 1)
+            fixture->retries.push_back(fixture->runtime.now());
+        const request_outcome how = fixture->endpointEnds(endpoint);
+        fixture->runtime.after(fixture->plan.answerTime, [fixture, request, how, events] {
             proxy_answer answer;
             answer.requestId = request;
             answer.signedByEndpoint = true;
             answer.status
                     = how == request_outcome::answers ? http_status::ok : http_status::unavailable;
             answer.notRun = how == request_outcome::refuses;
-            answer.confidence = int(world->random.index(100));
+            answer.confidence = int(fixture->random.index(100));
             if (how == request_outcome::hangs)
                 return;
             if (how != request_outcome::breaks)
@@ -58,26 +58,26 @@
             events.onEnd(how == request_outcome::breaks ? call_end::broken : call_end::complete);
         });
     });
-    return ++world->lastCall;
+    return ++fixture->lastCall;
 }
 
 void retry_environment::reply(int status, const http_headers &headers, std::string_view)
 {
-    ++world->statuses[status];
+    ++fixture->statuses[status];
     for (const http_header &header : headers) {
         if (header.name == "Retry-After")
-            world->retryAfter.push_back(std::stod(header.value));
+            fixture->retryAfter.push_back(std::stod(header.value));
     }
 }
 
 void retry_environment::end()
 {
-    ++world->statuses[http_status::ok];
+    ++fixture->statuses[http_status::ok];
 }
 
 void retry_environment::abort()
 {
-    ++world->statuses[0];
+    ++fixture->statuses[0];
 }
 
 retry_fixture::retry_fixture(retry_plan given)
--- a/unittests/Proxy/RetryFixture.h
+++ b/unittests/Proxy/RetryFixture.h
@@ -41,7 +41,7 @@
 /// Environment of a request flow at one entry.
 struct retry_environment
 {
-    retry_fixture *world;
+    retry_fixture *fixture;
     retry_entry *entry;
 
     manual_runtime &runtime();
--- a/unittests/Proxy/RetryOutlookTests.cpp
+++ b/unittests/Proxy/RetryOutlookTests.cpp
@@ -41,29 +41,29 @@
 {
     for (const std::size_t entries : {3, 12}) {
         CAPTURE(entries);
-        retry_fixture world(lookupPlan(entries));
-        world.simulate(before);
-        world.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
+        retry_fixture fixture(lookupPlan(entries));
+        fixture.simulate(before);
+        fixture.endpointEnds = [](const std::string &) { return request_outcome::refuses; };
         // An entry with a twelfth of 100 requests per second sees thirty failures in one to two
         // seconds.
-        world.simulate(detectionTime);
-        const time_point known = world.runtime.now();
-        const std::size_t refusedBefore = world.retryAfter.size();
-        world.simulate(outage - detectionTime);
+        fixture.simulate(detectionTime);
+        const time_point known = fixture.runtime.now();
+        const std::size_t refusedBefore = fixture.retryAfter.size();
+        fixture.simulate(outage - detectionTime);
 
-        const double asked = double(countAfter(world.requests, known));
-        CHECK(double(countAfter(world.retries, known)) <= 0.05 * asked);
-        CHECK(double(world.retryAfter.size() - refusedBefore) >= 0.98 * asked);
+        const double asked = double(countAfter(fixture.requests, known));
+        CHECK(double(countAfter(fixture.retries, known)) <= 0.05 * asked);
+        CHECK(double(fixture.retryAfter.size() - refusedBefore) >= 0.98 * asked);
         // The outage has lasted for seconds, so a retry after a quarter of a second would fail too.
-        CHECK(world.retryAfter.back() >= 1.0);
-        CHECK(world.retryAfter.back() <= 7.0);
+        CHECK(fixture.retryAfter.back() >= 1.0);
+        CHECK(fixture.retryAfter.back() <= 7.0);
 
-        world.endpointEnds = [](const std::string &) { return request_outcome::answers; };
-        const time_point over = world.runtime.now();
-        const std::size_t servedBefore = world.served();
-        world.simulate(seconds(2));
-        CHECK(double(world.served() - servedBefore)
-              >= 0.98 * double(countAfter(world.requests, over)));
+        fixture.endpointEnds = [](const std::string &) { return request_outcome::answers; };
+        const time_point over = fixture.runtime.now();
+        const std::size_t servedBefore = fixture.served();
+        fixture.simulate(seconds(2));
+        CHECK(double(fixture.served() - servedBefore)
+              >= 0.98 * double(countAfter(fixture.requests, over)));
     }
 }
 
@@ -73,29 +73,29 @@
     // answered. The budget allows at least 0.7 retries per request.
     constexpr double answered = 0.28;
     constexpr double further = 0.7;
-    retry_fixture world(lookupPlan(3));
-    world.simulate(before);
-    world.endpointEnds = [&](const std::string &endpoint) {
+    retry_fixture fixture(lookupPlan(3));
+    fixture.simulate(before);
+    fixture.endpointEnds = [&](const std::string &endpoint) {
         const bool isSound = endpoint.back() % 5 == 0;
-        return isSound || world.random.chance(0.1) ? request_outcome::answers
-                                                   : request_outcome::refuses;
+        return isSound || fixture.random.chance(0.1) ? request_outcome::answers
+                                                     : request_outcome::refuses;
     };
-    const time_point begin = world.runtime.now();
-    const std::size_t servedBefore = world.served();
-    world.simulate(seconds(10));
-    const double asked = double(countAfter(world.requests, begin));
-    CHECK(double(world.served() - servedBefore) >= 0.9 * answered * (1 + further) * asked);
+    const time_point begin = fixture.runtime.now();
+    const std::size_t servedBefore = fixture.served();
+    fixture.simulate(seconds(10));
+    const double asked = double(countAfter(fixture.requests, begin));
+    CHECK(double(fixture.served() - servedBefore) >= 0.9 * answered * (1 + further) * asked);
 }
 
 TEST_CASE("a broken stream is resumed even if its service answers no other requests")
 {
-    flow_fixture world(draftRoute(), {"a", "b"});
-    const auto flow = startFlow(world, requestFor(draftRoute()));
-    world.answer(0, 200, 90);
-    world.data(0, eventText(1));
+    flow_fixture fixture(draftRoute(), {"a", "b"});
+    const auto flow = startFlow(fixture, requestFor(draftRoute()));
+    fixture.answer(0, 200, 90);
+    fixture.data(0, eventText(1));
     for (unsigned i = 0; i < failure_streak::failuresToGiveUp; ++i)
-        world.routing.outlook("pool").failed(world.runtime.now());
-    world.end(0, call_end::broken);
-    CHECK(world.calls.size() == 2);
-    CHECK(!world.aborted);
+        fixture.routing.outlook("pool").failed(fixture.runtime.now());
+    fixture.end(0, call_end::broken);
+    CHECK(fixture.calls.size() == 2);
+    CHECK(!fixture.aborted);
 }
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -142,12 +142,12 @@
     unsigned over = 0;
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_fixture world(seed);
-        world.startRollout();
-        world.run(seconds(12));
-        over += world.changedToNew;
-        back += world.changedToOld;
-        CHECK(world.entries.store.valueOf("status", "pool") == "completed");
+        session_fixture fixture(seed);
+        fixture.startRollout();
+        fixture.run(seconds(12));
+        over += fixture.changedToNew;
+        back += fixture.changedToOld;
+        CHECK(fixture.entries.store.valueOf("status", "pool") == "completed");
     }
     CHECK(over == 0);
     CHECK(back == 0);
@@ -157,19 +157,19 @@
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_fixture world(seed);
+        session_fixture fixture(seed);
         // Chooses one of the busiest entries that read rows from others.
-        for (fleet_entry &entry : world.entries.entries) {
+        for (fleet_entry &entry : fixture.entries.entries) {
             if (!entry.readers.empty()) {
-                world.failingEntry = &entry;
+                fixture.failingEntry = &entry;
                 break;
             }
         }
-        REQUIRE(world.failingEntry);
-        world.startRollout();
-        world.run(seconds(12));
-        CHECK(world.isRolledBack());
-        back += world.changedToOld;
+        REQUIRE(fixture.failingEntry);
+        fixture.startRollout();
+        fixture.run(seconds(12));
+        CHECK(fixture.isRolledBack());
+        back += fixture.changedToOld;
     }
     CHECK(back == 0);
 }
@@ -178,15 +178,15 @@
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_fixture world(seed);
+        session_fixture fixture(seed);
         unsigned number = 0;
-        for (fleet_entry &entry : world.entries.entries) {
+        for (fleet_entry &entry : fixture.entries.entries) {
             if (!entry.readers.empty() && ++number % 2 == 0)
                 entry.readDelay = milliseconds(700);
         }
-        world.startRollout();
-        world.run(seconds(12));
-        back += world.changedToOld;
+        fixture.startRollout();
+        fixture.run(seconds(12));
+        back += fixture.changedToOld;
     }
     CHECK(back == 0);
 }
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -83,181 +83,181 @@
 
 TEST_CASE("contract and endpoints are read, then followed")
 {
-    sync_fixture world;
-    world.store.put("orders", "contract", "3");
-    world.store.put("endpoints", "a", "v1");
-    world.begin();
-    REQUIRE(world.routing.contract());
-    CHECK(world.routing.contract()->version == 3);
-    CHECK(world.routing.directory().usable("pool").size() == 1);
-    world.store.put("orders", "contract", "5");
-    world.store.put("endpoints", "b", "v1");
-    world.store.put("endpoints", "a", "v1-");
-    world.runtime.advance(milliseconds(2100));
-    CHECK(world.routing.contract()->version == 5);
-    const auto usable = world.routing.directory().usable("pool");
+    sync_fixture fixture;
+    fixture.store.put("orders", "contract", "3");
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.begin();
+    REQUIRE(fixture.routing.contract());
+    CHECK(fixture.routing.contract()->version == 3);
+    CHECK(fixture.routing.directory().usable("pool").size() == 1);
+    fixture.store.put("orders", "contract", "5");
+    fixture.store.put("endpoints", "b", "v1");
+    fixture.store.put("endpoints", "a", "v1-");
+    fixture.runtime.advance(milliseconds(2100));
+    CHECK(fixture.routing.contract()->version == 5);
+    const auto usable = fixture.routing.directory().usable("pool");
     REQUIRE(usable.size() == 1);
     CHECK(usable[0]->record().id == "b");
-    CHECK(world.contracts == 2);
+    CHECK(fixture.contracts == 2);
 }
 
 TEST_CASE("a malformed or older contract leaves the current one in force")
 {
-    sync_fixture world;
-    world.store.put("orders", "contract", "3");
-    world.begin();
-    world.store.put("orders", "contract", "wrong");
-    world.runtime.advance(milliseconds(2100));
-    CHECK(world.routing.contract()->version == 3);
-    world.store.put("orders", "contract", "2");
-    world.runtime.advance(milliseconds(2100));
-    CHECK(world.routing.contract()->version == 3);
+    sync_fixture fixture;
+    fixture.store.put("orders", "contract", "3");
+    fixture.begin();
+    fixture.store.put("orders", "contract", "wrong");
+    fixture.runtime.advance(milliseconds(2100));
+    CHECK(fixture.routing.contract()->version == 3);
+    fixture.store.put("orders", "contract", "2");
+    fixture.runtime.advance(milliseconds(2100));
+    CHECK(fixture.routing.contract()->version == 3);
 }
 
 TEST_CASE("a leaving endpoint is no longer used within a second of its row")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "a", "v1");
-    world.begin();
-    world.store.put("endpoints", "a", "v1-");
-    world.runtime.advance(milliseconds(1000));
-    CHECK(world.routing.directory().usable("pool").empty());
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.begin();
+    fixture.store.put("endpoints", "a", "v1-");
+    fixture.runtime.advance(milliseconds(1000));
+    CHECK(fixture.routing.directory().usable("pool").empty());
 }
 
 TEST_CASE("endpoints are read more often on a site with a shorter bound")
 {
-    sync_fixture world("e1", milliseconds(500));
-    world.store.put("endpoints", "a", "v1");
-    world.begin();
-    world.store.put("endpoints", "a", "v1-");
-    world.runtime.advance(milliseconds(250));
-    CHECK(world.routing.directory().usable("pool").empty());
+    sync_fixture fixture("e1", milliseconds(500));
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.begin();
+    fixture.store.put("endpoints", "a", "v1-");
+    fixture.runtime.advance(milliseconds(250));
+    CHECK(fixture.routing.directory().usable("pool").empty());
 }
 
 TEST_CASE("an endpoint that was listed and removed between two reads stays removed")
 {
-    sync_fixture world;
-    world.begin();
-    world.store.put("endpoints", "a", "v1");
-    world.store.remove("endpoints", "a");
-    world.store.put("endpoints", "b", "v1");
-    world.runtime.advance(milliseconds(1000));
-    const auto usable = world.routing.directory().usable("pool");
+    sync_fixture fixture;
+    fixture.begin();
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.store.remove("endpoints", "a");
+    fixture.store.put("endpoints", "b", "v1");
+    fixture.runtime.advance(milliseconds(1000));
+    const auto usable = fixture.routing.directory().usable("pool");
     REQUIRE(usable.size() == 1);
     CHECK(usable[0]->record().id == "b");
 }
 
 TEST_CASE("a table is read again after the store drops its history, including removals")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "a", "v1");
-    world.store.put("endpoints", "b", "v1");
-    world.begin();
-    world.store.hasLostHistory = true;
-    world.store.remove("endpoints", "a");
-    world.runtime.advance(milliseconds(1000));
-    const auto usable = world.routing.directory().usable("pool");
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.store.put("endpoints", "b", "v1");
+    fixture.begin();
+    fixture.store.hasLostHistory = true;
+    fixture.store.remove("endpoints", "a");
+    fixture.runtime.advance(milliseconds(1000));
+    const auto usable = fixture.routing.directory().usable("pool");
     REQUIRE(usable.size() == 1);
     CHECK(usable[0]->record().id == "b");
 }
 
 TEST_CASE("endpoints whose rows expired in an outage get two seconds to return")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "a", "v1");
-    world.store.put("endpoints", "b", "v1");
-    world.begin();
-    world.store.away = true;
-    world.runtime.advance(seconds(5));
-    world.store.remove("endpoints", "a");
-    world.store.remove("endpoints", "b");
-    world.store.away = false;
-    world.runtime.advance(milliseconds(1000));
-    CHECK(world.routing.directory().usable("pool").size() == 2);
-    world.store.put("endpoints", "a", "v1");
-    world.runtime.advance(milliseconds(3000));
-    world.routing.directory().expire(world.runtime.now());
-    const auto usable = world.routing.directory().usable("pool");
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.store.put("endpoints", "b", "v1");
+    fixture.begin();
+    fixture.store.away = true;
+    fixture.runtime.advance(seconds(5));
+    fixture.store.remove("endpoints", "a");
+    fixture.store.remove("endpoints", "b");
+    fixture.store.away = false;
+    fixture.runtime.advance(milliseconds(1000));
+    CHECK(fixture.routing.directory().usable("pool").size() == 2);
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.runtime.advance(milliseconds(3000));
+    fixture.routing.directory().expire(fixture.runtime.now());
+    const auto usable = fixture.routing.directory().usable("pool");
     REQUIRE(usable.size() == 1);
     CHECK(usable[0]->record().id == "a");
 }
 
 TEST_CASE("the end of an outage is noticed within a second")
 {
-    sync_fixture world;
-    world.store.put("orders", "contract", "1");
-    world.begin();
-    world.store.away = true;
-    world.runtime.advance(seconds(20));
-    world.store.away = false;
-    world.store.put("orders", "contract", "2");
-    world.runtime.advance(milliseconds(1000));
-    CHECK(world.routing.contract()->version == 2);
+    sync_fixture fixture;
+    fixture.store.put("orders", "contract", "1");
+    fixture.begin();
+    fixture.store.away = true;
+    fixture.runtime.advance(seconds(20));
+    fixture.store.away = false;
+    fixture.store.put("orders", "contract", "2");
+    fixture.runtime.advance(milliseconds(1000));
+    CHECK(fixture.routing.contract()->version == 2);
 }
 
 TEST_CASE("an order is carried out to completion, and the operator status follows")
 {
-    sync_fixture world;
-    world.orderRollout();
-    world.sync.start();
-    world.runtime.advance(seconds(2));
-    CHECK(world.store.valueOf("status", "pool") == "waiting");
-    world.runtime.advance(seconds(5));
-    CHECK(world.store.valueOf("status", "pool") == "trial");
-    world.runtime.advance(milliseconds(1800));
-    CHECK(world.store.valueOf("status", "pool") == "full");
+    sync_fixture fixture;
+    fixture.orderRollout();
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(2));
+    CHECK(fixture.store.valueOf("status", "pool") == "waiting");
+    fixture.runtime.advance(seconds(5));
+    CHECK(fixture.store.valueOf("status", "pool") == "trial");
+    fixture.runtime.advance(milliseconds(1800));
+    CHECK(fixture.store.valueOf("status", "pool") == "full");
     for (int i = 0; i < 20; ++i)
-        world.routing.rollouts("pool").observe("v2", "route", "m", answer_timing{},
-                                               world.runtime.now());
-    world.runtime.advance(seconds(2));
-    CHECK(world.store.valueOf("status", "pool") == "completed");
-    const unsigned writes = world.store.writes;
-    world.runtime.advance(seconds(30));
-    CHECK(world.store.writes == writes);
+        fixture.routing.rollouts("pool").observe("v2", "route", "m", answer_timing{},
+                                                 fixture.runtime.now());
+    fixture.runtime.advance(seconds(2));
+    CHECK(fixture.store.valueOf("status", "pool") == "completed");
+    const unsigned writes = fixture.store.writes;
+    fixture.runtime.advance(seconds(30));
+    CHECK(fixture.store.writes == writes);
 }
 
 TEST_CASE("after an outage a roll-out waits for the evidence of other entries")
 {
-    sync_fixture world;
-    world.orderRollout();
-    world.sync.start();
-    world.runtime.advance(seconds(6));
-    CHECK(world.store.valueOf("status", "pool") == "trial");
+    sync_fixture fixture;
+    fixture.orderRollout();
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(6));
+    CHECK(fixture.store.valueOf("status", "pool") == "trial");
     for (int i = 0; i < 20; ++i)
-        world.routing.rollouts("pool").observe("v2", "route", "m", answer_timing{},
-                                               world.runtime.now());
+        fixture.routing.rollouts("pool").observe("v2", "route", "m", answer_timing{},
+                                                 fixture.runtime.now());
     // The deadline passes during the outage. Another entry has found the version bad and writes its
     // evidence late.
-    world.store.away = true;
-    world.runtime.advance(seconds(9));
-    world.store.away = false;
-    world.runtime.advance(seconds(2));
-    CHECK(world.store.valueOf("status", "pool") == "trial");
-    const std::uint64_t order = world.routing.rollouts("pool").order()->orderedAt;
-    world.store.put("laurelcroft", evidenceKey("e2", "pool"),
-                    encodeEvidence({order, {{"route", {10, 30, 0}}}}));
-    world.runtime.advance(seconds(3));
-    CHECK(world.store.valueOf("status", "pool") == "reverted");
+    fixture.store.away = true;
+    fixture.runtime.advance(seconds(9));
+    fixture.store.away = false;
+    fixture.runtime.advance(seconds(2));
+    CHECK(fixture.store.valueOf("status", "pool") == "trial");
+    const std::uint64_t order = fixture.routing.rollouts("pool").order()->orderedAt;
+    fixture.store.put("laurelcroft", evidenceKey("e2", "pool"),
+                      encodeEvidence({order, {{"route", {10, 30, 0}}}}));
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.store.valueOf("status", "pool") == "reverted");
 }
 
 /// \returns how long after the store's return a version that was found bad during the outage is
 /// reverted.
 static milliseconds revertedAfter(milliseconds outage)
 {
-    sync_fixture world;
-    world.store.put("endpoints", "b", "v2");
-    world.store.put("orders", "pool", "v2");
-    world.sync.start();
-    world.runtime.advance(seconds(2));
-    world.store.away = true;
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "b", "v2");
+    fixture.store.put("orders", "pool", "v2");
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(2));
+    fixture.store.away = true;
     for (int i = 0; i < 30; ++i)
-        world.routing.rollouts("pool").observe("v2", "route", "m", std::nullopt,
-                                               world.runtime.now());
-    world.runtime.advance(outage);
-    world.store.away = false;
+        fixture.routing.rollouts("pool").observe("v2", "route", "m", std::nullopt,
+                                                 fixture.runtime.now());
+    fixture.runtime.advance(outage);
+    fixture.store.away = false;
     milliseconds waited{0};
-    while (world.store.valueOf("status", "pool") != "reverted" && waited < seconds(5)) {
-        world.runtime.advance(milliseconds(50));
+    while (fixture.store.valueOf("status", "pool") != "reverted" && waited < seconds(5)) {
+        fixture.runtime.advance(milliseconds(50));
         waited += milliseconds(50);
     }
     return waited;
@@ -276,149 +276,149 @@
 
 TEST_CASE("an entry that starts during a roll-out continues from its row")
 {
-    sync_fixture world;
-    world.orderRollout();
+    sync_fixture fixture;
+    fixture.orderRollout();
     // The order's row has version 4 here.
     const rollout_row row{4, "v2", rollout_stage::reverted, milliseconds(1), milliseconds(1), 0.1};
-    world.store.put("laurelcroft", "rollout/pool", encodeRollout(row));
-    world.sync.start();
-    world.runtime.advance(seconds(3));
-    const auto eligible = world.routing.rollouts("pool")
-                                  .eligible(world.routing.directory().usable("pool"),
-                                            {0, world.runtime.now(), world.runtime.now()})
+    fixture.store.put("laurelcroft", "rollout/pool", encodeRollout(row));
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(3));
+    const auto eligible = fixture.routing.rollouts("pool")
+                                  .eligible(fixture.routing.directory().usable("pool"),
+                                            {0, fixture.runtime.now(), fixture.runtime.now()})
                                   .endpoints;
     REQUIRE(eligible.size() == 1);
     CHECK(eligible[0]->record().id == "a");
-    CHECK(world.store.valueOf("status", "pool").empty());
+    CHECK(fixture.store.valueOf("status", "pool").empty());
 }
 
 TEST_CASE("entries count each other by their rows")
 {
-    sync_fixture world("e1");
-    world.store.put("laurelcroft", "entry/e2", encodeEntry({"10.0.0.2:5", "hall"}));
-    world.store.put("laurelcroft", "entry/e3", "nonsense");
-    world.sync.start();
-    world.runtime.advance(seconds(3));
-    CHECK(world.routing.entries() == 3);
-    CHECK(world.entries.at("e1").address == "10.0.0.1:5");
-    CHECK(world.entries.at("e2").dataCentre == "hall");
+    sync_fixture fixture("e1");
+    fixture.store.put("laurelcroft", "entry/e2", encodeEntry({"10.0.0.2:5", "hall"}));
+    fixture.store.put("laurelcroft", "entry/e3", "nonsense");
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.routing.entries() == 3);
+    CHECK(fixture.entries.at("e1").address == "10.0.0.1:5");
+    CHECK(fixture.entries.at("e2").dataCentre == "hall");
 }
 
 TEST_CASE("rows of dead entries are removed, and a live entry writes its removed row again")
 {
-    sync_fixture world("e1");
+    sync_fixture fixture("e1");
     const auto storeNow
-            = std::chrono::duration_cast<milliseconds>(world.runtime.now().time_since_epoch());
-    world.store.put("laurelcroft", "entry/e2", encodeEntry({"10.0.0.2:5", "hall", storeNow}));
-    world.store.put("laurelcroft", evidenceKey("e2", "pool"), encodeEvidence({}));
-    world.sync.start();
-    world.runtime.advance(seconds(3));
-    CHECK(world.routing.entries() == 2);
-    world.runtime.advance(entry_registry::rowLifetime + seconds(30));
-    CHECK(world.routing.entries() == 1);
-    CHECK(world.entries.count("e1") == 1);
-    world.store.remove("laurelcroft", "entry/e1");
-    world.runtime.advance(seconds(6));
-    CHECK(world.entries.count("e1") == 1);
+            = std::chrono::duration_cast<milliseconds>(fixture.runtime.now().time_since_epoch());
+    fixture.store.put("laurelcroft", "entry/e2", encodeEntry({"10.0.0.2:5", "hall", storeNow}));
+    fixture.store.put("laurelcroft", evidenceKey("e2", "pool"), encodeEvidence({}));
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(3));
+    CHECK(fixture.routing.entries() == 2);
+    fixture.runtime.advance(entry_registry::rowLifetime + seconds(30));
+    CHECK(fixture.routing.entries() == 1);
+    CHECK(fixture.entries.count("e1") == 1);
+    fixture.store.remove("laurelcroft", "entry/e1");
+    fixture.runtime.advance(seconds(6));
+    CHECK(fixture.entries.count("e1") == 1);
     // Three renewals, one removal, one new row.
-    CHECK(world.store.writes <= 7);
+    CHECK(fixture.store.writes <= 7);
 }
 
 TEST_CASE("an entry without the store learns from another one, and ignores older rows")
 {
-    sync_fixture world;
-    world.store.put("orders", "contract", "3");
-    world.begin();
+    sync_fixture fixture;
+    fixture.store.put("orders", "contract", "3");
+    fixture.begin();
     const std::uint64_t version = 50;
-    world.store.away = true;
-    world.ordersOfPeer = row_news{{{{"contract", "7", version, false}}, version, {}}, true};
-    world.runtime.advance(seconds(4));
-    CHECK(world.routing.contract()->version == 7);
-    const unsigned contracts = world.contracts;
-    world.ordersOfPeer = row_news{{{{"contract", "9", 2, false}}, 2, {}}, true};
-    world.runtime.advance(seconds(4));
-    CHECK(world.routing.contract()->version == 7);
-    CHECK(world.contracts == contracts);
+    fixture.store.away = true;
+    fixture.ordersOfPeer = row_news{{{{"contract", "7", version, false}}, version, {}}, true};
+    fixture.runtime.advance(seconds(4));
+    CHECK(fixture.routing.contract()->version == 7);
+    const unsigned contracts = fixture.contracts;
+    fixture.ordersOfPeer = row_news{{{{"contract", "9", 2, false}}, 2, {}}, true};
+    fixture.runtime.advance(seconds(4));
+    CHECK(fixture.routing.contract()->version == 7);
+    CHECK(fixture.contracts == contracts);
 }
 
 TEST_CASE("an entry that starts during an outage learns from another one")
 {
-    sync_fixture world;
-    world.store.away = true;
-    world.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
-    world.sync.start();
-    world.runtime.advance(seconds(1));
-    REQUIRE(world.routing.contract());
-    CHECK(world.routing.contract()->version == 7);
+    sync_fixture fixture;
+    fixture.store.away = true;
+    fixture.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(1));
+    REQUIRE(fixture.routing.contract());
+    CHECK(fixture.routing.contract()->version == 7);
 }
 
 TEST_CASE("failed writes are not repeated at every check")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "b", "v2");
-    world.store.put("orders", "pool", "v2");
-    world.sync.start();
-    world.runtime.advance(milliseconds(100));
-    world.store.away = true;
-    const unsigned before = world.store.writes;
-    world.runtime.advance(seconds(10));
-    CHECK(world.store.writes - before <= 18);
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "b", "v2");
+    fixture.store.put("orders", "pool", "v2");
+    fixture.sync.start();
+    fixture.runtime.advance(milliseconds(100));
+    fixture.store.away = true;
+    const unsigned before = fixture.store.writes;
+    fixture.runtime.advance(seconds(10));
+    CHECK(fixture.store.writes - before <= 18);
 }
 
 TEST_CASE("an entry with readers reads from them, and from the store only when they fail")
 {
-    sync_fixture world;
-    world.relayed = true;
-    world.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
-    world.store.put("endpoints", "a", "v1");
-    world.sync.start();
-    world.runtime.advance(seconds(1));
-    REQUIRE(world.routing.contract());
-    CHECK(world.routing.contract()->version == 7);
+    sync_fixture fixture;
+    fixture.relayed = true;
+    fixture.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(1));
+    REQUIRE(fixture.routing.contract());
+    CHECK(fixture.routing.contract()->version == 7);
     // The peer has no endpoints: they are read from the store.
-    CHECK(world.routing.directory().usable("pool").size() == 1);
-    CHECK(world.store.lists == 2);
+    CHECK(fixture.routing.directory().usable("pool").size() == 1);
+    CHECK(fixture.store.lists == 2);
 }
 
 TEST_CASE("an entry whose write conflicts continues from the current row")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "b", "v2");
-    world.store.put("orders", "pool", "v2");
-    world.begin();
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "b", "v2");
+    fixture.store.put("orders", "pool", "v2");
+    fixture.begin();
     // Another entry wrote first; this entry's feed has not delivered that row yet.
     const rollout_row row{3, "v2", rollout_stage::reverted, milliseconds(1), milliseconds(1), 0};
-    world.store.put("laurelcroft", "rollout/pool", encodeRollout(row));
-    world.runtime.advance(milliseconds(1900));
-    REQUIRE(world.routing.rollouts("pool").row());
-    CHECK(world.routing.rollouts("pool").row()->stage == rollout_stage::reverted);
+    fixture.store.put("laurelcroft", "rollout/pool", encodeRollout(row));
+    fixture.runtime.advance(milliseconds(1900));
+    REQUIRE(fixture.routing.rollouts("pool").row());
+    CHECK(fixture.routing.rollouts("pool").row()->stage == rollout_stage::reverted);
 }
 
 TEST_CASE("a restarted entry uses the evidence that it wrote before")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "b", "v2");
-    world.store.put("orders", "pool", "v2");
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "b", "v2");
+    fixture.store.put("orders", "pool", "v2");
     const rollout_evidence before{3, {{"route", {10, 30}}}};
-    world.store.put("laurelcroft", evidenceKey("e1", "pool"), encodeEvidence(before));
-    world.sync.start();
-    world.runtime.advance(seconds(4));
-    CHECK(world.store.valueOf("status", "pool") == "reverted");
+    fixture.store.put("laurelcroft", evidenceKey("e1", "pool"), encodeEvidence(before));
+    fixture.sync.start();
+    fixture.runtime.advance(seconds(4));
+    CHECK(fixture.store.valueOf("status", "pool") == "reverted");
 }
 
 TEST_CASE("heartbeats are not passed on, changes are")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "a", "v1");
-    world.store.put("endpoints", "b", "v1");
-    world.begin();
-    const auto first = world.mirror.read("endpoints", 0, world.runtime.now());
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.store.put("endpoints", "b", "v1");
+    fixture.begin();
+    const auto first = fixture.mirror.read("endpoints", 0, fixture.runtime.now());
     REQUIRE(first);
-    world.store.put("endpoints", "a", "v1"); // same value again
-    world.store.put("endpoints", "b", "v1-");
-    world.runtime.advance(milliseconds(900));
+    fixture.store.put("endpoints", "a", "v1"); // same value again
+    fixture.store.put("endpoints", "b", "v1-");
+    fixture.runtime.advance(milliseconds(900));
     const auto news
-            = world.mirror.read("endpoints", first->news.batch.version, world.runtime.now());
+            = fixture.mirror.read("endpoints", first->news.batch.version, fixture.runtime.now());
     REQUIRE(news);
     REQUIRE(news->news.batch.rows.size() == 1);
     CHECK(news->news.batch.rows[0].key == "b");
@@ -427,19 +427,19 @@
 
 TEST_CASE("an unreadable record does not affect others and is counted once")
 {
-    sync_fixture world;
-    world.store.put("endpoints", "a", "v1");
-    world.store.put("endpoints", "x", "foreign");
-    world.begin();
-    CHECK(world.routing.directory().usable("pool").size() == 1);
-    world.store.put("endpoints", "x", "foreign");
-    world.store.put("endpoints", "b", "v1");
-    world.runtime.advance(milliseconds(2100));
-    CHECK(world.routing.directory().usable("pool").size() == 2);
-    CHECK(world.metrics.prometheusText().find("endpoint_records_refused_total 1\n")
+    sync_fixture fixture;
+    fixture.store.put("endpoints", "a", "v1");
+    fixture.store.put("endpoints", "x", "foreign");
+    fixture.begin();
+    CHECK(fixture.routing.directory().usable("pool").size() == 1);
+    fixture.store.put("endpoints", "x", "foreign");
+    fixture.store.put("endpoints", "b", "v1");
+    fixture.runtime.advance(milliseconds(2100));
+    CHECK(fixture.routing.directory().usable("pool").size() == 2);
+    CHECK(fixture.metrics.prometheusText().find("endpoint_records_refused_total 1\n")
           != std::string::npos);
     // An unreadable record of a known endpoint leaves the endpoint unchanged.
-    world.store.put("endpoints", "a", "foreign");
-    world.runtime.advance(milliseconds(2100));
-    CHECK(world.routing.directory().usable("pool").size() == 2);
+    fixture.store.put("endpoints", "a", "foreign");
+    fixture.runtime.advance(milliseconds(2100));
+    CHECK(fixture.routing.directory().usable("pool").size() == 2);
 }
