--- a/include/laurelcroft/Proxy/EntryRegistry.h
+++ b/include/laurelcroft/Proxy/EntryRegistry.h
@@ -54,7 +54,7 @@
 
     /// \returns the offset of wall time from the store's clock, or nothing if no entry reports one.
     /// Uses the median of the reported offsets, since some wall clocks may be off by seconds.
-    std::optional<milliseconds> wallAhead() const;
+    std::optional<milliseconds> medianWallClockOffset() const;
 
     /// \returns another entry whose row has expired, if any.
     std::optional<listed_entry> findExpired(milliseconds storeNow) const;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -222,7 +222,7 @@
     });
     if (!news.whole && !tellsOfEntries)
         return;
-    m_wallClockOffset = m_roster.wallAhead();
+    m_wallClockOffset = m_roster.medianWallClockOffset();
     std::vector<std::string> names;
     std::map<std::string, std::string> dataCentres;
     for (const auto &[name, place] : m_roster.entries()) {
--- a/lib/Proxy/EntryRegistry.cpp
+++ b/lib/Proxy/EntryRegistry.cpp
@@ -46,7 +46,7 @@
     return std::nullopt;
 }
 
-std::optional<milliseconds> entry_registry::wallAhead() const
+std::optional<milliseconds> entry_registry::medianWallClockOffset() const
 {
     std::vector<milliseconds> offsets;
     for (const auto &[name, place] : m_entries) {
