--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -299,12 +299,12 @@
     noteRun();
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
-    m_readingMs = readingMsPerToken() * m_readTokens;
-    m_expectedReadingMs = m_endpoint->prefillMs() + m_readingMs;
+    m_prefillMs = readingMsPerToken() * m_readTokens;
+    m_expectedReadingMs = m_endpoint->prefillMs() + m_prefillMs;
     m_remoteReadingMs = m_endpoint->remotePrefillMs(m_attemptAt);
-    m_ownReadingShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
-    m_endpoint->addPrefill(m_readingMs);
-    state.noteSend(*endpoint, m_readingMs, m_prefixes);
+    m_ownReadingShare = pick.waitMs > 0 ? m_prefillMs / pick.waitMs : 1;
+    m_endpoint->addPrefill(m_prefillMs);
+    state.noteSend(*endpoint, m_prefillMs, m_prefixes);
     m_endpoint->prefixCache().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
     assert((m_receivedSends == 0 || m_reservedSend)
@@ -387,7 +387,7 @@
 template <flow_environment Env>
 void request_flow<Env>::endReading()
 {
-    m_endpoint->removePrefill(std::exchange(m_readingMs, 0));
+    m_endpoint->removePrefill(std::exchange(m_prefillMs, 0));
 }
 
 template <flow_environment Env>
