--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -300,7 +300,7 @@
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
     m_prefillMs = readingMsPerToken() * m_readTokens;
-    m_expectedReadingMs = m_endpoint->prefillMs() + m_prefillMs;
+    m_expectedPrefillMs = m_endpoint->prefillMs() + m_prefillMs;
     m_remoteReadingMs = m_endpoint->remotePrefillMs(m_attemptAt);
     m_ownReadingShare = pick.waitMs > 0 ? m_prefillMs / pick.waitMs : 1;
     m_endpoint->addPrefill(m_prefillMs);
@@ -404,7 +404,7 @@
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
-    view.prefillMs = m_expectedReadingMs;
+    view.prefillMs = m_expectedPrefillMs;
     view.endpointSilent = isEndpointSilent();
     if (m_route->form == answer_form::events)
         view.part = m_hasFirstEvent ? awaited_part::nextEvent : awaited_part::firstEvent;
