--- a/include/laurelcroft/Proxy/RequestFlowAnswering.h
+++ b/include/laurelcroft/Proxy/RequestFlowAnswering.h
@@ -204,7 +204,7 @@
     timing.wait = (m_hasFirstEvent ? m_firstEventAt : now()) - m_attemptAt;
     timing.countedSlow = m_countedSlow;
     timing.reading = std::chrono::duration_cast<duration>(
-            std::chrono::duration<double, std::milli>(m_expectedPrefillMs + m_remoteReadingMs));
+            std::chrono::duration<double, std::milli>(m_expectedPrefillMs + m_remotePrefillMs));
     if (m_attemptEvents > 1)
         timing.pause = (m_lastProgressAt - m_firstEventAt) / (m_attemptEvents - 1);
     return timing;
