--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -302,7 +302,7 @@
     m_prefillMs = readingMsPerToken() * m_readTokens;
     m_expectedPrefillMs = m_endpoint->prefillMs() + m_prefillMs;
     m_remotePrefillMs = m_endpoint->remotePrefillMs(m_attemptAt);
-    m_ownReadingShare = pick.waitMs > 0 ? m_prefillMs / pick.waitMs : 1;
+    m_ownPrefillShare = pick.waitMs > 0 ? m_prefillMs / pick.waitMs : 1;
     m_endpoint->addPrefill(m_prefillMs);
     state.noteSend(*endpoint, m_prefillMs, m_prefixes);
     m_endpoint->prefixCache().insert(m_prefixes);
