--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -162,7 +162,7 @@
     std::vector<prompt_prefix> prefixesOf(const std::string &model) const;
     std::string modelName() const;
     unsigned tokensToRead(unsigned kept) const;
-    double readingMsPerToken();
+    double prefillMsPerToken();
     double shareOfObjective(std::chrono::duration<double, std::milli> time) const;
     void endReading();
     milliseconds currentPatience();
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -16,7 +16,7 @@
 }
 
 template <flow_environment Env>
-double request_flow<Env>::readingMsPerToken()
+double request_flow<Env>::prefillMsPerToken()
 {
     routing_state &state = m_env.routing();
     const prefill_rate &rate = state.promptRate(modelName());
@@ -245,7 +245,7 @@
 request_flow<Env>::pickAmong(const std::vector<endpoint_ptr> &endpoints,
                              std::span<const sampled_endpoint> items)
 {
-    const prompt_cost prompt{totalTokens(m_prefixes), readingMsPerToken()};
+    const prompt_cost prompt{totalTokens(m_prefixes), prefillMsPerToken()};
     std::optional<shared_prompt> shared;
     if (!m_prefixes.empty())
         shared = {m_prefixes.back().hash, prompt.msPerToken * prompt.sharedTokens};
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -299,7 +299,7 @@
     noteRun();
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
-    m_prefillMs = readingMsPerToken() * m_readTokens;
+    m_prefillMs = prefillMsPerToken() * m_readTokens;
     m_expectedPrefillMs = m_endpoint->prefillMs() + m_prefillMs;
     m_remotePrefillMs = m_endpoint->remotePrefillMs(m_attemptAt);
     m_ownPrefillShare = pick.waitMs > 0 ? m_prefillMs / pick.waitMs : 1;
