--- a/include/laurelcroft/Proxy/RoutingState.h
+++ b/include/laurelcroft/Proxy/RoutingState.h
@@ -123,14 +123,14 @@
 
     /// Called for each request sent, with the expected prompt processing time and the shared
     /// prefixes of the prompt.
-    using send_listener = std::function<void(const service_endpoint &endpoint, double readingMs,
+    using send_listener = std::function<void(const service_endpoint &endpoint, double prefillMs,
                                              std::span<const prompt_prefix> prefixes)>;
     void setSendListener(send_listener listener) { m_onSend = std::move(listener); }
-    void noteSend(const service_endpoint &endpoint, double readingMs,
+    void noteSend(const service_endpoint &endpoint, double prefillMs,
                   std::span<const prompt_prefix> prefixes) const
     {
         if (m_onSend)
-            m_onSend(endpoint, readingMs, prefixes);
+            m_onSend(endpoint, prefillMs, prefixes);
     }
 
     /// Called for each request that an endpoint runs for a customer.
