--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -165,7 +165,7 @@
     double prefillMsPerToken();
     double shareOfObjective(std::chrono::duration<double, std::milli> time) const;
     void endReading();
-    milliseconds currentPatience();
+    milliseconds currentAttemptTimeout();
     bool isEndpointSilent();
 
     void onAnswer(proxy_answer &&answer);
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -397,7 +397,7 @@
 }
 
 template <flow_environment Env>
-milliseconds request_flow<Env>::currentPatience()
+milliseconds request_flow<Env>::currentAttemptTimeout()
 {
     attempt_wait view;
     view.objective = m_route->objective;
@@ -428,7 +428,7 @@
         return;
     // Check at intervals even if the limit is far away: the endpoint may become silent later, which
     // shortens the limit.
-    const auto due = m_lastProgressAt + currentPatience();
+    const auto due = m_lastProgressAt + currentAttemptTimeout();
     const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
                                                flow_bounds::progressCheckInterval);
     m_progressTimer
@@ -438,7 +438,7 @@
                       return;
                   self->noteSlowWait();
                   const bool silent
-                          = self->now() - self->m_lastProgressAt >= self->currentPatience();
+                          = self->now() - self->m_lastProgressAt >= self->currentAttemptTimeout();
                   if (!silent) {
                       self->watchProgress(number);
                       return;
