--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -86,8 +86,8 @@
         return false;
     }
     m_deadline = m_arrivedAt + m_route->timeout;
-    if (m_request->patience)
-        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request->patience);
+    if (m_request->callerTimeout)
+        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request->callerTimeout);
     return true;
 }
 
--- a/unittests/Proxy/FlowFixture.cpp
+++ b/unittests/Proxy/FlowFixture.cpp
@@ -153,7 +153,7 @@
     request->target = request->path;
     request->id = "r1";
     request->key = "key-daan";
-    request->patience = milliseconds(20000);
+    request->callerTimeout = milliseconds(20000);
     request->anyModel = !route.models.empty();
     return request;
 }
--- a/unittests/Proxy/FlowTests.cpp
+++ b/unittests/Proxy/FlowTests.cpp
@@ -36,7 +36,7 @@
 {
     flow_fixture fixture(fetchRoute(), {"e1"});
     auto request = requestFor(fetchRoute());
-    request->patience = milliseconds(1500);
+    request->callerTimeout = milliseconds(1500);
     startFlow(fixture, request);
     REQUIRE(fixture.calls.size() == 1);
     CHECK(fixture.calls[0].attempt.customer == "daan");
