--- a/include/laurelcroft/Policy/DirectChoice.h
+++ b/include/laurelcroft/Policy/DirectChoice.h
@@ -25,7 +25,7 @@
     double slots = 1; ///< number of requests that run concurrently
     double waitMs = 0; ///< estimated time to process this prompt and those queued before it
     double uncachedMs = 0; ///< part of waitMs for prefixes not known to be cached
-    double failureShare = 0; ///< recent share of failures, 0 to 1
+    double failureRate = 0; ///< recent share of failures, 0 to 1
     bool sameDataCentre = true;
     bool avoided = false; ///< recently unreachable or full
     bool tried = false; ///< this request was already sent to it
--- a/include/laurelcroft/Proxy/RequestFlowChoosing.h
+++ b/include/laurelcroft/Proxy/RequestFlowChoosing.h
@@ -143,7 +143,7 @@
             + flow_bounds::remoteReadingWeight * endpoint->remotePrefillMs(at)
             + prompt.msPerToken * tokensToRead(kept);
     candidate.uncachedMs = prompt.msPerToken * (prompt.sharedTokens - kept);
-    candidate.failureShare = endpoint->failureRate(at);
+    candidate.failureRate = endpoint->failureRate(at);
     candidate.sameDataCentre = endpoint->record().dataCentre == m_env.routing().dataCentre();
     // An endpoint that refuses immediately has no load and thus the lowest cost. Further attempts
     // avoid it until it accepts a request, so that one request does not spend all its attempts on
--- a/lib/Policy/DirectChoice.cpp
+++ b/lib/Policy/DirectChoice.cpp
@@ -67,7 +67,7 @@
     double cost = candidate.waitMs + candidate.load / candidate.slots * fullSlotsMs;
     if (!candidate.sameDataCentre)
         cost += otherDataCentreMs;
-    cost += candidate.failureShare * failurePenaltyMs;
+    cost += candidate.failureRate * failurePenaltyMs;
     if (candidate.failedInDataCentre)
         cost += failedDataCentrePenaltyMs;
     if (candidate.runsSuspect)
--- a/unittests/Policy/DirectPolicyTests.cpp
+++ b/unittests/Policy/DirectPolicyTests.cpp
@@ -215,7 +215,7 @@
 TEST_CASE("an endpoint that often fails costs more than one that is half full")
 {
     auto candidates = threeCandidates();
-    candidates[0].failureShare = 0.3;
+    candidates[0].failureRate = 0.3;
     candidates[1].load = 5;
     candidates[2].load = 6;
     CHECK(chooseDirect(candidates, std::nullopt, 1)->index == 1);
