--- a/include/laurelcroft/Proxy/PeerRows.h
+++ b/include/laurelcroft/Proxy/PeerRows.h
@@ -27,7 +27,7 @@
 {
 public:
     /// \param ownAddress "host:port" that \c open listens on.
-    /// \param hold how long a peer may hold a read that has no news.
+    /// \param hold how long a peer may hold a read that has no changes.
     peer_rows(asio::io_context &context, http_client &http, row_mirror &mirror,
               metric_registry &metrics, std::string ownAddress, milliseconds hold);
     ~peer_rows();
--- a/include/laurelcroft/Proxy/RowServer.h
+++ b/include/laurelcroft/Proxy/RowServer.h
@@ -1,6 +1,6 @@
 //===-- Proxy/RowServer.h - serves rows to other entries --------*- C++ -*-===//
 //
-// Serves this entry's row mirror to other entries. A read that has no news is held until there is
+// Serves this entry's row mirror to other entries. A read that has no changes is held until there are
 // some.
 //
 //===----------------------------------------------------------------------===//
--- a/include/laurelcroft/Proxy/RowTimings.h
+++ b/include/laurelcroft/Proxy/RowTimings.h
@@ -29,7 +29,7 @@
     /// How long the store may hold a read of rows that seldom change. If the answer to a held call
     /// is lost, this time is spent once more.
     milliseconds maxStoreHold;
-    /// How long another entry may hold a read that has no news.
+    /// How long another entry may hold a read that has no changes.
     milliseconds maxEntryHold;
     /// Maximum time since the store last confirmed rows; older rows are not passed on.
     milliseconds maxRowAge;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -165,7 +165,7 @@
 }
 
 /// \returns how long an answer may be held: \c outdatedHold when a table is outdated; until the
-/// rows become outdated when no table has news, or when this process has just started and has not
+/// rows become outdated when no table has changes, or when this process has just started and has not
 /// read one of the tables yet; otherwise 0.
 milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -306,7 +306,7 @@
     CHECK(two.results.at("a").value().batch.rows.size() == 1);
 }
 
-TEST_CASE("a read without news is held and answered when there is some")
+TEST_CASE("a read without changes is held and answered when there are some")
 {
     two_entries two;
     two.tell("a", 3);
