--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -46,7 +46,7 @@
 };
 
 /// Changes of a table, or the whole table.
-struct row_news
+struct row_update
 {
     row_batch batch;
     bool whole = false; ///< true: the batch is the whole table; false: changes to it
@@ -69,7 +69,8 @@
     std::function<bool()> isStandby;
     /// Reads the changes since a version, or the whole table if the version is \c unknownVersion or
     /// \c rereadVersion. May fail.
-    std::function<void(const std::string &table, std::uint64_t since, row_callback<row_news> done)>
+    std::function<void(const std::string &table, std::uint64_t since,
+                       row_callback<row_update> done)>
             read;
 };
 
@@ -155,7 +156,7 @@
         const unsigned readNumber = ++m_readNumber;
         m_relay.read(m_table, relayVersion(),
                      [this, askedAt, readNumber,
-                      alive = m_alive](outcome<row_news, row_failure> result) {
+                      alive = m_alive](outcome<row_update, row_failure> result) {
                          if (*alive)
                              onRelayAnswer(std::move(result), askedAt, readNumber == m_readNumber);
                      });
@@ -163,7 +164,7 @@
 
     /// \param isCurrent false if a read of the store began meanwhile; that read then schedules the
     /// next one.
-    void onRelayAnswer(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
+    void onRelayAnswer(outcome<row_update, row_failure> result, time_point askedAt, bool isCurrent)
     {
         if (result) {
             // A relay only passes on rows that the store has confirmed recently.
@@ -205,7 +206,7 @@
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
 
     /// Reports rows from a relay unless they are no newer than the rows already known.
-    void takeNews(row_news &&news)
+    void takeNews(row_update &&news)
     {
         if (news.batch.version <= m_newest)
             return;
@@ -315,7 +316,7 @@
     void readRelayOnce()
     {
         m_relay.read(m_table, relayVersion(),
-                     [this, alive = m_alive](outcome<row_news, row_failure> result) {
+                     [this, alive = m_alive](outcome<row_update, row_failure> result) {
                          if (*alive && m_lost && result)
                              takeNews(std::move(result.value()));
                      });
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -51,7 +51,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyEndpoints(row_news &news)
+void store_sync<Store, Runtime>::applyEndpoints(row_update &news)
 {
     if (news.whole && !m_endpointsRead) {
         m_endpointsRead = true;
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -69,12 +69,12 @@
 template <row_store_like Store, runtime_like Runtime>
 std::unique_ptr<row_follower<Store, Runtime>>
 store_sync<Store, Runtime>::follow(const std::string &table, follow_pace pace,
-                                   void (store_sync::*apply)(row_news &))
+                                   void (store_sync::*apply)(row_update &))
 {
     const bool listsEndpoints = table == m_codec.endpointTable;
     follow_events events;
     // The rows left in the batch by apply are those that other entries need.
-    const auto take = [this, table, apply](row_news news) {
+    const auto take = [this, table, apply](row_update news) {
         noteTime(news.batch);
         (this->*apply)(news);
         // A relay's changes are in the mirror already, with the age that the relay reported.
@@ -127,7 +127,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyOperator(row_news &news)
+void store_sync<Store, Runtime>::applyOperator(row_update &news)
 {
     std::set<std::string> ordered;
     std::set<std::string> evacuated;
@@ -207,7 +207,7 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyInternal(row_news &news)
+void store_sync<Store, Runtime>::applyInternal(row_update &news)
 {
     const std::vector<store_row> &rows = news.batch.rows;
     m_internalTableRead = true;
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -37,7 +37,7 @@
 struct pending_read
 {
     table_since what;
-    row_callback<row_news> done;
+    row_callback<row_update> done;
 };
 
 } // namespace
@@ -75,7 +75,7 @@
     void avoid(const std::string &peer, const outcome<http_reply, http_error> &reply);
     void failAll();
     void takeReply(const std::string &peer, const std::string &body);
-    row_news takeTable(const std::string &table, const aged_news &found);
+    row_update takeTable(const std::string &table, const aged_news &found);
 
     asio::io_context &context;
     asio_runtime runtime;
@@ -194,7 +194,7 @@
     return !m_state->sources.readers.empty() && m_state->sources.standbys.empty();
 }
 
-void peer_rows::read(const std::string &table, std::uint64_t since, row_callback<row_news> done)
+void peer_rows::read(const std::string &table, std::uint64_t since, row_callback<row_update> done)
 {
     state &self = *m_state;
     self.pending.push_back({{table, since}, std::move(done)});
@@ -334,7 +334,7 @@
         item.done(takeTable(item.what.table, tables.value().at(item.what.table)));
 }
 
-row_news peer_rows::state::takeTable(const std::string &table, const aged_news &found)
+row_update peer_rows::state::takeTable(const std::string &table, const aged_news &found)
 {
     metrics.set("rows_age_ms{table=\"" + table + "\"}", static_cast<double>(found.age.count()));
     mirror.takeFromPeer(table, found, bootNow());
--- a/unittests/Platform/RowFollowerTests.cpp
+++ b/unittests/Platform/RowFollowerTests.cpp
@@ -71,12 +71,12 @@
     {
         row_relay relay;
         relay.isPreferred = [this] { return relayFirst; };
-        relay.read = [this](const std::string &, std::uint64_t, row_callback<row_news> done) {
+        relay.read = [this](const std::string &, std::uint64_t, row_callback<row_update> done) {
             ++relayReads;
             if (relayAway)
                 done(failure(row_failure::notDone));
             else
-                done(row_news{{{}, 1, {}}, false});
+                done(row_update{{{}, 1, {}}, false});
         };
         return relay;
     }
@@ -166,7 +166,7 @@
 {
     manual_runtime runtime;
     simple_store store;
-    std::vector<row_callback<row_news>> held;
+    std::vector<row_callback<row_update>> held;
     bool outdated = false; ///< the relay answers at once that its rows are outdated
     bool isStandby = false;
     row_follower<simple_store, manual_runtime> follower{
@@ -177,7 +177,7 @@
         row_relay relay;
         relay.isPreferred = [] { return true; };
         relay.isStandby = [this] { return isStandby; };
-        relay.read = [this](const std::string &, std::uint64_t, row_callback<row_news> done) {
+        relay.read = [this](const std::string &, std::uint64_t, row_callback<row_update> done) {
             if (outdated)
                 done(failure(row_failure::outdated));
             else
@@ -196,7 +196,7 @@
     fixture.runtime.advance(milliseconds(390));
     CHECK(fixture.store.calls == 0);
     REQUIRE(fixture.held.size() == 1);
-    fixture.held[0](row_news{{{}, 5, {}}, true});
+    fixture.held[0](row_update{{{}, 5, {}}, true});
     CHECK(fixture.tables == 1);
     fixture.runtime.advance(seconds(1));
     CHECK(fixture.store.calls == 0);
@@ -211,7 +211,7 @@
     CHECK(fixture.store.calls == 1);
     CHECK(fixture.tables == 1);
     // The late answer may be used or ignored, but must not start a second sequence of reads.
-    fixture.held[0](row_news{{{}, 9, {}}, true});
+    fixture.held[0](row_update{{{}, 9, {}}, true});
     fixture.runtime.advance(seconds(10));
     CHECK(fixture.held.size() == 2);
     CHECK(fixture.store.calls == 1);
@@ -253,7 +253,7 @@
         fixture.outdated = false;
         fixture.runtime.advance(milliseconds(400));
         REQUIRE(!fixture.held.empty());
-        fixture.held.back()(row_news{{{}, 9, {}}, false});
+        fixture.held.back()(row_update{{{}, 9, {}}, false});
         CHECK(fixture.lost == fixture.regained);
     }
 }
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -73,7 +73,7 @@
     entry_links linksOf();
     bool isReady() { return routing.contract() && !routing.directory().all().empty(); }
     std::vector<std::string> peersToRead() const;
-    void read(const std::string &table, std::uint64_t since, row_callback<row_news> done,
+    void read(const std::string &table, std::uint64_t since, row_callback<row_update> done,
               time_point until);
 
     fleet &all;
@@ -153,7 +153,7 @@
 }
 
 inline void fleet_entry::read(const std::string &table, std::uint64_t since,
-                              row_callback<row_news> done, time_point until)
+                              row_callback<row_update> done, time_point until)
 {
     if (!store.isUp)
         return;
@@ -199,7 +199,7 @@
     links.isFirstStart = all.isFirstStart;
     links.relay.isPreferred = [this] { return !peersToRead().empty(); };
     links.relay.read
-            = [this](const std::string &table, std::uint64_t since, row_callback<row_news> done) {
+            = [this](const std::string &table, std::uint64_t since, row_callback<row_update> done) {
                   read(table, since, std::move(done), all.runtime.now() + longPollTime);
               };
     links.onEntries = [this](const entry_map &known) {
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -185,9 +185,9 @@
     client.rows.setPeers({"127.0.0.1:" + std::to_string(server.rows.port()), "127.0.0.1:1"});
     server.mirror.take("t", {{{"k", "v", 3, false}}, 3, {}}, true, bootNow());
 
-    std::optional<outcome<row_news, row_failure>> result;
+    std::optional<outcome<row_update, row_failure>> result;
     client.rows.read("t", 0,
-                     [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+                     [&](outcome<row_update, row_failure> news) { result = std::move(news); });
     while (!result)
         context.run_one();
     REQUIRE(*result);
@@ -197,7 +197,7 @@
     for (int i = 0; i < 2; ++i) {
         result.reset();
         client.rows.read("unknown", 0,
-                         [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+                         [&](outcome<row_update, row_failure> news) { result = std::move(news); });
         while (!result)
             context.run_one();
         CHECK(!*result);
@@ -221,7 +221,7 @@
     }
     void ask(const std::string &table, std::uint64_t since)
     {
-        client.rows.read(table, since, [this, table](outcome<row_news, row_failure> news) {
+        client.rows.read(table, since, [this, table](outcome<row_update, row_failure> news) {
             results.emplace(table, std::move(news));
         });
     }
@@ -233,7 +233,7 @@
     asio::io_context context;
     one_entry server{context, "127.0.0.1:0"};
     one_entry client{context, "127.0.0.1:1"};
-    std::map<std::string, outcome<row_news, row_failure>> results;
+    std::map<std::string, outcome<row_update, row_failure>> results;
 };
 
 } // namespace
@@ -253,9 +253,9 @@
     entry_announcement own{"edge-7", {"10.0.0.7:5", "hall"}, milliseconds(1'700'000'000'000)};
     own.place.processorShare = 0.5;
     client.rows.setAnnouncements([&] { return std::optional(own); }, {});
-    std::optional<outcome<row_news, row_failure>> result;
+    std::optional<outcome<row_update, row_failure>> result;
     client.rows.read("t", 0,
-                     [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+                     [&](outcome<row_update, row_failure> news) { result = std::move(news); });
     while (!result)
         context.run_one();
     REQUIRE(heard.size() == 1);
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -34,7 +34,7 @@
     metric_registry metrics;
     unsigned contracts = 0;
     row_mirror mirror{milliseconds(1500)};
-    std::optional<row_news> ordersOfPeer; ///< rows of the operator table that another entry has
+    std::optional<row_update> ordersOfPeer; ///< rows of the operator table that another entry has
     bool relayed = false; ///< another entry reads the store for this one
     unsigned relayReads = 0;
     entry_map entries;
@@ -64,7 +64,7 @@
         links.timings = row_timings(leaveBound);
         links.relay.isPreferred = [this] { return relayed; };
         links.relay.read
-                = [this](const std::string &table, std::uint64_t, row_callback<row_news> done) {
+                = [this](const std::string &table, std::uint64_t, row_callback<row_update> done) {
                       ++relayReads;
                       if (ordersOfPeer && table == "orders")
                           done(*ordersOfPeer);
@@ -331,11 +331,11 @@
     fixture.begin();
     const std::uint64_t version = 50;
     fixture.store.away = true;
-    fixture.ordersOfPeer = row_news{{{{"contract", "7", version, false}}, version, {}}, true};
+    fixture.ordersOfPeer = row_update{{{{"contract", "7", version, false}}, version, {}}, true};
     fixture.runtime.advance(seconds(4));
     CHECK(fixture.routing.contract()->version == 7);
     const unsigned contracts = fixture.contracts;
-    fixture.ordersOfPeer = row_news{{{{"contract", "9", 2, false}}, 2, {}}, true};
+    fixture.ordersOfPeer = row_update{{{{"contract", "9", 2, false}}, 2, {}}, true};
     fixture.runtime.advance(seconds(4));
     CHECK(fixture.routing.contract()->version == 7);
     CHECK(fixture.contracts == contracts);
@@ -345,7 +345,7 @@
 {
     sync_fixture fixture;
     fixture.store.away = true;
-    fixture.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
+    fixture.ordersOfPeer = row_update{{{{"contract", "7", 50, false}}, 50, {}}, true};
     fixture.sync.start();
     fixture.runtime.advance(seconds(1));
     REQUIRE(fixture.routing.contract());
@@ -369,7 +369,7 @@
 {
     sync_fixture fixture;
     fixture.relayed = true;
-    fixture.ordersOfPeer = row_news{{{{"contract", "7", 50, false}}, 50, {}}, true};
+    fixture.ordersOfPeer = row_update{{{{"contract", "7", 50, false}}, 50, {}}, true};
     fixture.store.put("endpoints", "a", "v1");
     fixture.sync.start();
     fixture.runtime.advance(seconds(1));
