--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -21,7 +21,7 @@
 namespace laurelcroft {
 
 /// Changes of a table and their age.
-struct aged_news
+struct aged_update
 {
     row_update news;
     milliseconds age{0}; ///< since the store confirmed them
@@ -61,19 +61,19 @@
     /// Applies changes from another entry's mirror. Their store time already includes their age,
     /// which must not be added again for readers of this mirror: over several hops the store's
     /// clock would be seconds ahead.
-    void takeFromPeer(const std::string &table, const aged_news &found, time_point now);
+    void takeFromPeer(const std::string &table, const aged_update &found, time_point now);
 
     /// \returns the changes since a version and their age; nothing when the table is unknown or its
     /// copy is outdated.
-    std::optional<aged_news> read(const std::string &table, std::uint64_t since,
-                                  time_point now) const;
+    std::optional<aged_update> read(const std::string &table, std::uint64_t since,
+                                    time_point now) const;
 
     /// \returns the whole table, of any age, for an entry that knows nothing yet: the other entries
     /// also use these rows while the store is unavailable.
-    std::optional<aged_news> readForStart(const std::string &table, time_point now) const;
+    std::optional<aged_update> readForStart(const std::string &table, time_point now) const;
 
     /// \returns the result of readForStart() without the rows.
-    std::optional<aged_news> headForStart(const std::string &table, time_point now) const;
+    std::optional<aged_update> headForStart(const std::string &table, time_point now) const;
 
     /// \returns what read() would find, without the rows.
     news_state stateOf(const std::string &table, std::uint64_t since, time_point now) const;
@@ -98,10 +98,10 @@
     /// \param storeTime time of the store's clock at \p confirmedAt.
     void take(const std::string &table, const row_batch &batch, bool whole, milliseconds storeTime,
               time_point confirmedAt);
-    static aged_news headSince(const table_copy &known, std::uint64_t since,
-                               const news_state &state);
-    static aged_news newsSince(const table_copy &known, std::uint64_t since,
-                               const news_state &state);
+    static aged_update headSince(const table_copy &known, std::uint64_t since,
+                                 const news_state &state);
+    static aged_update newsSince(const table_copy &known, std::uint64_t since,
+                                 const news_state &state);
     static void erase(table_copy &known, const std::string &key);
     static void setRow(table_copy &known, const store_row &row);
     static void setRemoved(table_copy &known, const std::string &key, std::uint64_t version);
--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -30,14 +30,14 @@
 struct packed_news
 {
     std::string table;
-    aged_news about; ///< everything but the rows
+    aged_update about; ///< everything but the rows
     packed_rows rows;
 };
 
 std::string encodeNews(std::span<const packed_news> tables);
 
 /// Changes keyed by table.
-using table_news = std::map<std::string, aged_news>;
+using table_news = std::map<std::string, aged_update>;
 
 /// \returns the changes, or an error message when \p bytes are malformed.
 outcome<table_news, std::string> decodeNews(std::string_view bytes);
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -75,7 +75,7 @@
     void avoid(const std::string &peer, const outcome<http_reply, http_error> &reply);
     void failAll();
     void takeReply(const std::string &peer, const std::string &body);
-    row_update takeTable(const std::string &table, const aged_news &found);
+    row_update takeTable(const std::string &table, const aged_update &found);
 
     asio::io_context &context;
     asio_runtime runtime;
@@ -334,7 +334,7 @@
         item.done(takeTable(item.what.table, tables.value().at(item.what.table)));
 }
 
-row_update peer_rows::state::takeTable(const std::string &table, const aged_news &found)
+row_update peer_rows::state::takeTable(const std::string &table, const aged_update &found)
 {
     metrics.set("rows_age_ms{table=\"" + table + "\"}", static_cast<double>(found.age.count()));
     mirror.takeFromPeer(table, found, bootNow());
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -53,7 +53,7 @@
     take(table, batch, whole, batch.storeTime, confirmedAt);
 }
 
-void row_mirror::takeFromPeer(const std::string &table, const aged_news &found, time_point now)
+void row_mirror::takeFromPeer(const std::string &table, const aged_update &found, time_point now)
 {
     const row_batch &batch = found.news.batch;
     take(table, batch, found.news.whole, batch.storeTime - found.age, now - found.age);
@@ -106,8 +106,8 @@
     return state;
 }
 
-std::optional<aged_news> row_mirror::read(const std::string &table, std::uint64_t since,
-                                          time_point now) const
+std::optional<aged_update> row_mirror::read(const std::string &table, std::uint64_t since,
+                                            time_point now) const
 {
     const news_state state = stateOf(table, since, now);
     if (!state.isKnown || state.isOutdated)
@@ -115,7 +115,7 @@
     return newsSince(m_tables.at(table), since, state);
 }
 
-std::optional<aged_news> row_mirror::readForStart(const std::string &table, time_point now) const
+std::optional<aged_update> row_mirror::readForStart(const std::string &table, time_point now) const
 {
     const news_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
@@ -123,7 +123,7 @@
     return newsSince(m_tables.at(table), unknownVersion, state);
 }
 
-std::optional<aged_news> row_mirror::headForStart(const std::string &table, time_point now) const
+std::optional<aged_update> row_mirror::headForStart(const std::string &table, time_point now) const
 {
     const news_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
@@ -131,10 +131,10 @@
     return headSince(m_tables.at(table), unknownVersion, state);
 }
 
-aged_news row_mirror::headSince(const table_copy &known, std::uint64_t since,
-                                const news_state &state)
+aged_update row_mirror::headSince(const table_copy &known, std::uint64_t since,
+                                  const news_state &state)
 {
-    aged_news result;
+    aged_update result;
     result.age = state.age;
     result.changedAt = known.changes.empty() ? 0 : known.changes.rbegin()->first;
     result.news.whole = since < known.changesFrom;
@@ -143,10 +143,10 @@
     return result;
 }
 
-aged_news row_mirror::newsSince(const table_copy &known, std::uint64_t since,
-                                const news_state &state)
+aged_update row_mirror::newsSince(const table_copy &known, std::uint64_t since,
+                                  const news_state &state)
 {
-    aged_news result = headSince(known, since, state);
+    aged_update result = headSince(known, since, state);
     row_batch &batch = result.news.batch;
     if (result.news.whole) {
         for (const auto &[key, row] : known.rows)
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -83,7 +83,7 @@
     milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
     std::optional<packed_news> newsFor(const table_since &asked);
-    packed_news packedNews(const std::string &table, aged_news news);
+    packed_news packedNews(const std::string &table, aged_update news);
     void noteChange();
     void answerHeld();
 
@@ -165,8 +165,8 @@
 }
 
 /// \returns how long an answer may be held: \c outdatedHold when a table is outdated; until the
-/// rows become outdated when no table has changes, or when this process has just started and has not
-/// read one of the tables yet; otherwise 0.
+/// rows become outdated when no table has changes, or when this process has just started and has
+/// not read one of the tables yet; otherwise 0.
 milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
     bool hasNews = false;
@@ -200,7 +200,7 @@
     });
 }
 
-packed_news row_server::state::packedNews(const std::string &table, aged_news news)
+packed_news row_server::state::packedNews(const std::string &table, aged_update news)
 {
     packed_news result{table, std::move(news), {}};
     const row_batch &batch = result.about.news.batch;
@@ -220,12 +220,12 @@
 {
     const time_point now = bootNow();
     if (asked.since != unknownVersion) {
-        std::optional<aged_news> news = mirror.read(asked.table, asked.since, now);
+        std::optional<aged_update> news = mirror.read(asked.table, asked.since, now);
         if (!news)
             return std::nullopt;
         return packedNews(asked.table, std::move(*news));
     }
-    std::optional<aged_news> head = mirror.headForStart(asked.table, now);
+    std::optional<aged_update> head = mirror.headForStart(asked.table, now);
     if (!head)
         return std::nullopt;
     // When a hundred entries start together the rows are copied and packed once.
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -84,9 +84,9 @@
 }
 
 /// \returns the changes of one table; nothing when deflated rows are malformed.
-static std::optional<aged_news> decodeTable(const json &item)
+static std::optional<aged_update> decodeTable(const json &item)
 {
-    aged_news result;
+    aged_update result;
     row_batch &batch = result.news.batch;
     std::size_t field = 1;
     result.news.whole = item.at(field++).get<bool>();
@@ -113,7 +113,7 @@
         for (const json &item : items) {
             if (item.size() != tableFieldCount)
                 return failure(std::string("table has the wrong number of fields"));
-            std::optional<aged_news> news = decodeTable(item);
+            std::optional<aged_update> news = decodeTable(item);
             if (!news)
                 return failure(std::string("rows cannot be inflated"));
             tables[item.at(0).get<std::string>()] = std::move(*news);
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -24,7 +24,7 @@
     const outcome<table_news, std::string> back = decodeNews(encodeNews(tables));
     REQUIRE(back);
     REQUIRE(back.value().size() == 2);
-    const aged_news &orders = back.value().at("orders");
+    const aged_update &orders = back.value().at("orders");
     CHECK(!orders.news.whole);
     CHECK(orders.age == milliseconds(30));
     CHECK(orders.news.batch.version == 8);
