--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -27,14 +27,14 @@
 packed_rows packRows(std::span<const store_row> rows);
 
 /// Changes of one table with encoded rows.
-struct packed_news
+struct packed_update
 {
     std::string table;
     aged_update about; ///< everything but the rows
     packed_rows rows;
 };
 
-std::string encodeNews(std::span<const packed_news> tables);
+std::string encodeNews(std::span<const packed_update> tables);
 
 /// Changes keyed by table.
 using table_news = std::map<std::string, aged_update>;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -82,8 +82,8 @@
     void holdRead(std::vector<table_since> tables, caller_exchange &exchange, milliseconds time);
     milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
-    std::optional<packed_news> newsFor(const table_since &asked);
-    packed_news packedNews(const std::string &table, aged_update news);
+    std::optional<packed_update> newsFor(const table_since &asked);
+    packed_update packedNews(const std::string &table, aged_update news);
     void noteChange();
     void answerHeld();
 
@@ -200,9 +200,9 @@
     });
 }
 
-packed_news row_server::state::packedNews(const std::string &table, aged_update news)
+packed_update row_server::state::packedNews(const std::string &table, aged_update news)
 {
-    packed_news result{table, std::move(news), {}};
+    packed_update result{table, std::move(news), {}};
     const row_batch &batch = result.about.news.batch;
     if (!result.about.news.whole) {
         result.rows = packRows(batch.rows);
@@ -216,7 +216,7 @@
     return result;
 }
 
-std::optional<packed_news> row_server::state::newsFor(const table_since &asked)
+std::optional<packed_update> row_server::state::newsFor(const table_since &asked)
 {
     const time_point now = bootNow();
     if (asked.since != unknownVersion) {
@@ -231,15 +231,15 @@
     // When a hundred entries start together the rows are copied and packed once.
     const auto kept = packed.find(asked.table);
     if (kept != packed.end() && kept->second.changedAt == head->changedAt)
-        return packed_news{asked.table, std::move(*head), kept->second.rows};
+        return packed_update{asked.table, std::move(*head), kept->second.rows};
     return packedNews(asked.table, *mirror.readForStart(asked.table, now));
 }
 
 void row_server::state::answer(const std::vector<table_since> &tables, caller_exchange &exchange)
 {
-    std::vector<packed_news> found;
+    std::vector<packed_update> found;
     for (const table_since &item : tables) {
-        if (std::optional<packed_news> news = newsFor(item))
+        if (std::optional<packed_update> news = newsFor(item))
             found.push_back(std::move(*news));
     }
     if (found.empty()) {
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -56,10 +56,10 @@
     return {std::move(*smaller), true};
 }
 
-std::string laurelcroft::encodeNews(std::span<const packed_news> tables)
+std::string laurelcroft::encodeNews(std::span<const packed_update> tables)
 {
     json items = json::array();
-    for (const packed_news &news : tables) {
+    for (const packed_update &news : tables) {
         const row_batch &batch = news.about.news.batch;
         items.push_back(json::array({news.table, news.about.news.whole, batch.version,
                                      batch.storeTime.count(), news.about.age.count(),
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -9,16 +9,16 @@
 
 using namespace laurelcroft;
 
-static packed_news newsOf(const std::string &table, const std::vector<store_row> &rows)
+static packed_update newsOf(const std::string &table, const std::vector<store_row> &rows)
 {
-    packed_news news{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
+    packed_update news{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
     news.rows = packRows(rows);
     return news;
 }
 
 TEST_CASE("changes of several tables round-trip, including removals")
 {
-    const std::vector<packed_news> tables{
+    const std::vector<packed_update> tables{
             newsOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
             newsOf("endpoints", {})};
     const outcome<table_news, std::string> back = decodeNews(encodeNews(tables));
@@ -51,7 +51,7 @@
                         i + 1, false});
         plain += rows.back().key.size() + rows.back().value.size();
     }
-    const std::string bytes = encodeNews(std::vector<packed_news>{newsOf("endpoints", rows)});
+    const std::string bytes = encodeNews(std::vector<packed_update>{newsOf("endpoints", rows)});
     CHECK(bytes.size() < plain / 10);
     const outcome<table_news, std::string> back = decodeNews(bytes);
     REQUIRE(back);
@@ -64,7 +64,7 @@
     std::vector<store_row> rows;
     for (unsigned i = 0; i < 100; ++i)
         rows.push_back({"key-" + std::to_string(i), std::string(40, 'v'), i + 1, false});
-    const std::string whole = encodeNews(std::vector<packed_news>{newsOf("orders", rows)});
+    const std::string whole = encodeNews(std::vector<packed_update>{newsOf("orders", rows)});
     REQUIRE(decodeNews(whole));
     for (std::size_t size = 0; size < whole.size(); ++size)
         CHECK(!decodeNews(std::string_view(whole).substr(0, size)));
