--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -37,10 +37,10 @@
 std::string encodeNews(std::span<const packed_update> tables);
 
 /// Changes keyed by table.
-using table_news = std::map<std::string, aged_update>;
+using table_updates = std::map<std::string, aged_update>;
 
 /// \returns the changes, or an error message when \p bytes are malformed.
-outcome<table_news, std::string> decodeNews(std::string_view bytes);
+outcome<table_updates, std::string> decodeNews(std::string_view bytes);
 
 } // namespace laurelcroft
 
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -103,10 +103,10 @@
     return result;
 }
 
-outcome<table_news, std::string> laurelcroft::decodeNews(std::string_view bytes)
+outcome<table_updates, std::string> laurelcroft::decodeNews(std::string_view bytes)
 {
     try {
-        table_news tables;
+        table_updates tables;
         const json items = json::from_msgpack(bytes.begin(), bytes.end());
         if (!items.is_array())
             return failure(std::string("not an array of tables"));
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -21,7 +21,7 @@
     const std::vector<packed_update> tables{
             newsOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
             newsOf("endpoints", {})};
-    const outcome<table_news, std::string> back = decodeNews(encodeNews(tables));
+    const outcome<table_updates, std::string> back = decodeNews(encodeNews(tables));
     REQUIRE(back);
     REQUIRE(back.value().size() == 2);
     const aged_update &orders = back.value().at("orders");
@@ -53,7 +53,7 @@
     }
     const std::string bytes = encodeNews(std::vector<packed_update>{newsOf("endpoints", rows)});
     CHECK(bytes.size() < plain / 10);
-    const outcome<table_news, std::string> back = decodeNews(bytes);
+    const outcome<table_updates, std::string> back = decodeNews(bytes);
     REQUIRE(back);
     CHECK(back.value().at("endpoints").news.batch.rows.size() == rows.size());
     CHECK(back.value().at("endpoints").news.batch.rows[159].value == rows[159].value);
@@ -73,7 +73,7 @@
         std::string changed = whole;
         changed[i] = static_cast<char>(changed[i] ^ 0x5a);
         // Either refused or decoded as other rows; never more rows than were encoded.
-        const outcome<table_news, std::string> back = decodeNews(changed);
+        const outcome<table_updates, std::string> back = decodeNews(changed);
         if (!back)
             continue;
         for (const auto &[table, news] : back.value())
