--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -29,7 +29,7 @@
 };
 
 /// State of a table relative to the version that a reader knows.
-struct news_state
+struct update_state
 {
     bool isKnown = false; ///< the table was read at least once
     bool isOutdated = false; ///< the store has not confirmed the copy for too long
@@ -76,7 +76,7 @@
     std::optional<aged_update> headForStart(const std::string &table, time_point now) const;
 
     /// \returns what read() would find, without the rows.
-    news_state stateOf(const std::string &table, std::uint64_t since, time_point now) const;
+    update_state stateOf(const std::string &table, std::uint64_t since, time_point now) const;
 
     /// \param onChange called when a table gets its first batch or a later batch has rows.
     void setListener(std::function<void()> onChange) { m_onChange = std::move(onChange); }
@@ -99,9 +99,9 @@
     void take(const std::string &table, const row_batch &batch, bool whole, milliseconds storeTime,
               time_point confirmedAt);
     static aged_update headSince(const table_copy &known, std::uint64_t since,
-                                 const news_state &state);
+                                 const update_state &state);
     static aged_update newsSince(const table_copy &known, std::uint64_t since,
-                                 const news_state &state);
+                                 const update_state &state);
     static void erase(table_copy &known, const std::string &key);
     static void setRow(table_copy &known, const store_row &row);
     static void setRemoved(table_copy &known, const std::string &key, std::uint64_t version);
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -91,9 +91,10 @@
         m_onChange();
 }
 
-news_state row_mirror::stateOf(const std::string &table, std::uint64_t since, time_point now) const
+update_state row_mirror::stateOf(const std::string &table, std::uint64_t since,
+                                 time_point now) const
 {
-    news_state state;
+    update_state state;
     const auto it = m_tables.find(table);
     if (it == m_tables.end())
         return state;
@@ -109,7 +110,7 @@
 std::optional<aged_update> row_mirror::read(const std::string &table, std::uint64_t since,
                                             time_point now) const
 {
-    const news_state state = stateOf(table, since, now);
+    const update_state state = stateOf(table, since, now);
     if (!state.isKnown || state.isOutdated)
         return std::nullopt;
     return newsSince(m_tables.at(table), since, state);
@@ -117,7 +118,7 @@
 
 std::optional<aged_update> row_mirror::readForStart(const std::string &table, time_point now) const
 {
-    const news_state state = stateOf(table, unknownVersion, now);
+    const update_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
     return newsSince(m_tables.at(table), unknownVersion, state);
@@ -125,14 +126,14 @@
 
 std::optional<aged_update> row_mirror::headForStart(const std::string &table, time_point now) const
 {
-    const news_state state = stateOf(table, unknownVersion, now);
+    const update_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
     return headSince(m_tables.at(table), unknownVersion, state);
 }
 
 aged_update row_mirror::headSince(const table_copy &known, std::uint64_t since,
-                                  const news_state &state)
+                                  const update_state &state)
 {
     aged_update result;
     result.age = state.age;
@@ -144,7 +145,7 @@
 }
 
 aged_update row_mirror::newsSince(const table_copy &known, std::uint64_t since,
-                                  const news_state &state)
+                                  const update_state &state)
 {
     aged_update result = headSince(known, since, state);
     row_batch &batch = result.news.batch;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -174,7 +174,7 @@
     bool isUnknown = false;
     milliseconds oldest{0};
     for (const table_since &item : tables) {
-        const news_state state = mirror.stateOf(item.table, item.since, bootNow());
+        const update_state state = mirror.stateOf(item.table, item.since, bootNow());
         isUnknown = isUnknown || !state.isKnown;
         isOutdated = isOutdated || state.isOutdated;
         hasNews = hasNews || state.hasNews;
