--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -40,7 +40,7 @@
 using table_updates = std::map<std::string, aged_update>;
 
 /// \returns the changes, or an error message when \p bytes are malformed.
-outcome<table_updates, std::string> decodeNews(std::string_view bytes);
+outcome<table_updates, std::string> decodeUpdates(std::string_view bytes);
 
 } // namespace laurelcroft
 
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -315,7 +315,7 @@
 {
     starting = false;
     metrics.add("peer_read_bytes_total", body.size());
-    outcome<table_updates, std::string> tables = decodeNews(body);
+    outcome<table_updates, std::string> tables = decodeUpdates(body);
     if (!tables) {
         logWarning(log_part::fleet, "peer's rows refused",
                    {{"peer", peer}, {"fault", tables.error()}});
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -103,7 +103,7 @@
     return result;
 }
 
-outcome<table_updates, std::string> laurelcroft::decodeNews(std::string_view bytes)
+outcome<table_updates, std::string> laurelcroft::decodeUpdates(std::string_view bytes)
 {
     try {
         table_updates tables;
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -21,7 +21,7 @@
     const std::vector<packed_update> tables{
             newsOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
             newsOf("endpoints", {})};
-    const outcome<table_updates, std::string> back = decodeNews(encodeNews(tables));
+    const outcome<table_updates, std::string> back = decodeUpdates(encodeNews(tables));
     REQUIRE(back);
     REQUIRE(back.value().size() == 2);
     const aged_update &orders = back.value().at("orders");
@@ -53,7 +53,7 @@
     }
     const std::string bytes = encodeNews(std::vector<packed_update>{newsOf("endpoints", rows)});
     CHECK(bytes.size() < plain / 10);
-    const outcome<table_updates, std::string> back = decodeNews(bytes);
+    const outcome<table_updates, std::string> back = decodeUpdates(bytes);
     REQUIRE(back);
     CHECK(back.value().at("endpoints").news.batch.rows.size() == rows.size());
     CHECK(back.value().at("endpoints").news.batch.rows[159].value == rows[159].value);
@@ -65,15 +65,15 @@
     for (unsigned i = 0; i < 100; ++i)
         rows.push_back({"key-" + std::to_string(i), std::string(40, 'v'), i + 1, false});
     const std::string whole = encodeNews(std::vector<packed_update>{newsOf("orders", rows)});
-    REQUIRE(decodeNews(whole));
+    REQUIRE(decodeUpdates(whole));
     for (std::size_t size = 0; size < whole.size(); ++size)
-        CHECK(!decodeNews(std::string_view(whole).substr(0, size)));
-    CHECK(!decodeNews("{}"));
+        CHECK(!decodeUpdates(std::string_view(whole).substr(0, size)));
+    CHECK(!decodeUpdates("{}"));
     for (std::size_t i = 0; i < whole.size(); ++i) {
         std::string changed = whole;
         changed[i] = static_cast<char>(changed[i] ^ 0x5a);
         // Either refused or decoded as other rows; never more rows than were encoded.
-        const outcome<table_updates, std::string> back = decodeNews(changed);
+        const outcome<table_updates, std::string> back = decodeUpdates(changed);
         if (!back)
             continue;
         for (const auto &[table, news] : back.value())
