--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -34,7 +34,7 @@
     packed_rows rows;
 };
 
-std::string encodeNews(std::span<const packed_update> tables);
+std::string encodeUpdates(std::span<const packed_update> tables);
 
 /// Changes keyed by table.
 using table_updates = std::map<std::string, aged_update>;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -246,7 +246,7 @@
         exchange.reply(http_status::unavailable, {}, "");
         return;
     }
-    const std::string bytes = encodeNews(found);
+    const std::string bytes = encodeUpdates(found);
     metrics.add("peer_served_bytes_total", bytes.size());
     exchange.reply(http_status::ok, {}, bytes);
 }
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -56,7 +56,7 @@
     return {std::move(*smaller), true};
 }
 
-std::string laurelcroft::encodeNews(std::span<const packed_update> tables)
+std::string laurelcroft::encodeUpdates(std::span<const packed_update> tables)
 {
     json items = json::array();
     for (const packed_update &news : tables) {
