--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -170,7 +170,7 @@
             // A relay only passes on rows that the store has confirmed recently.
             m_relayAnsweredAt = m_runtime.now();
             reportRecovered();
-            takeNews(std::move(result.value()));
+            applyUpdate(std::move(result.value()));
             const auto remaining = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
                 scheduleRead(std::max<duration>(minRelayPause, remaining));
@@ -206,7 +206,7 @@
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
 
     /// Reports rows from a relay unless they are no newer than the rows already known.
-    void takeNews(row_update &&news)
+    void applyUpdate(row_update &&news)
     {
         if (news.batch.version <= m_newest)
             return;
@@ -318,7 +318,7 @@
         m_relay.read(m_table, relayVersion(),
                      [this, alive = m_alive](outcome<row_update, row_failure> result) {
                          if (*alive && m_lost && result)
-                             takeNews(std::move(result.value()));
+                             applyUpdate(std::move(result.value()));
                      });
     }
 
