--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -82,7 +82,7 @@
     void holdRead(std::vector<table_since> tables, caller_exchange &exchange, milliseconds time);
     milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
-    std::optional<packed_update> newsFor(const table_since &asked);
+    std::optional<packed_update> updateFor(const table_since &asked);
     packed_update packedNews(const std::string &table, aged_update news);
     void noteChange();
     void answerHeld();
@@ -216,7 +216,7 @@
     return result;
 }
 
-std::optional<packed_update> row_server::state::newsFor(const table_since &asked)
+std::optional<packed_update> row_server::state::updateFor(const table_since &asked)
 {
     const time_point now = bootNow();
     if (asked.since != unknownVersion) {
@@ -239,7 +239,7 @@
 {
     std::vector<packed_update> found;
     for (const table_since &item : tables) {
-        if (std::optional<packed_update> news = newsFor(item))
+        if (std::optional<packed_update> news = updateFor(item))
             found.push_back(std::move(*news));
     }
     if (found.empty()) {
