--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -166,12 +166,12 @@
         if (const auto own = sync.nextAnnouncement())
             peer->sync.takeAnnouncement(*own);
     }
-    const auto newsOf = [&](const row_mirror &mirror) {
+    const auto updateOf = [&](const row_mirror &mirror) {
         const time_point now = all.runtime.now();
         return since == unknownVersion ? mirror.readForStart(table, now)
                                        : mirror.read(table, since, now);
     };
-    const auto news = peer ? newsOf(peer->mirror) : std::nullopt;
+    const auto news = peer ? updateOf(peer->mirror) : std::nullopt;
     const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
     const bool isStarting = peer && !peer->mirror.stateOf(table, since, all.runtime.now()).isKnown;
     if ((isStarting || (news && !isNews)) && all.runtime.now() < until) {
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -9,7 +9,7 @@
 
 using namespace laurelcroft;
 
-static packed_update newsOf(const std::string &table, const std::vector<store_row> &rows)
+static packed_update updateOf(const std::string &table, const std::vector<store_row> &rows)
 {
     packed_update news{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
     news.rows = packRows(rows);
@@ -19,8 +19,8 @@
 TEST_CASE("changes of several tables round-trip, including removals")
 {
     const std::vector<packed_update> tables{
-            newsOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
-            newsOf("endpoints", {})};
+            updateOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
+            updateOf("endpoints", {})};
     const outcome<table_updates, std::string> back = decodeUpdates(encodeUpdates(tables));
     REQUIRE(back);
     REQUIRE(back.value().size() == 2);
@@ -51,7 +51,8 @@
                         i + 1, false});
         plain += rows.back().key.size() + rows.back().value.size();
     }
-    const std::string bytes = encodeUpdates(std::vector<packed_update>{newsOf("endpoints", rows)});
+    const std::string bytes
+            = encodeUpdates(std::vector<packed_update>{updateOf("endpoints", rows)});
     CHECK(bytes.size() < plain / 10);
     const outcome<table_updates, std::string> back = decodeUpdates(bytes);
     REQUIRE(back);
@@ -64,7 +65,7 @@
     std::vector<store_row> rows;
     for (unsigned i = 0; i < 100; ++i)
         rows.push_back({"key-" + std::to_string(i), std::string(40, 'v'), i + 1, false});
-    const std::string whole = encodeUpdates(std::vector<packed_update>{newsOf("orders", rows)});
+    const std::string whole = encodeUpdates(std::vector<packed_update>{updateOf("orders", rows)});
     REQUIRE(decodeUpdates(whole));
     for (std::size_t size = 0; size < whole.size(); ++size)
         CHECK(!decodeUpdates(std::string_view(whole).substr(0, size)));
