--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -100,8 +100,8 @@
               time_point confirmedAt);
     static aged_update headSince(const table_copy &known, std::uint64_t since,
                                  const update_state &state);
-    static aged_update newsSince(const table_copy &known, std::uint64_t since,
-                                 const update_state &state);
+    static aged_update updateSince(const table_copy &known, std::uint64_t since,
+                                   const update_state &state);
     static void erase(table_copy &known, const std::string &key);
     static void setRow(table_copy &known, const store_row &row);
     static void setRemoved(table_copy &known, const std::string &key, std::uint64_t version);
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -113,7 +113,7 @@
     const update_state state = stateOf(table, since, now);
     if (!state.isKnown || state.isOutdated)
         return std::nullopt;
-    return newsSince(m_tables.at(table), since, state);
+    return updateSince(m_tables.at(table), since, state);
 }
 
 std::optional<aged_update> row_mirror::readForStart(const std::string &table, time_point now) const
@@ -121,7 +121,7 @@
     const update_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
-    return newsSince(m_tables.at(table), unknownVersion, state);
+    return updateSince(m_tables.at(table), unknownVersion, state);
 }
 
 std::optional<aged_update> row_mirror::headForStart(const std::string &table, time_point now) const
@@ -144,8 +144,8 @@
     return result;
 }
 
-aged_update row_mirror::newsSince(const table_copy &known, std::uint64_t since,
-                                  const update_state &state)
+aged_update row_mirror::updateSince(const table_copy &known, std::uint64_t since,
+                                    const update_state &state)
 {
     aged_update result = headSince(known, since, state);
     row_batch &batch = result.news.batch;
