--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -83,7 +83,7 @@
     milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
     std::optional<packed_update> updateFor(const table_since &asked);
-    packed_update packedNews(const std::string &table, aged_update news);
+    packed_update packedUpdate(const std::string &table, aged_update news);
     void noteChange();
     void answerHeld();
 
@@ -200,7 +200,7 @@
     });
 }
 
-packed_update row_server::state::packedNews(const std::string &table, aged_update news)
+packed_update row_server::state::packedUpdate(const std::string &table, aged_update news)
 {
     packed_update result{table, std::move(news), {}};
     const row_batch &batch = result.about.news.batch;
@@ -223,7 +223,7 @@
         std::optional<aged_update> news = mirror.read(asked.table, asked.since, now);
         if (!news)
             return std::nullopt;
-        return packedNews(asked.table, std::move(*news));
+        return packedUpdate(asked.table, std::move(*news));
     }
     std::optional<aged_update> head = mirror.headForStart(asked.table, now);
     if (!head)
@@ -232,7 +232,7 @@
     const auto kept = packed.find(asked.table);
     if (kept != packed.end() && kept->second.changedAt == head->changedAt)
         return packed_update{asked.table, std::move(*head), kept->second.rows};
-    return packedNews(asked.table, *mirror.readForStart(asked.table, now));
+    return packedUpdate(asked.table, *mirror.readForStart(asked.table, now));
 }
 
 void row_server::state::answer(const std::vector<table_since> &tables, caller_exchange &exchange)
