--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -33,7 +33,7 @@
 {
     bool isKnown = false; ///< the table was read at least once
     bool isOutdated = false; ///< the store has not confirmed the copy for too long
-    bool hasNews = false;
+    bool hasUpdate = false;
     milliseconds age{0};
 };
 
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -103,7 +103,7 @@
     state.isOutdated = now - known.confirmedAt > m_freshness;
     state.age = std::chrono::duration_cast<milliseconds>(now - known.confirmedAt);
     const bool hasChanges = !known.changes.empty() && known.changes.rbegin()->first > since;
-    state.hasNews = !state.isOutdated && (since < known.changesFrom || hasChanges);
+    state.hasUpdate = !state.isOutdated && (since < known.changesFrom || hasChanges);
     return state;
 }
 
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -169,7 +169,7 @@
 /// not read one of the tables yet; otherwise 0.
 milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
-    bool hasNews = false;
+    bool hasUpdate = false;
     bool isOutdated = false;
     bool isUnknown = false;
     milliseconds oldest{0};
@@ -177,12 +177,12 @@
         const update_state state = mirror.stateOf(item.table, item.since, bootNow());
         isUnknown = isUnknown || !state.isKnown;
         isOutdated = isOutdated || state.isOutdated;
-        hasNews = hasNews || state.hasNews;
+        hasUpdate = hasUpdate || state.hasUpdate;
         oldest = std::max(oldest, state.age);
     }
     if (isOutdated)
         return outdatedHold;
-    return isUnknown || !hasNews ? mirror.freshness() - oldest : milliseconds(0);
+    return isUnknown || !hasUpdate ? mirror.freshness() - oldest : milliseconds(0);
 }
 
 void row_server::state::holdRead(std::vector<table_since> tables, caller_exchange &exchange,
