--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -134,7 +134,7 @@
 
     /// \returns true if the last reported table or changes came from a relay. Already valid in the
     /// callbacks that receive them.
-    bool isNewsRelayed() const { return m_newsRelayed; }
+    bool isUpdateRelayed() const { return m_newsRelayed; }
 
     /// \returns when a relay last answered, or the epoch of the clock if none has.
     time_point relayAnsweredAt() const { return m_relayAnsweredAt; }
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -31,7 +31,7 @@
     if (dataCentres == before)
         return;
     const std::string_view toldBy
-            = m_followers.at(m_codec.operatorTable)->isNewsRelayed() ? "entry" : "store";
+            = m_followers.at(m_codec.operatorTable)->isUpdateRelayed() ? "entry" : "store";
     const auto log = [&](const std::string &place, const char *what) {
         logInfo(log_part::fleet, what,
                 {{"data_centre", place},
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -79,7 +79,7 @@
         (this->*apply)(news);
         // A relay's changes are in the mirror already, with the age that the relay reported.
         const follower &reader = *m_followers.at(table);
-        if (!reader.isNewsRelayed())
+        if (!reader.isUpdateRelayed())
             m_mirror.take(table, news.batch, news.whole, reader.confirmedAt());
     };
     events.onTable = [take](row_batch &&batch) { take({std::move(batch), true}); };
