--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -134,7 +134,7 @@
 
     /// \returns true if the last reported table or changes came from a relay. Already valid in the
     /// callbacks that receive them.
-    bool isUpdateRelayed() const { return m_newsRelayed; }
+    bool isUpdateRelayed() const { return m_updateRelayed; }
 
     /// \returns when a relay last answered, or the epoch of the clock if none has.
     time_point relayAnsweredAt() const { return m_relayAnsweredAt; }
@@ -212,7 +212,7 @@
             return;
         m_newest = news.batch.version;
         m_since = news.batch.version;
-        m_newsRelayed = true;
+        m_updateRelayed = true;
         if (news.whole)
             m_events.onTable(std::move(news.batch));
         else
@@ -258,7 +258,7 @@
         const bool whole = m_since == unknownVersion;
         m_since = std::max(m_since, batch.version);
         m_newest = std::max(m_newest, m_since);
-        m_newsRelayed = false;
+        m_updateRelayed = false;
         if (whole)
             m_events.onTable(std::move(batch));
         else
@@ -337,7 +337,7 @@
     bool m_lost = false;
     row_failure m_lostWhy = row_failure::notDone;
     bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
-    bool m_newsRelayed = false;
+    bool m_updateRelayed = false;
     time_point m_nextStoreReadAt{}; ///< next call to the store while it is unavailable
     time_point m_lostAt{};
     time_point m_confirmedAt{};
