--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -77,13 +77,13 @@
         return false;
     suspect &item = m_suspects[request.key];
     const counted_end added{end.endpoint, request.sentAt, request.leftAt};
-    const bool isNews
+    const bool isNew
             = std::none_of(item.ends.begin(), item.ends.end(), [&](const counted_end &known) {
                   return known.endpoint == added.endpoint
                           || (known.sentAt + overlapTolerance < added.leftAt
                               && added.sentAt + overlapTolerance < known.leftAt);
               });
-    if (!isNews)
+    if (!isNew)
         return false;
     if (item.ends.size() < maxEndsKept)
         item.ends.push_back(added);
@@ -287,7 +287,7 @@
     if (isClearedAtAll)
         return false;
     withheld_request &known = m_withheld[key];
-    bool isNews = known.versions.empty();
+    bool isNew = known.versions.empty();
     known.service = request.service;
     known.until = std::max(known.until, request.until);
     for (const std::string &version : request.versions) {
@@ -298,7 +298,7 @@
             known.versions.erase(known.versions.begin());
         known.versions.push_back(version);
         known.confirmedAt = now + confirmationDelay;
-        isNews = true;
+        isNew = true;
     }
     for (const std::uint64_t endpoint : request.ended) {
         if (std::find(known.ended.begin(), known.ended.end(), endpoint) == known.ended.end()
@@ -306,7 +306,7 @@
             known.ended.push_back(endpoint);
         markExplained(endpoint, std::span(&key, 1));
     }
-    return isNews;
+    return isNew;
 }
 
 void crash_suspects::release(std::uint64_t key)
