--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -172,9 +172,9 @@
                                        : mirror.read(table, since, now);
     };
     const auto news = peer ? updateOf(peer->mirror) : std::nullopt;
-    const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
+    const bool hasChanges = news && (news->news.whole || !news->news.batch.rows.empty());
     const bool isStarting = peer && !peer->mirror.stateOf(table, since, all.runtime.now()).isKnown;
-    if ((isStarting || (news && !isNews)) && all.runtime.now() < until) {
+    if ((isStarting || (news && !hasChanges)) && all.runtime.now() < until) {
         all.runtime.after(pollInterval,
                           [this, table, since, done, until] { read(table, since, done, until); });
         return;
