--- a/lib/Proxy/VersionEvaluator.cpp
+++ b/lib/Proxy/VersionEvaluator.cpp
@@ -211,10 +211,12 @@
     rollout_evidence &known = m_addedEvidence[source];
     for (const auto &[route, seen] : evidence.byRoute) {
         version_answers &before = known.byRoute[route];
-        const version_answers news = newerThan(before, seen, evidence.incarnation != 0);
-        if (news.all() == 0)
+        const version_answers newAnswers = newerThan(before, seen, evidence.incarnation != 0);
+        if (newAnswers.all() == 0)
             continue;
-        addAnswers(route, true, {news.good, news.failed, std::min<std::uint64_t>(news.slow, 1)});
+        addAnswers(
+                route, true,
+                {newAnswers.good, newAnswers.failed, std::min<std::uint64_t>(newAnswers.slow, 1)});
         before = seen;
     }
 }
