--- a/lib/Proxy/CrashWatch.cpp
+++ b/lib/Proxy/CrashWatch.cpp
@@ -181,14 +181,14 @@
     // With a hundred entries, the next retry usually arrives at an entry that the first sender has
     // not notified. Without forwarding, 8 endpoints crashed instead of 6 when half of the datagrams
     // were lost.
-    crash_notice news{notice.endpoint, notice.service, notice.version, {}};
+    crash_notice newNotice{notice.endpoint, notice.service, notice.version, {}};
     for (std::size_t i = 0; i < notice.requests.size(); ++i) {
         const reported_request &request = notice.requests[i];
         if (m_suspects.endsOf(request.key) > before[i])
-            news.requests.push_back(request);
+            newNotice.requests.push_back(request);
     }
-    if (m_senders.sendCrashNotice && !news.requests.empty())
-        m_senders.sendCrashNotice(news);
+    if (m_senders.sendCrashNotice && !newNotice.requests.empty())
+        m_senders.sendCrashNotice(newNotice);
 }
 
 void crash_watch::applyNotice(const withheld_notice &notice, time_point now)
