--- a/unittests/Proxy/FakeStore.h
+++ b/unittests/Proxy/FakeStore.h
@@ -39,9 +39,9 @@
             m_runtime.after(callDelay, [done] { done(failure(row_failure::historyGone)); });
             return;
         }
-        const bool news = changedSince(table, since);
+        const bool hasChanged = changedSince(table, since);
         const milliseconds delay
-                = away ? awayDelay : (news || wait.count() == 0 ? callDelay : wait);
+                = away ? awayDelay : (hasChanged || wait.count() == 0 ? callDelay : wait);
         m_runtime.after(delay, [this, table, since, done] {
             if (away)
                 done(failure(row_failure::unknown));
