--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -206,17 +206,17 @@
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
 
     /// Reports rows from a relay unless they are no newer than the rows already known.
-    void applyUpdate(row_update &&news)
+    void applyUpdate(row_update &&update)
     {
-        if (news.batch.version <= m_newest)
+        if (update.batch.version <= m_newest)
             return;
-        m_newest = news.batch.version;
-        m_since = news.batch.version;
+        m_newest = update.batch.version;
+        m_since = update.batch.version;
         m_updateRelayed = true;
-        if (news.whole)
-            m_events.onTable(std::move(news.batch));
+        if (update.whole)
+            m_events.onTable(std::move(update.batch));
         else
-            m_events.onChanges(std::move(news.batch));
+            m_events.onChanges(std::move(update.batch));
     }
 
     void readStore()
--- a/include/laurelcroft/Proxy/RowMirror.h
+++ b/include/laurelcroft/Proxy/RowMirror.h
@@ -23,7 +23,7 @@
 /// Changes of a table and their age.
 struct aged_update
 {
-    row_update news;
+    row_update update;
     milliseconds age{0}; ///< since the store confirmed them
     std::uint64_t changedAt = 0; ///< version of the newest row or removal in the table
 };
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -159,9 +159,9 @@
     follow_pace heldPace(milliseconds between) const;
     std::unique_ptr<follower> follow(const std::string &table, follow_pace pace,
                                      void (store_sync::*apply)(row_update &));
-    void applyOperator(row_update &news);
-    /// Removes from \p news the rows that are only heartbeats.
-    void applyEndpoints(row_update &news);
+    void applyOperator(row_update &update);
+    /// Removes from \p update the rows that are only heartbeats.
+    void applyEndpoints(row_update &update);
     void applyEndpointTable(row_batch &batch);
     /// \returns removal rows for the known endpoints that are not in \p batch.
     std::vector<store_row> removalsOfMissingEndpoints(const row_batch &batch) const;
@@ -175,7 +175,7 @@
     void logOmittedEndpointLines();
     /// \returns true when an endpoint has become cold or is no longer cold, and logs it.
     bool hasColdStateChanged(const endpoint_record &record, const service_endpoint &known);
-    void applyInternal(row_update &news);
+    void applyInternal(row_update &update);
     void takeContract(const store_row &row);
     void takeOrder(const std::string &service, const store_row &row);
     void setEvacuated(std::set<std::string> dataCentres, std::uint64_t version);
--- a/include/laurelcroft/Proxy/StoreSyncEndpoints.h
+++ b/include/laurelcroft/Proxy/StoreSyncEndpoints.h
@@ -51,27 +51,27 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyEndpoints(row_update &news)
+void store_sync<Store, Runtime>::applyEndpoints(row_update &update)
 {
-    if (news.whole && !m_endpointsRead) {
+    if (update.whole && !m_endpointsRead) {
         m_endpointsRead = true;
-        applyEndpointTable(news.batch);
+        applyEndpointTable(update.batch);
         return;
     }
     // A table that is read again consists mostly of heartbeats. If the store keeps dropping its
     // history, other entries would otherwise get all rows with each read.
-    if (news.whole) {
-        for (store_row &row : removalsOfMissingEndpoints(news.batch))
-            news.batch.rows.push_back(std::move(row));
-        news.whole = false;
+    if (update.whole) {
+        for (store_row &row : removalsOfMissingEndpoints(update.batch))
+            update.batch.rows.push_back(std::move(row));
+        update.whole = false;
     }
     // Apply in order: one batch may list an endpoint and remove it again.
     std::vector<store_row> changes;
-    for (store_row &row : news.batch.rows) {
+    for (store_row &row : update.batch.rows) {
         if (takeEndpointRow(row))
             changes.push_back(std::move(row));
     }
-    news.batch.rows = std::move(changes);
+    update.batch.rows = std::move(changes);
 }
 
 template <row_store_like Store, runtime_like Runtime>
--- a/include/laurelcroft/Proxy/StoreSyncImpl.h
+++ b/include/laurelcroft/Proxy/StoreSyncImpl.h
@@ -74,13 +74,13 @@
     const bool listsEndpoints = table == m_codec.endpointTable;
     follow_events events;
     // The rows left in the batch by apply are those that other entries need.
-    const auto take = [this, table, apply](row_update news) {
-        noteTime(news.batch);
-        (this->*apply)(news);
+    const auto take = [this, table, apply](row_update update) {
+        noteTime(update.batch);
+        (this->*apply)(update);
         // A relay's changes are in the mirror already, with the age that the relay reported.
         const follower &reader = *m_followers.at(table);
         if (!reader.isUpdateRelayed())
-            m_mirror.take(table, news.batch, news.whole, reader.confirmedAt());
+            m_mirror.take(table, update.batch, update.whole, reader.confirmedAt());
     };
     events.onTable = [take](row_batch &&batch) { take({std::move(batch), true}); };
     events.onChanges = [take](row_batch &&batch) { take({std::move(batch), false}); };
@@ -127,13 +127,13 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyOperator(row_update &news)
+void store_sync<Store, Runtime>::applyOperator(row_update &update)
 {
     std::set<std::string> ordered;
     std::set<std::string> evacuated;
-    if (!news.whole)
+    if (!update.whole)
         evacuated = m_state.directory().evacuated();
-    for (const store_row &row : news.batch.rows) {
+    for (const store_row &row : update.batch.rows) {
         if (!row.removed && m_codec.isContract(row.key))
             takeContract(row);
         if (const std::optional<std::string> place = m_codec.evacuatedDataCentre(row.key)) {
@@ -149,8 +149,8 @@
         ordered.insert(*service);
         takeOrder(*service, row);
     }
-    setEvacuated(std::move(evacuated), news.batch.version);
-    if (!news.whole)
+    setEvacuated(std::move(evacuated), update.batch.version);
+    if (!update.whole)
         return;
     for (auto &[service, tracker] : m_state.allRollouts()) {
         if (ordered.count(service) == 0)
@@ -207,11 +207,11 @@
 }
 
 template <row_store_like Store, runtime_like Runtime>
-void store_sync<Store, Runtime>::applyInternal(row_update &news)
+void store_sync<Store, Runtime>::applyInternal(row_update &update)
 {
-    const std::vector<store_row> &rows = news.batch.rows;
+    const std::vector<store_row> &rows = update.batch.rows;
     m_internalTableRead = true;
-    if (news.whole) {
+    if (update.whole) {
         m_roster.clear();
         retainWithheld(rows);
     }
@@ -220,7 +220,7 @@
     const bool tellsOfEntries = std::any_of(rows.begin(), rows.end(), [](const store_row &row) {
         return entryOfKey(row.key).has_value();
     });
-    if (!news.whole && !tellsOfEntries)
+    if (!update.whole && !tellsOfEntries)
         return;
     m_wallClockOffset = m_roster.medianWallClockOffset();
     std::vector<std::string> names;
--- a/lib/Proxy/PeerRows.cpp
+++ b/lib/Proxy/PeerRows.cpp
@@ -338,5 +338,5 @@
 {
     metrics.set("rows_age_ms{table=\"" + table + "\"}", static_cast<double>(found.age.count()));
     mirror.takeFromPeer(table, found, bootNow());
-    return found.news;
+    return found.update;
 }
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -55,8 +55,8 @@
 
 void row_mirror::takeFromPeer(const std::string &table, const aged_update &found, time_point now)
 {
-    const row_batch &batch = found.news.batch;
-    take(table, batch, found.news.whole, batch.storeTime - found.age, now - found.age);
+    const row_batch &batch = found.update.batch;
+    take(table, batch, found.update.whole, batch.storeTime - found.age, now - found.age);
 }
 
 void row_mirror::take(const std::string &table, const row_batch &batch, bool whole,
@@ -138,9 +138,9 @@
     aged_update result;
     result.age = state.age;
     result.changedAt = known.changes.empty() ? 0 : known.changes.rbegin()->first;
-    result.news.whole = since < known.changesFrom;
-    result.news.batch.version = known.version;
-    result.news.batch.storeTime = known.storeTime + result.age;
+    result.update.whole = since < known.changesFrom;
+    result.update.batch.version = known.version;
+    result.update.batch.storeTime = known.storeTime + result.age;
     return result;
 }
 
@@ -148,8 +148,8 @@
                                     const update_state &state)
 {
     aged_update result = headSince(known, since, state);
-    row_batch &batch = result.news.batch;
-    if (result.news.whole) {
+    row_batch &batch = result.update.batch;
+    if (result.update.whole) {
         for (const auto &[key, row] : known.rows)
             batch.rows.push_back(row);
         return result;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -83,7 +83,7 @@
     milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
     std::optional<packed_update> updateFor(const table_since &asked);
-    packed_update packedUpdate(const std::string &table, aged_update news);
+    packed_update packedUpdate(const std::string &table, aged_update update);
     void noteChange();
     void answerHeld();
 
@@ -200,11 +200,11 @@
     });
 }
 
-packed_update row_server::state::packedUpdate(const std::string &table, aged_update news)
+packed_update row_server::state::packedUpdate(const std::string &table, aged_update update)
 {
-    packed_update result{table, std::move(news), {}};
-    const row_batch &batch = result.about.news.batch;
-    if (!result.about.news.whole) {
+    packed_update result{table, std::move(update), {}};
+    const row_batch &batch = result.about.update.batch;
+    if (!result.about.update.whole) {
         result.rows = packRows(batch.rows);
         return result;
     }
@@ -220,10 +220,10 @@
 {
     const time_point now = bootNow();
     if (asked.since != unknownVersion) {
-        std::optional<aged_update> news = mirror.read(asked.table, asked.since, now);
-        if (!news)
+        std::optional<aged_update> update = mirror.read(asked.table, asked.since, now);
+        if (!update)
             return std::nullopt;
-        return packedUpdate(asked.table, std::move(*news));
+        return packedUpdate(asked.table, std::move(*update));
     }
     std::optional<aged_update> head = mirror.headForStart(asked.table, now);
     if (!head)
@@ -239,8 +239,8 @@
 {
     std::vector<packed_update> found;
     for (const table_since &item : tables) {
-        if (std::optional<packed_update> news = updateFor(item))
-            found.push_back(std::move(*news));
+        if (std::optional<packed_update> update = updateFor(item))
+            found.push_back(std::move(*update));
     }
     if (found.empty()) {
         exchange.reply(http_status::unavailable, {}, "");
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -59,11 +59,11 @@
 std::string laurelcroft::encodeUpdates(std::span<const packed_update> tables)
 {
     json items = json::array();
-    for (const packed_update &news : tables) {
-        const row_batch &batch = news.about.news.batch;
-        items.push_back(json::array({news.table, news.about.news.whole, batch.version,
-                                     batch.storeTime.count(), news.about.age.count(),
-                                     news.rows.isDeflated, toBinary(news.rows.bytes)}));
+    for (const packed_update &update : tables) {
+        const row_batch &batch = update.about.update.batch;
+        items.push_back(json::array({update.table, update.about.update.whole, batch.version,
+                                     batch.storeTime.count(), update.about.age.count(),
+                                     update.rows.isDeflated, toBinary(update.rows.bytes)}));
     }
     return encodeMessagePack(items);
 }
@@ -87,9 +87,9 @@
 static std::optional<aged_update> decodeTable(const json &item)
 {
     aged_update result;
-    row_batch &batch = result.news.batch;
+    row_batch &batch = result.update.batch;
     std::size_t field = 1;
-    result.news.whole = item.at(field++).get<bool>();
+    result.update.whole = item.at(field++).get<bool>();
     batch.version = item.at(field++).get<std::uint64_t>();
     batch.storeTime = milliseconds(item.at(field++).get<std::int64_t>());
     result.age = milliseconds(item.at(field++).get<std::int64_t>());
@@ -113,10 +113,10 @@
         for (const json &item : items) {
             if (item.size() != tableFieldCount)
                 return failure(std::string("table has the wrong number of fields"));
-            std::optional<aged_update> news = decodeTable(item);
-            if (!news)
+            std::optional<aged_update> update = decodeTable(item);
+            if (!update)
                 return failure(std::string("rows cannot be inflated"));
-            tables[item.at(0).get<std::string>()] = std::move(*news);
+            tables[item.at(0).get<std::string>()] = std::move(*update);
         }
         return tables;
     } catch (const json::exception &error) {
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -171,10 +171,10 @@
         return since == unknownVersion ? mirror.readForStart(table, now)
                                        : mirror.read(table, since, now);
     };
-    const auto news = peer ? updateOf(peer->mirror) : std::nullopt;
-    const bool hasChanges = news && (news->news.whole || !news->news.batch.rows.empty());
+    const auto update = peer ? updateOf(peer->mirror) : std::nullopt;
+    const bool hasChanges = update && (update->update.whole || !update->update.batch.rows.empty());
     const bool isStarting = peer && !peer->mirror.stateOf(table, since, all.runtime.now()).isKnown;
-    if ((isStarting || (news && !hasChanges)) && all.runtime.now() < until) {
+    if ((isStarting || (update && !hasChanges)) && all.runtime.now() < until) {
         all.runtime.after(pollInterval,
                           [this, table, since, done, until] { read(table, since, done, until); });
         return;
@@ -182,11 +182,11 @@
     const bool isOutdated
             = peer && peer->mirror.stateOf(table, since, all.runtime.now()).isOutdated;
     const milliseconds delay = ++reads % 3 == 0 ? networkDelay : networkDelay + readDelay;
-    all.runtime.after(delay, [this, table, news, isOutdated, done] {
-        if (!news)
+    all.runtime.after(delay, [this, table, update, isOutdated, done] {
+        if (!update)
             return done(failure(isOutdated ? row_failure::outdated : row_failure::notDone));
-        mirror.takeFromPeer(table, *news, all.runtime.now());
-        done(news->news);
+        mirror.takeFromPeer(table, *update, all.runtime.now());
+        done(update->update);
     });
 }
 
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -187,7 +187,7 @@
 
     std::optional<outcome<row_update, row_failure>> result;
     client.rows.read("t", 0,
-                     [&](outcome<row_update, row_failure> news) { result = std::move(news); });
+                     [&](outcome<row_update, row_failure> update) { result = std::move(update); });
     while (!result)
         context.run_one();
     REQUIRE(*result);
@@ -196,8 +196,9 @@
 
     for (int i = 0; i < 2; ++i) {
         result.reset();
-        client.rows.read("unknown", 0,
-                         [&](outcome<row_update, row_failure> news) { result = std::move(news); });
+        client.rows.read("unknown", 0, [&](outcome<row_update, row_failure> update) {
+            result = std::move(update);
+        });
         while (!result)
             context.run_one();
         CHECK(!*result);
@@ -221,8 +222,8 @@
     }
     void ask(const std::string &table, std::uint64_t since)
     {
-        client.rows.read(table, since, [this, table](outcome<row_update, row_failure> news) {
-            results.emplace(table, std::move(news));
+        client.rows.read(table, since, [this, table](outcome<row_update, row_failure> update) {
+            results.emplace(table, std::move(update));
         });
     }
     void runUntil(std::size_t count)
@@ -255,7 +256,7 @@
     client.rows.setAnnouncements([&] { return std::optional(own); }, {});
     std::optional<outcome<row_update, row_failure>> result;
     client.rows.read("t", 0,
-                     [&](outcome<row_update, row_failure> news) { result = std::move(news); });
+                     [&](outcome<row_update, row_failure> update) { result = std::move(update); });
     while (!result)
         context.run_one();
     REQUIRE(heard.size() == 1);
--- a/unittests/Proxy/RowMirrorTests.cpp
+++ b/unittests/Proxy/RowMirrorTests.cpp
@@ -20,16 +20,16 @@
     mirror.take("t", {{{"d", "4", 4, false}}, 4, milliseconds(5)}, false, now);
     const auto changes = mirror.read("t", 6, now + milliseconds(30));
     REQUIRE(changes);
-    CHECK(!changes->news.whole);
+    CHECK(!changes->update.whole);
     CHECK(changes->age == milliseconds(30));
-    CHECK(changes->news.batch.storeTime == milliseconds(50));
-    REQUIRE(changes->news.batch.rows.size() == 2);
-    CHECK(changes->news.batch.rows[0].key == "c");
-    CHECK(changes->news.batch.rows[1].removed);
+    CHECK(changes->update.batch.storeTime == milliseconds(50));
+    REQUIRE(changes->update.batch.rows.size() == 2);
+    CHECK(changes->update.batch.rows[0].key == "c");
+    CHECK(changes->update.batch.rows[1].removed);
     const auto whole = mirror.read("t", 3, now);
     REQUIRE(whole);
-    CHECK(whole->news.whole);
-    CHECK(whole->news.batch.rows.size() == 2);
+    CHECK(whole->update.whole);
+    CHECK(whole->update.batch.rows.size() == 2);
 }
 
 TEST_CASE("a mirror serves only rows that the store confirmed recently")
@@ -52,12 +52,12 @@
     const time_point now{seconds(100)};
     mirror.take("t", {{{"a", "1", 5, false}}, 6, {}}, true, now);
     mirror.take("t", {{{"b", "1", 8, false}}, 9, {}}, true, now);
-    const auto news = mirror.read("t", 6, now);
-    REQUIRE(news);
-    CHECK(!news->news.whole);
-    REQUIRE(news->news.batch.rows.size() == 2);
-    CHECK(news->news.batch.rows[1].key == "a");
-    CHECK(news->news.batch.rows[1].removed);
+    const auto update = mirror.read("t", 6, now);
+    REQUIRE(update);
+    CHECK(!update->update.whole);
+    REQUIRE(update->update.batch.rows.size() == 2);
+    CHECK(update->update.batch.rows[1].key == "a");
+    CHECK(update->update.batch.rows[1].removed);
 }
 
 TEST_CASE("the store's clock is correct after any number of hops between entries")
@@ -75,7 +75,7 @@
         const auto told = before.read("t", 0, now);
         REQUIRE(told);
         CHECK(told->age == passed);
-        CHECK(told->news.batch.storeTime == reading + passed);
+        CHECK(told->update.batch.storeTime == reading + passed);
         row_mirror next(milliseconds(1500));
         next.takeFromPeer("t", *told, now);
         before = next;
@@ -91,5 +91,5 @@
                 now - milliseconds(600));
     const auto told = mirror.read("t", 6, now);
     REQUIRE(told);
-    CHECK(told->news.batch.storeTime == milliseconds(1000));
+    CHECK(told->update.batch.storeTime == milliseconds(1000));
 }
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -11,9 +11,9 @@
 
 static packed_update updateOf(const std::string &table, const std::vector<store_row> &rows)
 {
-    packed_update news{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
-    news.rows = packRows(rows);
-    return news;
+    packed_update update{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
+    update.rows = packRows(rows);
+    return update;
 }
 
 TEST_CASE("changes of several tables round-trip, including removals")
@@ -25,17 +25,17 @@
     REQUIRE(back);
     REQUIRE(back.value().size() == 2);
     const aged_update &orders = back.value().at("orders");
-    CHECK(!orders.news.whole);
+    CHECK(!orders.update.whole);
     CHECK(orders.age == milliseconds(30));
-    CHECK(orders.news.batch.version == 8);
-    CHECK(orders.news.batch.storeTime == milliseconds(50));
-    REQUIRE(orders.news.batch.rows.size() == 2);
-    CHECK(orders.news.batch.rows[0].value == std::string("3\0x", 3));
-    CHECK(!orders.news.batch.rows[0].removed);
-    CHECK(orders.news.batch.rows[1].key == "a");
-    CHECK(orders.news.batch.rows[1].version == 7);
-    CHECK(orders.news.batch.rows[1].removed);
-    CHECK(back.value().at("endpoints").news.batch.rows.empty());
+    CHECK(orders.update.batch.version == 8);
+    CHECK(orders.update.batch.storeTime == milliseconds(50));
+    REQUIRE(orders.update.batch.rows.size() == 2);
+    CHECK(orders.update.batch.rows[0].value == std::string("3\0x", 3));
+    CHECK(!orders.update.batch.rows[0].removed);
+    CHECK(orders.update.batch.rows[1].key == "a");
+    CHECK(orders.update.batch.rows[1].version == 7);
+    CHECK(orders.update.batch.rows[1].removed);
+    CHECK(back.value().at("endpoints").update.batch.rows.empty());
 }
 
 TEST_CASE("a table of 160 endpoints is encoded in less than a tenth of its size")
@@ -56,8 +56,8 @@
     CHECK(bytes.size() < plain / 10);
     const outcome<table_updates, std::string> back = decodeUpdates(bytes);
     REQUIRE(back);
-    CHECK(back.value().at("endpoints").news.batch.rows.size() == rows.size());
-    CHECK(back.value().at("endpoints").news.batch.rows[159].value == rows[159].value);
+    CHECK(back.value().at("endpoints").update.batch.rows.size() == rows.size());
+    CHECK(back.value().at("endpoints").update.batch.rows[159].value == rows[159].value);
 }
 
 TEST_CASE("truncated and corrupted bytes are refused or decoded safely")
@@ -77,7 +77,7 @@
         const outcome<table_updates, std::string> back = decodeUpdates(changed);
         if (!back)
             continue;
-        for (const auto &[table, news] : back.value())
-            CHECK(news.news.batch.rows.size() <= rows.size());
+        for (const auto &[table, update] : back.value())
+            CHECK(update.update.batch.rows.size() <= rows.size());
     }
 }
--- a/unittests/Proxy/StoreSyncTests.cpp
+++ b/unittests/Proxy/StoreSyncTests.cpp
@@ -417,12 +417,12 @@
     fixture.store.put("endpoints", "a", "v1"); // same value again
     fixture.store.put("endpoints", "b", "v1-");
     fixture.runtime.advance(milliseconds(900));
-    const auto news
-            = fixture.mirror.read("endpoints", first->news.batch.version, fixture.runtime.now());
-    REQUIRE(news);
-    REQUIRE(news->news.batch.rows.size() == 1);
-    CHECK(news->news.batch.rows[0].key == "b");
-    CHECK(news->news.batch.version > first->news.batch.version);
+    const auto update
+            = fixture.mirror.read("endpoints", first->update.batch.version, fixture.runtime.now());
+    REQUIRE(update);
+    REQUIRE(update->update.batch.rows.size() == 1);
+    CHECK(update->update.batch.rows[0].key == "b");
+    CHECK(update->update.batch.version > first->update.batch.version);
 }
 
 TEST_CASE("an unreadable record does not affect others and is counted once")
