--- a/include/laurelcroft/Entry/SessionToken.h
+++ b/include/laurelcroft/Entry/SessionToken.h
@@ -44,7 +44,7 @@
 inline constexpr std::string_view sessionTokenPrefix = "lcs1.";
 
 /// Maximum size of a token or name, in bytes.
-inline constexpr std::size_t largestSessionText = 4096;
+inline constexpr std::size_t maxSessionTextBytes = 4096;
 
 /// Encodes sessions as tokens and decodes them.
 class session_token_codec
--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -50,7 +50,7 @@
     request.key = keyOf(from);
     request.session = findHeader(from.headers, "X-Laurelcroft-Session");
     request.idempotencyKey = findHeader(from.headers, "Idempotency-Key");
-    if (request.session.size() > largestSessionText)
+    if (request.session.size() > maxSessionTextBytes)
         return badRequest("session_invalid", "X-Laurelcroft-Session is longer than 4096 bytes");
     if (request.idempotencyKey.size() > longestIdempotencyKey)
         return badRequest("bad_idempotency_key", "Idempotency-Key is longer than 255 bytes");
--- a/lib/Entry/SessionToken.cpp
+++ b/lib/Entry/SessionToken.cpp
@@ -70,7 +70,7 @@
                                                             std::int64_t nowWallMs) const
 {
     const std::vector<std::string> parts = splitList(token, '.');
-    if (token.size() > largestSessionText || parts.size() != 4)
+    if (token.size() > maxSessionTextBytes || parts.size() != 4)
         return failure(session_error::malformed);
     const auto key = std::find_if(m_keys.begin(), m_keys.end(),
                                   [&](const session_key &item) { return item.id == parts[1]; });
