--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view servicePrefix = "/v1/services/";
 constexpr std::string_view requestPrefix = "/v1/requests/";
 constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t longestIdempotencyKey = 255;
+constexpr std::size_t maxIdempotencyKeyBytes = 255;
 constexpr std::size_t longestTarget = 200;
 constexpr double bytesPerToken = 4; // rough estimate of the prompt's tokens
 constexpr double highestOutputTokens = 1e6;
@@ -52,7 +52,7 @@
     request.idempotencyKey = findHeader(from.headers, "Idempotency-Key");
     if (request.session.size() > maxSessionTextBytes)
         return badRequest("session_invalid", "X-Laurelcroft-Session is longer than 4096 bytes");
-    if (request.idempotencyKey.size() > longestIdempotencyKey)
+    if (request.idempotencyKey.size() > maxIdempotencyKeyBytes)
         return badRequest("bad_idempotency_key", "Idempotency-Key is longer than 255 bytes");
     const std::string_view repeat = findHeader(from.headers, "X-Laurelcroft-Repeatable");
     if (!repeat.empty() && repeat != "yes" && repeat != "no")
