--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -23,7 +23,7 @@
 constexpr std::string_view requestPrefix = "/v1/requests/";
 constexpr std::string_view bearer = "Bearer ";
 constexpr std::size_t maxIdempotencyKeyBytes = 255;
-constexpr std::size_t longestTarget = 200;
+constexpr std::size_t maxTargetBytes = 200;
 constexpr double bytesPerToken = 4; // rough estimate of the prompt's tokens
 constexpr double highestOutputTokens = 1e6;
 
@@ -84,7 +84,7 @@
         return badRequest("bad_json", "the body must be a JSON object");
     const auto name = body.find("model");
     if (name == body.end() || !name->is_string() || name->get_ref<const std::string &>().empty()
-        || name->get_ref<const std::string &>().size() > longestTarget)
+        || name->get_ref<const std::string &>().size() > maxTargetBytes)
         return badRequest("bad_model", "the field 'model' must name a model or cascade");
     const auto messages = body.find("messages");
     if (messages == body.end() || !messages->is_array() || messages->empty())
