--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t maxIdempotencyKeyBytes = 255;
 constexpr std::size_t maxTargetBytes = 200;
 constexpr double bytesPerToken = 4; // rough estimate of the prompt's tokens
-constexpr double highestOutputTokens = 1e6;
+constexpr double maxOutputTokens = 1e6;
 
 } // namespace
 
@@ -98,7 +98,7 @@
     splitTarget(name->get<std::string>(), request);
     request.stream = stream != body.end() && stream->get<bool>();
     if (maxTokens != body.end())
-        request.outputTokens = std::min(maxTokens->get<double>(), highestOutputTokens);
+        request.outputTokens = std::min(maxTokens->get<double>(), maxOutputTokens);
     request.promptTokens = static_cast<double>(from.body.size()) / bytesPerToken;
     request.body = from.body;
     return std::nullopt;
