--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -109,9 +109,9 @@
 {
     if (from.method != "POST")
         return failure(badRequest("bad_method", "use POST here", http_status::methodNotAllowed));
-    if (from.body.size() > limits.largestBody)
+    if (from.body.size() > limits.maxBodyBytes)
         return failure(badRequest("body_too_large",
-                                  "the body is larger than " + std::to_string(limits.largestBody)
+                                  "the body is larger than " + std::to_string(limits.maxBodyBytes)
                                           + " bytes",
                                   http_status::tooLarge));
     caller_request request;
--- a/lib/Entry/CallerParser.h
+++ b/lib/Entry/CallerParser.h
@@ -16,7 +16,7 @@
 /// Limits on the size of one request.
 struct caller_limits
 {
-    std::size_t largestBody = 1U << 20; ///< in bytes
+    std::size_t maxBodyBytes = 1U << 20; ///< in bytes
 };
 
 using parsed_request = std::variant<caller_request, status_request, models_request>;
--- a/lib/Entry/EntryProcess.cpp
+++ b/lib/Entry/EntryProcess.cpp
@@ -419,8 +419,8 @@
     options.defaultTimeout = milliseconds(given.number("request-timeout"));
     options.maxRequestsInFlight = static_cast<std::size_t>(given.number("most-requests"));
     options.ratedShare = static_cast<double>(given.number("rated-percent")) / 100.0;
-    callers.limits.largestBody = static_cast<std::size_t>(given.number("largest-body"));
-    callers.callers.maxBodyBytes = 2 * callers.limits.largestBody;
+    callers.limits.maxBodyBytes = static_cast<std::size_t>(given.number("largest-body"));
+    callers.callers.maxBodyBytes = 2 * callers.limits.maxBodyBytes;
     if (!splitAddress(given.text("listen"), callers.callers.host, callers.callers.port))
         return "--listen: '" + given.text("listen") + "' is not host:port";
     if (!splitAddress(given.text("admin-listen"), callers.admin.host, callers.admin.port))
