--- a/lib/Fleet/ServiceDirectory.cpp
+++ b/lib/Fleet/ServiceDirectory.cpp
@@ -26,7 +26,7 @@
 /// How long a full endpoint is avoided; a few steps of its batch.
 constexpr milliseconds fullAvoidance{100};
 /// Upper bound of ceil(rate) / rate for rates above 1; lower rates need only the latest send.
-constexpr seconds longestRateWindow{2};
+constexpr seconds maxRateWindow{2};
 /// Successes assumed before the first answer, so that one failure does not dominate the rate.
 constexpr double priorAnswers = 3;
 
@@ -65,7 +65,7 @@
 
 void service_endpoint::recordSend(time_point now)
 {
-    while (m_sent.size() > 1 && now - m_sent.front() > longestRateWindow)
+    while (m_sent.size() > 1 && now - m_sent.front() > maxRateWindow)
         m_sent.pop_front();
     m_sent.push_back(now);
 }
