--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double endpointReadPart = 0.4;
-constexpr milliseconds shortestEndpointRead{100};
+constexpr milliseconds minEndpointRead{100};
 constexpr milliseconds longestEndpointRead{800};
 constexpr double heldByStorePart = 0.3;
 constexpr double heldByEntryPart = 0.2;
@@ -30,7 +30,7 @@
 
 row_timings::row_timings(milliseconds bound)
     : endpointReadInterval(
-            std::clamp(part(bound, endpointReadPart), shortestEndpointRead, longestEndpointRead))
+            std::clamp(part(bound, endpointReadPart), minEndpointRead, longestEndpointRead))
     , maxStoreHold(part(bound, heldByStorePart))
     , maxEntryHold(part(bound, heldByEntryPart))
     , maxRowAge(part(bound, freshPart))
