--- a/lib/Proxy/RowTimings.cpp
+++ b/lib/Proxy/RowTimings.cpp
@@ -14,7 +14,7 @@
 
 constexpr double endpointReadPart = 0.4;
 constexpr milliseconds minEndpointRead{100};
-constexpr milliseconds longestEndpointRead{800};
+constexpr milliseconds maxEndpointRead{800};
 constexpr double heldByStorePart = 0.3;
 constexpr double heldByEntryPart = 0.2;
 constexpr double freshPart = 0.55;
@@ -30,7 +30,7 @@
 
 row_timings::row_timings(milliseconds bound)
     : endpointReadInterval(
-            std::clamp(part(bound, endpointReadPart), minEndpointRead, longestEndpointRead))
+            std::clamp(part(bound, endpointReadPart), minEndpointRead, maxEndpointRead))
     , maxStoreHold(part(bound, heldByStorePart))
     , maxEntryHold(part(bound, heldByEntryPart))
     , maxRowAge(part(bound, freshPart))
