--- a/include/laurelcroft/Policy/CrashSuspects.h
+++ b/include/laurelcroft/Policy/CrashSuspects.h
@@ -178,7 +178,7 @@
     bool attributeEnd(const endpoint_end &end, recent_request &request);
     std::vector<std::uint64_t> attributeToStrongest(const endpoint_end &end,
                                                     std::span<recent_request> recent,
-                                                    unsigned leastBefore);
+                                                    unsigned minPriorEnds);
     void explainEarlierEnds(std::span<const std::uint64_t> keys);
     bool isCleared(std::uint64_t key, std::string_view version, time_point now) const;
     bool addEnd(const endpoint_end &end, const recent_request &request);
--- a/lib/Policy/CrashSuspects.cpp
+++ b/lib/Policy/CrashSuspects.cpp
@@ -144,19 +144,19 @@
 
 std::vector<std::uint64_t> crash_suspects::attributeToStrongest(const endpoint_end &end,
                                                                 std::span<recent_request> recent,
-                                                                unsigned leastBefore)
+                                                                unsigned minPriorEnds)
 {
     std::vector<std::uint64_t> blamed;
     std::vector<std::uint64_t> found;
     for (recent_request &request : recent) {
-        if (priorEnds(request) < leastBefore)
+        if (priorEnds(request) < minPriorEnds)
             continue;
         blamed.push_back(request.key);
         if (attributeEnd(end, request))
             found.push_back(request.key);
     }
     explainEarlierEnds(blamed);
-    if (leastBefore > 0)
+    if (minPriorEnds > 0)
         markExplained(end.endpoint, blamed);
     // With the same ends, one of two requests may be harmless: they are sent separately next time.
     if (found.size() > 1 && endsOf(found.front()) < endsToWithholdUnstable)
