--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -248,15 +248,15 @@
 template <flow_environment Env>
 bool request_flow<Env>::waitForRoom()
 {
-    const milliseconds longestWait = m_route->objective / flow_bounds::roomWaitDivisor;
+    const milliseconds maxWait = m_route->objective / flow_bounds::roomWaitDivisor;
     // Only a request that may have run waits for an endpoint that becomes available soon, so that
     // its work is not lost. Others are refused and can be retried by the caller.
     const bool isAvailableSoon = (m_streamBegun || m_mayHaveRun) && m_nextAvailableAt
-            && *m_nextAvailableAt - now() <= longestWait;
+            && *m_nextAvailableAt - now() <= maxWait;
     // Without a share of any cold endpoint, waiting would only delay the refusal.
     if (!m_coldRoomExpected && !isAvailableSoon)
         return false;
-    return waitAndSend(longestWait);
+    return waitAndSend(maxWait);
 }
 
 template <flow_environment Env>
--- a/lib/Platform/ServiceLimiter.cpp
+++ b/lib/Platform/ServiceLimiter.cpp
@@ -12,12 +12,12 @@
 namespace {
 constexpr int failuresToOpen = 3;
 constexpr duration firstWait = seconds(1);
-constexpr duration longestWait = seconds(8);
+constexpr duration maxWait = seconds(8);
 } // namespace
 
 service_limiter::service_limiter(double perSecond, double burst)
     : m_calls(perSecond, burst)
-    , m_breaker(failuresToOpen, firstWait, longestWait)
+    , m_breaker(failuresToOpen, firstWait, maxWait)
 {
 }
 
