--- a/unittests/Policy/SendBudgetTests.cpp
+++ b/unittests/Policy/SendBudgetTests.cpp
@@ -146,7 +146,7 @@
 {
     constexpr milliseconds step{20};
     constexpr int steps = 3000;
-    constexpr std::size_t mostAtOnce = 40;
+    constexpr std::size_t maxAtOnce = 40;
     random_source random(seed);
     const repeat_rule rule{{0.1 + 0.2 * double(random.index(5)), 0, seconds(10)}};
     std::vector<send_budget> processes(1 + random.index(8), send_budget(rule.bounds));
@@ -158,7 +158,7 @@
         send_budget &process = processes[random.index(processes.size())];
         if (random.chance(0.002))
             process = send_budget(rule.bounds);
-        const std::size_t arriving = random.chance(0.05) ? random.index(mostAtOnce) : 0;
+        const std::size_t arriving = random.chance(0.05) ? random.index(maxAtOnce) : 0;
         for (std::size_t n = 0; n < arriving; ++n) {
             process.countRequest(now, 0);
             requests.push_back(now);
