--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -31,7 +31,7 @@
 constexpr milliseconds stepLength{10};
 constexpr double newSessionsPerStep = 0.9; ///< sum over all entries
 constexpr double followUpChance = 0.6; ///< chance that another request of the session follows
-constexpr milliseconds longestPause{3000};
+constexpr milliseconds maxPause{3000};
 constexpr milliseconds answerTime{300};
 constexpr milliseconds window{10000}; ///< duration of a roll-out, as the test codec decodes it
 
@@ -104,7 +104,7 @@
         rollouts.observe(version, "route", "m", timing, now);
         if (random.chance(followUpChance)) {
             const auto pause = std::chrono::duration_cast<milliseconds>(
-                    random.uniform() * std::chrono::duration<double, std::milli>(longestPause));
+                    random.uniform() * std::chrono::duration<double, std::milli>(maxPause));
             due.emplace(now + answerTime + pause, session);
         }
     }
