--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -227,10 +227,10 @@
     std::uint64_t m_session = 0;
     version_reason m_versionReason = version_reason::single; ///< of the last choice's version
     std::vector<prompt_prefix> m_prefixes; ///< shared prefixes, hashed for the current model
-    double m_prefillMs = 0; ///< own prompt reading in progress; 0 once the answer has begun
+    double m_prefillMs = 0; ///< own prefill in progress; 0 once the answer has begun
     double m_expectedPrefillMs = 0; ///< until the first event of the current attempt
     double m_ownPrefillShare = 1; ///< share of the own prompt in endpoint_pick::waitMs
-    double m_remotePrefillMs = 0; ///< expected reading of prompts that other entries reported
+    double m_remotePrefillMs = 0; ///< expected prefill of prompts that other entries reported
     unsigned m_readTokens = 0;
     time_point m_arrivedAt{};
     time_point m_deadline{};
--- a/include/laurelcroft/Proxy/RowServer.h
+++ b/include/laurelcroft/Proxy/RowServer.h
@@ -1,7 +1,7 @@
 //===-- Proxy/RowServer.h - serves rows to other entries --------*- C++ -*-===//
 //
-// Serves this entry's row mirror to other entries. A read that has no changes is held until there are
-// some.
+// Serves this entry's row mirror to other entries. A read that has no changes is held until there
+// are some.
 //
 //===----------------------------------------------------------------------===//
 #ifndef LAURELCROFT_PROXY_ROWSERVER_H
