--- a/include/laurelcroft/Platform/RowFollower.h
+++ b/include/laurelcroft/Platform/RowFollower.h
@@ -46,7 +46,7 @@
 };
 
 /// Changes of a table, or the whole table.
-struct row_news
+struct row_update
 {
     row_batch batch;
     bool whole = false; ///< true: the batch is the whole table; false: changes to it
@@ -69,7 +69,8 @@
     std::function<bool()> isStandby;
     /// Reads the changes since a version, or the whole table if the version is \c unknownVersion or
     /// \c rereadVersion. May fail.
-    std::function<void(const std::string &table, std::uint64_t since, row_callback<row_news> done)>
+    std::function<void(const std::string &table, std::uint64_t since,
+                       row_callback<row_update> done)>
             read;
 };
 
@@ -133,7 +134,7 @@
 
     /// \returns true if the last reported table or changes came from a relay. Already valid in the
     /// callbacks that receive them.
-    bool isNewsRelayed() const { return m_newsRelayed; }
+    bool isUpdateRelayed() const { return m_updateRelayed; }
 
     /// \returns when a relay last answered, or the epoch of the clock if none has.
     time_point relayAnsweredAt() const { return m_relayAnsweredAt; }
@@ -155,7 +156,7 @@
         const unsigned readNumber = ++m_readNumber;
         m_relay.read(m_table, relayVersion(),
                      [this, askedAt, readNumber,
-                      alive = m_alive](outcome<row_news, row_failure> result) {
+                      alive = m_alive](outcome<row_update, row_failure> result) {
                          if (*alive)
                              onRelayAnswer(std::move(result), askedAt, readNumber == m_readNumber);
                      });
@@ -163,13 +164,13 @@
 
     /// \param isCurrent false if a read of the store began meanwhile; that read then schedules the
     /// next one.
-    void onRelayAnswer(outcome<row_news, row_failure> result, time_point askedAt, bool isCurrent)
+    void onRelayAnswer(outcome<row_update, row_failure> result, time_point askedAt, bool isCurrent)
     {
         if (result) {
             // A relay only passes on rows that the store has confirmed recently.
             m_relayAnsweredAt = m_runtime.now();
             reportRecovered();
-            takeNews(std::move(result.value()));
+            applyUpdate(std::move(result.value()));
             const auto remaining = relayReadInterval - (m_runtime.now() - askedAt);
             if (isCurrent)
                 scheduleRead(std::max<duration>(minRelayPause, remaining));
@@ -205,17 +206,17 @@
     bool isStandby() const { return m_relay.isStandby && m_relay.isStandby(); }
 
     /// Reports rows from a relay unless they are no newer than the rows already known.
-    void takeNews(row_news &&news)
+    void applyUpdate(row_update &&update)
     {
-        if (news.batch.version <= m_newest)
+        if (update.batch.version <= m_newest)
             return;
-        m_newest = news.batch.version;
-        m_since = news.batch.version;
-        m_newsRelayed = true;
-        if (news.whole)
-            m_events.onTable(std::move(news.batch));
+        m_newest = update.batch.version;
+        m_since = update.batch.version;
+        m_updateRelayed = true;
+        if (update.whole)
+            m_events.onTable(std::move(update.batch));
         else
-            m_events.onChanges(std::move(news.batch));
+            m_events.onChanges(std::move(update.batch));
     }
 
     void readStore()
@@ -257,7 +258,7 @@
         const bool whole = m_since == unknownVersion;
         m_since = std::max(m_since, batch.version);
         m_newest = std::max(m_newest, m_since);
-        m_newsRelayed = false;
+        m_updateRelayed = false;
         if (whole)
             m_events.onTable(std::move(batch));
         else
@@ -315,9 +316,9 @@
     void readRelayOnce()
     {
         m_relay.read(m_table, relayVersion(),
-                     [this, alive = m_alive](outcome<row_news, row_failure> result) {
+                     [this, alive = m_alive](outcome<row_update, row_failure> result) {
                          if (*alive && m_lost && result)
-                             takeNews(std::move(result.value()));
+                             applyUpdate(std::move(result.value()));
                      });
     }
 
@@ -336,7 +337,7 @@
     bool m_lost = false;
     row_failure m_lostWhy = row_failure::notDone;
     bool m_outdated = false; ///< the last failed read of a relay reported outdated rows
-    bool m_newsRelayed = false;
+    bool m_updateRelayed = false;
     time_point m_nextStoreReadAt{}; ///< next call to the store while it is unavailable
     time_point m_lostAt{};
     time_point m_confirmedAt{};
--- a/include/laurelcroft/Proxy/RequestFlow.h
+++ b/include/laurelcroft/Proxy/RequestFlow.h
@@ -162,10 +162,10 @@
     std::vector<prompt_prefix> prefixesOf(const std::string &model) const;
     std::string modelName() const;
     unsigned tokensToRead(unsigned kept) const;
-    double readingMsPerToken();
+    double prefillMsPerToken();
     double shareOfObjective(std::chrono::duration<double, std::milli> time) const;
     void endReading();
-    milliseconds currentPatience();
+    milliseconds currentAttemptTimeout();
     bool isEndpointSilent();
 
     void onAnswer(proxy_answer &&answer);
@@ -227,10 +227,10 @@
     std::uint64_t m_session = 0;
     version_reason m_versionReason = version_reason::single; ///< of the last choice's version
     std::vector<prompt_prefix> m_prefixes; ///< shared prefixes, hashed for the current model
-    double m_readingMs = 0; ///< own prompt reading in progress; 0 once the answer has begun
-    double m_expectedReadingMs = 0; ///< until the first event of the current attempt
-    double m_ownReadingShare = 1; ///< share of the own prompt in endpoint_pick::waitMs
-    double m_remoteReadingMs = 0; ///< expected reading of prompts that other entries reported
+    double m_prefillMs = 0; ///< own prefill in progress; 0 once the answer has begun
+    double m_expectedPrefillMs = 0; ///< until the first event of the current attempt
+    double m_ownPrefillShare = 1; ///< share of the own prompt in endpoint_pick::waitMs
+    double m_remotePrefillMs = 0; ///< expected prefill of prompts that other entries reported
     unsigned m_readTokens = 0;
     time_point m_arrivedAt{};
     time_point m_deadline{};
--- a/include/laurelcroft/Proxy/RequestFlowSending.h
+++ b/include/laurelcroft/Proxy/RequestFlowSending.h
@@ -86,8 +86,8 @@
         return false;
     }
     m_deadline = m_arrivedAt + m_route->timeout;
-    if (m_request->patience)
-        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request->patience);
+    if (m_request->callerTimeout)
+        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request->callerTimeout);
     return true;
 }
 
@@ -248,15 +248,15 @@
 template <flow_environment Env>
 bool request_flow<Env>::waitForRoom()
 {
-    const milliseconds longestWait = m_route->objective / flow_bounds::roomWaitDivisor;
+    const milliseconds maxWait = m_route->objective / flow_bounds::roomWaitDivisor;
     // Only a request that may have run waits for an endpoint that becomes available soon, so that
     // its work is not lost. Others are refused and can be retried by the caller.
     const bool isAvailableSoon = (m_streamBegun || m_mayHaveRun) && m_nextAvailableAt
-            && *m_nextAvailableAt - now() <= longestWait;
+            && *m_nextAvailableAt - now() <= maxWait;
     // Without a share of any cold endpoint, waiting would only delay the refusal.
     if (!m_coldRoomExpected && !isAvailableSoon)
         return false;
-    return waitAndSend(longestWait);
+    return waitAndSend(maxWait);
 }
 
 template <flow_environment Env>
@@ -299,12 +299,12 @@
     noteRun();
     beginRun();
     m_readTokens = tokensToRead(endpoint->prefixCache().cachedTokens(m_prefixes));
-    m_readingMs = readingMsPerToken() * m_readTokens;
-    m_expectedReadingMs = m_endpoint->prefillMs() + m_readingMs;
-    m_remoteReadingMs = m_endpoint->remotePrefillMs(m_attemptAt);
-    m_ownReadingShare = pick.waitMs > 0 ? m_readingMs / pick.waitMs : 1;
-    m_endpoint->addPrefill(m_readingMs);
-    state.noteSend(*endpoint, m_readingMs, m_prefixes);
+    m_prefillMs = prefillMsPerToken() * m_readTokens;
+    m_expectedPrefillMs = m_endpoint->prefillMs() + m_prefillMs;
+    m_remotePrefillMs = m_endpoint->remotePrefillMs(m_attemptAt);
+    m_ownPrefillShare = pick.waitMs > 0 ? m_prefillMs / pick.waitMs : 1;
+    m_endpoint->addPrefill(m_prefillMs);
+    state.noteSend(*endpoint, m_prefillMs, m_prefixes);
     m_endpoint->prefixCache().insert(m_prefixes);
     m_tried.push_back(endpoint->record().id);
     assert((m_receivedSends == 0 || m_reservedSend)
@@ -387,7 +387,7 @@
 template <flow_environment Env>
 void request_flow<Env>::endReading()
 {
-    m_endpoint->removePrefill(std::exchange(m_readingMs, 0));
+    m_endpoint->removePrefill(std::exchange(m_prefillMs, 0));
 }
 
 template <flow_environment Env>
@@ -397,14 +397,14 @@
 }
 
 template <flow_environment Env>
-milliseconds request_flow<Env>::currentPatience()
+milliseconds request_flow<Env>::currentAttemptTimeout()
 {
     attempt_wait view;
     view.objective = m_route->objective;
     view.eventGap = m_route->eventGap;
     view.timeout = m_route->timeout;
     view.meanWait = m_env.routing().waits(m_service).mean();
-    view.prefillMs = m_expectedReadingMs;
+    view.prefillMs = m_expectedPrefillMs;
     view.endpointSilent = isEndpointSilent();
     if (m_route->form == answer_form::events)
         view.part = m_hasFirstEvent ? awaited_part::nextEvent : awaited_part::firstEvent;
@@ -428,7 +428,7 @@
         return;
     // Check at intervals even if the limit is far away: the endpoint may become silent later, which
     // shortens the limit.
-    const auto due = m_lastProgressAt + currentPatience();
+    const auto due = m_lastProgressAt + currentAttemptTimeout();
     const duration wait = std::clamp<duration>(due - now(), milliseconds(1),
                                                flow_bounds::progressCheckInterval);
     m_progressTimer
@@ -438,7 +438,7 @@
                       return;
                   self->noteSlowWait();
                   const bool silent
-                          = self->now() - self->m_lastProgressAt >= self->currentPatience();
+                          = self->now() - self->m_lastProgressAt >= self->currentAttemptTimeout();
                   if (!silent) {
                       self->watchProgress(number);
                       return;
--- a/include/laurelcroft/Proxy/RowWire.h
+++ b/include/laurelcroft/Proxy/RowWire.h
@@ -27,20 +27,20 @@
 packed_rows packRows(std::span<const store_row> rows);
 
 /// Changes of one table with encoded rows.
-struct packed_news
+struct packed_update
 {
     std::string table;
-    aged_news about; ///< everything but the rows
+    aged_update about; ///< everything but the rows
     packed_rows rows;
 };
 
-std::string encodeNews(std::span<const packed_news> tables);
+std::string encodeUpdates(std::span<const packed_update> tables);
 
 /// Changes keyed by table.
-using table_news = std::map<std::string, aged_news>;
+using table_updates = std::map<std::string, aged_update>;
 
 /// \returns the changes, or an error message when \p bytes are malformed.
-outcome<table_news, std::string> decodeNews(std::string_view bytes);
+outcome<table_updates, std::string> decodeUpdates(std::string_view bytes);
 
 } // namespace laurelcroft
 
--- a/include/laurelcroft/Proxy/StoreSync.h
+++ b/include/laurelcroft/Proxy/StoreSync.h
@@ -69,7 +69,7 @@
     /// Sends this entry's evidence about a version under roll-out to the entries that read the
     /// store.
     /// \returns false when it could not be sent to all of them. May be empty.
-    std::function<bool(const evidence_notice &notice)> tellReaders;
+    std::function<bool(const evidence_notice &notice)> sendEvidenceToReaders;
 };
 
 /// Keeps the routing state of one entry up to date with the store.
@@ -158,10 +158,10 @@
     follow_pace endpointPace() const;
     follow_pace heldPace(milliseconds between) const;
     std::unique_ptr<follower> follow(const std::string &table, follow_pace pace,
-                                     void (store_sync::*apply)(row_news &));
-    void applyOperator(row_news &news);
-    /// Removes from \p news the rows that are only heartbeats.
-    void applyEndpoints(row_news &news);
+                                     void (store_sync::*apply)(row_update &));
+    void applyOperator(row_update &update);
+    /// Removes from \p update the rows that are only heartbeats.
+    void applyEndpoints(row_update &update);
     void applyEndpointTable(row_batch &batch);
     /// \returns removal rows for the known endpoints that are not in \p batch.
     std::vector<store_row> removalsOfMissingEndpoints(const row_batch &batch) const;
@@ -175,13 +175,13 @@
     void logOmittedEndpointLines();
     /// \returns true when an endpoint has become cold or is no longer cold, and logs it.
     bool hasColdStateChanged(const endpoint_record &record, const service_endpoint &known);
-    void applyInternal(row_news &news);
+    void applyInternal(row_update &update);
     void takeContract(const store_row &row);
     void takeOrder(const std::string &service, const store_row &row);
     void setEvacuated(std::set<std::string> dataCentres, std::uint64_t version);
     /// Treats removals as uncertain for a while: an endpoint's row may have expired because the
     /// store was unavailable, not because the endpoint is gone.
-    void doubtRemovals(row_failure why);
+    void deferRemovals(row_failure why);
     void noteTime(const row_batch &batch);
     milliseconds storeNow();
     void maintainEntryRows();
--- a/lib/Entry/CallerParser.cpp
+++ b/lib/Entry/CallerParser.cpp
@@ -22,10 +22,10 @@
 constexpr std::string_view servicePrefix = "/v1/services/";
 constexpr std::string_view requestPrefix = "/v1/requests/";
 constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t longestIdempotencyKey = 255;
-constexpr std::size_t longestTarget = 200;
+constexpr std::size_t maxIdempotencyKeyBytes = 255;
+constexpr std::size_t maxTargetBytes = 200;
 constexpr double bytesPerToken = 4; // rough estimate of the prompt's tokens
-constexpr double highestOutputTokens = 1e6;
+constexpr double maxOutputTokens = 1e6;
 
 } // namespace
 
@@ -50,9 +50,9 @@
     request.key = keyOf(from);
     request.session = findHeader(from.headers, "X-Laurelcroft-Session");
     request.idempotencyKey = findHeader(from.headers, "Idempotency-Key");
-    if (request.session.size() > largestSessionText)
+    if (request.session.size() > maxSessionTextBytes)
         return badRequest("session_invalid", "X-Laurelcroft-Session is longer than 4096 bytes");
-    if (request.idempotencyKey.size() > longestIdempotencyKey)
+    if (request.idempotencyKey.size() > maxIdempotencyKeyBytes)
         return badRequest("bad_idempotency_key", "Idempotency-Key is longer than 255 bytes");
     const std::string_view repeat = findHeader(from.headers, "X-Laurelcroft-Repeatable");
     if (!repeat.empty() && repeat != "yes" && repeat != "no")
@@ -84,7 +84,7 @@
         return badRequest("bad_json", "the body must be a JSON object");
     const auto name = body.find("model");
     if (name == body.end() || !name->is_string() || name->get_ref<const std::string &>().empty()
-        || name->get_ref<const std::string &>().size() > longestTarget)
+        || name->get_ref<const std::string &>().size() > maxTargetBytes)
         return badRequest("bad_model", "the field 'model' must name a model or cascade");
     const auto messages = body.find("messages");
     if (messages == body.end() || !messages->is_array() || messages->empty())
@@ -98,7 +98,7 @@
     splitTarget(name->get<std::string>(), request);
     request.stream = stream != body.end() && stream->get<bool>();
     if (maxTokens != body.end())
-        request.outputTokens = std::min(maxTokens->get<double>(), highestOutputTokens);
+        request.outputTokens = std::min(maxTokens->get<double>(), maxOutputTokens);
     request.promptTokens = static_cast<double>(from.body.size()) / bytesPerToken;
     request.body = from.body;
     return std::nullopt;
@@ -109,9 +109,9 @@
 {
     if (from.method != "POST")
         return failure(badRequest("bad_method", "use POST here", http_status::methodNotAllowed));
-    if (from.body.size() > limits.largestBody)
+    if (from.body.size() > limits.maxBodyBytes)
         return failure(badRequest("body_too_large",
-                                  "the body is larger than " + std::to_string(limits.largestBody)
+                                  "the body is larger than " + std::to_string(limits.maxBodyBytes)
                                           + " bytes",
                                   http_status::tooLarge));
     caller_request request;
--- a/lib/Proxy/RowMirror.cpp
+++ b/lib/Proxy/RowMirror.cpp
@@ -53,10 +53,10 @@
     take(table, batch, whole, batch.storeTime, confirmedAt);
 }
 
-void row_mirror::takeFromPeer(const std::string &table, const aged_news &found, time_point now)
+void row_mirror::takeFromPeer(const std::string &table, const aged_update &found, time_point now)
 {
-    const row_batch &batch = found.news.batch;
-    take(table, batch, found.news.whole, batch.storeTime - found.age, now - found.age);
+    const row_batch &batch = found.update.batch;
+    take(table, batch, found.update.whole, batch.storeTime - found.age, now - found.age);
 }
 
 void row_mirror::take(const std::string &table, const row_batch &batch, bool whole,
@@ -91,9 +91,10 @@
         m_onChange();
 }
 
-news_state row_mirror::stateOf(const std::string &table, std::uint64_t since, time_point now) const
+update_state row_mirror::stateOf(const std::string &table, std::uint64_t since,
+                                 time_point now) const
 {
-    news_state state;
+    update_state state;
     const auto it = m_tables.find(table);
     if (it == m_tables.end())
         return state;
@@ -102,53 +103,53 @@
     state.isOutdated = now - known.confirmedAt > m_freshness;
     state.age = std::chrono::duration_cast<milliseconds>(now - known.confirmedAt);
     const bool hasChanges = !known.changes.empty() && known.changes.rbegin()->first > since;
-    state.hasNews = !state.isOutdated && (since < known.changesFrom || hasChanges);
+    state.hasUpdate = !state.isOutdated && (since < known.changesFrom || hasChanges);
     return state;
 }
 
-std::optional<aged_news> row_mirror::read(const std::string &table, std::uint64_t since,
-                                          time_point now) const
+std::optional<aged_update> row_mirror::read(const std::string &table, std::uint64_t since,
+                                            time_point now) const
 {
-    const news_state state = stateOf(table, since, now);
+    const update_state state = stateOf(table, since, now);
     if (!state.isKnown || state.isOutdated)
         return std::nullopt;
-    return newsSince(m_tables.at(table), since, state);
+    return updateSince(m_tables.at(table), since, state);
 }
 
-std::optional<aged_news> row_mirror::readForStart(const std::string &table, time_point now) const
+std::optional<aged_update> row_mirror::readForStart(const std::string &table, time_point now) const
 {
-    const news_state state = stateOf(table, unknownVersion, now);
+    const update_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
-    return newsSince(m_tables.at(table), unknownVersion, state);
+    return updateSince(m_tables.at(table), unknownVersion, state);
 }
 
-std::optional<aged_news> row_mirror::headForStart(const std::string &table, time_point now) const
+std::optional<aged_update> row_mirror::headForStart(const std::string &table, time_point now) const
 {
-    const news_state state = stateOf(table, unknownVersion, now);
+    const update_state state = stateOf(table, unknownVersion, now);
     if (!state.isKnown)
         return std::nullopt;
     return headSince(m_tables.at(table), unknownVersion, state);
 }
 
-aged_news row_mirror::headSince(const table_copy &known, std::uint64_t since,
-                                const news_state &state)
+aged_update row_mirror::headSince(const table_copy &known, std::uint64_t since,
+                                  const update_state &state)
 {
-    aged_news result;
+    aged_update result;
     result.age = state.age;
     result.changedAt = known.changes.empty() ? 0 : known.changes.rbegin()->first;
-    result.news.whole = since < known.changesFrom;
-    result.news.batch.version = known.version;
-    result.news.batch.storeTime = known.storeTime + result.age;
+    result.update.whole = since < known.changesFrom;
+    result.update.batch.version = known.version;
+    result.update.batch.storeTime = known.storeTime + result.age;
     return result;
 }
 
-aged_news row_mirror::newsSince(const table_copy &known, std::uint64_t since,
-                                const news_state &state)
+aged_update row_mirror::updateSince(const table_copy &known, std::uint64_t since,
+                                    const update_state &state)
 {
-    aged_news result = headSince(known, since, state);
-    row_batch &batch = result.news.batch;
-    if (result.news.whole) {
+    aged_update result = headSince(known, since, state);
+    row_batch &batch = result.update.batch;
+    if (result.update.whole) {
         for (const auto &[key, row] : known.rows)
             batch.rows.push_back(row);
         return result;
--- a/lib/Proxy/RowServer.cpp
+++ b/lib/Proxy/RowServer.cpp
@@ -82,8 +82,8 @@
     void holdRead(std::vector<table_since> tables, caller_exchange &exchange, milliseconds time);
     milliseconds maxHoldFor(const std::vector<table_since> &tables) const;
     void answer(const std::vector<table_since> &tables, caller_exchange &exchange);
-    std::optional<packed_news> newsFor(const table_since &asked);
-    packed_news packedNews(const std::string &table, aged_news news);
+    std::optional<packed_update> updateFor(const table_since &asked);
+    packed_update packedUpdate(const std::string &table, aged_update update);
     void noteChange();
     void answerHeld();
 
@@ -165,24 +165,24 @@
 }
 
 /// \returns how long an answer may be held: \c outdatedHold when a table is outdated; until the
-/// rows become outdated when no table has news, or when this process has just started and has not
-/// read one of the tables yet; otherwise 0.
+/// rows become outdated when no table has changes, or when this process has just started and has
+/// not read one of the tables yet; otherwise 0.
 milliseconds row_server::state::maxHoldFor(const std::vector<table_since> &tables) const
 {
-    bool hasNews = false;
+    bool hasUpdate = false;
     bool isOutdated = false;
     bool isUnknown = false;
     milliseconds oldest{0};
     for (const table_since &item : tables) {
-        const news_state state = mirror.stateOf(item.table, item.since, bootNow());
+        const update_state state = mirror.stateOf(item.table, item.since, bootNow());
         isUnknown = isUnknown || !state.isKnown;
         isOutdated = isOutdated || state.isOutdated;
-        hasNews = hasNews || state.hasNews;
+        hasUpdate = hasUpdate || state.hasUpdate;
         oldest = std::max(oldest, state.age);
     }
     if (isOutdated)
         return outdatedHold;
-    return isUnknown || !hasNews ? mirror.freshness() - oldest : milliseconds(0);
+    return isUnknown || !hasUpdate ? mirror.freshness() - oldest : milliseconds(0);
 }
 
 void row_server::state::holdRead(std::vector<table_since> tables, caller_exchange &exchange,
@@ -200,11 +200,11 @@
     });
 }
 
-packed_news row_server::state::packedNews(const std::string &table, aged_news news)
+packed_update row_server::state::packedUpdate(const std::string &table, aged_update update)
 {
-    packed_news result{table, std::move(news), {}};
-    const row_batch &batch = result.about.news.batch;
-    if (!result.about.news.whole) {
+    packed_update result{table, std::move(update), {}};
+    const row_batch &batch = result.about.update.batch;
+    if (!result.about.update.whole) {
         result.rows = packRows(batch.rows);
         return result;
     }
@@ -216,37 +216,37 @@
     return result;
 }
 
-std::optional<packed_news> row_server::state::newsFor(const table_since &asked)
+std::optional<packed_update> row_server::state::updateFor(const table_since &asked)
 {
     const time_point now = bootNow();
     if (asked.since != unknownVersion) {
-        std::optional<aged_news> news = mirror.read(asked.table, asked.since, now);
-        if (!news)
+        std::optional<aged_update> update = mirror.read(asked.table, asked.since, now);
+        if (!update)
             return std::nullopt;
-        return packedNews(asked.table, std::move(*news));
+        return packedUpdate(asked.table, std::move(*update));
     }
-    std::optional<aged_news> head = mirror.headForStart(asked.table, now);
+    std::optional<aged_update> head = mirror.headForStart(asked.table, now);
     if (!head)
         return std::nullopt;
     // When a hundred entries start together the rows are copied and packed once.
     const auto kept = packed.find(asked.table);
     if (kept != packed.end() && kept->second.changedAt == head->changedAt)
-        return packed_news{asked.table, std::move(*head), kept->second.rows};
-    return packedNews(asked.table, *mirror.readForStart(asked.table, now));
+        return packed_update{asked.table, std::move(*head), kept->second.rows};
+    return packedUpdate(asked.table, *mirror.readForStart(asked.table, now));
 }
 
 void row_server::state::answer(const std::vector<table_since> &tables, caller_exchange &exchange)
 {
-    std::vector<packed_news> found;
+    std::vector<packed_update> found;
     for (const table_since &item : tables) {
-        if (std::optional<packed_news> news = newsFor(item))
-            found.push_back(std::move(*news));
+        if (std::optional<packed_update> update = updateFor(item))
+            found.push_back(std::move(*update));
     }
     if (found.empty()) {
         exchange.reply(http_status::unavailable, {}, "");
         return;
     }
-    const std::string bytes = encodeNews(found);
+    const std::string bytes = encodeUpdates(found);
     metrics.add("peer_served_bytes_total", bytes.size());
     exchange.reply(http_status::ok, {}, bytes);
 }
--- a/lib/Proxy/RowWire.cpp
+++ b/lib/Proxy/RowWire.cpp
@@ -56,14 +56,14 @@
     return {std::move(*smaller), true};
 }
 
-std::string laurelcroft::encodeNews(std::span<const packed_news> tables)
+std::string laurelcroft::encodeUpdates(std::span<const packed_update> tables)
 {
     json items = json::array();
-    for (const packed_news &news : tables) {
-        const row_batch &batch = news.about.news.batch;
-        items.push_back(json::array({news.table, news.about.news.whole, batch.version,
-                                     batch.storeTime.count(), news.about.age.count(),
-                                     news.rows.isDeflated, toBinary(news.rows.bytes)}));
+    for (const packed_update &update : tables) {
+        const row_batch &batch = update.about.update.batch;
+        items.push_back(json::array({update.table, update.about.update.whole, batch.version,
+                                     batch.storeTime.count(), update.about.age.count(),
+                                     update.rows.isDeflated, toBinary(update.rows.bytes)}));
     }
     return encodeMessagePack(items);
 }
@@ -84,12 +84,12 @@
 }
 
 /// \returns the changes of one table; nothing when deflated rows are malformed.
-static std::optional<aged_news> decodeTable(const json &item)
+static std::optional<aged_update> decodeTable(const json &item)
 {
-    aged_news result;
-    row_batch &batch = result.news.batch;
+    aged_update result;
+    row_batch &batch = result.update.batch;
     std::size_t field = 1;
-    result.news.whole = item.at(field++).get<bool>();
+    result.update.whole = item.at(field++).get<bool>();
     batch.version = item.at(field++).get<std::uint64_t>();
     batch.storeTime = milliseconds(item.at(field++).get<std::int64_t>());
     result.age = milliseconds(item.at(field++).get<std::int64_t>());
@@ -103,20 +103,20 @@
     return result;
 }
 
-outcome<table_news, std::string> laurelcroft::decodeNews(std::string_view bytes)
+outcome<table_updates, std::string> laurelcroft::decodeUpdates(std::string_view bytes)
 {
     try {
-        table_news tables;
+        table_updates tables;
         const json items = json::from_msgpack(bytes.begin(), bytes.end());
         if (!items.is_array())
             return failure(std::string("not an array of tables"));
         for (const json &item : items) {
             if (item.size() != tableFieldCount)
                 return failure(std::string("table has the wrong number of fields"));
-            std::optional<aged_news> news = decodeTable(item);
-            if (!news)
+            std::optional<aged_update> update = decodeTable(item);
+            if (!update)
                 return failure(std::string("rows cannot be inflated"));
-            tables[item.at(0).get<std::string>()] = std::move(*news);
+            tables[item.at(0).get<std::string>()] = std::move(*update);
         }
         return tables;
     } catch (const json::exception &error) {
--- a/unittests/Proxy/EntryFleet.h
+++ b/unittests/Proxy/EntryFleet.h
@@ -73,7 +73,7 @@
     entry_links linksOf();
     bool isReady() { return routing.contract() && !routing.directory().all().empty(); }
     std::vector<std::string> peersToRead() const;
-    void read(const std::string &table, std::uint64_t since, row_callback<row_news> done,
+    void read(const std::string &table, std::uint64_t since, row_callback<row_update> done,
               time_point until);
 
     fleet &all;
@@ -153,7 +153,7 @@
 }
 
 inline void fleet_entry::read(const std::string &table, std::uint64_t since,
-                              row_callback<row_news> done, time_point until)
+                              row_callback<row_update> done, time_point until)
 {
     if (!store.isUp)
         return;
@@ -166,15 +166,15 @@
         if (const auto own = sync.nextAnnouncement())
             peer->sync.takeAnnouncement(*own);
     }
-    const auto newsOf = [&](const row_mirror &mirror) {
+    const auto updateOf = [&](const row_mirror &mirror) {
         const time_point now = all.runtime.now();
         return since == unknownVersion ? mirror.readForStart(table, now)
                                        : mirror.read(table, since, now);
     };
-    const auto news = peer ? newsOf(peer->mirror) : std::nullopt;
-    const bool isNews = news && (news->news.whole || !news->news.batch.rows.empty());
+    const auto update = peer ? updateOf(peer->mirror) : std::nullopt;
+    const bool hasChanges = update && (update->update.whole || !update->update.batch.rows.empty());
     const bool isStarting = peer && !peer->mirror.stateOf(table, since, all.runtime.now()).isKnown;
-    if ((isStarting || (news && !isNews)) && all.runtime.now() < until) {
+    if ((isStarting || (update && !hasChanges)) && all.runtime.now() < until) {
         all.runtime.after(pollInterval,
                           [this, table, since, done, until] { read(table, since, done, until); });
         return;
@@ -182,11 +182,11 @@
     const bool isOutdated
             = peer && peer->mirror.stateOf(table, since, all.runtime.now()).isOutdated;
     const milliseconds delay = ++reads % 3 == 0 ? networkDelay : networkDelay + readDelay;
-    all.runtime.after(delay, [this, table, news, isOutdated, done] {
-        if (!news)
+    all.runtime.after(delay, [this, table, update, isOutdated, done] {
+        if (!update)
             return done(failure(isOutdated ? row_failure::outdated : row_failure::notDone));
-        mirror.takeFromPeer(table, *news, all.runtime.now());
-        done(news->news);
+        mirror.takeFromPeer(table, *update, all.runtime.now());
+        done(update->update);
     });
 }
 
@@ -199,7 +199,7 @@
     links.isFirstStart = all.isFirstStart;
     links.relay.isPreferred = [this] { return !peersToRead().empty(); };
     links.relay.read
-            = [this](const std::string &table, std::uint64_t since, row_callback<row_news> done) {
+            = [this](const std::string &table, std::uint64_t since, row_callback<row_update> done) {
                   read(table, since, std::move(done), all.runtime.now() + longPollTime);
               };
     links.onEntries = [this](const entry_map &known) {
@@ -207,7 +207,7 @@
         readers = sourcesFor(known, name).readers;
     };
     links.onContract = [] {};
-    links.tellReaders = [this](const evidence_notice &notice) {
+    links.sendEvidenceToReaders = [this](const evidence_notice &notice) {
         for (fleet_entry &entry : all.entries) {
             if (entry.store.isUp && entry.readers.empty())
                 entry.sync.takeEvidence(notice);
--- a/unittests/Proxy/PeerRowsTests.cpp
+++ b/unittests/Proxy/PeerRowsTests.cpp
@@ -185,9 +185,9 @@
     client.rows.setPeers({"127.0.0.1:" + std::to_string(server.rows.port()), "127.0.0.1:1"});
     server.mirror.take("t", {{{"k", "v", 3, false}}, 3, {}}, true, bootNow());
 
-    std::optional<outcome<row_news, row_failure>> result;
+    std::optional<outcome<row_update, row_failure>> result;
     client.rows.read("t", 0,
-                     [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+                     [&](outcome<row_update, row_failure> update) { result = std::move(update); });
     while (!result)
         context.run_one();
     REQUIRE(*result);
@@ -196,8 +196,9 @@
 
     for (int i = 0; i < 2; ++i) {
         result.reset();
-        client.rows.read("unknown", 0,
-                         [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+        client.rows.read("unknown", 0, [&](outcome<row_update, row_failure> update) {
+            result = std::move(update);
+        });
         while (!result)
             context.run_one();
         CHECK(!*result);
@@ -221,8 +222,8 @@
     }
     void ask(const std::string &table, std::uint64_t since)
     {
-        client.rows.read(table, since, [this, table](outcome<row_news, row_failure> news) {
-            results.emplace(table, std::move(news));
+        client.rows.read(table, since, [this, table](outcome<row_update, row_failure> update) {
+            results.emplace(table, std::move(update));
         });
     }
     void runUntil(std::size_t count)
@@ -233,7 +234,7 @@
     asio::io_context context;
     one_entry server{context, "127.0.0.1:0"};
     one_entry client{context, "127.0.0.1:1"};
-    std::map<std::string, outcome<row_news, row_failure>> results;
+    std::map<std::string, outcome<row_update, row_failure>> results;
 };
 
 } // namespace
@@ -253,9 +254,9 @@
     entry_announcement own{"edge-7", {"10.0.0.7:5", "hall"}, milliseconds(1'700'000'000'000)};
     own.place.processorShare = 0.5;
     client.rows.setAnnouncements([&] { return std::optional(own); }, {});
-    std::optional<outcome<row_news, row_failure>> result;
+    std::optional<outcome<row_update, row_failure>> result;
     client.rows.read("t", 0,
-                     [&](outcome<row_news, row_failure> news) { result = std::move(news); });
+                     [&](outcome<row_update, row_failure> update) { result = std::move(update); });
     while (!result)
         context.run_one();
     REQUIRE(heard.size() == 1);
@@ -306,7 +307,7 @@
     CHECK(two.results.at("a").value().batch.rows.size() == 1);
 }
 
-TEST_CASE("a read without news is held and answered when there is some")
+TEST_CASE("a read without changes is held and answered when there are some")
 {
     two_entries two;
     two.tell("a", 3);
--- a/unittests/Proxy/RetryWorld.h
+++ b/unittests/Proxy/RetryFixture.h
@@ -1,4 +1,4 @@
-//===-- RetryWorld.h - simulated entries with retries ------------*- C++ -*-===//
+//===-- RetryFixture.h - simulated entries with retries ----------*- C++ -*-===//
 //
 // Simulates entries with real request flows in front of endpoints that answer, refuse or fail as
 // the test chooses. Callers send to any entry, and entries can be killed, stopped and added, on a
@@ -6,8 +6,8 @@
 // bound in every window.
 //
 //===----------------------------------------------------------------------===//
-#ifndef LAURELCROFT_UNITTESTS_PROXY_RETRYWORLD_H
-#define LAURELCROFT_UNITTESTS_PROXY_RETRYWORLD_H
+#ifndef LAURELCROFT_UNITTESTS_PROXY_RETRYFIXTURE_H
+#define LAURELCROFT_UNITTESTS_PROXY_RETRYFIXTURE_H
 
 #include "../Policy/RepeatRule.h"
 #include "FlowFixture.h"
@@ -25,7 +25,7 @@
 /// How a simulated endpoint handles a request.
 enum class request_outcome { answers, refuses, fails, breaks, hangs };
 
-struct retry_world;
+struct retry_fixture;
 
 /// One process of an entry.
 struct retry_entry
@@ -41,7 +41,7 @@
 /// Environment of a request flow at one entry.
 struct retry_environment
 {
-    retry_world *world;
+    retry_fixture *fixture;
     retry_entry *entry;
 
     manual_runtime &runtime();
@@ -76,9 +76,9 @@
 };
 
 /// The simulated fleet, endpoints and callers.
-struct retry_world
+struct retry_fixture
 {
-    explicit retry_world(retry_plan plan);
+    explicit retry_fixture(retry_plan plan);
 
     /// Simulates callers' requests for \p time.
     void simulate(milliseconds time);
--- a/unittests/Proxy/RowWireTests.cpp
+++ b/unittests/Proxy/RowWireTests.cpp
@@ -9,33 +9,33 @@
 
 using namespace laurelcroft;
 
-static packed_news newsOf(const std::string &table, const std::vector<store_row> &rows)
+static packed_update updateOf(const std::string &table, const std::vector<store_row> &rows)
 {
-    packed_news news{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
-    news.rows = packRows(rows);
-    return news;
+    packed_update update{table, {{{{}, 8, milliseconds(50)}, false}, milliseconds(30)}, {}};
+    update.rows = packRows(rows);
+    return update;
 }
 
 TEST_CASE("changes of several tables round-trip, including removals")
 {
-    const std::vector<packed_news> tables{
-            newsOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
-            newsOf("endpoints", {})};
-    const outcome<table_news, std::string> back = decodeNews(encodeNews(tables));
+    const std::vector<packed_update> tables{
+            updateOf("orders", {{"c", std::string("3\0x", 3), 8, false}, {"a", "", 7, true}}),
+            updateOf("endpoints", {})};
+    const outcome<table_updates, std::string> back = decodeUpdates(encodeUpdates(tables));
     REQUIRE(back);
     REQUIRE(back.value().size() == 2);
-    const aged_news &orders = back.value().at("orders");
-    CHECK(!orders.news.whole);
+    const aged_update &orders = back.value().at("orders");
+    CHECK(!orders.update.whole);
     CHECK(orders.age == milliseconds(30));
-    CHECK(orders.news.batch.version == 8);
-    CHECK(orders.news.batch.storeTime == milliseconds(50));
-    REQUIRE(orders.news.batch.rows.size() == 2);
-    CHECK(orders.news.batch.rows[0].value == std::string("3\0x", 3));
-    CHECK(!orders.news.batch.rows[0].removed);
-    CHECK(orders.news.batch.rows[1].key == "a");
-    CHECK(orders.news.batch.rows[1].version == 7);
-    CHECK(orders.news.batch.rows[1].removed);
-    CHECK(back.value().at("endpoints").news.batch.rows.empty());
+    CHECK(orders.update.batch.version == 8);
+    CHECK(orders.update.batch.storeTime == milliseconds(50));
+    REQUIRE(orders.update.batch.rows.size() == 2);
+    CHECK(orders.update.batch.rows[0].value == std::string("3\0x", 3));
+    CHECK(!orders.update.batch.rows[0].removed);
+    CHECK(orders.update.batch.rows[1].key == "a");
+    CHECK(orders.update.batch.rows[1].version == 7);
+    CHECK(orders.update.batch.rows[1].removed);
+    CHECK(back.value().at("endpoints").update.batch.rows.empty());
 }
 
 TEST_CASE("a table of 160 endpoints is encoded in less than a tenth of its size")
@@ -51,12 +51,13 @@
                         i + 1, false});
         plain += rows.back().key.size() + rows.back().value.size();
     }
-    const std::string bytes = encodeNews(std::vector<packed_news>{newsOf("endpoints", rows)});
+    const std::string bytes
+            = encodeUpdates(std::vector<packed_update>{updateOf("endpoints", rows)});
     CHECK(bytes.size() < plain / 10);
-    const outcome<table_news, std::string> back = decodeNews(bytes);
+    const outcome<table_updates, std::string> back = decodeUpdates(bytes);
     REQUIRE(back);
-    CHECK(back.value().at("endpoints").news.batch.rows.size() == rows.size());
-    CHECK(back.value().at("endpoints").news.batch.rows[159].value == rows[159].value);
+    CHECK(back.value().at("endpoints").update.batch.rows.size() == rows.size());
+    CHECK(back.value().at("endpoints").update.batch.rows[159].value == rows[159].value);
 }
 
 TEST_CASE("truncated and corrupted bytes are refused or decoded safely")
@@ -64,19 +65,19 @@
     std::vector<store_row> rows;
     for (unsigned i = 0; i < 100; ++i)
         rows.push_back({"key-" + std::to_string(i), std::string(40, 'v'), i + 1, false});
-    const std::string whole = encodeNews(std::vector<packed_news>{newsOf("orders", rows)});
-    REQUIRE(decodeNews(whole));
+    const std::string whole = encodeUpdates(std::vector<packed_update>{updateOf("orders", rows)});
+    REQUIRE(decodeUpdates(whole));
     for (std::size_t size = 0; size < whole.size(); ++size)
-        CHECK(!decodeNews(std::string_view(whole).substr(0, size)));
-    CHECK(!decodeNews("{}"));
+        CHECK(!decodeUpdates(std::string_view(whole).substr(0, size)));
+    CHECK(!decodeUpdates("{}"));
     for (std::size_t i = 0; i < whole.size(); ++i) {
         std::string changed = whole;
         changed[i] = static_cast<char>(changed[i] ^ 0x5a);
         // Either refused or decoded as other rows; never more rows than were encoded.
-        const outcome<table_news, std::string> back = decodeNews(changed);
+        const outcome<table_updates, std::string> back = decodeUpdates(changed);
         if (!back)
             continue;
-        for (const auto &[table, news] : back.value())
-            CHECK(news.news.batch.rows.size() <= rows.size());
+        for (const auto &[table, update] : back.value())
+            CHECK(update.update.batch.rows.size() <= rows.size());
     }
 }
--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -31,14 +31,14 @@
 constexpr milliseconds stepLength{10};
 constexpr double newSessionsPerStep = 0.9; ///< sum over all entries
 constexpr double followUpChance = 0.6; ///< chance that another request of the session follows
-constexpr milliseconds longestPause{3000};
+constexpr milliseconds maxPause{3000};
 constexpr milliseconds answerTime{300};
 constexpr milliseconds window{10000}; ///< duration of a roll-out, as the test codec decodes it
 
 /// Simulates sessions whose requests arrive at any entry, and records changes of their versions.
-struct session_world
+struct session_fixture
 {
-    explicit session_world(std::uint64_t seed)
+    explicit session_fixture(std::uint64_t seed)
         : random(seed)
     {
         for (unsigned i = 0; i < endpointsPerVersion; ++i)
@@ -104,7 +104,7 @@
         rollouts.observe(version, "route", "m", timing, now);
         if (random.chance(followUpChance)) {
             const auto pause = std::chrono::duration_cast<milliseconds>(
-                    random.uniform() * std::chrono::duration<double, std::milli>(longestPause));
+                    random.uniform() * std::chrono::duration<double, std::milli>(maxPause));
             due.emplace(now + answerTime + pause, session);
         }
     }
@@ -142,12 +142,12 @@
     unsigned over = 0;
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_world world(seed);
-        world.startRollout();
-        world.run(seconds(12));
-        over += world.changedToNew;
-        back += world.changedToOld;
-        CHECK(world.entries.store.valueOf("status", "pool") == "completed");
+        session_fixture fixture(seed);
+        fixture.startRollout();
+        fixture.run(seconds(12));
+        over += fixture.changedToNew;
+        back += fixture.changedToOld;
+        CHECK(fixture.entries.store.valueOf("status", "pool") == "completed");
     }
     CHECK(over == 0);
     CHECK(back == 0);
@@ -157,19 +157,19 @@
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_world world(seed);
+        session_fixture fixture(seed);
         // Chooses one of the busiest entries that read rows from others.
-        for (fleet_entry &entry : world.entries.entries) {
+        for (fleet_entry &entry : fixture.entries.entries) {
             if (!entry.readers.empty()) {
-                world.failingEntry = &entry;
+                fixture.failingEntry = &entry;
                 break;
             }
         }
-        REQUIRE(world.failingEntry);
-        world.startRollout();
-        world.run(seconds(12));
-        CHECK(world.isRolledBack());
-        back += world.changedToOld;
+        REQUIRE(fixture.failingEntry);
+        fixture.startRollout();
+        fixture.run(seconds(12));
+        CHECK(fixture.isRolledBack());
+        back += fixture.changedToOld;
     }
     CHECK(back == 0);
 }
@@ -178,15 +178,15 @@
 {
     unsigned back = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        session_world world(seed);
+        session_fixture fixture(seed);
         unsigned number = 0;
-        for (fleet_entry &entry : world.entries.entries) {
+        for (fleet_entry &entry : fixture.entries.entries) {
             if (!entry.readers.empty() && ++number % 2 == 0)
                 entry.readDelay = milliseconds(700);
         }
-        world.startRollout();
-        world.run(seconds(12));
-        back += world.changedToOld;
+        fixture.startRollout();
+        fixture.run(seconds(12));
+        back += fixture.changedToOld;
     }
     CHECK(back == 0);
 }
