--- a/lib/Platform/HttpClients.cpp
+++ b/lib/Platform/HttpClients.cpp
@@ -21,7 +21,7 @@
     case table_failure::notSent:
         return "the table cannot be reached";
     case table_failure::rateLimited:
-        return "the rate limit of the table is exceeded";
+        return "the table's rate is used up";
     case table_failure::unknown:
         return "the table did not answer";
     }
