--- a/unittests/Proxy/SessionVersionTests.cpp
+++ b/unittests/Proxy/SessionVersionTests.cpp
@@ -9,6 +9,9 @@
 //  - An entry that found the new version bad by its own answers returned to the old one alone.
 //  - A stage came into force at each entry when it was read, and so at different times.
 //
+// When users saw the failure, a good version was being rolled out, and more than three requests in
+// one run were served by a different version than the previous request in their session.
+//
 // In 72 simulated roll-outs of a good version without faults at 32 entries, one or two requests
 // changed versions in 23 runs, all in the first half and to the new version. With real processes,
 // sessions changed versions in 3 of 28 runs.
