--- a/include/laurelcroft/Http/Server.h
+++ b/include/laurelcroft/Http/Server.h
@@ -17,7 +17,7 @@
 
 namespace laurelcroft {
 
-/// One request and its response. Must be used only on the thread of the server's duty.
+/// One request and its response. Must be used only on the server's event loop thread.
 class http_exchange
 {
 public:
@@ -67,14 +67,15 @@
     std::size_t maxConnections = 4096;
 };
 
-/// HTTP/1.1 server that runs on the thread of one duty.
+/// HTTP/1.1 server that runs on an event loop thread.
 class http_server
 {
 public:
-    http_server(event_loop_thread &duty, const http_server_options &options, http_handler handler);
+    http_server(event_loop_thread &thread, const http_server_options &options,
+                http_handler handler);
     ~http_server();
 
-    /// Starts listening. The duty must be running.
+    /// Starts listening. The event loop thread must be running.
     /// \returns an empty string, or an error message.
     std::string open();
 
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t pipelinedRequests = 4;
 constexpr std::size_t maxHeaderFields = 64;
 
-/// Callbacks to call when a connection closes. Accessed only on the thread of the server's duty.
+/// Callbacks to call when a connection closes. Accessed only on the server's event loop thread.
 struct connection_watch
 {
     using action = std::function<void()>;
@@ -183,7 +183,7 @@
 
 struct http_server::state
 {
-    event_loop_thread &duty;
+    event_loop_thread &thread;
     http_server_options options;
     http_handler handler;
     std::shared_ptr<connection_watch> watch = std::make_shared<connection_watch>();
@@ -204,9 +204,9 @@
     return request;
 }
 
-http_server::http_server(event_loop_thread &duty, const http_server_options &options,
+http_server::http_server(event_loop_thread &thread, const http_server_options &options,
                          http_handler handler)
-    : m_state(new state{duty, options, std::move(handler)})
+    : m_state(new state{thread, options, std::move(handler)})
 {
 }
 
@@ -225,7 +225,7 @@
     };
     try {
         m_state->server = std::make_unique<server_type>(
-                restinio::external_io_context(m_state->duty.context()), [&](auto &with) {
+                restinio::external_io_context(m_state->thread.context()), [&](auto &with) {
                     with.address(m_state->options.host)
                             .port(m_state->options.port)
                             .protocol(asio::ip::tcp::v4())
@@ -264,7 +264,7 @@
 void http_server::close()
 {
     if (m_state->server)
-        m_state->duty.post([this] { m_state->server->close_sync(); });
+        m_state->thread.post([this] { m_state->server->close_sync(); });
 }
 
 std::uint16_t http_server::port() const
--- a/lib/Standin/Standin.cpp
+++ b/lib/Standin/Standin.cpp
@@ -143,8 +143,8 @@
         return 1;
     }
     blockStopSignals();
-    event_loop_thread duty("standin");
-    asio_runtime runtime(duty.context());
+    event_loop_thread thread("standin");
+    asio_runtime runtime(thread.context());
     standin_context context(runtime, static_cast<std::uint64_t>(given.number("seed")));
     const std::unique_ptr<standin_role> role = makeRole(context, given);
     if (!role) {
@@ -152,11 +152,11 @@
                   << "'\n";
         return 1;
     }
-    http_server server(duty, options, [&](const exchange_ptr &exchange) {
+    http_server server(thread, options, [&](const exchange_ptr &exchange) {
         if (!handleCommon(context, exchange) && !role->handle(exchange))
             exchange->reply(http_status::notFound, {}, "no such path\n");
     });
-    duty.start();
+    thread.start();
     const std::string error = server.open();
     if (!error.empty()) {
         std::cerr << "laurelcroft-standin: error: " << error << "\n";
@@ -166,7 +166,7 @@
     drain_steps steps;
     steps.begin = [] {};
     steps.isIdle = [] { return true; };
-    waitAndDrain(duty, steps);
-    duty.stop();
+    waitAndDrain(thread, steps);
+    thread.stop();
     return 0;
 }
